--- a/eslint.config.mjs
+++ b/eslint.config.mjs
@@ -1,7 +1,15 @@
 import tseslint from 'typescript-eslint';
 
-const VERBS =
-  'create|start|stop|read|write|append|send|handle|choose|place|queue|grant|revoke|renew|claim|fold|apply|check|parse|format|record|measure|is|has|to';
+/** The verbs of docs/STYLE.md. */
+const VERBS = [
+  ...['create', 'start', 'stop', 'run', 'wait', 'schedule'],
+  ...['get', 'set', 'add', 'remove', 'update', 'clear'],
+  ...['find', 'list', 'count', 'compute', 'estimate', 'compare', 'sort', 'choose', 'merge'],
+  ...['read', 'write', 'append', 'send', 'request', 'handle', 'apply', 'record', 'log'],
+  ...['check', 'validate', 'parse', 'format', 'to', 'is', 'has', 'can'],
+  ...['place', 'queue', 'reserve', 'release', 'grant', 'revoke', 'renew', 'claim', 'cancel', 'retry'],
+  ...['fold', 'measure'],
+].join('|');
 const VERB_PATTERN = { regex: `^(${VERBS})([A-Z0-9].*)?$`, match: true };
 
 /** House rule: a product file exports one thing. */
