--- a/dev/bench/customersSection.ts
+++ b/dev/bench/customersSection.ts
@@ -6,7 +6,7 @@
 import { toKeyDigest } from '../../packages/customers/toKeyDigest';
 import { Dispatcher } from '../../packages/dispatch/Dispatcher';
 import type { EndpointId } from '../../packages/jobs/EndpointId';
-import { endpointLives } from '../../packages/jobs/endpointLives';
+import { endpointIncarnations } from '../../packages/jobs/endpointIncarnations';
 import type { JobDefinition } from '../../packages/jobs/JobDefinition';
 import type { JobId } from '../../packages/jobs/JobId';
 import { JobProgress } from '../../packages/jobs/JobProgress';
@@ -96,16 +96,16 @@
 /** A leader of full endpoints with more jobs than they hold; with limits that bind, room is left and customers hold the rest. */
 const createBusyDispatcher = (customerCount: number, cpuMillis: number): Dispatcher => {
   const dispatcher = new Dispatcher({
-    readDefinition: () => undefined,
-    unheardUntil: 0,
-    readLimit: () => ({ ...UNLIMITED, cpuMillis }),
+    getDefinition: () => undefined,
+    earlierLeasesEndAt: 0,
+    getLimit: () => ({ ...UNLIMITED, cpuMillis }),
   });
   for (let number = 0; number < ENDPOINTS; number += 1) {
     const id = toId<EndpointId>(`i-${number}`);
-    const life = endpointLives.toLife(id, undefined);
-    dispatcher.handleEndpoint({
+    const life = endpointIncarnations.toLife(id, undefined);
+    dispatcher.handleEndpointProfile({
       id,
-      life,
+      incarnation: life,
       service: SERVICE,
       address: `${id}:80`,
       hall: 'hall-a',
@@ -114,14 +114,14 @@
       isDraining: false,
       remainingMs: 0,
     });
-    dispatcher.handleLook({ endpoint: life, running: [], ended: [], sentAt: 0 }, 0, 0);
+    dispatcher.handleStatus({ endpoint: life, running: [], ended: [], sentAt: 0 }, 0, 0);
   }
   for (let number = 0; number < JOBS; number += 1) {
     const job = createJob(number, customerCount);
     dispatcher.handleJob(job, new JobProgress(job), 0);
   }
   dispatcher.placeWaiting(1, 1);
-  dispatcher.readEffects();
+  dispatcher.takeEffects();
   return dispatcher;
 };
 
@@ -131,13 +131,13 @@
     const job = createJob(JOBS + round, customerCount);
     dispatcher.handleJob(job, new JobProgress(job), round);
     dispatcher.placeWaiting(2 + round, 2 + round);
-    dispatcher.readEffects();
+    dispatcher.takeEffects();
   });
 };
 
 const measureCount = (count: number): readonly unknown[] => {
   const directory = new CustomerDirectory(createCustomers(count));
-  const check = measureCalls(CHECKS, (number) => directory.readByKey(`key-${number % (count + 1)}-1`));
+  const check = measureCalls(CHECKS, (number) => directory.findByKey(`key-${number % (count + 1)}-1`));
   // Half of what the endpoints hold, dealt evenly.
   const bindingMillis = Math.max(
     TASK_DEMAND.cpuMillis,
@@ -153,7 +153,7 @@
   const before = measureHeap();
   const directory = new CustomerDirectory(createCustomers(MEMORY_CUSTOMERS));
   const after = measureHeap();
-  return directory.readByKey('') === undefined ? ((after - before) * BYTES_PER_MB) / MEMORY_CUSTOMERS : 0;
+  return directory.findByKey('') === undefined ? ((after - before) * BYTES_PER_MB) / MEMORY_CUSTOMERS : 0;
 };
 
 /** What keys and limits cost by the number of customers. */
--- a/eslint.config.mjs
+++ b/eslint.config.mjs
@@ -3,7 +3,7 @@
 /** The verbs of docs/STYLE.md. */
 const VERBS = [
   ...['create', 'start', 'stop', 'run', 'wait', 'schedule'],
-  ...['get', 'set', 'add', 'remove', 'update', 'clear'],
+  ...['get', 'set', 'add', 'remove', 'take', 'update', 'clear'],
   ...['find', 'list', 'count', 'compute', 'estimate', 'compare', 'sort', 'choose', 'merge'],
   ...['read', 'write', 'append', 'send', 'request', 'handle', 'apply', 'record', 'log'],
   ...['check', 'validate', 'parse', 'format', 'to', 'is', 'has', 'can'],
--- a/packages/boxes/BoxClient.ts
+++ b/packages/boxes/BoxClient.ts
@@ -3,7 +3,7 @@
 import type { JobCaller } from '../customers/JobCaller';
 import { configurationSchema } from '../gateway/configurationSchema';
 import type { AdviceClient } from '../dispatch/advice/AdviceClient';
-import { toTickets } from '../dispatch/advice/toTickets';
+import { parseTickets } from '../dispatch/advice/parseTickets';
 import type { EndpointId } from '../jobs/EndpointId';
 import type { JobId } from '../jobs/JobId';
 import type { JobState } from '../jobs/JobState';
@@ -38,13 +38,13 @@
     this.writes = new HttpCaller({ address, connections: WRITE_CONNECTIONS });
   }
 
-  async sendQuestion(
+  async requestAdvice(
     step: string,
     endpoints: readonly EndpointId[],
     timeoutMs: number,
   ): Promise<ReadonlyMap<EndpointId, string> | undefined> {
     const answer = await this.caller.sendJson('/advice', { step, endpoints, timeoutMs }, timeoutMs);
-    return toTickets(answer);
+    return parseTickets(answer);
   }
 
   /** The state of a job for a caller, as the box knows it while it leads; undefined when it does not answer. */
--- a/packages/boxes/BoxServer.ts
+++ b/packages/boxes/BoxServer.ts
@@ -127,7 +127,7 @@
       }
       const endpoints = question.data.endpoints.map((id) => toId<EndpointId>(id));
       const { step, timeoutMs } = question.data;
-      const good = await options.advice.sendQuestion(step, endpoints, timeoutMs);
+      const good = await options.advice.requestAdvice(step, endpoints, timeoutMs);
       return good === undefined ? reply.code(503).send({}) : reply.send({ good: [...good] });
     });
   }
--- a/packages/cli/serveCommand.ts
+++ b/packages/cli/serveCommand.ts
@@ -8,7 +8,7 @@
 import { systemClock } from '../common/systemClock';
 import { toErrorText } from '../common/toErrorText';
 import { ServeProcess } from '../serve/ServeProcess';
-import { DecisionLog } from '../sight/DecisionLog';
+import { DecisionLog } from '../logging/DecisionLog';
 import type { Command } from './Command';
 import { exitCodes } from './exitCodes';
 import { formatWayHelp } from './formatWayHelp';
@@ -64,13 +64,13 @@
     const decisionLog = new DecisionLog({
       box: settings.value.box,
       writeLine: (line) => void process.stdout.write(line),
-      readBacklogBytes: () => process.stdout.writableLength,
+      getBacklogBytes: () => process.stdout.writableLength,
       readNow: () => systemClock.readNow(),
       readWall: () => Date.now(),
       linesPerSecond: LOG_LINES_PER_SECOND,
     });
     setInterval(() => decisionLog.applyTime(), LOG_TICK_MS).unref();
-    const createPartLogger = (part: string): Logger => decisionLog.createPartLogger(part);
+    const createPartLogger = (part: string): Logger => decisionLog.createLogger(part);
     const clock = createMachineClock(createPartLogger('clock'));
     const serve = new ServeProcess({
       settings: { ...settings.value, ...ways.value },
--- a/packages/cli/wayOptions.ts
+++ b/packages/cli/wayOptions.ts
@@ -1,10 +1,10 @@
-import { turnChoices } from '../dispatch/advice/turnChoices';
-import { dispatchDefaults } from '../dispatch/dispatchDefaults';
-import { hallChoices } from '../dispatch/placing/hallChoices';
-import { speedChoices } from '../dispatch/placing/speedChoices';
-import { stopChoices } from '../dispatch/stops/stopChoices';
+import { advicePolicies } from '../dispatch/advice/advicePolicies';
+import { defaultPolicies } from '../dispatch/defaultPolicies';
+import { hallPolicies } from '../dispatch/placing/hallPolicies';
+import { speedPolicies } from '../dispatch/placing/speedPolicies';
+import { stopPolicies } from '../dispatch/stops/stopPolicies';
 import { placementOrders } from '../dispatch/waiting/placementOrders';
-import { doors } from '../load/doors';
+import { admissionModes } from '../load/admissionModes';
 import { configurationSources } from '../serve/configurationSources';
 import { jobWritings } from '../serve/jobWritings';
 import type { ServeWays } from '../serve/ServeWays';
@@ -26,38 +26,38 @@
   },
   door: {
     name: 'door',
-    table: doors,
+    table: admissionModes,
     defaultChoice: 'open',
     help: 'whether jobs are refused for load: never, never but told of, or truthfully when they are hopeless',
   },
   placementOrder: {
     name: 'order',
     table: placementOrders,
-    defaultChoice: dispatchDefaults.placementOrder,
+    defaultChoice: defaultPolicies.placementOrder,
     help: 'order of placement within a priority',
   },
   speedChoice: {
     name: 'speeds',
-    table: speedChoices,
-    defaultChoice: dispatchDefaults.speedChoice,
+    table: speedPolicies,
+    defaultChoice: defaultPolicies.speedChoice,
     help: 'how the speed of endpoints counts',
   },
   hallChoice: {
     name: 'halls',
-    table: hallChoices,
-    defaultChoice: dispatchDefaults.hallChoice,
+    table: hallPolicies,
+    defaultChoice: defaultPolicies.hallChoice,
     help: 'over which halls the tasks of a job go',
   },
   turnChoice: {
     name: 'turns',
-    table: turnChoices,
-    defaultChoice: dispatchDefaults.turnChoice,
+    table: advicePolicies,
+    defaultChoice: defaultPolicies.turnChoice,
     help: 'when turns at the advice service are taken',
   },
   stopChoice: {
     name: 'stops',
-    table: stopChoices,
-    defaultChoice: dispatchDefaults.stopChoice,
+    table: stopPolicies,
+    defaultChoice: defaultPolicies.stopChoice,
     help: 'what is stopped for more urgent work, or moved',
   },
 };
--- a/packages/customers/CustomerDirectory.ts
+++ b/packages/customers/CustomerDirectory.ts
@@ -15,15 +15,15 @@
   }
 
   /** The customer to whom a key belongs; undefined when no customer holds it. */
-  readByKey(key: string): CustomerPolicy | undefined {
+  findByKey(key: string): CustomerPolicy | undefined {
     return this.byKey.get(toKeyDigest(key));
   }
 
-  readByName(name: CustomerName): CustomerPolicy | undefined {
+  findByName(name: CustomerName): CustomerPolicy | undefined {
     return this.byName.get(name);
   }
 
-  readCustomers(): Iterable<CustomerPolicy> {
+  listCustomers(): Iterable<CustomerPolicy> {
     return this.byName.values();
   }
 }
--- a/packages/customers/CustomerFigures.ts
+++ b/packages/customers/CustomerMetrics.ts
@@ -2,10 +2,10 @@
 import type { CustomerName } from './CustomerName';
 
 /** One customer for the metrics address. */
-export interface CustomerFigures {
+export interface CustomerMetrics {
   readonly name: CustomerName;
   /** What may be running now. */
-  readonly taken: TaskDemand;
+  readonly used: TaskDemand;
   /** Runs that may be there now. */
   readonly runs: number;
   /** Tasks that could start and wait. */
--- a/packages/customers/CustomerUsage.ts
+++ b/packages/customers/CustomerUsage.ts
@@ -1,4 +1,4 @@
-import { demandSums } from '../jobs/demandSums';
+import { resourceMath } from '../jobs/resourceMath';
 import type { TaskDemand } from '../jobs/TaskDemand';
 import type { CustomerName } from './CustomerName';
 
@@ -19,7 +19,7 @@
   recordRun({ customer, charge }: CountedRun): void {
     if (customer !== undefined) {
       const { taken, runs } = this.readSum(customer);
-      this.sums.set(customer, { taken: demandSums.toSum(taken, charge), runs: runs + 1 });
+      this.sums.set(customer, { taken: resourceMath.toSum(taken, charge), runs: runs + 1 });
     }
   }
 
@@ -31,20 +31,20 @@
     if (runs <= 1) {
       this.sums.delete(customer);
     } else {
-      this.sums.set(customer, { taken: demandSums.toDifference(taken, charge), runs: runs - 1 });
+      this.sums.set(customer, { taken: resourceMath.toDifference(taken, charge), runs: runs - 1 });
     }
   }
 
-  readTaken(customer: CustomerName): TaskDemand {
+  getUsed(customer: CustomerName): TaskDemand {
     return this.readSum(customer).taken;
   }
 
   /** Customers with runs, with what these take. */
-  readAll(): ReadonlyMap<CustomerName, { readonly taken: TaskDemand; readonly runs: number }> {
+  getAll(): ReadonlyMap<CustomerName, { readonly taken: TaskDemand; readonly runs: number }> {
     return this.sums;
   }
 
   private readSum(customer: CustomerName): { readonly taken: TaskDemand; readonly runs: number } {
-    return this.sums.get(customer) ?? { taken: demandSums.NOTHING, runs: 0 };
+    return this.sums.get(customer) ?? { taken: resourceMath.NOTHING, runs: 0 };
   }
 }
--- a/packages/customers/ShareMeter.ts
+++ b/packages/customers/JobRateMeter.ts
@@ -16,7 +16,7 @@
  * Tells which jobs are beyond their customer's share of `weight` jobs a second, by an allowance that fills at that rate and holds one
  * second's worth. It counts from the times kept with the jobs, so that every leader that takes the same jobs in comes to the same.
  */
-export class ShareMeter {
+export class JobRateMeter {
   private readonly allowances = new Map<CustomerName, Allowance>();
 
   /** Counts a job that was accepted at a wall clock time, in milliseconds; true when it is beyond the share. */
--- a/packages/customers/checkCaller.ts
+++ b/packages/customers/checkCaller.ts
@@ -18,7 +18,7 @@
 
 /** Decides whether a call may use a queue, and for whom. */
 export const checkCaller = ({ key, isOpen, customers, isFresh }: CallerInput): CallerCheck => {
-  const customer = key.kind === 'given' ? customers.readByKey(key.key) : undefined;
+  const customer = key.kind === 'given' ? customers.findByKey(key.key) : undefined;
   if (isOpen) {
     return { kind: 'admitted', customer };
   }
--- a/packages/dispatch/DispatchCount.ts
+++ b/packages/dispatch/DispatchCounterName.ts
@@ -1,4 +1,4 @@
-import type { LossCount } from './stops/LossCount';
+import type { LossCounterName } from './stops/LossCounterName';
 
 /**
  * What the dispatcher counts for the metrics.
@@ -12,7 +12,7 @@
  *   those without an answer; `turnUsedMs` and the like: their time.
  * - the rest: runs that lost work, and core-milliseconds that they lost, by cause.
  */
-export type DispatchCount =
+export type DispatchCounterName =
   | 'lifeEnds'
   | 'runsLost'
   | 'runsLapsed'
@@ -28,4 +28,4 @@
   | 'turnUsedMs'
   | 'turnWastedMs'
   | 'turnUnansweredMs'
-  | LossCount;
+  | LossCounterName;
--- a/packages/dispatch/DispatchEffect.ts
+++ b/packages/dispatch/DispatchEffect.ts
@@ -1,9 +1,9 @@
-import type { EndpointLife } from '../jobs/EndpointLife';
+import type { EndpointIncarnation } from '../jobs/EndpointIncarnation';
 import type { JobId } from '../jobs/JobId';
 import type { TaskName } from '../jobs/TaskName';
-import type { QuestionCause } from './advice/QuestionCause';
-import type { DispatchCount } from './DispatchCount';
-import type { StartOrder } from './endpoints/StartOrder';
+import type { AdviceRequestReason } from './advice/AdviceRequestReason';
+import type { DispatchCounterName } from './DispatchCounterName';
+import type { StartCommand } from './endpoints/StartCommand';
 import type { WaitTimes } from './waiting/WaitTimes';
 
 /** What the dispatcher wants done. */
@@ -14,30 +14,30 @@
   | {
       readonly kind: 'start';
       readonly job: JobId;
-      readonly endpoint: EndpointLife;
-      readonly order: StartOrder;
+      readonly endpoint: EndpointIncarnation;
+      readonly command: StartCommand;
       /** What the task had waited for until it was placed. */
       readonly waits: WaitTimes;
     }
   | {
       readonly kind: 'stop';
-      readonly endpoint: EndpointLife;
+      readonly endpoint: EndpointIncarnation;
       readonly task: TaskName;
       readonly run: number;
       /** The stop was sent before and had no answer. */
       readonly isRepeated: boolean;
     }
   /** Look at the endpoint at once, beside the look under way. */
-  | { readonly kind: 'look'; readonly endpoint: EndpointLife }
+  | { readonly kind: 'look'; readonly endpoint: EndpointIncarnation }
   | {
       readonly kind: 'advise';
       readonly step: string;
-      readonly endpoints: readonly EndpointLife[];
+      readonly endpoints: readonly EndpointIncarnation[];
       readonly expectedMs: number;
       readonly isLong: boolean;
-      readonly cause: QuestionCause;
+      readonly cause: AdviceRequestReason;
     }
   /** Counts something for the metrics. */
-  | { readonly kind: 'count'; readonly name: DispatchCount; readonly amount: number }
+  | { readonly kind: 'count'; readonly name: DispatchCounterName; readonly amount: number }
   /** A line for the log. */
-  | { readonly kind: 'tell'; readonly sentence: string; readonly fields: Readonly<Record<string, unknown>> };
+  | { readonly kind: 'tell'; readonly message: string; readonly fields: Readonly<Record<string, unknown>> };
--- a/packages/dispatch/Dispatcher.ts
+++ b/packages/dispatch/Dispatcher.ts
@@ -1,9 +1,9 @@
-import { CrashLedger } from './crashes/CrashLedger';
-import { isUnderSuspicion } from './crashes/isUnderSuspicion';
+import { CrashTracker } from './crashes/CrashTracker';
+import { isCrashSuspect } from './crashes/isCrashSuspect';
 import type { CustomerName } from '../customers/CustomerName';
 import { CustomerUsage } from '../customers/CustomerUsage';
-import { ShareMeter } from '../customers/ShareMeter';
-import type { EndpointLife } from '../jobs/EndpointLife';
+import { JobRateMeter } from '../customers/JobRateMeter';
+import type { EndpointIncarnation } from '../jobs/EndpointIncarnation';
 import type { JobDefinition } from '../jobs/JobDefinition';
 import type { JobId } from '../jobs/JobId';
 import type { JobProgress } from '../jobs/JobProgress';
@@ -11,116 +11,116 @@
 import type { TaskDemand } from '../jobs/TaskDemand';
 import type { TaskName } from '../jobs/TaskName';
 import type { TaskProgress } from '../jobs/TaskProgress';
-import { demandSums } from '../jobs/demandSums';
-import { endpointLives } from '../jobs/endpointLives';
+import { resourceMath } from '../jobs/resourceMath';
+import { endpointIncarnations } from '../jobs/endpointIncarnations';
 import type { LoadSnapshot } from '../load/LoadSnapshot';
-import { dispatchDefaults } from './dispatchDefaults';
+import { defaultPolicies } from './defaultPolicies';
 import type { DispatchEffect } from './DispatchEffect';
-import type { DispatchWays } from './DispatchWays';
-import { EndpointBook } from './endpoints/EndpointBook';
-import { LifeEnds } from './endpoints/LifeEnds';
-import { createUnlistedProfile } from './endpoints/createUnlistedProfile';
+import type { DispatchPolicies } from './DispatchPolicies';
+import { EndpointState } from './endpoints/EndpointState';
+import { EndpointLossHandler } from './endpoints/EndpointLossHandler';
+import { createDeregisteredProfile } from './endpoints/createDeregisteredProfile';
 import type { EndpointProfile } from './endpoints/EndpointProfile';
 import { KindSpeeds } from './placing/KindSpeeds';
-import { LimitView } from './placing/LimitView';
+import { StepLimiter } from './placing/StepLimiter';
 import { LiveJob } from './waiting/LiveJob';
-import type { OrderAnswer } from './endpoints/OrderAnswer';
+import type { CommandResult } from './endpoints/CommandResult';
 import type { PlacementOrder } from './waiting/PlacementOrder';
 import { placementOrders } from './waiting/placementOrders';
 import type { PlacedRun } from './runs/PlacedRun';
 import { Preemptor } from './placing/Preemptor';
-import { RoomReservations } from './placing/RoomReservations';
+import { EndpointReservations } from './placing/EndpointReservations';
 import { createPlacedRun } from './runs/createPlacedRun';
-import { AdviceHistory } from './advice/AdviceHistory';
-import { AdviceQuestions } from './advice/AdviceQuestions';
-import type { AdviceTurns } from './advice/AdviceTurns';
-import type { CandidateChoice } from './advice/CandidateChoice';
-import { TurnAccount } from './advice/TurnAccount';
-import { turnChoices } from './advice/turnChoices';
+import { AdviceStats } from './advice/AdviceStats';
+import { AdviceRequester } from './advice/AdviceRequester';
+import type { AdviceSlots } from './advice/AdviceSlots';
+import type { CandidateSelector } from './advice/CandidateSelector';
+import { AdviceMetrics } from './advice/AdviceMetrics';
+import { advicePolicies } from './advice/advicePolicies';
 import { GangWatch } from './runs/GangWatch';
-import type { LookAnswer } from './endpoints/LookAnswer';
-import { LookReader } from './endpoints/LookReader';
+import type { EndpointStatus } from './endpoints/EndpointStatus';
+import { StatusReconciler } from './endpoints/StatusReconciler';
 import { measureLoad } from './measureLoad';
-import { RoomView } from './placing/RoomView';
-import { RunLedger } from './runs/RunLedger';
+import { CapacityView } from './placing/CapacityView';
+import { RunTracker } from './runs/RunTracker';
 import { RunMover } from './runs/RunMover';
-import { RunOrders } from './runs/RunOrders';
+import { RunCommands } from './runs/RunCommands';
 import { EndpointSpeeds } from './speeds/EndpointSpeeds';
 import { RunLearner } from './speeds/RunLearner';
 import { RunTimes } from './speeds/RunTimes';
 import { EndpointPreference } from './placing/EndpointPreference';
-import { EndpointTrust } from './stops/EndpointTrust';
+import { EndpointQuarantine } from './stops/EndpointQuarantine';
 import type { MoveCandidate } from './stops/MoveCandidate';
-import { stopChoices } from './stops/stopChoices';
-import type { StopPrice } from './stops/StopPrice';
-import { SuspicionCosts } from './placing/SuspicionCosts';
+import { stopPolicies } from './stops/stopPolicies';
+import type { PreemptionEstimate } from './stops/PreemptionEstimate';
+import { SuspectCosts } from './placing/SuspectCosts';
 import { StepPlacer } from './placing/StepPlacer';
 import { toStepName } from './waiting/toStepName';
 import type { WaitingStep } from './waiting/WaitingStep';
-import { WaitTeller } from './waiting/WaitTeller';
+import { LongWaitLogger } from './waiting/LongWaitLogger';
 
-interface DispatcherOptions extends Partial<DispatchWays> {
+interface DispatcherOptions extends Partial<DispatchPolicies> {
   /** Definition of any job, also of one that has ended. */
-  readonly readDefinition: (id: JobId) => JobDefinition | undefined;
+  readonly getDefinition: (id: JobId) => JobDefinition | undefined;
   /** Monotonic time until which an endpoint that has not been heard may run what earlier leaders placed there. */
-  readonly unheardUntil: number;
+  readonly earlierLeasesEndAt: number;
   /** Longest lease that an endpoint grants, in milliseconds. */
   readonly longestLeaseMs?: number;
   /** The limit of a customer in the configuration in force; where there is none, that kept with the job counts. */
-  readonly readLimit?: (customer: CustomerName) => TaskDemand | undefined;
+  readonly getLimit?: (customer: CustomerName) => TaskDemand | undefined;
 }
 
 type StartEffect = Extract<DispatchEffect, { kind: 'start' }>;
 
 /** Of platforms that name no other. */
 const DEFAULT_LONGEST_LEASE_MS = 10_000;
-const UNLIMITED_TURNS: AdviceTurns = { all: Infinity, long: Infinity };
+const UNLIMITED_TURNS: AdviceSlots = { all: Infinity, long: Infinity };
 
 /**
  * The leader's decisions, with no clock and no socket: messages come in with the time, and what is to be done comes out by
  * `readEffects`. Room is taken when a run is chosen and freed only when its end is known.
  */
 export class Dispatcher {
-  private readonly books = new Map<EndpointLife, EndpointBook>();
+  private readonly books = new Map<EndpointIncarnation, EndpointState>();
   private readonly jobs = new Map<JobId, LiveJob>();
   /** What each customer has running; every book tells it of its runs. */
   private readonly usage = new CustomerUsage();
-  private readonly shares = new ShareMeter();
+  private readonly shares = new JobRateMeter();
   private effects: DispatchEffect[] = [];
   private readonly changed = new Set<JobId>();
   private readonly order: (typeof placementOrders)[PlacementOrder];
   private readonly placer: StepPlacer;
-  private readonly ledger: RunLedger;
-  private readonly orders: RunOrders;
-  private readonly looks: LookReader;
-  private readonly questions: AdviceQuestions;
-  private readonly adviceHistory = new AdviceHistory();
-  private readonly turnAccount: TurnAccount;
-  private readonly adviceCandidates: CandidateChoice;
+  private readonly ledger: RunTracker;
+  private readonly orders: RunCommands;
+  private readonly looks: StatusReconciler;
+  private readonly questions: AdviceRequester;
+  private readonly adviceHistory = new AdviceStats();
+  private readonly turnAccount: AdviceMetrics;
+  private readonly adviceCandidates: CandidateSelector;
   private readonly mover: RunMover;
   private readonly preemptor: Preemptor;
-  private readonly trust: EndpointTrust;
+  private readonly trust: EndpointQuarantine;
   private readonly speeds = new EndpointSpeeds();
   private readonly learner: RunLearner;
   private readonly preference: EndpointPreference;
   private readonly gangs: GangWatch;
-  private readonly waits: WaitTeller;
-  private readonly crashes: CrashLedger;
-  private readonly lifeEnds: LifeEnds;
+  private readonly waits: LongWaitLogger;
+  private readonly crashes: CrashTracker;
+  private readonly lifeEnds: EndpointLossHandler;
   /** True when something has happened since the last round that may let work start. */
   private hasNews = false;
   /** True when the last round only asked for tickets, so that the next one has to look at all that waits. */
   private hasAskedAhead = false;
   /** True when early questions are due: they go with time, not with each message. */
   private hasTimePassed = false;
-  private readonly room: RoomView;
-  private readonly reservations = new RoomReservations();
+  private readonly room: CapacityView;
+  private readonly reservations = new EndpointReservations();
 
   constructor(private readonly options: DispatcherOptions) {
     const sendEffect = (effect: DispatchEffect): void => void this.effects.push(effect);
-    const ways: DispatchWays = { ...dispatchDefaults, ...options };
+    const ways: DispatchPolicies = { ...defaultPolicies, ...options };
     this.order = placementOrders[ways.placementOrder];
-    const stops = stopChoices[ways.stopChoice];
+    const stops = stopPolicies[ways.stopChoice];
     const sinks = {
       handleFreed: () => {
         this.hasNews = true;
@@ -128,29 +128,29 @@
       handleChanged: (job: JobId) => this.changed.add(job),
       sendEffect,
     };
-    this.ledger = new RunLedger(this.books, this.jobs, sinks, stops.isMovingGangs);
-    this.crashes = new CrashLedger({
+    this.ledger = new RunTracker(this.books, this.jobs, sinks, stops.isMovingGangs);
+    this.crashes = new CrashTracker({
       jobs: this.jobs,
       ledger: this.ledger,
       handleChanged: (job) => this.changed.add(job),
     });
-    this.lifeEnds = new LifeEnds({
+    this.lifeEnds = new EndpointLossHandler({
       books: this.books,
       ledger: this.ledger,
       crashes: this.crashes,
       longestLeaseMs: options.longestLeaseMs ?? DEFAULT_LONGEST_LEASE_MS,
     });
     const { reservations } = this;
-    this.room = new RoomView(this.books, reservations);
-    this.trust = new EndpointTrust(this.books, stops.isClosing);
+    this.room = new CapacityView(this.books, reservations);
+    this.trust = new EndpointQuarantine(this.books, stops.isQuarantining);
     this.preemptor = new Preemptor({
       jobs: this.jobs,
       reservations,
-      room: stops.room,
+      room: stops.preemption,
       handlePreempted: (book, run, step, price) => this.handlePreempted(book, run, step, price),
     });
     const { preemptor } = this;
-    const limits = new LimitView(this.usage, options.readLimit ?? (() => undefined));
+    const limits = new StepLimiter(this.usage, options.getLimit ?? (() => undefined));
     const kinds = new KindSpeeds();
     const { speeds } = this;
     const times = new RunTimes();
@@ -165,18 +165,18 @@
     });
     this.preference = preference;
     const { room, adviceHistory: history } = this;
-    const way = turnChoices[ways.turnChoice];
-    const candidates = way.createCandidates({ room, preemptor, history, preference });
+    const way = advicePolicies[ways.turnChoice];
+    const candidates = way.createSelector({ room, preemptor, history, preference });
     this.adviceCandidates = candidates;
-    this.turnAccount = new TurnAccount((name, amount) => sendEffect({ kind: 'count', name, amount }));
-    this.questions = new AdviceQuestions({
+    this.turnAccount = new AdviceMetrics((name, amount) => sendEffect({ kind: 'count', name, amount }));
+    this.questions = new AdviceRequester({
       books: this.books,
       room,
       limits,
-      way,
-      candidates,
-      history,
-      account: this.turnAccount,
+      policy: way,
+      selector: candidates,
+      stats: history,
+      metrics: this.turnAccount,
       sendEffect,
     });
     this.placer = new StepPlacer({
@@ -186,7 +186,7 @@
       preemptor,
       reservations,
       preference,
-      suspicion: new SuspicionCosts(this.books, this.crashes),
+      suspicion: new SuspectCosts(this.books, this.crashes),
       trust: this.trust,
       sendEffect,
     });
@@ -194,7 +194,7 @@
       books: this.books,
       jobs: this.jobs,
       stops,
-      readRunTime: (queue, shape) => times.readEstimate(queue, shape),
+      readRunTime: (queue, shape) => times.getEstimate(queue, shape),
       handleMove: (candidate) => this.handleMove(candidate),
     });
     this.learner = new RunLearner({
@@ -204,29 +204,31 @@
       speeds,
       times,
       speedChoice,
-      sendTell: (sentence, fields) => this.ledger.sendTell(sentence, fields),
+      sendTell: (sentence, fields) => this.ledger.sendLogLine(sentence, fields),
     });
-    this.orders = new RunOrders({
+    this.orders = new RunCommands({
       books: this.books,
       jobs: this.jobs,
       ledger: this.ledger,
-      handleGone: (life, now) => this.handleLifeOver(life, now),
+      handleGone: (life, now) => this.handleIncarnationEnd(life, now),
     });
-    this.looks = new LookReader({
+    this.looks = new StatusReconciler({
       jobs: this.jobs,
       ledger: this.ledger,
       learner: this.learner,
       crashes: this.crashes,
-      readDefinition: options.readDefinition,
+      readDefinition: options.getDefinition,
     });
-    this.waits = new WaitTeller(this.jobs, (sentence, fields) => this.ledger.sendTell(sentence, fields));
+    this.waits = new LongWaitLogger(this.jobs, (sentence, fields) =>
+      this.ledger.sendLogLine(sentence, fields),
+    );
     this.gangs = new GangWatch(this.books, this.jobs, (book, run) =>
       this.ledger.sendStop(book, run, 'gangBroken'),
     );
   }
 
   /** Gives, once, everything to be done since the last call, records before the starts that need them. */
-  readEffects(): readonly DispatchEffect[] {
+  takeEffects(): readonly DispatchEffect[] {
     const records: DispatchEffect[] = [...this.changed].map((job) => ({ kind: 'record', job }));
     const effects = [...records, ...this.effects];
     this.changed.clear();
@@ -234,31 +236,31 @@
     return effects;
   }
 
-  readJob(id: JobId): LiveJob | undefined {
+  getJob(id: JobId): LiveJob | undefined {
     return this.jobs.get(id);
   }
 
-  readJobCount(): number {
+  countJobs(): number {
     return this.jobs.size;
   }
 
-  readUsage(): CustomerUsage {
+  getUsage(): CustomerUsage {
     return this.usage;
   }
 
-  readSpeeds(): EndpointSpeeds {
+  getSpeeds(): EndpointSpeeds {
     return this.speeds;
   }
 
   /** Tasks that could start and wait, by customer. Looks at all open jobs. */
-  readWaitingCounts(wallMs: number): ReadonlyMap<CustomerName, number> {
+  countWaitingTasks(wallMs: number): ReadonlyMap<CustomerName, number> {
     const counts = new Map<CustomerName, number>();
     for (const job of this.jobs.values()) {
       const name = job.definition.customer?.name;
       if (name === undefined || job.progress.isEnded()) {
         continue;
       }
-      const waiting = job.readWaiting(wallMs).reduce((sum, { indexes }) => sum + indexes.length, 0);
+      const waiting = job.getWaitingSteps(wallMs).reduce((sum, { indexes }) => sum + indexes.length, 0);
       counts.set(name, (counts.get(name) ?? 0) + waiting);
     }
     return counts;
@@ -266,22 +268,22 @@
 
   /** Room of all usable endpoints together, taken or not. Looks at all books. */
   readCapacity(): TaskDemand {
-    let capacity = demandSums.NOTHING;
+    let capacity = resourceMath.NOTHING;
     for (const book of this.books.values()) {
-      if (book.isUsable()) {
-        capacity = demandSums.toSum(capacity, book.readProfile().capacity);
+      if (book.isSchedulable()) {
+        capacity = resourceMath.toSum(capacity, book.getProfile().capacity);
       }
     }
     return capacity;
   }
 
   /** What waits and runs. Looks at all jobs and runs. */
-  readLoad(wallMs: number): LoadSnapshot {
+  computeLoad(wallMs: number): LoadSnapshot {
     const capacity = this.readCapacity();
     return measureLoad({ books: this.books.values(), jobs: this.jobs, usage: this.usage, capacity, wallMs });
   }
 
-  readBook(id: EndpointLife): EndpointBook | undefined {
+  getEndpointState(id: EndpointIncarnation): EndpointState | undefined {
     return this.books.get(id);
   }
 
@@ -304,9 +306,9 @@
     this.hasNews = true;
     for (let time = 0; time < definition.times; time += 1) {
       for (const [step] of definition.steps.entries()) {
-        for (const [index, task] of progress.readTasks(time, step).entries()) {
+        for (const [index, task] of progress.listTasks(time, step).entries()) {
           const address = { time, step, index };
-          this.crashes.recordInherited(job, address, now);
+          this.crashes.applyRecoveredCrashes(job, address, now);
           if (task.phase === 'placed') {
             this.recordInherited(job, address, task, now);
           }
@@ -325,35 +327,38 @@
   }
 
   /** Takes in what an endpoint's record says, for a new endpoint or a changed one. */
-  handleEndpoint(profile: EndpointProfile): void {
+  handleEndpointProfile(profile: EndpointProfile): void {
     this.hasNews = true;
-    const book = this.books.get(profile.life);
+    const book = this.books.get(profile.incarnation);
     if (book === undefined) {
-      this.books.set(profile.life, new EndpointBook(profile, this.options.unheardUntil, this.usage));
+      this.books.set(
+        profile.incarnation,
+        new EndpointState(profile, this.options.earlierLeasesEndAt, this.usage),
+      );
       return;
     }
     book.applyProfile(profile);
   }
 
   /** The endpoint's record has gone: nothing new goes there; what runs there is known only by its own word or its lease. */
-  handleEndpointLeft(id: EndpointLife): void {
+  handleEndpointDeregistered(id: EndpointIncarnation): void {
     const book = this.books.get(id);
     if (book !== undefined) {
-      book.recordUnlisted();
+      book.recordDeregistration();
       this.ledger.checkEmptyBook(book);
     }
   }
 
   /** The other lives of a life's endpoint that have books. Looks at all books. */
-  readOtherLives(life: EndpointLife): readonly EndpointLife[] {
-    const id = endpointLives.readEndpoint(life);
+  listOtherIncarnations(life: EndpointIncarnation): readonly EndpointIncarnation[] {
+    const id = endpointIncarnations.readEndpoint(life);
     return [...this.books.keys()].filter(
-      (other) => other !== life && endpointLives.readEndpoint(other) === id,
+      (other) => other !== life && endpointIncarnations.readEndpoint(other) === id,
     );
   }
 
   /** The life has left, and nothing of it matters any more. */
-  handleForgotten(life: EndpointLife): void {
+  removeEndpointState(life: EndpointIncarnation): void {
     this.books.delete(life);
   }
 
@@ -361,109 +366,109 @@
    * A life is over, so that nothing that it has listed runs any more. What was sent to it and never listed may have reached the life after it,
    * or reach it still: it goes into that life's books, and the first look there that shuts out earlier orders tells what became of it.
    */
-  handleLifeOver(life: EndpointLife, now: number, next?: EndpointLife): void {
-    this.lifeEnds.handleLifeOver(life, now, next);
+  handleIncarnationEnd(life: EndpointIncarnation, now: number, next?: EndpointIncarnation): void {
+    this.lifeEnds.handleIncarnationEnd(life, now, next);
   }
 
   /** True while a look at an endpoint that fell silent for good may still tell whether it crashed. */
-  isAwaited(id: EndpointLife, now: number): boolean {
-    return this.crashes.isAwaited(id, now);
+  isCrashUnconfirmed(id: EndpointIncarnation, now: number): boolean {
+    return this.crashes.isCrashUnconfirmed(id, now);
   }
 
   /** The endpoint did not answer a look. */
-  handleSilence(id: EndpointLife, now: number): void {
+  handleUnreachable(id: EndpointIncarnation, now: number): void {
     const book = this.books.get(id);
     if (book === undefined) {
       return;
     }
-    if (book.readSilentSince() === undefined) {
-      this.crashes.handleSilence(book, now);
+    if (book.getUnreachableSince() === undefined) {
+      this.crashes.handleUnreachable(book, now);
     }
-    book.recordSilence(now);
+    book.recordUnreachable(now);
   }
 
   /** The endpoint answered a look: what it does not list, and was asked for after the order was answered, does not run. */
-  handleLook(answer: LookAnswer, now: number, wallMs: number): void {
+  handleStatus(answer: EndpointStatus, now: number, wallMs: number): void {
     const book = this.books.get(answer.endpoint);
     if (book === undefined) {
       return;
     }
     // Most looks show nothing but that all goes on: then no round is worth its time.
-    this.hasNews ||= !book.isUsable();
-    this.looks.handleLook(book, answer, now, wallMs);
+    this.hasNews ||= !book.isSchedulable();
+    this.looks.applyStatus(book, answer, now, wallMs);
   }
 
-  handleStartAnswer(
-    id: EndpointLife,
+  handleStartResult(
+    id: EndpointIncarnation,
     task: TaskName,
     runNumber: number,
-    answer: OrderAnswer,
+    answer: CommandResult,
     now: number,
   ): void {
     this.orders.handleStartAnswer(id, task, runNumber, answer, now);
   }
 
-  handleStopAnswer(
-    id: EndpointLife,
+  handleStopResult(
+    id: EndpointIncarnation,
     task: TaskName,
     runNumber: number,
-    answer: OrderAnswer,
+    answer: CommandResult,
     now: number,
   ): void {
     this.orders.handleStopAnswer(id, task, runNumber, answer, now);
   }
 
-  handleAdvice(
+  handleAdviceResponse(
     step: string,
-    asked: readonly EndpointLife[],
-    good: ReadonlyMap<EndpointLife, string> | undefined,
+    asked: readonly EndpointIncarnation[],
+    good: ReadonlyMap<EndpointIncarnation, string> | undefined,
     now: number,
   ): void {
     const [id, time, number] = step.split('.');
     const job = this.jobs.get(id as JobId);
-    this.adviceHistory.recordAnswer(job?.definition.queue.name ?? '', asked, good?.size);
-    this.adviceCandidates.recordAnswer(step, asked);
+    this.adviceHistory.recordResponse(job?.definition.queue.name ?? '', asked, good?.size);
+    this.adviceCandidates.recordResponse(step, asked);
     const validityMs = job?.definition.queue.advice?.validityMs ?? 0;
-    const book = job?.readAdvice(Number(time), Number(number));
-    const tookMs = book === undefined ? 0 : now - book.readAskedAt();
+    const book = job?.getAdvice(Number(time), Number(number));
+    const tookMs = book === undefined ? 0 : now - book.getRequestedAt();
     if (good === undefined) {
-      this.turnAccount.recordUnanswered(tookMs);
+      this.turnAccount.recordFailure(tookMs);
     }
-    const source = good && this.turnAccount.recordAnswer(tookMs, now + validityMs);
-    book?.recordAnswer(asked, good, now, validityMs, source);
+    const source = good && this.turnAccount.recordResponse(tookMs, now + validityMs);
+    book?.recordResponse(asked, good, now, validityMs, source);
     this.hasNews = true;
   }
 
   /** Tells whether a start whose record is durable should still be sent; if not, its room is free again. */
-  handleRecorded(effect: StartEffect, now: number): boolean {
+  handleStartRecorded(effect: StartEffect, now: number): boolean {
     return this.orders.handleRecorded(effect, now);
   }
 
   /** A start could not be sent at all. */
-  handleUnsent(effect: StartEffect, now: number): void {
+  handleStartUnsent(effect: StartEffect, now: number): void {
     this.orders.handleUnsent(effect, now);
   }
 
   /** Lets time pass: leases run out, stops are repeated, repetitions fall due. */
-  applyTime(now: number): void {
+  handleTick(now: number): void {
     this.hasNews = true;
     this.hasTimePassed = true;
     for (const book of [...this.books.values()]) {
-      this.lifeEnds.applyTime(book, now);
+      this.lifeEnds.checkLease(book, now);
       this.ledger.sendStopsAgain(book, now);
     }
-    this.reservations.applyTime(now);
-    this.turnAccount.applyTime(now);
-    this.learner.applyTime(now);
+    this.reservations.removeExpired(now);
+    this.turnAccount.handleTick(now);
+    this.learner.handleTick(now);
     this.mover.applyTime(now);
-    this.waits.applyTime(now);
+    this.waits.logLongWaits(now);
     this.gangs.checkAll();
     this.applyRemovals();
   }
 
   /** Fields of a line about each step that waits. */
-  readWaits(now: number): ReturnType<WaitTeller['readAll']> {
-    return this.waits.readAll(now);
+  listWaits(now: number): ReturnType<LongWaitLogger['listOpenWaits']> {
+    return this.waits.listOpenWaits(now);
   }
 
   /** Starts what can start, if anything has happened since the last call. */
@@ -487,38 +492,38 @@
    * Instead of `placeWaiting` while no start can be recorded: asks for the tickets that what waits would need, again when they
    * run out, so that the log's return finds valid ones for what is placed first.
    */
-  sendQuestionsAhead(now: number, wallMs: number, turns = UNLIMITED_TURNS): void {
+  requestAdviceAhead(now: number, wallMs: number, turns = UNLIMITED_TURNS): void {
     if (!this.hasNews) {
       return;
     }
     this.hasAskedAhead = true;
     for (const step of this.startRound(now, wallMs, turns)) {
-      this.placer.sendQuestionAhead(step, now);
+      this.placer.requestAdviceAhead(step, now);
     }
-    this.placer.revokeBooked();
+    this.placer.releaseTentative();
   }
 
   /** Gives back the room of starts that wait for their record; they are decided anew. */
-  revokeUnrecorded(now: number): void {
+  cancelUnrecordedStarts(now: number): void {
     this.orders.revokeUnrecorded(now);
   }
 
   /** Begins a round; gives what waits, in the order of placement. */
-  private startRound(now: number, wallMs: number, turns: AdviceTurns): readonly WaitingStep[] {
-    this.crashes.applyGivenUp(now, wallMs);
+  private startRound(now: number, wallMs: number, turns: AdviceSlots): readonly WaitingStep[] {
+    this.crashes.applyCrashLimits(now, wallMs);
     this.hasNews = false;
-    this.room.startRound();
-    this.preemptor.startRound(now, wallMs);
-    this.trust.startRound();
-    this.preference.startRound(wallMs);
+    this.room.clearCache();
+    this.preemptor.setTime(now, wallMs);
+    this.trust.clearCache();
+    this.preference.setWallTime(wallMs);
     this.questions.startRound(turns);
     const waiting: WaitingStep[] = [];
     for (const job of this.jobs.values()) {
       if (!job.progress.isEnded()) {
-        waiting.push(...job.readWaiting(wallMs));
+        waiting.push(...job.getWaitingSteps(wallMs));
       }
     }
-    return this.order.toOrder(waiting, {
+    return this.order.sortSteps(waiting, {
       wallMs,
       usage: this.usage,
       readCapacity: () => this.readCapacity(),
@@ -527,14 +532,14 @@
 
   private sendEarlyQuestions(now: number, wallMs: number): void {
     for (const job of this.jobs.values()) {
-      this.questions.sendEarlyQuestions(job, now, wallMs);
+      this.questions.sendEarlyRequests(job, now, wallMs);
     }
   }
 
   private handleMove({ book, run, reason, gainMs }: MoveCandidate): void {
-    const { life: id } = book.readProfile();
-    this.jobs.get(run.job)?.recordFailedOn(run.address.time, run.address.step, id);
-    this.ledger.sendTell('Run is moved.', {
+    const { incarnation: id } = book.getProfile();
+    this.jobs.get(run.job)?.recordFailureOn(run.address.time, run.address.step, id);
+    this.ledger.sendLogLine('Run is moved.', {
       job: run.job,
       task: run.task,
       run: run.run,
@@ -546,12 +551,17 @@
     this.ledger.sendStop(book, run, reason);
   }
 
-  private handlePreempted(book: EndpointBook, run: PlacedRun, step: WaitingStep, price: StopPrice): void {
-    this.ledger.sendTell('Run gives way.', {
+  private handlePreempted(
+    book: EndpointState,
+    run: PlacedRun,
+    step: WaitingStep,
+    price: PreemptionEstimate,
+  ): void {
+    this.ledger.sendLogLine('Run gives way.', {
       job: run.job,
       task: run.task,
       run: run.run,
-      endpoint: book.readProfile().life,
+      endpoint: book.getProfile().incarnation,
       percent: run.percent,
       priority: run.priority,
       for: toStepName(step),
@@ -565,18 +575,18 @@
     let book = this.books.get(task.endpoint);
     if (book === undefined) {
       // Its record is gone: it may be cut off, and still run this until its lease ends.
-      const profile = createUnlistedProfile(task.endpoint, definition.queue.service);
-      book = new EndpointBook(profile, this.options.unheardUntil, this.usage);
+      const profile = createDeregisteredProfile(task.endpoint, definition.queue.service);
+      book = new EndpointState(profile, this.options.earlierLeasesEndAt, this.usage);
       // Whether it left by plan is not known either: it may as well have crashed before this leader read the records.
-      book.recordUnlisted();
+      book.recordDeregistration();
       this.books.set(task.endpoint, book);
     }
     const run = createPlacedRun(definition, address, task.run, now, {
-      isSuspect: isUnderSuspicion(task.crashes),
+      isCrashSuspect: isCrashSuspect(task.crashes),
     });
     run.stage = 'unconfirmed';
     run.checkpoint = task.checkpoint;
-    book.recordRun(run);
+    book.addRun(run);
   }
 
   private applyRemovals(): void {
--- a/packages/dispatch/LeaderDuty.ts
+++ b/packages/dispatch/LeaderController.ts
@@ -10,28 +10,28 @@
 import type { Result } from '../common/Result';
 import type { JobReplica } from '../jobs/JobReplica';
 import { leaderTimings } from '../leadership/leaderTimings';
-import { LoadTeller } from '../load/LoadTeller';
+import { LoadPublisher } from '../load/LoadPublisher';
 import { appendRules } from '../store/appendRules';
 import type { LogClient } from '../store/LogClient';
-import { adviceDesks } from './advice/adviceDesks';
-import type { QuestionDesk } from './advice/QuestionDesk';
-import type { QuestionDeskOptions } from './advice/QuestionDeskOptions';
-import type { DispatchCount } from './DispatchCount';
+import { adviceBalancers } from './advice/adviceBalancers';
+import type { AdviceBalancer } from './advice/AdviceBalancer';
+import type { AdviceBalancerOptions } from './advice/AdviceBalancerOptions';
+import type { DispatchCounterName } from './DispatchCounterName';
 import type { DispatchEffect } from './DispatchEffect';
 import { Dispatcher } from './Dispatcher';
-import type { DispatchWays } from './DispatchWays';
+import type { DispatchPolicies } from './DispatchPolicies';
 import type { EndpointClient } from './endpoints/EndpointClient';
 import type { EndpointProfile } from './endpoints/EndpointProfile';
 import { EndpointSessions } from './endpoints/EndpointSessions';
-import { OrderSender } from './endpoints/OrderSender';
+import { CommandSender } from './endpoints/CommandSender';
 import { LeaderJournal } from './LeaderJournal';
-import type { LeaderTime } from './LeaderTime';
-import { LineGatherer } from '../sight/LineGatherer';
+import type { LeaderDurationName } from './LeaderDurationName';
+import { LineBatcher } from '../logging/LineBatcher';
 import { ProgressInheritance } from './ProgressInheritance';
-import { RoundPacer } from './placing/RoundPacer';
-import { RoundWatch } from './placing/RoundWatch';
+import { RoundThrottle } from './placing/RoundThrottle';
+import { SlowRoundLogger } from './placing/SlowRoundLogger';
 
-interface LeaderDutyOptions {
+interface LeaderControllerOptions {
   readonly epoch: number;
   /** Monotonic time at which the claim was sent that made this process lead. */
   readonly claimedAt: number;
@@ -46,15 +46,15 @@
   readonly maxAppendBytes: number;
   readonly replica: JobReplica;
   /** Reads the jobs' topic on; true once everything written before the call is in the replica. */
-  readonly startJobsRefresh: () => Promise<boolean>;
+  readonly updateReplica: () => Promise<boolean>;
   readonly clock: MachineClock;
   readonly random: Random;
   readonly logger: Logger;
-  readonly ways: DispatchWays;
+  readonly policies: DispatchPolicies;
   /** Takes each digest of the load that the other boxes are told of; without it none is made. */
-  readonly handleLoad?: (digest: string) => void;
+  readonly handleLoadDigest?: (digest: string) => void;
   /** The limit of a customer in the configuration in force. */
-  readonly readLimit: (customer: CustomerName) => TaskDemand | undefined;
+  readonly getLimit: (customer: CustomerName) => TaskDemand | undefined;
   /** On failure says what is wrong with the record. */
   readonly parseEndpoint: (id: string, text: string) => Result<EndpointProfile, string>;
   readonly createEndpointClient: (profile: EndpointProfile, readToken: () => number) => EndpointClient;
@@ -62,12 +62,12 @@
   readonly isServiceRouted: (service: ServiceName) => boolean;
   /** Longest lease that an endpoint grants, in milliseconds. */
   readonly longestLeaseMs: number;
-  readonly readAskers: QuestionDeskOptions['readAskers'];
+  readonly listChannels: AdviceBalancerOptions['listChannels'];
   readonly formatLeaderRecord: (isResigned: boolean) => string;
   /** A newer leader has been seen: this duty gives no more orders. */
-  readonly handleDeposed: (detail: string) => void;
+  readonly handleLeadershipLost: (detail: string) => void;
   /** The log has answered, after it had not, a call that was sent at a monotonic time. */
-  readonly handleLogBack: (answeredSentAt: number) => void;
+  readonly handleLogRecovered: (answeredSentAt: number) => void;
   readonly recordCount: (
     name:
       | 'starts'
@@ -78,10 +78,10 @@
       | 'unanswered'
       | 'livesBegun'
       | 'recordsRefused'
-      | DispatchCount,
+      | DispatchCounterName,
     amount?: number,
   ) => void;
-  readonly recordTime: (name: LeaderTime, valueMs: number) => void;
+  readonly recordTime: (name: LeaderDurationName, valueMs: number) => void;
 }
 
 const TICK_MS = 100;
@@ -89,47 +89,47 @@
  * Age of the newest answered write, from its sending, beyond which the log may have gone out: one is sent every 400 ms at the latest, looked
  * at every 100 ms, and counts as failed after 350 ms.
  */
-const SHOWN_MS = leaderTimings.heartbeatMs + TICK_MS + appendRules.firstTimeoutMs;
+const SHOWN_MS = leaderTimings.heartbeatMs + TICK_MS + appendRules.initialTimeoutMs;
 /**
  * Once the log has taken no progress for so long, nothing more is placed, and what waits for its record gives its room back. Beyond
  * the first time limit of an append and a repetition, so that a log that is merely slow (up to 0.7 s an append) is waited for.
  */
 const HOLD_STARTS_MS = 1000;
 /** The work of the leader: joins the dispatcher with the log, the endpoints and the advice service. */
-export class LeaderDuty {
+export class LeaderController {
   private readonly dispatcher: Dispatcher;
   private readonly journal: LeaderJournal;
   private readonly inheritance: ProgressInheritance;
   private readonly endpoints: EndpointSessions;
-  private readonly lines: LineGatherer;
-  private readonly desk: QuestionDesk;
-  private readonly load: LoadTeller;
-  private readonly orders: OrderSender;
+  private readonly lines: LineBatcher;
+  private readonly desk: AdviceBalancer;
+  private readonly load: LoadPublisher;
+  private readonly orders: CommandSender;
   /** Services of the jobs that were taken in: their endpoints are needed also where the configuration has dropped them. */
   private readonly services = new Set<ServiceName>();
   private hasReadJobs = false;
   private hasTakenOver = false;
   private isHoldingStarts = false;
   private isStopped = false;
-  private readonly rounds: RoundPacer;
-  private readonly roundWatch: RoundWatch;
+  private readonly rounds: RoundThrottle;
+  private readonly roundWatch: SlowRoundLogger;
   private timer: NodeJS.Timeout | undefined;
 
-  constructor(private readonly options: LeaderDutyOptions) {
+  constructor(private readonly options: LeaderControllerOptions) {
     const { clock, client, epoch, replica } = options;
-    this.lines = new LineGatherer(options.logger);
-    this.load = new LoadTeller(epoch, clock.readNow());
+    this.lines = new LineBatcher(options.logger);
+    this.load = new LoadPublisher(epoch, clock.readNow());
     this.dispatcher = new Dispatcher({
-      ...options.ways,
-      unheardUntil: options.earlierLeasesEndAt,
+      ...options.policies,
+      earlierLeasesEndAt: options.earlierLeasesEndAt,
       longestLeaseMs: options.longestLeaseMs,
-      readDefinition: (id) => replica.readDefinition(id),
-      readLimit: options.readLimit,
+      getDefinition: (id) => replica.getDefinition(id),
+      getLimit: options.getLimit,
     });
-    this.rounds = new RoundPacer({ clock, handleRound: () => this.applyRound() });
-    this.roundWatch = new RoundWatch({
+    this.rounds = new RoundThrottle({ clock, handleRound: () => this.applyRound() });
+    this.roundWatch = new SlowRoundLogger({
       logger: options.logger,
-      readJobCount: () => this.dispatcher.readJobCount(),
+      readJobCount: () => this.dispatcher.countJobs(),
       recordTime: options.recordTime,
     });
     this.journal = new LeaderJournal({
@@ -163,9 +163,9 @@
         this.queueRound();
       },
       handleFenced: (detail) => this.handleDeposed(detail),
-      handleLogBack: options.handleLogBack,
+      handleLogBack: options.handleLogRecovered,
     });
-    this.orders = new OrderSender({
+    this.orders = new CommandSender({
       ...options,
       dispatcher: this.dispatcher,
       endpoints: this.endpoints,
@@ -176,10 +176,10 @@
       handleChanged: () => this.queueRound(),
       handleDeposed: (detail) => this.handleDeposed(detail),
     });
-    this.desk = adviceDesks[options.ways.turnChoice]({
+    this.desk = adviceBalancers[options.policies.turnChoice]({
       clock,
-      readAskers: options.readAskers,
-      handleAnswer: (question, answer, tookMs) => {
+      listChannels: options.listChannels,
+      handleResponse: (question, answer, tookMs) => {
         options.logger.info('Advice answered.', {
           step: question.step,
           cause: question.cause,
@@ -188,7 +188,7 @@
           tookMs,
           expectedMs: Math.round(question.expectedMs),
         });
-        this.dispatcher.handleAdvice(question.step, question.endpoints, answer, clock.readNow());
+        this.dispatcher.handleAdviceResponse(question.step, question.endpoints, answer, clock.readNow());
         this.queueRound();
       },
     });
@@ -218,13 +218,13 @@
   }
 
   /** Stops by plan: no more orders, then the word that another may lead. */
-  async startResigning(): Promise<void> {
+  async stopGracefully(): Promise<void> {
     this.hasTakenOver = false;
     clearInterval(this.timer);
     this.endpoints.stop();
     this.desk.stop();
     // Without the log the word cannot be written: the next leader is told directly, or sees this process end.
-    if (this.readFailingMs() === 0) {
+    if (this.getLogOutageMs() === 0) {
       await this.journal.startResigning();
     }
     this.stop();
@@ -246,22 +246,22 @@
   }
 
   /** How long the log has not taken this leader's writes, in milliseconds. */
-  readFailingMs(): number {
+  getLogOutageMs(): number {
     return this.journal.readFailingMs();
   }
 
   /** True while the newest write that the log has answered is as young as the heartbeat lets it be. */
-  isLogShown(): boolean {
-    return !this.isStopped && this.readFailingMs() === 0 && this.journal.isShownWithin(SHOWN_MS);
+  isHeartbeatFresh(): boolean {
+    return !this.isStopped && this.getLogOutageMs() === 0 && this.journal.isAcknowledgedWithin(SHOWN_MS);
   }
 
   /** The log has answered this box: calls that wait for an answer since it went out are made again. */
-  startAgain(answeredSentAt: number): void {
+  retryPending(answeredSentAt: number): void {
     this.journal.startAgain();
-    this.endpoints.startAgain(answeredSentAt);
+    this.endpoints.retryPending(answeredSentAt);
   }
 
-  readDispatcher(): Dispatcher {
+  getDispatcher(): Dispatcher {
     return this.dispatcher;
   }
 
@@ -273,7 +273,7 @@
   /** Tells what is known of the waits that go on: it goes with this leader. */
   private writeWaits(): void {
     const now = this.options.clock.readNow();
-    for (const fields of this.dispatcher.readWaits(now)) {
+    for (const fields of this.dispatcher.listWaits(now)) {
       this.lines.recordLine('Step waits.', fields, now);
     }
     this.lines.stop();
@@ -283,7 +283,7 @@
     // Jobs are read after earlier leaders have been shut out: each job that one of them began is then among them.
     await this.inheritance.start();
     while (!this.isStopped && !this.hasReadJobs) {
-      this.hasReadJobs = await this.options.startJobsRefresh();
+      this.hasReadJobs = await this.options.updateReplica();
       if (!this.hasReadJobs) {
         await startDelay(TICK_MS);
       }
@@ -298,7 +298,7 @@
     }
     const { replica, clock, logger, epoch } = this.options;
     this.hasTakenOver = true;
-    for (const definition of replica.readDefinitionsInOrder()) {
+    for (const definition of replica.listDefinitionsInOrder()) {
       this.applyJob(definition);
       if (replica.isCancelled(definition.id)) {
         this.dispatcher.handleCancel(definition.id, clock.readWall());
@@ -307,8 +307,8 @@
     this.endpoints.startSessions();
     logger.info('Leading.', {
       epoch,
-      jobs: this.dispatcher.readJobCount(),
-      endpoints: this.endpoints.readCount(),
+      jobs: this.dispatcher.countJobs(),
+      endpoints: this.endpoints.countEndpoints(),
     });
   }
 
@@ -317,8 +317,8 @@
     const progress = this.inheritance.readProgress(definition);
     this.services.add(definition.queue.service);
     this.dispatcher.handleJob(definition, progress, this.options.clock.readNow());
-    if (progress.readState() !== 'queued') {
-      this.journal.queueState(definition.id, progress.readState());
+    if (progress.getState() !== 'queued') {
+      this.journal.queueState(definition.id, progress.getState());
     }
   }
 
@@ -332,29 +332,29 @@
   private handleDeposed(detail: string): void {
     if (!this.isStopped) {
       this.stop();
-      this.options.handleDeposed(detail);
+      this.options.handleLeadershipLost(detail);
     }
   }
 
   private applyTime(): void {
     const now = this.options.clock.readNow();
-    this.journal.applyTime(now);
+    this.journal.handleTick(now);
     this.lines.applyTime(now);
     if (this.hasTakenOver) {
-      this.endpoints.applyTime();
-      this.dispatcher.applyTime(now);
+      this.endpoints.startPendingSessions();
+      this.dispatcher.handleTick(now);
       this.queueLoad(now);
       this.queueRound();
     }
   }
 
   private queueLoad(now: number): void {
-    const { clock, handleLoad, recordCount } = this.options;
+    const { clock, handleLoadDigest: handleLoad, recordCount } = this.options;
     if (handleLoad === undefined) {
       return;
     }
     const wallMs = clock.readWall();
-    const digest = this.load.createDue({ now, wallMs }, () => this.dispatcher.readLoad(wallMs));
+    const digest = this.load.createDueDigest({ now, wallMs }, () => this.dispatcher.computeLoad(wallMs));
     if (digest !== undefined) {
       recordCount('digests');
       this.journal.queueLoad(digest);
@@ -364,7 +364,7 @@
 
   /** True while this leader may give leases; the next one waits until the last of them has ended. */
   private isRenewing(): boolean {
-    return this.journal.isShownWithin(leaderTimings.unconfirmedMs);
+    return this.journal.isAcknowledgedWithin(leaderTimings.unconfirmedGraceMs);
   }
 
   private queueRound(): void {
@@ -380,9 +380,9 @@
     const { clock } = this.options;
     const now = clock.readNow();
     this.checkHold(now);
-    const turns = this.desk.readFreeTurns();
+    const turns = this.desk.getFreeSlots();
     if (this.isHoldingStarts) {
-      this.dispatcher.sendQuestionsAhead(now, clock.readWall(), turns);
+      this.dispatcher.requestAdviceAhead(now, clock.readWall(), turns);
     } else {
       this.dispatcher.placeWaiting(now, clock.readWall(), turns);
     }
@@ -401,13 +401,13 @@
     const sentence = isHolding ? 'Starts are held: the log takes no progress.' : 'Starts go on.';
     this.options.logger.info(sentence, { failingMs: Math.round(failingMs) });
     if (isHolding) {
-      this.dispatcher.revokeUnrecorded(now);
+      this.dispatcher.cancelUnrecordedStarts(now);
     }
   }
 
   /** Carries out what the dispatcher wants. */
   private sendEffects(): void {
-    for (const effect of this.dispatcher.readEffects()) {
+    for (const effect of this.dispatcher.takeEffects()) {
       this.sendEffect(effect);
     }
   }
@@ -424,31 +424,31 @@
         void this.orders.sendStop(effect);
         return;
       case 'look':
-        void this.endpoints.readSession(effect.endpoint)?.startExtraLook();
+        void this.endpoints.getSession(effect.endpoint)?.sendExtraPoll();
         return;
       case 'advise':
         this.options.recordCount('questions');
-        void this.desk.sendQuestion(effect);
+        void this.desk.sendRequest(effect);
         return;
       case 'count':
         this.options.recordCount(effect.name, effect.amount);
         return;
       case 'tell':
-        this.lines.recordLine(effect.sentence, effect.fields, this.options.clock.readNow());
+        this.lines.recordLine(effect.message, effect.fields, this.options.clock.readNow());
         return;
     }
   }
 
   private queueProgress(id: JobId, handleWritten?: () => void): void {
-    const job = this.dispatcher.readJob(id);
+    const job = this.dispatcher.getJob(id);
     if (job !== undefined) {
       this.journal.queueProgress(job.definition, job.progress, handleWritten);
     }
   }
 
   private recordStart(job: JobId): void {
-    const queue = this.dispatcher.readJob(job)?.definition.queue.name;
-    if (queue !== undefined && this.options.handleLoad !== undefined) {
+    const queue = this.dispatcher.getJob(job)?.definition.queue.name;
+    if (queue !== undefined && this.options.handleLoadDigest !== undefined) {
       this.load.recordStart(queue, this.options.clock.readNow());
     }
   }
--- a/packages/dispatch/LeaderJournal.ts
+++ b/packages/dispatch/LeaderJournal.ts
@@ -30,7 +30,7 @@
   /** A newer leader has been seen. */
   readonly handleFenced: (detail: string) => void;
   /** The log has answered, after it had not, a call that was sent at a monotonic time. */
-  readonly handleLogBack: (answeredSentAt: number) => void;
+  readonly handleLogRecovered: (answeredSentAt: number) => void;
 }
 
 /** Changes gathered for one append: a start waits so much longer, a small part of any objective, and the log gets fewer calls. */
@@ -57,25 +57,25 @@
    * True while so little time has certainly passed since the newest write was sent that the other boxes can have read. The next leader counts
    * from what it has read how long leases may last, so nothing else may lengthen them; nor may a suspension of this machine.
    */
-  isShownWithin(limitMs: number): boolean {
+  isAcknowledgedWithin(limitMs: number): boolean {
     return this.options.clock.readLongestSince(this.shownAt) < limitMs;
   }
 
   /** How long the log has not taken writes, in milliseconds. */
   readFailingMs(): number {
-    return Math.max(this.progressWriter.readFailingMs(), this.stateWriter.readFailingMs());
+    return Math.max(this.progressWriter.getOutageMs(), this.stateWriter.getOutageMs());
   }
 
   /** How long the log has not taken progress, without which nothing starts, in milliseconds. */
   readProgressFailingMs(): number {
-    return this.progressWriter.readFailingMs();
+    return this.progressWriter.getOutageMs();
   }
 
   /** Writes the progress of a job as it is when the append is made, then its state. */
   queueProgress(definition: JobDefinition, progress: JobProgress, handleWritten?: () => void): void {
     let writtenState: JobState | undefined;
     const formatValue = (): string => {
-      writtenState = progress.readState();
+      writtenState = progress.getState();
       return formatProgress(definition, progress);
     };
     this.progressWriter.queueWrite(jobKeys.toProgressKey(definition.id), formatValue, () => {
@@ -90,11 +90,11 @@
   /** Writes the state of a job whose progress is durable, unless it stands there. */
   queueState(id: JobId, state: JobState): void {
     const { replica } = this.options;
-    if (replica.readWrittenState(id) !== state) {
+    if (replica.getWrittenState(id) !== state) {
       this.stateWriter.queueWrite(
         jobKeys.toStateKey(id),
         () => state,
-        () => replica.applyState(id, state),
+        () => replica.setState(id, state),
       );
     }
   }
@@ -105,7 +105,7 @@
   }
 
   /** Shows the other boxes that this leader is there, when nothing else has of late. */
-  applyTime(now: number): void {
+  handleTick(now: number): void {
     if (now - this.shownAt >= leaderTimings.heartbeatMs) {
       this.stateWriter.queueWrite(leaderKeys.recordKey, () => this.options.formatLeaderRecord(false));
     }
@@ -118,15 +118,15 @@
 
   /** Writes what is queued, then the word that another may lead. */
   async startResigning(): Promise<void> {
-    await this.progressWriter.startFlush(RESIGN_TIMEOUT_MS);
+    await this.progressWriter.waitForFlush(RESIGN_TIMEOUT_MS);
     this.stateWriter.queueWrite(leaderKeys.recordKey, () => this.options.formatLeaderRecord(true));
-    await this.stateWriter.startFlush(RESIGN_TIMEOUT_MS);
+    await this.stateWriter.waitForFlush(RESIGN_TIMEOUT_MS);
   }
 
   /** The log is known to answer again: appends that wait for an answer since it went out are made once more. */
   startAgain(): void {
-    this.progressWriter.startAgain();
-    this.stateWriter.startAgain();
+    this.progressWriter.retryPending();
+    this.stateWriter.retryPending();
   }
 
   stop(): void {
@@ -135,7 +135,15 @@
   }
 
   private createWriter(topic: string, handleConfirmed: (sentAt: number) => void): ExclusiveWriter {
-    const { client, clock, epoch, logger, maxAppendBytes, handleFenced, handleLogBack } = this.options;
+    const {
+      client,
+      clock,
+      epoch,
+      logger,
+      maxAppendBytes,
+      handleFenced,
+      handleLogRecovered: handleLogBack,
+    } = this.options;
     return new ExclusiveWriter({
       client,
       topic,
@@ -143,7 +151,7 @@
       producer: leaderKeys.producer,
       epoch,
       lastSequence: leaderKeys.claimSequence,
-      gatherMs: GATHER_MS,
+      lingerMs: GATHER_MS,
       maxBytes: maxAppendBytes,
       handleFenced,
       handleConfirmed,
--- a/packages/dispatch/advice/QuestionDesk.ts
+++ b/packages/dispatch/advice/AdviceBalancer.ts
@@ -1,11 +1,11 @@
 import type { DispatchEffect } from '../DispatchEffect';
-import type { AdviceTurns } from './AdviceTurns';
+import type { AdviceSlots } from './AdviceSlots';
 
 /** Spreads questions to the advice service over the boxes, since the service takes those of one box in turn: one at a time each. */
-export interface QuestionDesk {
+export interface AdviceBalancer {
   /** How many questions could be asked now. */
-  readFreeTurns(): AdviceTurns;
+  getFreeSlots(): AdviceSlots;
   /** Asks a question for which there is a turn. */
-  sendQuestion(question: Extract<DispatchEffect, { kind: 'advise' }>): Promise<void>;
+  sendRequest(question: Extract<DispatchEffect, { kind: 'advise' }>): Promise<void>;
   stop(): void;
 }
--- a/packages/dispatch/advice/AdviceCandidates.ts
+++ b/packages/dispatch/advice/AdviceCandidates.ts
@@ -1,10 +1,10 @@
-import { toCountedDemand } from '../../jobs/toCountedDemand';
-import { demandSums } from '../../jobs/demandSums';
-import type { AdviceHistory } from './AdviceHistory';
-import type { CandidateChoice } from './CandidateChoice';
-import type { EndpointBook } from '../endpoints/EndpointBook';
+import { toReservedDemand } from '../../jobs/toReservedDemand';
+import { resourceMath } from '../../jobs/resourceMath';
+import type { AdviceStats } from './AdviceStats';
+import type { CandidateSelector } from './CandidateSelector';
+import type { EndpointState } from '../endpoints/EndpointState';
 import type { Preemptor } from '../placing/Preemptor';
-import type { RoomView } from '../placing/RoomView';
+import type { CapacityView } from '../placing/CapacityView';
 import type { EndpointPreference } from '../placing/EndpointPreference';
 import type { WaitingStep } from '../waiting/WaitingStep';
 
@@ -16,11 +16,11 @@
 const toSum = (counts: readonly number[]): number => counts.reduce((sum, count) => sum + count, 0);
 
 /** Asks whenever tickets are lacking: about endpoints with room, or, for what rarely finds any, about all. */
-export class AdviceCandidates implements CandidateChoice {
+export class AdviceCandidates implements CandidateSelector {
   constructor(
-    private readonly room: RoomView,
+    private readonly room: CapacityView,
     private readonly preemptor: Preemptor,
-    private readonly history: AdviceHistory,
+    private readonly history: AdviceStats,
     private readonly preference: EndpointPreference,
   ) {}
 
@@ -32,18 +32,18 @@
     // Steps are asked about without regard to those before them.
   }
 
-  recordAnswer(): void {
+  recordResponse(): void {
     // Keeps nothing of what it has named.
   }
 
   chooseNamed(
     step: WaitingStep,
-    eligible: readonly EndpointBook[],
+    eligible: readonly EndpointState[],
     missing: number,
     now: number,
-  ): readonly EndpointBook[] {
+  ): readonly EndpointState[] {
     const open = eligible.filter((book) => this.isOpen(step, book, now));
-    return this.room.isShortOfRoom(step, eligible)
+    return this.room.isCapacityScarce(step, eligible)
       ? this.chooseForLarge(step, open, missing, now)
       : this.chooseForSmall(step, open, missing);
   }
@@ -55,27 +55,27 @@
    */
   private chooseForSmall(
     step: WaitingStep,
-    open: readonly EndpointBook[],
+    open: readonly EndpointState[],
     missing: number,
-  ): readonly EndpointBook[] {
+  ): readonly EndpointState[] {
     const { shape } = step;
-    const demand = toCountedDemand(shape);
-    const roomy = open.filter((book) => book.hasRoom(demand));
+    const demand = toReservedDemand(shape);
+    const roomy = open.filter((book) => book.hasCapacityFor(demand));
     if (roomy.length === 0 || !this.room.isWithinReserve(step)) {
       return [];
     }
     const allowed = roomy.filter((book) => this.hasBeenAllowed(step, book));
-    const fitCount = toSum(allowed.map((book) => this.room.measureFitCount(book.readFree(), shape)));
+    const fitCount = toSum(allowed.map((book) => this.room.countFittingTasks(book.getFreeCapacity(), shape)));
     if (fitCount >= missing) {
       return allowed;
     }
-    const readCost = this.preference.createCostOf(step, roomy);
+    const readCost = this.preference.createCostFunction(step, roomy);
     const costs = new Map(roomy.map((book) => [book, readCost(book)]));
     const ranked = [...roomy].sort(
       (left, right) =>
         costs.get(left)! - costs.get(right)! ||
         this.readUnderWay(left) - this.readUnderWay(right) ||
-        right.readFreeCpuMillis() - left.readFreeCpuMillis(),
+        right.getFreeCpuMillis() - left.getFreeCpuMillis(),
     );
     return this.chooseEnough(step, ranked, missing);
   }
@@ -83,21 +83,21 @@
   /** The first of some endpoints that are likely to hold the missing tasks, counting on the usual share of refusals. */
   private chooseEnough(
     step: WaitingStep,
-    ranked: readonly EndpointBook[],
+    ranked: readonly EndpointState[],
     missing: number,
-  ): readonly EndpointBook[] {
+  ): readonly EndpointState[] {
     const wanted = (missing * COVER_FACTOR) / this.history.readShare(step.job.definition.queue.name);
     let fitCount = 0;
     let count = 0;
     while (count < ranked.length && (fitCount < wanted || count < MIN_NAMED)) {
-      fitCount += this.room.measureFitCount(ranked[count]!.readFree(), step.shape);
+      fitCount += this.room.countFittingTasks(ranked[count]!.getFreeCapacity(), step.shape);
       count += 1;
     }
     return ranked.slice(0, count);
   }
 
-  private readUnderWay(book: EndpointBook): number {
-    return this.history.readUnderWay(book.readProfile().life);
+  private readUnderWay(book: EndpointState): number {
+    return this.history.readUnderWay(book.getProfile().incarnation);
   }
 
   /**
@@ -106,22 +106,22 @@
    */
   private chooseForLarge(
     step: WaitingStep,
-    open: readonly EndpointBook[],
+    open: readonly EndpointState[],
     missing: number,
     now: number,
-  ): readonly EndpointBook[] {
+  ): readonly EndpointState[] {
     const { shape } = step;
-    const demand = toCountedDemand(shape);
+    const demand = toReservedDemand(shape);
     const unasked = open.filter(
-      (book) => !this.hasBeenAllowed(step, book) && demandSums.isWithin(demand, book.readProfile().capacity),
+      (book) => !this.hasBeenAllowed(step, book) && resourceMath.isWithin(demand, book.getProfile().capacity),
     );
     const ready = open.filter(
       (book) =>
         this.hasBeenAllowed(step, book) &&
-        (book.hasRoom(demand) || this.preemptor.hasRoomWithStops(step, book, demand, now)),
+        (book.hasCapacityFor(demand) || this.preemptor.hasRoomAfterPreemption(step, book, demand, now)),
     );
     const readyCount = toSum(
-      ready.map((book) => this.room.measureFitCount(book.readProfile().capacity, shape)),
+      ready.map((book) => this.room.countFittingTasks(book.getProfile().capacity, shape)),
     );
     // A gang starts whole or not at all; of other steps each task may start by itself.
     if (shape.isGang && readyCount < missing && unasked.length === 0) {
@@ -131,14 +131,14 @@
   }
 
   /** True when the service could tell something new of the endpoint that the step could use. */
-  private isOpen(step: WaitingStep, book: EndpointBook, now: number): boolean {
-    const advice = step.job.readAdvice(step.time, step.step);
-    const { life: id } = book.readProfile();
-    const isAnswered = advice.isRefused(id) || advice.readTicket(id, now) !== undefined;
-    return !isAnswered && !this.room.isCrowded(step, book);
+  private isOpen(step: WaitingStep, book: EndpointState, now: number): boolean {
+    const advice = step.job.getAdvice(step.time, step.step);
+    const { incarnation: id } = book.getProfile();
+    const isAnswered = advice.isRefused(id) || advice.getTicket(id, now) !== undefined;
+    return !isAnswered && !this.room.hasMaxTasks(step, book);
   }
 
-  private hasBeenAllowed(step: WaitingStep, book: EndpointBook): boolean {
-    return step.job.readAdvice(step.time, step.step).hasBeenAllowed(book.readProfile().life);
+  private hasBeenAllowed(step: WaitingStep, book: EndpointState): boolean {
+    return step.job.getAdvice(step.time, step.step).hasBeenAllowed(book.getProfile().incarnation);
   }
 }
--- a/packages/dispatch/advice/AdviceAsker.ts
+++ b/packages/dispatch/advice/AdviceChannel.ts
@@ -1,7 +1,7 @@
 import type { AdviceClient } from './AdviceClient';
 
 /** A box that can ask the advice service, one question at a time. */
-export interface AdviceAsker {
+export interface AdviceChannel {
   readonly box: string;
   readonly isOwn: boolean;
   readonly client: AdviceClient;
--- a/packages/dispatch/advice/AdviceClient.ts
+++ b/packages/dispatch/advice/AdviceClient.ts
@@ -3,7 +3,7 @@
 /** Asks the advice service which of some endpoints may run a step. */
 export interface AdviceClient {
   /** Gives the ticket of each endpoint that may; undefined when the service gave no answer. */
-  sendQuestion(
+  requestAdvice(
     step: string,
     endpoints: readonly EndpointId[],
     timeoutMs: number,
--- a/packages/dispatch/advice/AdviceDesk.ts
+++ b/packages/dispatch/advice/AdviceDesk.ts
@@ -1,7 +1,7 @@
-import type { AdviceAsker } from './AdviceAsker';
-import type { AdviceTurns } from './AdviceTurns';
-import type { QuestionDesk } from './QuestionDesk';
-import type { QuestionDeskOptions } from './QuestionDeskOptions';
+import type { AdviceChannel } from './AdviceChannel';
+import type { AdviceSlots } from './AdviceSlots';
+import type { AdviceBalancer } from './AdviceBalancer';
+import type { AdviceBalancerOptions } from './AdviceBalancerOptions';
 import { sendToAsker } from './sendToAsker';
 import type { DispatchEffect } from '../DispatchEffect';
 
@@ -17,15 +17,15 @@
 const AVOID_MS = 2500;
 
 /** Keeps the leader's own box for short questions, and gives any question to the first box that is free. */
-export class AdviceDesk implements QuestionDesk {
+export class AdviceDesk implements AdviceBalancer {
   private readonly loads = new Map<string, AskerLoad>();
   private isStopped = false;
 
-  constructor(private readonly options: QuestionDeskOptions) {}
+  constructor(private readonly options: AdviceBalancerOptions) {}
 
   /** How many questions could be asked now. */
-  readFreeTurns(): AdviceTurns {
-    const askers = this.options.readAskers();
+  getFreeSlots(): AdviceSlots {
+    const askers = this.options.listChannels();
     const free = askers.filter((asker) => this.isFree(asker));
     // With no other box at hand the leader's own has to do for long questions too.
     const hasOthers = askers.some(({ box, isOwn }) => !isOwn && !this.isAvoided(box));
@@ -33,11 +33,11 @@
   }
 
   /** Asks a question for which there is a turn. */
-  async sendQuestion(question: Question): Promise<void> {
-    const free = this.options.readAskers().filter((asker) => this.isFree(asker));
+  async sendRequest(question: Question): Promise<void> {
+    const free = this.options.listChannels().filter((asker) => this.isFree(asker));
     const asker = question.isLong ? free[free.length - 1] : free[0];
     if (asker === undefined) {
-      this.options.handleAnswer(question, undefined, 0);
+      this.options.handleResponse(question, undefined, 0);
       return;
     }
     const load = this.loads.get(asker.box) ?? { isBusy: false, avoidUntil: 0 };
@@ -54,7 +54,7 @@
     if (answer === undefined) {
       load.avoidUntil = now + AVOID_MS;
     }
-    this.options.handleAnswer(question, answer, Math.round(now - askedAt));
+    this.options.handleResponse(question, answer, Math.round(now - askedAt));
   }
 
   stop(): void {
@@ -62,7 +62,7 @@
   }
 
   /** True when the box has no question under way. */
-  private isFree({ box }: AdviceAsker): boolean {
+  private isFree({ box }: AdviceChannel): boolean {
     return this.loads.get(box)?.isBusy !== true && !this.isAvoided(box);
   }
 
--- a/packages/dispatch/advice/TurnAccount.ts
+++ b/packages/dispatch/advice/AdviceMetrics.ts
@@ -1,5 +1,5 @@
-import type { DispatchCount } from '../DispatchCount';
-import type { QuestionCause } from './QuestionCause';
+import type { DispatchCounterName } from '../DispatchCounterName';
+import type { AdviceRequestReason } from './AdviceRequestReason';
 
 /** A question with an answer, until a start uses it or its tickets have run out. */
 interface AnsweredQuestion {
@@ -14,27 +14,27 @@
   more: 'questionsMore',
   again: 'questionsAgain',
   early: 'questionsEarly',
-} as const satisfies Readonly<Record<QuestionCause, DispatchCount>>;
+} as const satisfies Readonly<Record<AdviceRequestReason, DispatchCounterName>>;
 
 /** Counts for what turns at the advice service were taken, and whether a start made use of the answer. */
-export class TurnAccount {
+export class AdviceMetrics {
   /** In the order of the answers. Bounded by the life of tickets. */
   private open: AnsweredQuestion[] = [];
 
-  constructor(private readonly sendCount: (name: DispatchCount, amount: number) => void) {}
+  constructor(private readonly sendCount: (name: DispatchCounterName, amount: number) => void) {}
 
-  recordQuestion(cause: QuestionCause): void {
+  recordQuestion(cause: AdviceRequestReason): void {
     this.sendCount(CAUSE_COUNTS[cause], 1);
   }
 
   /** Records that a question had no answer. */
-  recordUnanswered(tookMs: number): void {
+  recordFailure(tookMs: number): void {
     this.sendCount('turnsUnanswered', 1);
     this.sendCount('turnUnansweredMs', Math.round(tookMs));
   }
 
   /** Records an answer; what it allows is marked with the value returned, for `recordUse`. */
-  recordAnswer(tookMs: number, until: number): AnsweredQuestion {
+  recordResponse(tookMs: number, until: number): AnsweredQuestion {
     const question = { tookMs, until, isUsed: false };
     this.open.push(question);
     return question;
@@ -50,7 +50,7 @@
   }
 
   /** Counts what has run out without use. */
-  applyTime(now: number): void {
+  handleTick(now: number): void {
     const over = this.open.filter(({ until, isUsed }) => !isUsed && until <= now);
     this.open = this.open.filter(({ until, isUsed }) => !isUsed && until > now);
     if (over.length > 0) {
--- a/packages/dispatch/advice/TurnChoice.ts
+++ b/packages/dispatch/advice/AdvicePolicyName.ts
@@ -3,4 +3,4 @@
  * - `asked`: whenever a step lacks a ticket and a box is free to ask.
  * - `planned`: when the answer is expected to find room.
  */
-export type TurnChoice = 'asked' | 'planned';
+export type AdvicePolicyName = 'asked' | 'planned';
--- a/packages/dispatch/advice/QuestionCause.ts
+++ b/packages/dispatch/advice/AdviceRequestReason.ts
@@ -5,4 +5,4 @@
  * - `again`: the step may use the endpoints, but its tickets have run out.
  * - `early`: the step is not ready yet.
  */
-export type QuestionCause = 'first' | 'more' | 'again' | 'early';
+export type AdviceRequestReason = 'first' | 'more' | 'again' | 'early';
--- a/packages/dispatch/advice/AdviceHistory.ts
+++ b/packages/dispatch/advice/AdviceStats.ts
@@ -1,4 +1,4 @@
-import type { EndpointLife } from '../../jobs/EndpointLife';
+import type { EndpointIncarnation } from '../../jobs/EndpointIncarnation';
 
 /** Share of the endpoints named that may run a step, before any answer was seen. */
 const FIRST_SHARE = 0.5;
@@ -8,9 +8,9 @@
 const MIN_SHARE = 0.1;
 
 /** What questions to the advice service have shown over all steps: how many endpoints a queue may use, and which are asked about now. */
-export class AdviceHistory {
+export class AdviceStats {
   private readonly shares = new Map<string, number>();
-  private readonly underWay = new Map<EndpointLife, number>();
+  private readonly underWay = new Map<EndpointIncarnation, number>();
 
   /** Expected share of the endpoints named that a step of the queue may use. */
   readShare(queue: string): number {
@@ -18,18 +18,22 @@
   }
 
   /** Questions under way that name the endpoint: the steps that they are for may take its room. */
-  readUnderWay(endpoint: EndpointLife): number {
+  readUnderWay(endpoint: EndpointIncarnation): number {
     return this.underWay.get(endpoint) ?? 0;
   }
 
-  recordQuestion(endpoints: readonly EndpointLife[]): void {
+  recordQuestion(endpoints: readonly EndpointIncarnation[]): void {
     for (const endpoint of endpoints) {
       this.underWay.set(endpoint, this.readUnderWay(endpoint) + 1);
     }
   }
 
   /** Records an answer; `allowed` is undefined where there was none. */
-  recordAnswer(queue: string, endpoints: readonly EndpointLife[], allowed: number | undefined): void {
+  recordResponse(
+    queue: string,
+    endpoints: readonly EndpointIncarnation[],
+    allowed: number | undefined,
+  ): void {
     for (const endpoint of endpoints) {
       const left = this.readUnderWay(endpoint) - 1;
       if (left > 0) {
--- a/packages/dispatch/advice/CandidateChoice.ts
+++ b/packages/dispatch/advice/CandidateSelector.ts
@@ -1,9 +1,9 @@
-import type { EndpointLife } from '../../jobs/EndpointLife';
-import type { EndpointBook } from '../endpoints/EndpointBook';
+import type { EndpointIncarnation } from '../../jobs/EndpointIncarnation';
+import type { EndpointState } from '../endpoints/EndpointState';
 import type { WaitingStep } from '../waiting/WaitingStep';
 
 /** Chooses the endpoints about which the advice service is asked for a step, the most useful first. */
-export interface CandidateChoice {
+export interface CandidateSelector {
   /** A round of placement begins. */
   startRound(): void;
 
@@ -16,12 +16,12 @@
    */
   chooseNamed(
     step: WaitingStep,
-    eligible: readonly EndpointBook[],
+    eligible: readonly EndpointState[],
     missing: number,
     neededUntil: number,
     now: number,
-  ): readonly EndpointBook[];
+  ): readonly EndpointState[];
 
   /** The question about these endpoints for a step (`JOB.TIME.STEP`) has its answer, or will have none. */
-  recordAnswer(step: string, named: readonly EndpointLife[]): void;
+  recordResponse(step: string, named: readonly EndpointIncarnation[]): void;
 }
--- a/packages/dispatch/advice/PlannedCandidates.ts
+++ b/packages/dispatch/advice/PlannedCandidates.ts
@@ -1,29 +1,29 @@
-import { toCountedDemand } from '../../jobs/toCountedDemand';
-import { demandSums } from '../../jobs/demandSums';
-import type { EndpointLife } from '../../jobs/EndpointLife';
+import { toReservedDemand } from '../../jobs/toReservedDemand';
+import { resourceMath } from '../../jobs/resourceMath';
+import type { EndpointIncarnation } from '../../jobs/EndpointIncarnation';
 import type { TaskDemand } from '../../jobs/TaskDemand';
-import type { AdviceHistory } from './AdviceHistory';
-import type { CandidateChoice } from './CandidateChoice';
+import type { AdviceStats } from './AdviceStats';
+import type { CandidateSelector } from './CandidateSelector';
 import { chooseQuestionSize } from './chooseQuestionSize';
-import type { EndpointBook } from '../endpoints/EndpointBook';
+import type { EndpointState } from '../endpoints/EndpointState';
 import type { EndpointPreference } from '../placing/EndpointPreference';
 import type { Preemptor } from '../placing/Preemptor';
 import { RoomAhead } from './RoomAhead';
 import { RoomClaims } from './RoomClaims';
-import type { RoomView } from '../placing/RoomView';
+import type { CapacityView } from '../placing/CapacityView';
 import { toStepName } from '../waiting/toStepName';
 import type { WaitingStep } from '../waiting/WaitingStep';
 
 interface PlannedCandidatesOptions {
-  readonly room: RoomView;
+  readonly room: CapacityView;
   readonly preemptor: Preemptor;
-  readonly history: AdviceHistory;
+  readonly history: AdviceStats;
   readonly preference: EndpointPreference;
 }
 
 /** An endpoint about which could be asked. */
 interface Candidate {
-  readonly book: EndpointBook;
+  readonly book: EndpointState;
   /** Tasks of the step for which it has room. */
   readonly places: number;
   /** Chance that the step may use it. */
@@ -80,7 +80,7 @@
   candidates.reduce((sum, { places }) => sum + places, 0);
 
 /** Asks only where the answer is expected to find room, and for as many endpoints as make a second round unlikely. */
-export class PlannedCandidates implements CandidateChoice {
+export class PlannedCandidates implements CandidateSelector {
   private readonly claims = new RoomClaims();
   private readonly ahead = new RoomAhead();
 
@@ -96,13 +96,13 @@
 
   chooseNamed(
     step: WaitingStep,
-    eligible: readonly EndpointBook[],
+    eligible: readonly EndpointState[],
     missing: number,
     neededUntil: number,
     now: number,
-  ): readonly EndpointBook[] {
+  ): readonly EndpointState[] {
     const { room } = this.options;
-    const canStop = room.isShortOfRoom(step, eligible);
+    const canStop = room.isCapacityScarce(step, eligible);
     const isPatient = !room.isMostUrgent(step.job.definition.queue);
     if (isPatient && this.ahead.isTaken(step, eligible, canStop)) {
       return [];
@@ -117,7 +117,7 @@
     return chosen.map(({ book }) => book);
   }
 
-  recordAnswer(step: string, named: readonly EndpointLife[]): void {
+  recordResponse(step: string, named: readonly EndpointIncarnation[]): void {
     this.claims.recordAnswer(step, named);
   }
 
@@ -138,7 +138,7 @@
   /** A gang needs all its places at one moment; of other steps each task may start by itself. */
   private isWorthAsking(step: WaitingStep, { roomy }: Prospect, needed: number, now: number): boolean {
     const expected = roomy.reduce((sum, { places, allowed }) => sum + places * allowed, 0);
-    const advice = step.job.readAdvice(step.time, step.step);
+    const advice = step.job.getAdvice(step.time, step.step);
     const { decisionMs, validityMs } = step.job.definition.queue.advice!;
     if (step.shape.isGang) {
       // The usual share of refusals may be wrong for this one.
@@ -158,41 +158,41 @@
         left.cost - right.cost ||
         this.readUnderWay(left) - this.readUnderWay(right) ||
         right.places - left.places ||
-        right.book.readFreeCpuMillis() - left.book.readFreeCpuMillis(),
+        right.book.getFreeCpuMillis() - left.book.getFreeCpuMillis(),
     );
   }
 
   private readUnderWay({ book }: Candidate): number {
-    return this.options.history.readUnderWay(book.readProfile().life);
+    return this.options.history.readUnderWay(book.getProfile().incarnation);
   }
 
   private readProspect(
     step: WaitingStep,
-    eligible: readonly EndpointBook[],
+    eligible: readonly EndpointState[],
     { canStop, neededUntil, now }: Moment,
   ): Prospect {
     const { room, history, preference } = this.options;
     const { queue } = step.job.definition;
     const { decisionMs, perEndpointMs, validityMs } = queue.advice!;
-    const advice = step.job.readAdvice(step.time, step.step);
+    const advice = step.job.getAdvice(step.time, step.step);
     const answerMs = decisionMs + perEndpointMs * MAX_NAMED_IN_PART;
     const answerAt = Math.max(neededUntil, now + answerMs + USE_ANSWER_MS);
     const stays = 0.5 ** (answerMs / ROOM_HALF_LIFE_MS);
     const freshUntil = now + validityMs * AGING_SHARE;
-    const demand = toCountedDemand(step.shape);
+    const demand = toReservedDemand(step.shape);
     const share = history.readShare(queue.name);
     const isMostUrgent = room.isMostUrgent(queue);
-    const readCost = preference.createCostOf(step, eligible);
+    const readCost = preference.createCostFunction(step, eligible);
     const prospect: Prospect = { held: 0, roomy: [], full: [], aging: [] };
     for (const book of eligible) {
-      const { life, capacity } = book.readProfile();
-      if (advice.isRefused(life) || room.isCrowded(step, book)) {
+      const { incarnation: life, capacity } = book.getProfile();
+      if (advice.isRefused(life) || room.hasMaxTasks(step, book)) {
         continue;
       }
       const places = this.measurePlaces(step, book, canStop, now);
-      if (advice.readTicket(life, answerAt) !== undefined) {
+      if (advice.getTicket(life, answerAt) !== undefined) {
         prospect.held += places;
-        if (places > 0 && advice.readTicket(life, freshUntil) === undefined) {
+        if (places > 0 && advice.getTicket(life, freshUntil) === undefined) {
           prospect.aging.push({ book, places, allowed: 1, chance: 1, cost: 0 });
         }
         continue;
@@ -202,7 +202,7 @@
       const cost = readCost(book);
       if (unclaimed > 0) {
         prospect.roomy.push({ book, places: unclaimed, allowed, chance: allowed * stays, cost });
-      } else if (demandSums.isWithin(demand, capacity)) {
+      } else if (resourceMath.isWithin(demand, capacity)) {
         prospect.full.push({ book, places: 1, allowed, chance: allowed * ROOM_COMES, cost });
       }
     }
@@ -210,54 +210,60 @@
   }
 
   /** Tasks of the step for which the endpoint has room, by what is free and what stops would free. */
-  private measurePlaces(step: WaitingStep, book: EndpointBook, canStop: boolean, now: number): number {
-    const room = demandSums.toSum(book.readFree(), this.readStopping(book));
-    const places = this.options.room.measureFitCount(room, step.shape);
+  private measurePlaces(step: WaitingStep, book: EndpointState, canStop: boolean, now: number): number {
+    const room = resourceMath.toSum(book.getFreeCapacity(), this.readStopping(book));
+    const places = this.options.room.countFittingTasks(room, step.shape);
     const mayStop = canStop && places < MAX_PLACES_BY_STOPS;
     return mayStop ? Math.max(places, this.measurePlacesByStops(step, book, now)) : places;
   }
 
   /** Room of runs that are being stopped, be it for this step. */
-  private readStopping(book: EndpointBook): TaskDemand {
-    let room = demandSums.NOTHING;
-    for (const run of book.readRuns()) {
-      room = run.stage === 'stopping' ? demandSums.toSum(room, run.demand) : room;
+  private readStopping(book: EndpointState): TaskDemand {
+    let room = resourceMath.NOTHING;
+    for (const run of book.getRuns()) {
+      room = run.stage === 'stopping' ? resourceMath.toSum(room, run.demand) : room;
     }
     return room;
   }
 
-  private measurePlacesByStops(step: WaitingStep, book: EndpointBook, now: number): number {
+  private measurePlacesByStops(step: WaitingStep, book: EndpointState, now: number): number {
     const { preemptor } = this.options;
     const { shape } = step;
-    const one = toCountedDemand(shape);
+    const one = toReservedDemand(shape);
     const most =
       shape.maxPerEndpoint === 0 ? MAX_PLACES_BY_STOPS : Math.min(MAX_PLACES_BY_STOPS, shape.maxPerEndpoint);
     let count = 0;
-    while (count < most && preemptor.hasRoomWithStops(step, book, demandSums.toScaled(one, count + 1), now)) {
+    while (
+      count < most &&
+      preemptor.hasRoomAfterPreemption(step, book, resourceMath.toScaled(one, count + 1), now)
+    ) {
       count += 1;
     }
     return count;
   }
 
   /** Of the places on an endpoint those on which no question of a step counts that is as urgent. */
-  private measureUnclaimed(step: WaitingStep, book: EndpointBook, places: number): number {
+  private measureUnclaimed(step: WaitingStep, book: EndpointState, places: number): number {
     const { room } = this.options;
-    const claimed = this.claims.readClaimed(book.readProfile().life, step.job.definition.queue.priority);
-    if (claimed === demandSums.NOTHING) {
+    const claimed = this.claims.readClaimed(
+      book.getProfile().incarnation,
+      step.job.definition.queue.priority,
+    );
+    if (claimed === resourceMath.NOTHING) {
       return places;
     }
-    const whole = demandSums.toScaled(toCountedDemand(step.shape), places);
-    return room.measureFitCount(demandSums.toDifference(whole, claimed), step.shape);
+    const whole = resourceMath.toScaled(toReservedDemand(step.shape), places);
+    return room.countFittingTasks(resourceMath.toDifference(whole, claimed), step.shape);
   }
 
   /** The tasks that are needed will take the same part of the places on each endpoint. */
   private recordClaims(step: WaitingStep, chosen: readonly Candidate[], needed: number): void {
-    const demand = toCountedDemand(step.shape);
+    const demand = toReservedDemand(step.shape);
     const part = Math.min(1, needed / Math.max(1, toPlaceSum(chosen)));
     const { priority } = step.job.definition.queue;
     for (const { book, places } of chosen) {
-      const claim = { step: toStepName(step), priority, room: demandSums.toScaled(demand, places * part) };
-      this.claims.recordClaim(book.readProfile().life, claim);
+      const claim = { step: toStepName(step), priority, room: resourceMath.toScaled(demand, places * part) };
+      this.claims.recordClaim(book.getProfile().incarnation, claim);
     }
   }
 }
--- a/packages/dispatch/advice/PlannedDesk.ts
+++ b/packages/dispatch/advice/PlannedDesk.ts
@@ -1,16 +1,16 @@
 import { startDelay } from '../../common/startDelay';
-import type { EndpointLife } from '../../jobs/EndpointLife';
+import type { EndpointIncarnation } from '../../jobs/EndpointIncarnation';
 import type { DispatchEffect } from '../DispatchEffect';
-import type { AdviceAsker } from './AdviceAsker';
-import type { AdviceTurns } from './AdviceTurns';
+import type { AdviceChannel } from './AdviceChannel';
+import type { AdviceSlots } from './AdviceSlots';
 import { AskerLoad } from './AskerLoad';
-import type { QuestionDesk } from './QuestionDesk';
-import type { QuestionDeskOptions } from './QuestionDeskOptions';
+import type { AdviceBalancer } from './AdviceBalancer';
+import type { AdviceBalancerOptions } from './AdviceBalancerOptions';
 import { sendToAsker } from './sendToAsker';
 import { ShortTurns } from './ShortTurns';
 
 type Question = Extract<DispatchEffect, { kind: 'advise' }>;
-type Answer = ReadonlyMap<EndpointLife, string> | undefined;
+type Answer = ReadonlyMap<EndpointIncarnation, string> | undefined;
 
 /** A question that was given to one box. */
 interface Attempt {
@@ -33,7 +33,7 @@
  * Keeps as many of the best boxes for short questions as these have lately used, and gives each question to the best box that is left for
  * it. A question whose answer is late goes to another box too, and the first answer counts.
  */
-export class PlannedDesk implements QuestionDesk {
+export class PlannedDesk implements AdviceBalancer {
   private readonly loads = new Map<string, AskerLoad>();
   /** What is known of all boxes together, for those that have not answered yet. */
   private readonly usual = new AskerLoad();
@@ -42,14 +42,14 @@
   private failedAt = -Infinity;
   private isStopped = false;
 
-  constructor(private readonly options: QuestionDeskOptions) {}
+  constructor(private readonly options: AdviceBalancerOptions) {}
 
-  readFreeTurns(): AdviceTurns {
+  getFreeSlots(): AdviceSlots {
     const free = this.readFree();
     return { all: free.length, long: Math.max(0, free.length - this.readKept()) };
   }
 
-  async sendQuestion(question: Question): Promise<void> {
+  async sendRequest(question: Question): Promise<void> {
     const askedAt = this.options.clock.readNow();
     const first = this.startAttempt(question);
     const answer = first && (await this.startWaiting(question, first));
@@ -60,7 +60,7 @@
     if (!question.isLong) {
       this.shortTurns.recordQuestion(now - askedAt, now);
     }
-    this.options.handleAnswer(question, answer, Math.round(now - askedAt));
+    this.options.handleResponse(question, answer, Math.round(now - askedAt));
   }
 
   stop(): void {
@@ -111,7 +111,7 @@
     return { load, answer: this.startAsking(question, asker, load) };
   }
 
-  private async startAsking(question: Question, asker: AdviceAsker, load: AskerLoad): Promise<Answer> {
+  private async startAsking(question: Question, asker: AdviceChannel, load: AskerLoad): Promise<Answer> {
     const { clock } = this.options;
     const askedAt = clock.readNow();
     load.recordQuestion(question.isLong);
@@ -135,9 +135,9 @@
    * Boxes that could ask now, the quickest first. While no box has answers it is the service that fails: then one box at a time finds out
    * when it is back, instead of each waiting until it is no longer avoided.
    */
-  private readFree(): readonly AdviceAsker[] {
+  private readFree(): readonly AdviceChannel[] {
     const now = this.options.clock.readNow();
-    const askers = this.options.readAskers();
+    const askers = this.options.listChannels();
     const free = askers
       .filter((asker) => !this.readLoad(asker).isBusy())
       .sort((left, right) => this.readLoad(left).readDelayMs(now) - this.readLoad(right).readDelayMs(now));
@@ -155,11 +155,11 @@
     return Math.max(0, this.shortTurns.readKept(trusted.length, now) - inUse);
   }
 
-  private readTrusted(now: number): readonly AdviceAsker[] {
-    return this.options.readAskers().filter((asker) => !this.readLoad(asker).isAvoided(now));
+  private readTrusted(now: number): readonly AdviceChannel[] {
+    return this.options.listChannels().filter((asker) => !this.readLoad(asker).isAvoided(now));
   }
 
-  private readLoad({ box }: AdviceAsker): AskerLoad {
+  private readLoad({ box }: AdviceChannel): AskerLoad {
     const load = this.loads.get(box) ?? new AskerLoad();
     this.loads.set(box, load);
     return load;
--- a/packages/dispatch/advice/RoomAhead.ts
+++ b/packages/dispatch/advice/RoomAhead.ts
@@ -1,4 +1,4 @@
-import type { EndpointBook } from '../endpoints/EndpointBook';
+import type { EndpointState } from '../endpoints/EndpointState';
 import type { ServiceName } from '../../jobs/ServiceName';
 import type { WaitingStep } from '../waiting/WaitingStep';
 
@@ -29,16 +29,16 @@
   }
 
   /** True when the steps before the last one noted will take all that it could have. */
-  isTaken({ job }: WaitingStep, eligible: readonly EndpointBook[], canStop: boolean): boolean {
+  isTaken({ job }: WaitingStep, eligible: readonly EndpointState[], canStop: boolean): boolean {
     if (this.ahead === 0) {
       return false;
     }
     const { priority } = job.definition.queue;
     let room = 0;
     for (const book of eligible) {
-      room += book.readFreeCpuMillis();
+      room += book.getFreeCpuMillis();
       if (canStop) {
-        for (const run of book.readRuns()) {
+        for (const run of book.getRuns()) {
           room += run.priority > priority ? run.demand.cpuMillis : 0;
         }
       }
--- a/packages/dispatch/advice/RoomClaims.ts
+++ b/packages/dispatch/advice/RoomClaims.ts
@@ -1,5 +1,5 @@
-import { demandSums } from '../../jobs/demandSums';
-import type { EndpointLife } from '../../jobs/EndpointLife';
+import { resourceMath } from '../../jobs/resourceMath';
+import type { EndpointIncarnation } from '../../jobs/EndpointIncarnation';
 import type { TaskDemand } from '../../jobs/TaskDemand';
 
 interface Claim {
@@ -14,15 +14,15 @@
  * would be gone. It keeps nobody from starting there.
  */
 export class RoomClaims {
-  private readonly claims = new Map<EndpointLife, Claim[]>();
+  private readonly claims = new Map<EndpointIncarnation, Claim[]>();
 
   /** Records that a question for a step counts on room of an endpoint. */
-  recordClaim(endpoint: EndpointLife, claim: Claim): void {
+  recordClaim(endpoint: EndpointIncarnation, claim: Claim): void {
     this.claims.set(endpoint, [...(this.claims.get(endpoint) ?? []), claim]);
   }
 
   /** The question for a step has its answer, or will have none. */
-  recordAnswer(step: string, named: readonly EndpointLife[]): void {
+  recordAnswer(step: string, named: readonly EndpointIncarnation[]): void {
     for (const life of named) {
       const left = (this.claims.get(life) ?? []).filter((claim) => claim.step !== step);
       if (left.length > 0) {
@@ -34,9 +34,9 @@
   }
 
   /** Room of an endpoint on which questions count that are at least as urgent as `priority`. */
-  readClaimed(endpoint: EndpointLife, priority: number): TaskDemand {
+  readClaimed(endpoint: EndpointIncarnation, priority: number): TaskDemand {
     return (this.claims.get(endpoint) ?? [])
       .filter((claim) => claim.priority <= priority)
-      .reduce((sum, { room }) => demandSums.toSum(sum, room), demandSums.NOTHING);
+      .reduce((sum, { room }) => resourceMath.toSum(sum, room), resourceMath.NOTHING);
   }
 }
--- a/packages/dispatch/advice/AdviceBook.ts
+++ b/packages/dispatch/advice/StepAdvice.ts
@@ -1,7 +1,7 @@
-import type { EndpointLife } from '../../jobs/EndpointLife';
-import type { TurnAccount } from './TurnAccount';
+import type { EndpointIncarnation } from '../../jobs/EndpointIncarnation';
+import type { AdviceMetrics } from './AdviceMetrics';
 
-type AnsweredQuestion = ReturnType<TurnAccount['recordAnswer']>;
+type AnsweredQuestion = ReturnType<AdviceMetrics['recordResponse']>;
 
 interface Ticket {
   readonly text: string;
@@ -19,9 +19,9 @@
 const RETRY_MS = 120;
 
 /** What the advice service has said of one step: tickets, which run out, and refusals, which stand. */
-export class AdviceBook {
-  private readonly tickets = new Map<EndpointLife, Ticket>();
-  private readonly refused = new Set<EndpointLife>();
+export class StepAdvice {
+  private readonly tickets = new Map<EndpointIncarnation, Ticket>();
+  private readonly refused = new Set<EndpointIncarnation>();
   private isAsking = false;
   /** Monotonic time from which the next question may be asked. */
   private askableFrom = -Infinity;
@@ -35,23 +35,23 @@
   private answeredAt = -Infinity;
 
   /** The ticket for an endpoint, or undefined when there is none that holds long enough. */
-  readTicket(endpoint: EndpointLife, now: number): string | undefined {
+  getTicket(endpoint: EndpointIncarnation, now: number): string | undefined {
     const ticket = this.tickets.get(endpoint);
     return ticket !== undefined && ticket.usableUntil > now ? ticket.text : undefined;
   }
 
   /** True when a ticket would still hold at the endpoint for a start that is sent now. */
-  isSendable(endpoint: EndpointLife, now: number): boolean {
+  hasSendableTicket(endpoint: EndpointIncarnation, now: number): boolean {
     const ticket = this.tickets.get(endpoint);
     return ticket !== undefined && ticket.usableUntil + USE_MARGIN_MS - SEND_MARGIN_MS > now;
   }
 
-  isRefused(endpoint: EndpointLife): boolean {
+  isRefused(endpoint: EndpointIncarnation): boolean {
     return this.refused.has(endpoint);
   }
 
   /** True when the endpoint was allowed before, whether or not its ticket still holds. */
-  hasBeenAllowed(endpoint: EndpointLife): boolean {
+  hasBeenAllowed(endpoint: EndpointIncarnation): boolean {
     return this.tickets.has(endpoint);
   }
 
@@ -95,7 +95,7 @@
   }
 
   /** Monotonic time of the newest question. */
-  readAskedAt(): number {
+  getRequestedAt(): number {
     return this.askedAt;
   }
 
@@ -105,13 +105,13 @@
   }
 
   /** The question that gave the ticket for an endpoint. */
-  readSource(endpoint: EndpointLife): AnsweredQuestion | undefined {
+  readSource(endpoint: EndpointIncarnation): AnsweredQuestion | undefined {
     return this.tickets.get(endpoint)?.source;
   }
 
-  recordAnswer(
-    asked: readonly EndpointLife[],
-    good: ReadonlyMap<EndpointLife, string> | undefined,
+  recordResponse(
+    asked: readonly EndpointIncarnation[],
+    good: ReadonlyMap<EndpointIncarnation, string> | undefined,
     now: number,
     validityMs: number,
     source?: AnsweredQuestion,
@@ -133,7 +133,7 @@
   }
 
   /** Drops a ticket that an endpoint did not take. */
-  revokeTicket(endpoint: EndpointLife): void {
+  removeTicket(endpoint: EndpointIncarnation): void {
     this.tickets.delete(endpoint);
   }
 }
--- a/packages/dispatch/advice/turnChoices.ts
+++ b/packages/dispatch/advice/advicePolicies.ts
@@ -1,7 +1,7 @@
 import { AdviceCandidates } from './AdviceCandidates';
 import { PlannedCandidates } from './PlannedCandidates';
-import type { TurnChoice } from './TurnChoice';
-import type { TurnWay } from './TurnWay';
+import type { AdvicePolicyName } from './AdvicePolicyName';
+import type { AdvicePolicy } from './AdvicePolicy';
 
 /** Endpoints named in one question; so many are counted in a job's objective. */
 const COUNTED_NAMED = 30;
@@ -15,12 +15,12 @@
 const IDLE_SHARE = 0.1;
 
 /** Ways of taking turns, by choice. */
-export const turnChoices: Readonly<Record<TurnChoice, TurnWay>> = {
+export const advicePolicies: Readonly<Record<AdvicePolicyName, AdvicePolicy>> = {
   asked: {
     maxNamed: COUNTED_NAMED,
     readIdleMs: () => 0,
     isLong: (advice) => advice.decisionMs + advice.perEndpointMs * COUNTED_NAMED > LONG_QUESTION_MS,
-    createCandidates: ({ room, preemptor, history, preference }) =>
+    createSelector: ({ room, preemptor, history, preference }) =>
       new AdviceCandidates(room, preemptor, history, preference),
   },
   planned: {
@@ -28,6 +28,6 @@
     readIdleMs: ({ decisionMs }) => Math.max(LEAST_IDLE_MS, decisionMs * IDLE_SHARE),
     isLong: (advice, isMostUrgent) =>
       !isMostUrgent || advice.decisionMs + advice.perEndpointMs * COUNTED_NAMED > LONG_QUESTION_MS,
-    createCandidates: (parts) => new PlannedCandidates(parts),
+    createSelector: (parts) => new PlannedCandidates(parts),
   },
 };
--- a/packages/dispatch/advice/noAdvice.ts
+++ b/packages/dispatch/advice/noopAdviceClient.ts
@@ -1,7 +1,7 @@
 import type { AdviceClient } from './AdviceClient';
 
 /** The advice client where there is no advice service: no question is ever answered. */
-export const noAdvice: AdviceClient = {
-  sendQuestion: () => Promise.resolve(undefined),
+export const noopAdviceClient: AdviceClient = {
+  requestAdvice: () => Promise.resolve(undefined),
   stop: () => Promise.resolve(),
 };
--- a/packages/dispatch/advice/toTickets.ts
+++ b/packages/dispatch/advice/parseTickets.ts
@@ -6,7 +6,7 @@
 }
 
 /** The ticket of each endpoint in an answer to a question for advice; undefined when there was no answer. */
-export const toTickets = (answer: unknown): ReadonlyMap<EndpointId, string> | undefined =>
+export const parseTickets = (answer: unknown): ReadonlyMap<EndpointId, string> | undefined =>
   answer === undefined
     ? undefined
     : new Map(((answer as GoodAnswer).good ?? []).map(([id, ticket]) => [toId<EndpointId>(id), ticket]));
--- a/packages/dispatch/advice/sendToAsker.ts
+++ b/packages/dispatch/advice/sendToAsker.ts
@@ -1,16 +1,16 @@
-import type { EndpointLife } from '../../jobs/EndpointLife';
-import { endpointLives } from '../../jobs/endpointLives';
+import type { EndpointIncarnation } from '../../jobs/EndpointIncarnation';
+import { endpointIncarnations } from '../../jobs/endpointIncarnations';
 import type { DispatchEffect } from '../DispatchEffect';
-import type { AdviceAsker } from './AdviceAsker';
+import type { AdviceChannel } from './AdviceChannel';
 
 /** Asks a question through one box. The service knows endpoints by their ids, tickets hold for one life. */
 export const sendToAsker = async (
-  { client }: AdviceAsker,
+  { client }: AdviceChannel,
   { step, endpoints }: Extract<DispatchEffect, { kind: 'advise' }>,
   timeoutMs: number,
-): Promise<ReadonlyMap<EndpointLife, string> | undefined> => {
-  const lives = new Map(endpoints.map((life) => [endpointLives.readEndpoint(life), life]));
-  const answer = await client.sendQuestion(step, [...lives.keys()], timeoutMs);
+): Promise<ReadonlyMap<EndpointIncarnation, string> | undefined> => {
+  const lives = new Map(endpoints.map((life) => [endpointIncarnations.readEndpoint(life), life]));
+  const answer = await client.requestAdvice(step, [...lives.keys()], timeoutMs);
   return (
     answer &&
     new Map(
--- a/packages/dispatch/crashes/CrashHistory.ts
+++ b/packages/dispatch/crashes/CrashHistory.ts
@@ -1,6 +1,6 @@
-import type { EndpointLife } from '../../jobs/EndpointLife';
+import type { EndpointIncarnation } from '../../jobs/EndpointIncarnation';
 import type { JobId } from '../../jobs/JobId';
-import type { ChargedTask } from './ChargedTask';
+import type { ImplicatedTask } from './ImplicatedTask';
 import { crashLimits } from './crashLimits';
 
 /** Longer than it takes until a harmful task has been started so often that it is given up. */
@@ -16,22 +16,22 @@
 
 /** What the newest ends of endpoints were put down to: tells losses from outside from the harm that tasks do. */
 export class CrashHistory {
-  private readonly charged = new Map<EndpointLife, readonly ChargedTask[]>();
+  private readonly charged = new Map<EndpointIncarnation, readonly ImplicatedTask[]>();
   /** When machines last crashed, by address. */
   private readonly crashedAt = new Map<string, number>();
   /** Jobs that were given up, with the monotonic time of it: other tasks of theirs may still end endpoints. */
   private readonly givenUpJobs = new Map<JobId, number>();
   /** Lives whose end is put down to a task that was given up. */
-  private readonly explained = new Set<EndpointLife>();
+  private readonly explained = new Set<EndpointIncarnation>();
   /** Monotonic time at which an endpoint was last lost with no start to blame. */
   private unexplainedAt = -Infinity;
 
-  recordCharged(life: EndpointLife, task: ChargedTask): void {
+  recordCharged(life: EndpointIncarnation, task: ImplicatedTask): void {
     this.charged.set(life, [...this.readCharged(life), task]);
   }
 
   /** Tasks that were charged with the end of an endpoint. */
-  readCharged(life: EndpointLife): readonly ChargedTask[] {
+  readCharged(life: EndpointIncarnation): readonly ImplicatedTask[] {
     return this.charged.get(life) ?? [];
   }
 
@@ -45,7 +45,7 @@
   }
 
   /** Notes whether an endpoint that was lost has some start to blame, or one whose job has been given up already. */
-  recordLoss(life: EndpointLife, blamed: readonly JobId[], now: number): void {
+  recordLoss(life: EndpointIncarnation, blamed: readonly JobId[], now: number): void {
     if (blamed.length === 0) {
       this.unexplainedAt = now;
     }
@@ -65,9 +65,12 @@
   }
 
   /** True while endpoints are lost that nothing had just begun on, or for which all that had has been done since. */
-  isAmongLosses(now: number, hasCharge: (task: ChargedTask, life: EndpointLife) => boolean): boolean {
+  isAmongLosses(
+    now: number,
+    hasCharge: (task: ImplicatedTask, life: EndpointIncarnation) => boolean,
+  ): boolean {
     const { unexplainedLossMs } = crashLimits;
-    const isLoss = (life: EndpointLife, tasks: readonly ChargedTask[]): boolean =>
+    const isLoss = (life: EndpointIncarnation, tasks: readonly ImplicatedTask[]): boolean =>
       !this.explained.has(life) &&
       tasks.every(
         (task) => now - task.since < unexplainedLossMs && !(task.isBlamed && hasCharge(task, life)),
--- a/packages/dispatch/crashes/CrashCharge.ts
+++ b/packages/dispatch/crashes/CrashRecord.ts
@@ -1,7 +1,7 @@
 import type { TaskCrash } from '../../jobs/TaskCrash';
-import type { ChargeOwner } from './ChargeOwner';
+import type { TaskRef } from './TaskRef';
 
 /** The end of an endpoint, charged to one task. */
-export interface CrashCharge extends ChargeOwner {
+export interface CrashRecord extends TaskRef {
   readonly charge: TaskCrash;
 }
--- a/packages/dispatch/crashes/CrashLedger.ts
+++ b/packages/dispatch/crashes/CrashTracker.ts
@@ -1,27 +1,27 @@
-import type { EndpointLife } from '../../jobs/EndpointLife';
+import type { EndpointIncarnation } from '../../jobs/EndpointIncarnation';
 import type { JobId } from '../../jobs/JobId';
 import type { TaskAddress } from '../../jobs/TaskAddress';
 import type { TaskCrash } from '../../jobs/TaskCrash';
 import { toTaskName } from '../../jobs/toTaskName';
-import type { EndpointBook } from '../endpoints/EndpointBook';
+import type { EndpointState } from '../endpoints/EndpointState';
 import type { PlacedRun } from '../runs/PlacedRun';
-import type { RunLedger } from '../runs/RunLedger';
+import type { RunTracker } from '../runs/RunTracker';
 import type { LiveJob } from '../waiting/LiveJob';
 import { chooseBlames } from './chooseBlames';
 import { crashLimits } from './crashLimits';
-import { isProven } from './isProven';
+import { isPastStartup } from './isPastStartup';
 import { isGivenUp } from './isGivenUp';
-import { isUnderSuspicion } from './isUnderSuspicion';
-import type { ChargeOwner } from './ChargeOwner';
-import type { CrashCharge } from './CrashCharge';
-import { CrashDoubts } from './CrashDoubts';
+import { isCrashSuspect } from './isCrashSuspect';
+import type { TaskRef } from './TaskRef';
+import type { CrashRecord } from './CrashRecord';
+import { UnconfirmedCrashes } from './UnconfirmedCrashes';
 import { CrashHistory } from './CrashHistory';
 import { OutageWatch } from './OutageWatch';
 import { readPauseMs } from './readPauseMs';
 
 interface CrashLedgerOptions {
   readonly jobs: ReadonlyMap<JobId, LiveJob>;
-  readonly ledger: RunLedger;
+  readonly ledger: RunTracker;
   /** The progress of a job has changed and must be recorded. */
   readonly handleChanged: (job: JobId) => void;
 }
@@ -37,8 +37,8 @@
  * ends its endpoint leaves nobody to say that it failed, and would be started without end if such ends counted against nothing.
  * The charges are part of a job's progress, so that each leader goes on from those of the one before.
  */
-export class CrashLedger {
-  private readonly doubts = new CrashDoubts();
+export class CrashTracker {
+  private readonly doubts = new UnconfirmedCrashes();
   private readonly history = new CrashHistory();
   private readonly outages = new OutageWatch();
   /** Jobs with a task that is not started any more. */
@@ -47,9 +47,9 @@
   constructor(private readonly options: CrashLedgerOptions) {}
 
   /** Takes in the charges of a job that earlier leaders left: waits begin anew, and doubts go on. */
-  recordInherited(job: LiveJob, address: TaskAddress, now: number): void {
+  applyRecoveredCrashes(job: LiveJob, address: TaskAddress, now: number): void {
     this.applyInheritedDoubts(job, address);
-    const crashes = job.progress.readTask(address)?.crashes ?? [];
+    const crashes = job.progress.getTask(address)?.crashes ?? [];
     if (crashes.length === 0) {
       return;
     }
@@ -73,15 +73,15 @@
    * change of leader would let a harmful task off, and it would be started more often than it may be.
    */
   private applyInheritedDoubts(job: LiveJob, address: TaskAddress): void {
-    for (const doubt of job.progress.readTask(address)?.doubts ?? []) {
+    for (const doubt of job.progress.getTask(address)?.doubts ?? []) {
       job.progress.recordCrash(address, { ...doubt, blame: 'unproved' });
       this.options.handleChanged(job.definition.id);
     }
   }
 
   /** An endpoint's life is over; `runs` were there, or may have been. */
-  handleLifeOver(book: EndpointBook, runs: readonly PlacedRun[], now: number): void {
-    const { life: id, address } = book.readProfile();
+  handleIncarnationEnd(book: EndpointState, runs: readonly PlacedRun[], now: number): void {
+    const { incarnation: id, address } = book.getProfile();
     const doubts = this.doubts.claimAll(id);
     if (book.isLeaving()) {
       this.revokeCharges(id, doubts, 'left by plan', now);
@@ -100,20 +100,20 @@
   }
 
   /** The lease of an endpoint that was silent has run out, and with it `runs`: it crashed, or is cut off. */
-  handleLapse(book: EndpointBook, runs: readonly PlacedRun[], now: number): void {
+  handleLapse(book: EndpointState, runs: readonly PlacedRun[], now: number): void {
     if (book.isLeaving()) {
       return;
     }
-    const { life: id } = book.readProfile();
-    const unproved: CrashCharge[] = [];
+    const { incarnation: id } = book.getProfile();
+    const unproved: CrashRecord[] = [];
     for (const { run, blame } of this.readCharges(book, runs)) {
       const { job, address } = run;
       const charge = { endpoint: id, blame, ageMs: this.readAgeMs(run) };
       this.doubts.recordDoubt({ job, address, since: now, charge });
       if (blame !== 'present' || this.isLastBorne(run)) {
         unproved.push({ job, address, charge: { ...charge, blame: 'unproved' } });
-      } else if (!isProven(run)) {
-        this.options.jobs.get(job)?.progress.recordDoubt(address, charge);
+      } else if (!isPastStartup(run)) {
+        this.options.jobs.get(job)?.progress.recordUnconfirmedCrash(address, charge);
         this.options.handleChanged(job);
       }
     }
@@ -125,29 +125,29 @@
    * To charge every such run would hold up sound work beside harmful tasks.
    */
   private isLastBorne(run: PlacedRun): boolean {
-    return !isProven(run) && this.readCrashes(run).length >= crashLimits.maxAll - 1;
+    return !isPastStartup(run) && this.readCrashes(run).length >= crashLimits.maxAll - 1;
   }
 
   /** An endpoint that answered until now has fallen silent. */
-  handleSilence(book: EndpointBook, now: number): void {
+  handleUnreachable(book: EndpointState, now: number): void {
     this.outages.handleSilence(book, now);
   }
 
   /** The endpoint is heard: it has not crashed. */
-  handleHeard(id: EndpointLife, now: number): void {
+  handleHeard(id: EndpointIncarnation, now: number): void {
     this.outages.handleHeard(id);
     this.revokeCharges(id, this.doubts.claimAll(id), 'heard again', now);
   }
 
   /** A run that was sent to a life which is over has begun on the next one: its task had no part in that end. */
-  handleBegunElsewhere({ job, address }: PlacedRun, before: EndpointLife, now: number): void {
+  handleBegunElsewhere({ job, address }: PlacedRun, before: EndpointIncarnation, now: number): void {
     this.revokeCharges(before, [{ job, address }], 'its run began on the next life', now);
   }
 
   /** A look has listed a run: one that has worked for much longer than those that were lost clears its task. */
   handleListed(run: PlacedRun): void {
     const { progress } = this.options.jobs.get(run.job) ?? {};
-    const { crashes = [], doubts = [] } = progress?.readTask(run.address) ?? {};
+    const { crashes = [], doubts = [] } = progress?.getTask(run.address) ?? {};
     if (crashes.length === 0 && doubts.length === 0) {
       return;
     }
@@ -155,10 +155,10 @@
     const listedMs = run.seenAt - run.confirmedAt;
     const isCleared = ({ ageMs }: TaskCrash): boolean =>
       listedMs >= Math.min(longestClearedAgeMs, clearedAgeFactor * ageMs + clearedAgeMs);
-    if (progress?.revokeCrashes(run.address, isCleared) === true) {
+    if (progress?.removeCrashes(run.address, isCleared) === true) {
       const { job, task } = run;
       this.options.handleChanged(job);
-      this.options.ledger.sendTell('Task is cleared of crashes.', {
+      this.options.ledger.sendLogLine('Task is cleared of crashes.', {
         job,
         task,
         listedMs: Math.round(listedMs),
@@ -167,12 +167,12 @@
   }
 
   /** True while it is worth asking at the address of an endpoint that fell silent for good. */
-  isAwaited(id: EndpointLife, now: number): boolean {
+  isCrashUnconfirmed(id: EndpointIncarnation, now: number): boolean {
     return this.doubts.isAwaited(id, now);
   }
 
   /** Tells whether a machine has crashed so lately that the next crash there would tell little of a task. */
-  hasCrashedLately(address: string, now: number): boolean {
+  hasCrashedRecently(address: string, now: number): boolean {
     return this.history.hasCrashedLately(address, now);
   }
 
@@ -181,24 +181,24 @@
     return this.history.isAmongLosses(now, (task, life) => this.hasCharge(task, life));
   }
 
-  private hasCharge(owner: ChargeOwner, life: EndpointLife): boolean {
+  private hasCharge(owner: TaskRef, life: EndpointIncarnation): boolean {
     return this.readCrashes(owner).some(({ endpoint }) => endpoint === life);
   }
 
   /** What a task is charged with; nothing once its job has ended. */
-  private readCrashes({ job, address }: ChargeOwner): readonly TaskCrash[] {
-    return this.options.jobs.get(job)?.progress.readTask(address)?.crashes ?? [];
+  private readCrashes({ job, address }: TaskRef): readonly TaskCrash[] {
+    return this.options.jobs.get(job)?.progress.getTask(address)?.crashes ?? [];
   }
 
   /** Ends the jobs with tasks that are not started any more, and forgets what is too old to tell anything. */
-  applyGivenUp(now: number, wallMs: number): void {
+  applyCrashLimits(now: number, wallMs: number): void {
     for (const [id, address] of this.givenUp) {
       const job = this.options.jobs.get(id);
-      const crashes = job?.progress.readTask(address)?.crashes ?? [];
+      const crashes = job?.progress.getTask(address)?.crashes ?? [];
       // Another task that was given up may have explained some of them meanwhile.
       if (job !== undefined && !job.progress.isEnded() && isGivenUp(crashes, this.isAmongLosses(now))) {
         const task = toTaskName(id, address);
-        this.options.ledger.sendTell('Task is given up: endpoints ended under it.', {
+        this.options.ledger.sendLogLine('Task is given up: endpoints ended under it.', {
           job: id,
           task,
           crashes,
@@ -213,7 +213,7 @@
     this.history.applyAge(now);
     // Durable with the next change of the job: until then the next leader counts them, which is the safe side.
     for (const { job, address, charge } of this.doubts.claimOutdated(now)) {
-      this.options.jobs.get(job)?.progress.revokeDoubt(address, charge.endpoint);
+      this.options.jobs.get(job)?.progress.removeUnconfirmedCrash(address, charge.endpoint);
     }
   }
 
@@ -222,7 +222,7 @@
    * tasks among endpoints that are lost from outside would take sound jobs with them.
    * Those that had just begun there still count as present: harmful tasks that fall together would explain each other's crashes away.
    */
-  private applyExplained(guilty: ChargeOwner, crashes: readonly TaskCrash[], now: number): void {
+  private applyExplained(guilty: TaskRef, crashes: readonly TaskCrash[], now: number): void {
     for (const { endpoint, blame } of crashes) {
       const charged = blame === 'sole' || blame === 'shared' ? this.history.readCharged(endpoint) : [];
       const others = charged.filter(
@@ -236,9 +236,9 @@
   }
 
   /** Leaves a charge of a run that had just begun as one of presence. Returns false when there is none. */
-  private applyPresence({ job: id, address }: ChargeOwner, endpoint: EndpointLife, now: number): boolean {
+  private applyPresence({ job: id, address }: TaskRef, endpoint: EndpointIncarnation, now: number): boolean {
     const job = this.options.jobs.get(id);
-    const known = job?.progress.readTask(address)?.crashes.find((crash) => crash.endpoint === endpoint);
+    const known = job?.progress.getTask(address)?.crashes.find((crash) => crash.endpoint === endpoint);
     if (job === undefined || known === undefined || known.ageMs >= crashLimits.provenAgeMs) {
       return false;
     }
@@ -251,17 +251,17 @@
   }
 
   /** One that was once the only one to blame may well be harmful too. */
-  private hasSoleCharge(owner: ChargeOwner): boolean {
+  private hasSoleCharge(owner: TaskRef): boolean {
     return this.readCrashes(owner).some(({ blame }) => blame === 'sole');
   }
 
   /** Charges for the end of an endpoint; an order that still waits for its record cannot have ended anything. */
-  private readCharges(book: EndpointBook, runs: readonly PlacedRun[]): ReturnType<typeof chooseBlames> {
+  private readCharges(book: EndpointState, runs: readonly PlacedRun[]): ReturnType<typeof chooseBlames> {
     const { jobs } = this.options;
     return chooseBlames({
       runs: runs.filter(({ stage }) => stage !== 'recording'),
       isOutage: this.outages.isPartOfOutage(book),
-      isSuspect: (run) => isUnderSuspicion(jobs.get(run.job)?.progress.readTask(run.address)?.crashes ?? []),
+      isSuspect: (run) => isCrashSuspect(jobs.get(run.job)?.progress.getTask(run.address)?.crashes ?? []),
       toGroup: ({ job, address, task }) => {
         const isGang = jobs.get(job)?.definition.steps[address.step]?.isGang === true;
         return isGang ? `${job}.${address.time}.${address.step}` : task;
@@ -275,8 +275,8 @@
   }
 
   private revokeCharges(
-    revoked: EndpointLife,
-    owners: readonly ChargeOwner[],
+    revoked: EndpointIncarnation,
+    owners: readonly TaskRef[],
     reason: RevocationReason,
     now: number,
   ): void {
@@ -284,15 +284,15 @@
     if (tasks.length > 0) {
       const names = tasks.slice(0, MAX_NAMED_TASKS).map(({ job, address }) => toTaskName(job, address));
       const fields = { endpoint: revoked, reason, count: tasks.length, tasks: names };
-      this.options.ledger.sendTell('Charges of a crash are taken back.', fields);
+      this.options.ledger.sendLogLine('Charges of a crash are taken back.', fields);
     }
   }
 
   /** Returns false when the task had no such charge. */
-  private revokeCharge({ job: id, address }: ChargeOwner, revoked: EndpointLife, now: number): boolean {
+  private revokeCharge({ job: id, address }: TaskRef, revoked: EndpointIncarnation, now: number): boolean {
     const job = this.options.jobs.get(id);
     const isRevoked = ({ endpoint }: TaskCrash): boolean => endpoint === revoked;
-    if (job?.progress.revokeCrashes(address, isRevoked) !== true) {
+    if (job?.progress.removeCrashes(address, isRevoked) !== true) {
       return false;
     }
     this.options.handleChanged(id);
@@ -300,28 +300,28 @@
     return true;
   }
 
-  private recordCrashes(endpoint: EndpointLife, charges: readonly CrashCharge[], now: number): void {
+  private recordCrashes(endpoint: EndpointIncarnation, charges: readonly CrashRecord[], now: number): void {
     const recorded = charges.filter((charge) => this.recordCrash(charge, now));
     if (recorded.length === 0) {
       return;
     }
     this.options.ledger.sendCount('crashesCharged', recorded.length);
-    this.options.ledger.sendTell('Crash is charged.', {
+    this.options.ledger.sendLogLine('Crash is charged.', {
       endpoint,
       count: recorded.length,
       tasks: recorded.slice(0, MAX_NAMED_TASKS).map(({ job, address, charge }) => ({
         task: toTaskName(job, address),
         blame: charge.blame,
         ageMs: charge.ageMs,
-        charged: this.options.jobs.get(job)?.progress.readTask(address)?.crashes.length,
+        charged: this.options.jobs.get(job)?.progress.getTask(address)?.crashes.length,
       })),
     });
   }
 
   /** Returns false when the task is done, or its job has ended. */
-  private recordCrash({ job: id, address, charge }: CrashCharge, now: number): boolean {
+  private recordCrash({ job: id, address, charge }: CrashRecord, now: number): boolean {
     const job = this.options.jobs.get(id);
-    const task = job?.progress.readTask(address);
+    const task = job?.progress.getTask(address);
     if (job === undefined || task === undefined || task.phase === 'done' || job.progress.isEnded()) {
       return false;
     }
@@ -339,10 +339,10 @@
 
   /** Draws the consequences of a task's charges: a pause before its next start, or none any more. */
   private applyCharges(job: LiveJob, address: TaskAddress, now: number): void {
-    const { crashes } = job.progress.readTask(address)!;
+    const { crashes } = job.progress.getTask(address)!;
     const pauseMs = readPauseMs(crashes);
     if (pauseMs > 0) {
-      job.recordPause(address, now + pauseMs);
+      job.recordBackoff(address, now + pauseMs);
     }
     if (isGivenUp(crashes, this.isAmongLosses(now))) {
       this.givenUp.set(job.definition.id, address);
--- a/packages/dispatch/crashes/OutageWatch.ts
+++ b/packages/dispatch/crashes/OutageWatch.ts
@@ -1,6 +1,6 @@
-import type { EndpointLife } from '../../jobs/EndpointLife';
-import type { EndpointBook } from '../endpoints/EndpointBook';
-import { isProven } from './isProven';
+import type { EndpointIncarnation } from '../../jobs/EndpointIncarnation';
+import type { EndpointState } from '../endpoints/EndpointState';
+import { isPastStartup } from './isPastStartup';
 
 interface Silence {
   /** Monotonic time at which it was noticed. */
@@ -20,10 +20,10 @@
  */
 export class OutageWatch {
   /** The newest silence of each endpoint that has not been heard since. */
-  private readonly silences = new Map<EndpointLife, Silence>();
+  private readonly silences = new Map<EndpointIncarnation, Silence>();
 
   /** An endpoint has fallen silent. When that was is known only of one that this leader has heard. */
-  handleSilence(book: EndpointBook, now: number): void {
+  handleSilence(book: EndpointState, now: number): void {
     if (book.readAnsweredAt() === undefined) {
       return;
     }
@@ -32,19 +32,19 @@
         this.silences.delete(id);
       }
     }
-    const hasBegunRun = [...book.readRuns()].some((run) => run.stage !== 'recording' && !isProven(run));
-    this.silences.set(book.readProfile().life, { at: now, hasBegunRun });
+    const hasBegunRun = [...book.getRuns()].some((run) => run.stage !== 'recording' && !isPastStartup(run));
+    this.silences.set(book.getProfile().incarnation, { at: now, hasBegunRun });
   }
 
   /** The endpoint is heard again: its silence was none that ended it. */
-  handleHeard(id: EndpointLife): void {
+  handleHeard(id: EndpointIncarnation): void {
     this.silences.delete(id);
   }
 
   /** True when the endpoint fell silent with others in an outage. */
-  isPartOfOutage(book: EndpointBook): boolean {
-    const { life: id } = book.readProfile();
-    const silentSince = book.readSilentSince();
+  isPartOfOutage(book: EndpointState): boolean {
+    const { incarnation: id } = book.getProfile();
+    const silentSince = book.getUnreachableSince();
     if (silentSince === undefined || book.readAnsweredAt() === undefined) {
       return false;
     }
--- a/packages/dispatch/crashes/chooseBlames.ts
+++ b/packages/dispatch/crashes/chooseBlames.ts
@@ -1,6 +1,6 @@
 import type { CrashBlame } from '../../jobs/CrashBlame';
 import type { PlacedRun } from '../runs/PlacedRun';
-import { isProven } from './isProven';
+import { isPastStartup } from './isPastStartup';
 
 interface Charge {
   readonly run: PlacedRun;
@@ -25,7 +25,7 @@
  * docs/decisions/0015.
  */
 export const chooseBlames = ({ runs, isOutage, isSuspect, toGroup }: BlamesInput): readonly Charge[] => {
-  const begun = isOutage ? [] : runs.filter((run) => !isProven(run));
+  const begun = isOutage ? [] : runs.filter((run) => !isPastStartup(run));
   const suspects = begun.filter(isSuspect);
   const likely = suspects.length > 0 ? suspects : begun;
   const blame = new Set(likely.map(toGroup)).size === 1 ? 'sole' : 'shared';
--- a/packages/dispatch/crashes/crashLimits.ts
+++ b/packages/dispatch/crashes/crashLimits.ts
@@ -19,7 +19,7 @@
   /** A task under which so many endpoints have ended, whatever it was beside, is started apart from others under suspicion. */
   maxTogether: 3,
   /** A task under which so many endpoints have ended waits rather than begin beside a task under suspicion that has just begun. */
-  maxExposed: 2,
+  protectedAfterCrashes: 2,
   /** A run that a look listed at this age or later did not end its endpoint by starting, in milliseconds. */
   provenAgeMs: 300,
   /**
--- a/packages/dispatch/crashes/isUnderSuspicion.ts
+++ b/packages/dispatch/crashes/isCrashSuspect.ts
@@ -9,5 +9,5 @@
  * it has to be told from those that it was beside: it is started apart from them. Else sound tasks would go down with the harmful ones that are
  * found one by one, and be given up with them.
  */
-export const isUnderSuspicion = (crashes: readonly TaskCrash[]): boolean =>
+export const isCrashSuspect = (crashes: readonly TaskCrash[]): boolean =>
   crashes.length >= crashLimits.maxTogether || crashes.some(({ blame }) => SUSPICIOUS.has(blame));
--- a/packages/dispatch/crashes/isProven.ts
+++ b/packages/dispatch/crashes/isPastStartup.ts
@@ -2,4 +2,5 @@
 import { crashLimits } from './crashLimits';
 
 /** True when a look has listed the run long enough after its start: its start has not ended its endpoint. */
-export const isProven = (run: PlacedRun): boolean => run.seenAt - run.confirmedAt >= crashLimits.provenAgeMs;
+export const isPastStartup = (run: PlacedRun): boolean =>
+  run.seenAt - run.confirmedAt >= crashLimits.provenAgeMs;
--- a/packages/dispatch/dispatchDefaults.ts
+++ b/packages/dispatch/defaultPolicies.ts
@@ -1,7 +1,7 @@
-import type { DispatchWays } from './DispatchWays';
+import type { DispatchPolicies } from './DispatchPolicies';
 
 /** The ways of deciding that hold unless others are chosen; docs/design/shifted-work.md has the figures for them. */
-export const dispatchDefaults: DispatchWays = {
+export const defaultPolicies: DispatchPolicies = {
   placementOrder: 'shares',
   speedChoice: 'endpoints',
   hallChoice: 'together',
--- a/packages/dispatch/endpoints/OrderAnswer.ts
+++ b/packages/dispatch/endpoints/CommandResult.ts
@@ -10,7 +10,7 @@
  * - `undelivered`: no connection was made, so that nothing was sent.
  * - `unanswered`: may have been carried out, or may be later.
  */
-export type OrderAnswer =
+export type CommandResult =
   | { readonly kind: 'done' | 'unhealthy' | 'gone' }
   | { readonly kind: 'rejected'; readonly reason: OrderRejection }
   | { readonly kind: 'undelivered' | 'unanswered'; readonly detail: string };
--- a/packages/dispatch/endpoints/OrderSender.ts
+++ b/packages/dispatch/endpoints/CommandSender.ts
@@ -1,15 +1,15 @@
 import type { Clock } from '../../common/Clock';
 import type { JobId } from '../../jobs/JobId';
 import { leaderTimings } from '../../leadership/leaderTimings';
-import type { LineGatherer } from '../../sight/LineGatherer';
+import type { LineBatcher } from '../../logging/LineBatcher';
 import type { DispatchEffect } from '../DispatchEffect';
 import type { Dispatcher } from '../Dispatcher';
-import type { LeaderTime } from '../LeaderTime';
+import type { LeaderDurationName } from '../LeaderDurationName';
 import type { WaitCause } from '../waiting/WaitCause';
-import { waitTimeNames } from '../waiting/waitTimeNames';
-import { AnswerTimeout } from './AnswerTimeout';
+import { waitMetricNames } from '../waiting/waitMetricNames';
+import { ResponseTimeout } from './ResponseTimeout';
 import type { EndpointSessions } from './EndpointSessions';
-import type { OrderAnswer } from './OrderAnswer';
+import type { CommandResult } from './CommandResult';
 
 type StartEffect = Extract<DispatchEffect, { kind: 'start' }>;
 type StopEffect = Extract<DispatchEffect, { kind: 'stop' }>;
@@ -18,13 +18,13 @@
   readonly clock: Clock;
   readonly dispatcher: Dispatcher;
   readonly endpoints: EndpointSessions;
-  readonly lines: LineGatherer;
+  readonly lines: LineBatcher;
   /** True once this leader gives no more orders. */
   readonly isStopped: () => boolean;
   /** True while this leader may give leases. */
   readonly isRenewing: () => boolean;
   readonly recordCount: (name: 'starts' | 'stops') => void;
-  readonly recordTime: (name: LeaderTime, valueMs: number) => void;
+  readonly recordTime: (name: LeaderDurationName, valueMs: number) => void;
   /** A start of a job is sent. */
   readonly handleStarted: (job: JobId) => void;
   /** An order, or its answer, has changed what may be placed. */
@@ -32,25 +32,25 @@
   readonly handleDeposed: (detail: string) => void;
 }
 
-const WAIT_CAUSES = Object.keys(waitTimeNames) as WaitCause[];
+const WAIT_CAUSES = Object.keys(waitMetricNames) as WaitCause[];
 /** Time for the answer to a stop that had none before: the endpoint may be slow, and only an answer frees the task. */
 const REPEATED_STOP_TIMEOUT_MS = 500;
 
 /** Sends the leader's orders to endpoints and hands their answers to the dispatcher. */
-export class OrderSender {
-  private readonly timeout = new AnswerTimeout();
+export class CommandSender {
+  private readonly timeout = new ResponseTimeout();
 
   constructor(private readonly options: OrderSenderOptions) {}
 
   /** Sends a start whose record is durable, if it is still wanted. */
   async sendStart(effect: StartEffect): Promise<void> {
     const { clock, dispatcher, endpoints, isStopped, isRenewing, handleChanged } = this.options;
-    const session = endpoints.readSession(effect.endpoint);
-    const isWanted = !isStopped() && dispatcher.handleRecorded(effect, clock.readNow());
+    const session = endpoints.getSession(effect.endpoint);
+    const isWanted = !isStopped() && dispatcher.handleStartRecorded(effect, clock.readNow());
     // A start grants a lease too.
     if (session === undefined || !isWanted || !isRenewing()) {
       if (isWanted) {
-        dispatcher.handleUnsent(effect, clock.readNow());
+        dispatcher.handleStartUnsent(effect, clock.readNow());
       }
       handleChanged();
       return;
@@ -58,9 +58,9 @@
     this.recordStart(effect);
     const sentAt = clock.readNow();
     session.recordLease(sentAt);
-    const timeoutMs = this.timeout.readTimeoutMs();
-    const answer = await session.readClient().sendStart(effect.order, leaderTimings.leaseMs, timeoutMs);
-    if (endpoints.readSession(effect.endpoint) !== session) {
+    const timeoutMs = this.timeout.computeTimeoutMs();
+    const answer = await session.readClient().sendStart(effect.command, leaderTimings.leaseMs, timeoutMs);
+    if (endpoints.getSession(effect.endpoint) !== session) {
       // The life is over, and what became of its orders is for the next one to show; that turns them down without another leader.
       return;
     }
@@ -70,17 +70,17 @@
   async sendStop(effect: StopEffect): Promise<void> {
     const { clock, dispatcher, endpoints, recordCount, handleChanged } = this.options;
     const { endpoint, task, run, isRepeated } = effect;
-    const timeoutMs = isRepeated ? REPEATED_STOP_TIMEOUT_MS : this.timeout.readTimeoutMs();
+    const timeoutMs = isRepeated ? REPEATED_STOP_TIMEOUT_MS : this.timeout.computeTimeoutMs();
     recordCount('stops');
-    const session = endpoints.readSession(endpoint);
+    const session = endpoints.getSession(endpoint);
     const answer = await session?.readClient().sendStop(task, run, timeoutMs);
-    if (answer === undefined || endpoints.readSession(endpoint) !== session || this.isOver(answer)) {
+    if (answer === undefined || endpoints.getSession(endpoint) !== session || this.isOver(answer)) {
       return;
     }
-    dispatcher.handleStopAnswer(endpoint, task, run, answer, clock.readNow());
+    dispatcher.handleStopResult(endpoint, task, run, answer, clock.readNow());
     if (answer.kind === 'done' || answer.kind === 'rejected') {
       // Only a look that is sent after the stop was answered can prove that the run is not there.
-      void session?.startExtraLook();
+      void session?.sendExtraPoll();
     }
     handleChanged();
   }
@@ -89,12 +89,12 @@
     const { recordCount, recordTime, handleStarted } = this.options;
     recordCount('starts');
     handleStarted(job);
-    WAIT_CAUSES.forEach((cause) => recordTime(waitTimeNames[cause], waits[cause]));
+    WAIT_CAUSES.forEach((cause) => recordTime(waitMetricNames[cause], waits[cause]));
   }
 
-  private handleStartAnswer(effect: StartEffect, answer: OrderAnswer, sentAt: number): void {
+  private handleStartAnswer(effect: StartEffect, answer: CommandResult, sentAt: number): void {
     const { clock, dispatcher, lines, recordTime, handleChanged } = this.options;
-    const { job, endpoint, order } = effect;
+    const { job, endpoint, command: order } = effect;
     const { task, run } = order;
     const now = clock.readNow();
     this.recordTimeout(answer, now - sentAt);
@@ -105,20 +105,20 @@
     if (this.isOver(answer)) {
       return;
     }
-    dispatcher.handleStartAnswer(endpoint, task, run, answer, now);
+    dispatcher.handleStartResult(endpoint, task, run, answer, now);
     handleChanged();
   }
 
-  private recordTimeout(answer: OrderAnswer, tookMs: number): void {
+  private recordTimeout(answer: CommandResult, tookMs: number): void {
     if (answer.kind === 'unanswered') {
-      this.timeout.recordUnanswered(tookMs);
+      this.timeout.recordTimeout(tookMs);
     } else {
       this.timeout.recordAnswer(tookMs);
     }
   }
 
   /** True when this leader gives no more orders; an endpoint that obeys a newer one shows that. */
-  private isOver(answer: OrderAnswer): boolean {
+  private isOver(answer: CommandResult): boolean {
     const isFenced = answer.kind === 'rejected' && answer.reason === 'fence';
     if (isFenced) {
       this.options.handleDeposed('an endpoint obeys a newer leader');
--- a/packages/dispatch/endpoints/EndedRow.ts
+++ b/packages/dispatch/endpoints/EndedTaskStatus.ts
@@ -1,7 +1,7 @@
 import type { TaskName } from '../../jobs/TaskName';
 
 /** One end that an endpoint reports until it is acknowledged. */
-export interface EndedRow {
+export interface EndedTaskStatus {
   /** Rising number of the end within the endpoint's life. */
   readonly number: number;
   readonly task: TaskName;
--- a/packages/dispatch/endpoints/EndpointClient.ts
+++ b/packages/dispatch/endpoints/EndpointClient.ts
@@ -1,7 +1,7 @@
 import type { TaskName } from '../../jobs/TaskName';
-import type { HoldAnswer } from './HoldAnswer';
-import type { OrderAnswer } from './OrderAnswer';
-import type { StartOrder } from './StartOrder';
+import type { PollResult } from './PollResult';
+import type { CommandResult } from './CommandResult';
+import type { StartCommand } from './StartCommand';
 
 interface HoldRequest {
   /** Ends up to this number are durable and may be forgotten. */
@@ -19,8 +19,8 @@
 
 /** What the product needs of one endpoint. Every call carries the caller's fencing token. */
 export interface EndpointClient {
-  sendStart(order: StartOrder, leaseMs: number, timeoutMs: number): Promise<OrderAnswer>;
-  sendStop(task: TaskName, run: number, timeoutMs: number): Promise<OrderAnswer>;
-  sendHold(request: HoldRequest): Promise<HoldAnswer>;
+  sendStart(order: StartCommand, leaseMs: number, timeoutMs: number): Promise<CommandResult>;
+  sendStop(task: TaskName, run: number, timeoutMs: number): Promise<CommandResult>;
+  sendPoll(request: HoldRequest): Promise<PollResult>;
   stop(): Promise<void>;
 }
--- a/packages/dispatch/endpoints/EndpointProfile.ts
+++ b/packages/dispatch/endpoints/EndpointProfile.ts
@@ -1,5 +1,5 @@
 import type { EndpointId } from '../../jobs/EndpointId';
-import type { EndpointLife } from '../../jobs/EndpointLife';
+import type { EndpointIncarnation } from '../../jobs/EndpointIncarnation';
 import type { ServiceName } from '../../jobs/ServiceName';
 import type { TaskDemand } from '../../jobs/TaskDemand';
 
@@ -7,7 +7,7 @@
 export interface EndpointProfile {
   readonly id: EndpointId;
   /** The life that wrote the record. */
-  readonly life: EndpointLife;
+  readonly incarnation: EndpointIncarnation;
   readonly service: ServiceName;
   /** Host and port. */
   readonly address: string;
--- a/packages/dispatch/endpoints/EndpointRecords.ts
+++ b/packages/dispatch/endpoints/EndpointRecords.ts
@@ -73,12 +73,12 @@
 
   /** The log answers again: reads the records anew where the read under way may have gone into the outage. */
   startAgain(answeredSentAt: number): void {
-    this.follower.startAgain(answeredSentAt);
+    this.follower.retryPending(answeredSentAt);
   }
 
   /** True once all records have been read. */
   hasReadAll(): boolean {
-    return this.follower.readOffset() !== undefined;
+    return this.follower.getOffset() !== undefined;
   }
 
   readCount(): number {
--- a/packages/dispatch/endpoints/EndpointSession.ts
+++ b/packages/dispatch/endpoints/EndpointSession.ts
@@ -2,15 +2,15 @@
 import { startBounded } from '../../common/startBounded';
 import { startDelay } from '../../common/startDelay';
 import { leaderTimings } from '../../leadership/leaderTimings';
-import type { EndpointLife } from '../../jobs/EndpointLife';
-import type { EndpointBook } from './EndpointBook';
+import type { EndpointIncarnation } from '../../jobs/EndpointIncarnation';
+import type { EndpointState } from './EndpointState';
 import type { EndpointClient } from './EndpointClient';
-import type { HoldAnswer } from './HoldAnswer';
+import type { PollResult } from './PollResult';
 
-type Held = Extract<HoldAnswer, { kind: 'held' }>;
+type Held = Extract<PollResult, { kind: 'held' }>;
 
 interface EndpointSessionOptions {
-  readonly book: EndpointBook;
+  readonly book: EndpointState;
   readonly client: EndpointClient;
   readonly clock: Clock;
   /** True while this leader may give leases. */
@@ -18,7 +18,7 @@
   /** The life has answered a look that was sent at a time. False when the answer must not be taken in. */
   readonly handleAnswered: (sentAt: number) => boolean;
   /** Another life of the endpoint has answered a look that was sent at a time. */
-  readonly handleOtherLife: (life: EndpointLife, sentAt: number) => void;
+  readonly handleOtherLife: (life: EndpointIncarnation, sentAt: number) => void;
   /**
    * Takes an answer in; resolves once the ends in it are durable. Rejects when this leader is deposed. An end comes again with
    * each answer until it has been acknowledged; `newEndCount` of them come for the first time.
@@ -64,14 +64,14 @@
   constructor(private readonly options: EndpointSessionOptions) {}
 
   /** Looks once beside the loop, without a lease: for something that the look under way cannot show any more. */
-  async startExtraLook(): Promise<void> {
+  async sendExtraPoll(): Promise<void> {
     if (this.isStopped || this.isLookingExtra) {
       return;
     }
     this.isLookingExtra = true;
     const sentAt = this.options.clock.readNow();
     const { client } = this.options;
-    const answer = await client.sendHold({
+    const answer = await client.sendPoll({
       lastSeen: 0,
       leaseMs: undefined,
       waitMs: 0,
@@ -89,7 +89,7 @@
   }
 
   /** Runs until `stop`, or until the endpoint's life is over. */
-  async start(): Promise<void> {
+  async run(): Promise<void> {
     while (!this.isStopped) {
       await this.sendLook();
     }
@@ -111,10 +111,10 @@
 
   private async sendLook(): Promise<void> {
     const { client, clock, book, isRenewing } = this.options;
-    const isSilent = book.readSilentSince() !== undefined;
-    const isAnswering = book.isSettled() && !isSilent;
+    const isSilent = book.getUnreachableSince() !== undefined;
+    const isAnswering = book.isSynced() && !isSilent;
     const leaseMs = isAnswering && isRenewing() ? leaderTimings.leaseMs : undefined;
-    const usualWaitMs = book.readRunCount() === 0 ? IDLE_LOOK_WAIT_MS : LOOK_WAIT_MS;
+    const usualWaitMs = book.countRuns() === 0 ? IDLE_LOOK_WAIT_MS : LOOK_WAIT_MS;
     const waitMs = isAnswering ? usualWaitMs : 0;
     const sentAt = clock.readNow();
     if (leaseMs !== undefined) {
@@ -123,7 +123,7 @@
     // Another life may answer after a silence, and on any new connection. It must not forget ends that it has not listed, or tasks
     // that are done would run again.
     const lastSeen = isSilent || !this.isLifeConnected ? 0 : this.lastSeen;
-    const answer = await client.sendHold({
+    const answer = await client.sendPoll({
       lastSeen,
       isContinued: lastSeen > 0,
       leaseMs,
@@ -141,7 +141,7 @@
     this.options.book.recordLease(sentAt + leaseMs * (1 + clockDriftShare) + marginMs);
   }
 
-  private async handleAnswer(answer: HoldAnswer, sentAt: number): Promise<void> {
+  private async handleAnswer(answer: PollResult, sentAt: number): Promise<void> {
     this.isLifeConnected = answer.kind === 'held';
     switch (answer.kind) {
       case 'held':
--- a/packages/dispatch/endpoints/EndpointSessions.ts
+++ b/packages/dispatch/endpoints/EndpointSessions.ts
@@ -2,10 +2,10 @@
 import type { Logger } from '../../common/Logger';
 import type { Random } from '../../common/Random';
 import type { Result } from '../../common/Result';
-import { demandSums } from '../../jobs/demandSums';
+import { resourceMath } from '../../jobs/resourceMath';
 import type { EndpointId } from '../../jobs/EndpointId';
-import type { EndpointLife } from '../../jobs/EndpointLife';
-import { endpointLives } from '../../jobs/endpointLives';
+import type { EndpointIncarnation } from '../../jobs/EndpointIncarnation';
+import { endpointIncarnations } from '../../jobs/endpointIncarnations';
 import type { ServiceName } from '../../jobs/ServiceName';
 import type { TaskDemand } from '../../jobs/TaskDemand';
 import type { LogClient } from '../../store/LogClient';
@@ -15,10 +15,10 @@
 import type { EndpointProfile } from './EndpointProfile';
 import { EndpointRecords } from './EndpointRecords';
 import { EndpointSession } from './EndpointSession';
-import type { HoldAnswer } from './HoldAnswer';
+import type { PollResult } from './PollResult';
 import type { KnownEndpoint } from './KnownEndpoint';
 
-type Held = Extract<HoldAnswer, { kind: 'held' }>;
+type Held = Extract<PollResult, { kind: 'held' }>;
 
 interface EndpointSessionsOptions {
   readonly epoch: number;
@@ -48,7 +48,7 @@
 }
 
 const isSameRoom = (left: TaskDemand, right: TaskDemand): boolean =>
-  demandSums.isWithin(left, right) && demandSums.isWithin(right, left);
+  resourceMath.isWithin(left, right) && resourceMath.isWithin(right, left);
 
 /**
  * Knows the endpoints by their records and their lives by their answers, and keeps a session with each life once the leader has taken over.
@@ -57,7 +57,7 @@
  */
 export class EndpointSessions {
   private readonly endpoints = new Map<EndpointId, KnownEndpoint>();
-  private readonly sessions = new Map<EndpointLife, EndpointSession>();
+  private readonly sessions = new Map<EndpointIncarnation, EndpointSession>();
   private readonly records: EndpointRecords;
   /** Endpoints of services that no queue uses. */
   private readonly unused = new Set<EndpointId>();
@@ -95,12 +95,12 @@
   }
 
   /** The log answers again: reads the records anew where the read under way may have gone into the outage. */
-  startAgain(answeredSentAt: number): void {
+  retryPending(answeredSentAt: number): void {
     this.records.startAgain(answeredSentAt);
   }
 
   /** Begins sessions with endpoints whose service has come into use. */
-  applyTime(): void {
+  startPendingSessions(): void {
     for (const id of [...this.unused]) {
       this.startSessionsOf(id);
     }
@@ -111,12 +111,12 @@
     return this.records.hasReadAll();
   }
 
-  readCount(): number {
+  countEndpoints(): number {
     return this.records.readCount();
   }
 
   /** The session with a life; undefined before the first look, and once the life is known to be over. */
-  readSession(life: EndpointLife): EndpointSession | undefined {
+  getSession(life: EndpointIncarnation): EndpointSession | undefined {
     return this.sessions.get(life);
   }
 
@@ -137,21 +137,21 @@
     const known = this.readKnown(profile.id);
     const before = known.record;
     known.record = profile;
-    if (before !== undefined && before.life !== profile.life) {
-      dispatcher.handleEndpointLeft(before.life);
+    if (before !== undefined && before.incarnation !== profile.incarnation) {
+      dispatcher.handleEndpointDeregistered(before.incarnation);
     }
-    dispatcher.handleEndpoint(profile);
+    dispatcher.handleEndpointProfile(profile);
     this.sendProfileLine(before, profile);
     this.startSessionsOf(profile.id);
-    if (before !== undefined && before.life !== profile.life) {
-      this.applyUnneeded(before.life);
+    if (before !== undefined && before.incarnation !== profile.incarnation) {
+      this.applyUnneeded(before.incarnation);
     }
   }
 
   private sendProfileLine(before: EndpointProfile | undefined, profile: EndpointProfile): void {
     const { logger } = this.options;
-    const { life, service, isDraining, remainingMs, capacity: room, hall, labels } = profile;
-    if (before === undefined || before.life !== life || before.isDraining !== isDraining) {
+    const { incarnation: life, service, isDraining, remainingMs, capacity: room, hall, labels } = profile;
+    if (before === undefined || before.incarnation !== life || before.isDraining !== isDraining) {
       logger.info('Endpoint seen.', { endpoint: life, service, hall, labels, room, isDraining, remainingMs });
     } else if (!isSameRoom(before.capacity, room)) {
       logger.info('Endpoint room changed.', { endpoint: life, room, before: before.capacity });
@@ -164,8 +164,8 @@
     known.record = undefined;
     this.unused.delete(id);
     if (record !== undefined) {
-      this.options.dispatcher.handleEndpointLeft(record.life);
-      this.applyUnneeded(record.life);
+      this.options.dispatcher.handleEndpointDeregistered(record.incarnation);
+      this.applyUnneeded(record.incarnation);
     }
   }
 
@@ -182,15 +182,15 @@
     }
     this.unused.delete(id);
     this.startSession(record);
-    if (current !== undefined && current !== record.life) {
-      this.startSession({ ...record, life: current });
+    if (current !== undefined && current !== record.incarnation) {
+      this.startSession({ ...record, incarnation: current });
     }
   }
 
   private startSession(profile: EndpointProfile): void {
     const { clock, dispatcher, isRenewing, createEndpointClient, handleFenced } = this.options;
-    const { id, life } = profile;
-    const book = dispatcher.readBook(life);
+    const { id, incarnation: life } = profile;
+    const book = dispatcher.getEndpointState(life);
     if (!this.isOpen || this.sessions.has(life) || book === undefined) {
       return;
     }
@@ -208,10 +208,10 @@
       handleFenced: () => handleFenced(`endpoint ${life} obeys a newer leader`),
     });
     this.sessions.set(life, session);
-    void session.start();
+    void session.run();
   }
 
-  private stopSession(life: EndpointLife): void {
+  private stopSession(life: EndpointIncarnation): void {
     this.sessions.get(life)?.stop();
     this.sessions.delete(life);
   }
@@ -220,14 +220,14 @@
    * A life has answered a look that was sent at a time. Returns false when its answer must not be taken in: orders that were meant for the life
    * before are shut out only from the next look on.
    */
-  private handleAnswered(profile: EndpointProfile, life: EndpointLife, sentAt: number): boolean {
+  private handleAnswered(profile: EndpointProfile, life: EndpointIncarnation, sentAt: number): boolean {
     const known = this.readKnown(profile.id);
     const before = known.current;
     if (before === life) {
       return sentAt >= known.fencedFrom;
     }
     const heardAt =
-      before === undefined ? undefined : this.options.dispatcher.readBook(before)?.readAnsweredAt();
+      before === undefined ? undefined : this.options.dispatcher.getEndpointState(before)?.readAnsweredAt();
     if (heardAt !== undefined && heardAt > sentAt) {
       // Both have answered since: which of them came later shows with the next look.
       return false;
@@ -237,7 +237,7 @@
   }
 
   /** A life is the one that is there now; all others of its endpoint that are known are over. */
-  private applyNextLife(known: KnownEndpoint, profile: EndpointProfile, life: EndpointLife): void {
+  private applyNextLife(known: KnownEndpoint, profile: EndpointProfile, life: EndpointIncarnation): void {
     const { dispatcher, clock, logger, recordCount, handleChanged } = this.options;
     const { current: before, record } = known;
     known.current = life;
@@ -245,47 +245,52 @@
       known.fence.recordNextLife();
       known.fencedFrom = clock.readNow();
     }
-    if (dispatcher.readBook(life) === undefined) {
-      dispatcher.handleEndpoint({ ...profile, life });
+    if (dispatcher.getEndpointState(life) === undefined) {
+      dispatcher.handleEndpointProfile({ ...profile, incarnation: life });
     }
-    if (record?.life !== life) {
+    if (record?.incarnation !== life) {
       // Its room and kind may be others than those of the life before: nothing is started there until its record has come.
-      dispatcher.handleEndpointLeft(life);
+      dispatcher.handleEndpointDeregistered(life);
     }
-    for (const earlier of dispatcher.readOtherLives(life)) {
+    for (const earlier of dispatcher.listOtherIncarnations(life)) {
       logger.info('Endpoint has started again under its id.', {
         endpoint: life,
         before: earlier,
         acknowledged: this.sessions.get(earlier)?.readAcknowledged() ?? 0,
-        hasRecord: record?.life === life,
+        hasRecord: record?.incarnation === life,
         token: known.fence.readToken(),
       });
       this.stopSession(earlier);
-      dispatcher.handleLifeOver(earlier, clock.readNow(), life);
+      dispatcher.handleIncarnationEnd(earlier, clock.readNow(), life);
       recordCount('livesBegun');
     }
-    this.startSession(record?.life === life ? record : { ...profile, life });
-    if (record !== undefined && record.life !== life) {
+    this.startSession(record?.incarnation === life ? record : { ...profile, incarnation: life });
+    if (record !== undefined && record.incarnation !== life) {
       // It may be early, and name the life after this one.
-      dispatcher.handleEndpoint(record);
+      dispatcher.handleEndpointProfile(record);
       this.startSession(record);
     }
     handleChanged();
   }
 
   /** Another life has answered where one was asked. */
-  private handleOtherLife(profile: EndpointProfile, other: EndpointLife, sentAt: number): void {
+  private handleOtherLife(profile: EndpointProfile, other: EndpointIncarnation, sentAt: number): void {
     this.handleAnswered(profile, other, sentAt);
-    if (this.sessions.has(profile.life)) {
-      this.handleSilence(profile.life, `${other} answered`);
+    if (this.sessions.has(profile.incarnation)) {
+      this.handleSilence(profile.incarnation, `${other} answered`);
     }
   }
 
-  private handleHeld(life: EndpointLife, answer: Held, sentAt: number, newEndCount: number): Promise<void> {
+  private handleHeld(
+    life: EndpointIncarnation,
+    answer: Held,
+    sentAt: number,
+    newEndCount: number,
+  ): Promise<void> {
     const { clock, dispatcher, logger, handleLooked, startFlush } = this.options;
-    const book = dispatcher.readBook(life);
-    if (book !== undefined && (book.readSilentSince() !== undefined || !book.isSettled())) {
-      const { hall, labels } = book.readProfile();
+    const book = dispatcher.getEndpointState(life);
+    if (book !== undefined && (book.getUnreachableSince() !== undefined || !book.isSynced())) {
+      const { hall, labels } = book.getProfile();
       logger.info('Endpoint answers.', {
         endpoint: life,
         hall,
@@ -295,49 +300,54 @@
       });
     }
     const input = { endpoint: life, running: answer.running, ended: answer.ended, sentAt };
-    dispatcher.handleLook(input, clock.readNow(), clock.readWall());
+    dispatcher.handleStatus(input, clock.readNow(), clock.readWall());
     handleLooked(newEndCount);
     // Another look may have brought the same ends before: they are durable only once its records are.
     return answer.ended.length === 0 ? Promise.resolve() : startFlush();
   }
 
-  private handleSilence(life: EndpointLife, detail: string): void {
+  private handleSilence(life: EndpointIncarnation, detail: string): void {
     const { clock, dispatcher, logger, recordCount } = this.options;
-    const book = dispatcher.readBook(life);
-    if (book !== undefined && book.readSilentSince() === undefined) {
+    const book = dispatcher.getEndpointState(life);
+    if (book !== undefined && book.getUnreachableSince() === undefined) {
       logger.info('Endpoint does not answer.', { endpoint: life, detail });
     }
     recordCount('unanswered');
-    dispatcher.handleSilence(life, clock.readNow());
+    dispatcher.handleUnreachable(life, clock.readNow());
     this.applyUnneeded(life);
   }
 
   /** A life that has left, does not answer and runs nothing any more needs no look, unless it may have crashed. */
-  private applyUnneeded(life: EndpointLife): void {
+  private applyUnneeded(life: EndpointIncarnation): void {
     const { clock, dispatcher } = this.options;
-    const id = endpointLives.readEndpoint(life);
+    const id = endpointIncarnations.readEndpoint(life);
     const { record, current, fence } = this.readKnown(id);
-    const book = dispatcher.readBook(life);
-    const isAnswering = life === current && book?.readSilentSince() === undefined;
-    const hasRuns = (book?.readRunCount() ?? 0) > 0;
-    if (record?.life === life || isAnswering || hasRuns || dispatcher.isAwaited(life, clock.readNow())) {
+    const book = dispatcher.getEndpointState(life);
+    const isAnswering = life === current && book?.getUnreachableSince() === undefined;
+    const hasRuns = (book?.countRuns() ?? 0) > 0;
+    if (
+      record?.incarnation === life ||
+      isAnswering ||
+      hasRuns ||
+      dispatcher.isCrashUnconfirmed(life, clock.readNow())
+    ) {
       return;
     }
     this.stopSession(life);
-    dispatcher.handleForgotten(life);
+    dispatcher.removeEndpointState(life);
     // A token that has risen is kept: to a life that is back after a silence a lower one would look like an earlier leader's.
     if (record === undefined && !fence.hasRisen() && (current === undefined || current === life)) {
       this.endpoints.delete(id);
     }
   }
 
-  private handleGone(life: EndpointLife): void {
-    const known = this.readKnown(endpointLives.readEndpoint(life));
+  private handleGone(life: EndpointIncarnation): void {
+    const known = this.readKnown(endpointIncarnations.readEndpoint(life));
     this.stopSession(life);
     if (known.current === life) {
       known.current = undefined;
     }
-    this.options.dispatcher.handleLifeOver(life, this.options.clock.readNow());
+    this.options.dispatcher.handleIncarnationEnd(life, this.options.clock.readNow());
     this.options.handleChanged();
   }
 }
--- a/packages/dispatch/endpoints/EndpointBook.ts
+++ b/packages/dispatch/endpoints/EndpointState.ts
@@ -1,7 +1,7 @@
 import type { CustomerUsage } from '../../customers/CustomerUsage';
 import type { TaskDemand } from '../../jobs/TaskDemand';
 import type { TaskName } from '../../jobs/TaskName';
-import { demandSums } from '../../jobs/demandSums';
+import { resourceMath } from '../../jobs/resourceMath';
 import type { EndpointProfile } from './EndpointProfile';
 import type { PlacedRun } from '../runs/PlacedRun';
 import { FailureStreak } from '../stops/FailureStreak';
@@ -19,9 +19,9 @@
 const MAX_SLOWNESS = 8;
 
 /** The books of one endpoint: what it can hold, what may run there, and whether it is to be trusted. */
-export class EndpointBook {
+export class EndpointState {
   private readonly runs = new Map<string, PlacedRun>();
-  private used: TaskDemand = demandSums.NOTHING;
+  private used: TaskDemand = resourceMath.NOTHING;
   private failureRate = 0;
   private failureRateAt = 0;
   /** How much longer runs take there than their siblings elsewhere; 1 is usual. */
@@ -52,7 +52,7 @@
     this.leasedUntil = leasedUntil;
   }
 
-  readProfile(): EndpointProfile {
+  getProfile(): EndpointProfile {
     return this.profile;
   }
 
@@ -63,43 +63,43 @@
   }
 
   /** The endpoint's record has gone. What runs there may go on, since the record alone tells little. */
-  recordUnlisted(): void {
+  recordDeregistration(): void {
     this.isListed = false;
   }
 
-  readRun(task: TaskName, run: number): PlacedRun | undefined {
+  getRun(task: TaskName, run: number): PlacedRun | undefined {
     return this.runs.get(`${task}#${run}`);
   }
 
-  readRuns(): Iterable<PlacedRun> {
+  getRuns(): Iterable<PlacedRun> {
     return this.runs.values();
   }
 
-  readRunCount(): number {
+  countRuns(): number {
     return this.runs.size;
   }
 
   /** Takes room for a run, here and in its customer's usage. */
-  recordRun(run: PlacedRun): void {
+  addRun(run: PlacedRun): void {
     this.runs.set(`${run.task}#${run.run}`, run);
-    this.used = demandSums.toSum(this.used, run.demand);
+    this.used = resourceMath.toSum(this.used, run.demand);
     this.usage.recordRun(run);
-    if (run.isSuspect) {
+    if (run.isCrashSuspect) {
       this.probation.add(run);
     }
   }
 
   /** Frees the room of a run that is known to have ended. */
-  recordRunEnd(run: PlacedRun): void {
+  removeRun(run: PlacedRun): void {
     this.probation.delete(run);
     if (this.runs.delete(`${run.task}#${run.run}`)) {
-      this.used = demandSums.toDifference(this.used, run.demand);
+      this.used = resourceMath.toDifference(this.used, run.demand);
       this.usage.recordRunEnd(run);
     }
   }
 
   /** Runs of tasks under suspicion whose start may still end the endpoint. */
-  readProbation(): ReadonlySet<PlacedRun> {
+  getStartingSuspects(): ReadonlySet<PlacedRun> {
     return this.probation;
   }
 
@@ -108,15 +108,15 @@
     this.probation.delete(run);
   }
 
-  readFree(): TaskDemand {
-    return demandSums.toDifference(this.profile.capacity, this.used);
+  getFreeCapacity(): TaskDemand {
+    return resourceMath.toDifference(this.profile.capacity, this.used);
   }
 
-  readFreeCpuMillis(): number {
+  getFreeCpuMillis(): number {
     return this.profile.capacity.cpuMillis - this.used.cpuMillis;
   }
 
-  hasRoom(demand: TaskDemand): boolean {
+  hasCapacityFor(demand: TaskDemand): boolean {
     const { capacity } = this.profile;
     return (
       demand.cpuMillis <= capacity.cpuMillis - this.used.cpuMillis &&
@@ -126,12 +126,12 @@
   }
 
   /** True when all that may run there takes more than the endpoint has room for: its room has shrunk. */
-  isOverfull(): boolean {
-    return !demandSums.isWithin(this.used, this.profile.capacity);
+  isOvercommitted(): boolean {
+    return !resourceMath.isWithin(this.used, this.profile.capacity);
   }
 
   /** True when new work may be started there. */
-  isUsable(): boolean {
+  isSchedulable(): boolean {
     return this.isListed && this.settled && this.silentSince === undefined && !this.profile.isDraining;
   }
 
@@ -148,7 +148,7 @@
     return this.profile.isDraining || this.hasAnsweredUnlisted;
   }
 
-  isSettled(): boolean {
+  isSynced(): boolean {
     return this.settled;
   }
 
@@ -156,7 +156,7 @@
     return this.answeredAt;
   }
 
-  readSilentSince(): number | undefined {
+  getUnreachableSince(): number | undefined {
     return this.silentSince;
   }
 
@@ -169,7 +169,7 @@
   }
 
   /** Records that a look had no answer. */
-  recordSilence(now: number): void {
+  recordUnreachable(now: number): void {
     this.silentSince ??= now;
   }
 
@@ -183,18 +183,18 @@
   }
 
   recordOutcome(isFailure: boolean, now: number): void {
-    const rate = this.readFailureRate(now);
+    const rate = this.computeFailureRate(now);
     this.failureRate = rate + FAILURE_WEIGHT * ((isFailure ? 1 : 0) - rate);
     this.failureRateAt = now;
   }
 
   /** Whether all fails that is started there. */
-  readFailureStreak(): FailureStreak {
+  getFailureStreak(): FailureStreak {
     return this.failureStreak;
   }
 
   /** Recent share of runs that failed, decaying with time. */
-  readFailureRate(now: number): number {
+  computeFailureRate(now: number): number {
     return this.failureRate * 0.5 ** ((now - this.failureRateAt) / FAILURE_HALF_LIFE_MS);
   }
 
@@ -210,17 +210,17 @@
   }
 
   /** True when work there fails or takes long of late. */
-  isDoubtful(now: number): boolean {
+  isDegraded(now: number): boolean {
     return this.isFailing(now) || this.readSlowness(now) > SLOW_RATIO;
   }
 
   /** Monotonic time until which a draining endpoint stays. */
-  readLeavesAt(now: number): number {
+  getDrainDeadline(now: number): number {
     this.drainingSince ??= now;
     return this.drainingSince + this.profile.remainingMs;
   }
 
   isFailing(now: number): boolean {
-    return this.readFailureRate(now) >= SUSPECT_FAILURE_RATE;
+    return this.computeFailureRate(now) >= SUSPECT_FAILURE_RATE;
   }
 }
--- a/packages/dispatch/endpoints/KnownEndpoint.ts
+++ b/packages/dispatch/endpoints/KnownEndpoint.ts
@@ -1,4 +1,4 @@
-import type { EndpointLife } from '../../jobs/EndpointLife';
+import type { EndpointIncarnation } from '../../jobs/EndpointIncarnation';
 import type { EndpointFence } from './EndpointFence';
 import type { EndpointProfile } from './EndpointProfile';
 
@@ -11,7 +11,7 @@
   /** The newest record; undefined when there is none. */
   record: EndpointProfile | undefined;
   /** The life that has answered last; undefined before the first answer. */
-  current: EndpointLife | undefined;
+  current: EndpointIncarnation | undefined;
   /** Monotonic time from which looks shut out what was sent to earlier lives. */
   fencedFrom: number;
 }
--- a/packages/dispatch/endpoints/HoldAnswer.ts
+++ b/packages/dispatch/endpoints/PollResult.ts
@@ -1,6 +1,6 @@
-import type { EndpointLife } from '../../jobs/EndpointLife';
-import type { EndedRow } from './EndedRow';
-import type { RunningRow } from './RunningRow';
+import type { EndpointIncarnation } from '../../jobs/EndpointIncarnation';
+import type { EndedTaskStatus } from './EndedTaskStatus';
+import type { RunningTaskStatus } from './RunningTaskStatus';
 
 /**
  * Answer to a call that renews an endpoint's lease and looks at it.
@@ -10,12 +10,12 @@
  * - `gone`: the address belongs to another endpoint.
  * - `disconnected`: the connection to the process that answered last is gone, so that nothing was sent.
  */
-export type HoldAnswer =
+export type PollResult =
   | {
       readonly kind: 'held';
-      readonly running: readonly RunningRow[];
-      readonly ended: readonly EndedRow[];
+      readonly running: readonly RunningTaskStatus[];
+      readonly ended: readonly EndedTaskStatus[];
     }
-  | { readonly kind: 'otherLife'; readonly life: EndpointLife }
+  | { readonly kind: 'otherLife'; readonly life: EndpointIncarnation }
   | { readonly kind: 'fenced' | 'gone' | 'disconnected' }
   | { readonly kind: 'unanswered'; readonly detail: string };
--- a/packages/dispatch/endpoints/AnswerTimeout.ts
+++ b/packages/dispatch/endpoints/ResponseTimeout.ts
@@ -10,7 +10,7 @@
  * How long to wait for an endpoint's answer to an order, estimated from the answers that came, as TCP does for its
  * retransmissions. An order without an answer is cleared up by a stop and a look: the sooner, the less its task waits.
  */
-export class AnswerTimeout {
+export class ResponseTimeout {
   private readonly answers = new SmoothedTime();
 
   recordAnswer(tookMs: number): void {
@@ -21,14 +21,14 @@
    * No answer came in a time: without it the limit would follow the quick answers alone, and strike ever sooner. A connection that was reset at once
    * tells nothing of how long answers take.
    */
-  recordUnanswered(waitedMs: number): void {
+  recordTimeout(waitedMs: number): void {
     if (waitedMs >= MIN_MS) {
       this.recordAnswer(waitedMs * UNANSWERED_FACTOR);
     }
   }
 
   /** Time to wait, in milliseconds. */
-  readTimeoutMs(): number {
+  computeTimeoutMs(): number {
     const limitMs = this.answers.readLimitMs();
     return limitMs === undefined ? MAX_MS : Math.min(MAX_MS, Math.max(MIN_MS, limitMs));
   }
--- a/packages/dispatch/endpoints/RunningRow.ts
+++ b/packages/dispatch/endpoints/RunningTaskStatus.ts
@@ -1,7 +1,7 @@
 import type { TaskName } from '../../jobs/TaskName';
 
 /** One task that an endpoint says it runs. */
-export interface RunningRow {
+export interface RunningTaskStatus {
   readonly task: TaskName;
   readonly run: number;
   readonly checkpoint: string;
--- a/packages/dispatch/endpoints/StartOrder.ts
+++ b/packages/dispatch/endpoints/StartCommand.ts
@@ -1,7 +1,7 @@
 import type { TaskName } from '../../jobs/TaskName';
 
 /** An order to start one run of a task. */
-export interface StartOrder {
+export interface StartCommand {
   readonly task: TaskName;
   readonly run: number;
   readonly spec: string;
--- a/packages/dispatch/endpoints/LookReader.ts
+++ b/packages/dispatch/endpoints/StatusReconciler.ts
@@ -3,30 +3,30 @@
 import { parseTaskName } from '../../jobs/parseTaskName';
 import type { RunOutcome } from '../../jobs/RunOutcome';
 import { createPlacedRun } from '../runs/createPlacedRun';
-import { createStrangeRun } from '../runs/createStrangeRun';
-import type { CrashLedger } from '../crashes/CrashLedger';
-import { isProven } from '../crashes/isProven';
-import type { EndedRow } from './EndedRow';
-import type { EndpointBook } from './EndpointBook';
+import { createOrphanRun } from '../runs/createOrphanRun';
+import type { CrashTracker } from '../crashes/CrashTracker';
+import { isPastStartup } from '../crashes/isPastStartup';
+import type { EndedTaskStatus } from './EndedTaskStatus';
+import type { EndpointState } from './EndpointState';
 import type { LiveJob } from '../waiting/LiveJob';
-import type { LookAnswer } from './LookAnswer';
+import type { EndpointStatus } from './EndpointStatus';
 import type { PlacedRun } from '../runs/PlacedRun';
 import type { RunEnd } from '../runs/RunEnd';
-import type { RunLedger } from '../runs/RunLedger';
+import type { RunTracker } from '../runs/RunTracker';
 import type { RunLearner } from '../speeds/RunLearner';
-import type { RunningRow } from './RunningRow';
+import type { RunningTaskStatus } from './RunningTaskStatus';
 
 interface LookReaderOptions {
   readonly jobs: ReadonlyMap<JobId, LiveJob>;
-  readonly ledger: RunLedger;
+  readonly ledger: RunTracker;
   readonly learner: RunLearner;
-  readonly crashes: CrashLedger;
+  readonly crashes: CrashTracker;
   /** Definition of any job, also of one that has ended. */
   readonly readDefinition: (id: JobId) => JobDefinition | undefined;
 }
 
 /** How an end changes a job's progress. */
-const OUTCOMES: Readonly<Record<EndedRow['how'], RunOutcome>> = {
+const OUTCOMES: Readonly<Record<EndedTaskStatus['how'], RunOutcome>> = {
   done: 'done',
   failed: 'failed',
   stopped: 'interrupted',
@@ -40,11 +40,11 @@
 const FULL_END_LIST = 500;
 
 /** Compares what an endpoint says it runs with its books. */
-export class LookReader {
+export class StatusReconciler {
   constructor(private readonly options: LookReaderOptions) {}
 
   /** Takes an answer in: ends first, then what runs, then what is proved not to run. */
-  handleLook(book: EndpointBook, answer: LookAnswer, now: number, wallMs: number): void {
+  applyStatus(book: EndpointState, answer: EndpointStatus, now: number, wallMs: number): void {
     book.recordAnswer(now);
     this.options.crashes.handleHeard(answer.endpoint, now);
     for (const row of answer.ended) {
@@ -59,8 +59,8 @@
     }
   }
 
-  private handleEnd(book: EndpointBook, row: EndedRow, now: number, wallMs: number): void {
-    const run = book.readRun(row.task, row.run);
+  private handleEnd(book: EndpointState, row: EndedTaskStatus, now: number, wallMs: number): void {
+    const run = book.getRun(row.task, row.run);
     if (run === undefined) {
       return;
     }
@@ -69,22 +69,22 @@
     book.recordOutcome(outcome === 'failed', now);
     this.recordStreak(book, outcome, now);
     if (outcome === 'done') {
-      this.options.learner.recordDone(book, run, now);
+      this.options.learner.recordCompletion(book, run, now);
     }
     this.options.ledger.recordRunEnd(
       book,
       run,
-      { outcome, cause: 'listed', checkpoint: row.checkpoint, how: row.how },
+      { outcome, cause: 'listed', checkpoint: row.checkpoint, reportedEnd: row.how },
       now,
     );
     const job = this.options.jobs.get(run.job);
     if (job !== undefined) {
-      this.options.ledger.checkJobEnd(job, run, outcome, book.readProfile().life, wallMs);
+      this.options.ledger.checkJobEnd(job, run, outcome, book.getProfile().incarnation, wallMs);
     }
   }
 
-  private recordRunning(book: EndpointBook, row: RunningRow, now: number): PlacedRun {
-    const run = book.readRun(row.task, row.run) ?? this.recordStray(book, row, now);
+  private recordRunning(book: EndpointState, row: RunningTaskStatus, now: number): PlacedRun {
+    const run = book.getRun(row.task, row.run) ?? this.recordStray(book, row, now);
     if (run.stage === 'ordered' || run.stage === 'unconfirmed') {
       run.stage = 'running';
       // Also where its answer was missed: it may have begun just now, and counts as proven only once it has worked for long enough for certain.
@@ -97,7 +97,7 @@
     this.checkCarried(run, now);
     run.isListed = true;
     run.seenAt = now;
-    if (isProven(run)) {
+    if (isPastStartup(run)) {
       book.recordProven(run);
       this.options.crashes.handleListed(run);
     }
@@ -114,61 +114,61 @@
     return run;
   }
 
-  private sendDoubtTell(sentence: string, book: EndpointBook, run: PlacedRun, now: number): void {
-    this.options.ledger.sendTell(sentence, {
+  private sendDoubtTell(sentence: string, book: EndpointState, run: PlacedRun, now: number): void {
+    this.options.ledger.sendLogLine(sentence, {
       job: run.job,
       task: run.task,
       run: run.run,
-      endpoint: book.readProfile().life,
+      endpoint: book.getProfile().incarnation,
       doubtedMs: Math.round(now - (run.unansweredAt ?? now)),
     });
   }
 
-  private recordStreak(book: EndpointBook, outcome: RunOutcome, now: number): void {
-    const streak = book.readFailureStreak();
-    const wasBroken = streak.isBroken();
+  private recordStreak(book: EndpointState, outcome: RunOutcome, now: number): void {
+    const streak = book.getFailureStreak();
+    const wasBroken = streak.isFailing();
     streak.recordEnd(outcome, now);
-    if (streak.isBroken() !== wasBroken) {
+    if (streak.isFailing() !== wasBroken) {
       const sentence = wasBroken ? 'Endpoint works again.' : 'Endpoint fails what it starts.';
-      this.options.ledger.sendTell(sentence, { endpoint: book.readProfile().life });
+      this.options.ledger.sendLogLine(sentence, { endpoint: book.getProfile().incarnation });
     }
   }
 
   /** A run that began on this life cannot have ended the one before. */
   private checkCarried(run: PlacedRun, now: number): void {
-    if (run.carriedFrom !== undefined) {
-      this.options.crashes.handleBegunElsewhere(run, run.carriedFrom, now);
-      run.carriedFrom = undefined;
+    if (run.transferredFrom !== undefined) {
+      this.options.crashes.handleBegunElsewhere(run, run.transferredFrom, now);
+      run.transferredFrom = undefined;
     }
   }
 
   /** Takes into the books a run that this leader does not want, and stops it. */
-  private recordStray(book: EndpointBook, row: RunningRow, now: number): PlacedRun {
+  private recordStray(book: EndpointState, row: RunningTaskStatus, now: number): PlacedRun {
     const parsed = parseTaskName(row.task);
     const definition = parsed === undefined ? undefined : this.options.readDefinition(parsed.job);
     const isKnown = parsed !== undefined && definition?.steps[parsed.address.step] !== undefined;
     const run: PlacedRun = isKnown
       ? createPlacedRun(definition!, parsed.address, row.run, now)
-      : createStrangeRun(row, now);
+      : createOrphanRun(row, now);
     run.stage = 'running';
-    book.recordRun(run);
+    book.addRun(run);
     this.options.ledger.sendStop(book, run, 'notWanted');
-    this.options.ledger.sendTell('Stopping a run that is not wanted.', {
+    this.options.ledger.sendLogLine('Stopping a run that is not wanted.', {
       job: run.job,
       task: row.task,
       run: row.run,
-      endpoint: book.readProfile().life,
+      endpoint: book.getProfile().incarnation,
     });
     return run;
   }
 
   private checkUnlisted(
-    book: EndpointBook,
+    book: EndpointState,
     listed: ReadonlySet<PlacedRun>,
     sentAt: number,
     now: number,
   ): void {
-    for (const run of [...book.readRuns()]) {
+    for (const run of [...book.getRuns()]) {
       if (listed.has(run)) {
         continue;
       }
@@ -182,12 +182,12 @@
   }
 
   /** One that was sent to the life before, and is not here, ended with it. */
-  private recordAbsence(book: EndpointBook, run: PlacedRun, now: number): void {
+  private recordAbsence(book: EndpointState, run: PlacedRun, now: number): void {
     const { ledger } = this.options;
-    if (run.carriedFrom !== undefined) {
+    if (run.transferredFrom !== undefined) {
       ledger.sendCount('runsLost');
     }
-    ledger.recordRunEnd(book, run, run.carriedFrom === undefined ? NOT_LISTED : WITH_LIFE_BEFORE, now);
+    ledger.recordRunEnd(book, run, run.transferredFrom === undefined ? NOT_LISTED : WITH_LIFE_BEFORE, now);
   }
 
   private isProvedAbsent(run: PlacedRun, sentAt: number): boolean {
--- a/packages/dispatch/endpoints/formatLifeEnd.ts
+++ b/packages/dispatch/endpoints/formatLifeEnd.ts
@@ -1,20 +1,20 @@
-import type { EndpointLife } from '../../jobs/EndpointLife';
+import type { EndpointIncarnation } from '../../jobs/EndpointIncarnation';
 import type { PlacedRun } from '../runs/PlacedRun';
-import type { EndpointBook } from './EndpointBook';
+import type { EndpointState } from './EndpointState';
 
 /** A line names at most so many runs; the count is that of all. */
 const MAX_NAMED_RUNS = 20;
 
 /** Fields of the line about a life that is over: what was known of it, how old that is, what ran there, and what may have reached the next. */
 export const formatLifeEnd = (
-  book: EndpointBook,
+  book: EndpointState,
   runs: readonly PlacedRun[],
   now: number,
-  { next, carriedCount }: { readonly next: EndpointLife | undefined; readonly carriedCount: number },
+  { next, carriedCount }: { readonly next: EndpointIncarnation | undefined; readonly carriedCount: number },
 ): Readonly<Record<string, unknown>> => {
-  const { life, isDraining } = book.readProfile();
+  const { incarnation: life, isDraining } = book.getProfile();
   const answeredAt = book.readAnsweredAt();
-  const silentSince = book.readSilentSince();
+  const silentSince = book.getUnreachableSince();
   return {
     endpoint: life,
     isDraining,
--- a/packages/dispatch/measureLoad.ts
+++ b/packages/dispatch/measureLoad.ts
@@ -1,16 +1,16 @@
 import type { CustomerName } from '../customers/CustomerName';
 import type { CustomerUsage } from '../customers/CustomerUsage';
-import { demandSums } from '../jobs/demandSums';
+import { resourceMath } from '../jobs/resourceMath';
 import type { JobId } from '../jobs/JobId';
 import type { TaskDemand } from '../jobs/TaskDemand';
 import type { LoadSnapshot } from '../load/LoadSnapshot';
-import { toDominantShare } from '../load/toDominantShare';
-import type { EndpointBook } from './endpoints/EndpointBook';
+import { computeDominantShare } from '../load/computeDominantShare';
+import type { EndpointState } from './endpoints/EndpointState';
 import type { LiveJob } from './waiting/LiveJob';
-import { toWaitingDemand } from './waiting/toWaitingDemand';
+import { computeWaitingDemand } from './waiting/computeWaitingDemand';
 
 interface LoadInput {
-  readonly books: Iterable<EndpointBook>;
+  readonly books: Iterable<EndpointState>;
   readonly jobs: ReadonlyMap<JobId, LiveJob>;
   readonly usage: CustomerUsage;
   /** Room of all usable endpoints together, taken or not. */
@@ -36,10 +36,10 @@
   };
 
   for (const book of books) {
-    if (book.isUsable()) {
-      freeCpuMillis += book.readFreeCpuMillis();
+    if (book.isSchedulable()) {
+      freeCpuMillis += book.getFreeCpuMillis();
     }
-    for (const { job, demand } of book.readRuns()) {
+    for (const { job, demand } of book.getRuns()) {
       const definition = jobs.get(job)?.definition;
       if (definition !== undefined) {
         readQueue(definition.queue.name).runningCpuMillis += demand.cpuMillis;
@@ -47,10 +47,10 @@
     }
   }
   for (const job of jobs.values()) {
-    const steps = job.progress.isEnded() ? [] : job.readWaiting(wallMs);
+    const steps = job.progress.isEnded() ? [] : job.getWaitingSteps(wallMs);
     const { customer, queue } = job.definition;
     for (const step of steps) {
-      const demand = toWaitingDemand(step);
+      const demand = computeWaitingDemand(step);
       const row = readQueue(queue.name);
       row.waitingTasks += step.indexes.length;
       row.waitingCpuMillis += demand.cpuMillis;
@@ -59,14 +59,14 @@
         customers.set(customer.name, {
           weight: customer.weight,
           waitingTasks: (known?.waitingTasks ?? 0) + step.indexes.length,
-          waiting: demandSums.toSum(known?.waiting ?? demandSums.NOTHING, demand),
-          held: usage.readTaken(customer.name),
+          waiting: resourceMath.toSum(known?.waiting ?? resourceMath.NOTHING, demand),
+          held: usage.getUsed(customer.name),
         });
       }
     }
   }
-  const othersShare = [...usage.readAll()]
+  const othersShare = [...usage.getAll()]
     .filter(([name]) => !customers.has(name))
-    .reduce((sum, [, { taken }]) => sum + toDominantShare(taken, capacity), 0);
+    .reduce((sum, [, { taken }]) => sum + computeDominantShare(taken, capacity), 0);
   return { capacity, freeCpuMillis, queues: [...queues.values()], customers, othersShare };
 };
--- a/packages/dispatch/placing/RoomView.ts
+++ b/packages/dispatch/placing/CapacityView.ts
@@ -1,12 +1,12 @@
-import { toCountedDemand } from '../../jobs/toCountedDemand';
-import type { EndpointLife } from '../../jobs/EndpointLife';
+import { toReservedDemand } from '../../jobs/toReservedDemand';
+import type { EndpointIncarnation } from '../../jobs/EndpointIncarnation';
 import type { JobQueue } from '../../jobs/JobQueue';
 import type { JobStep } from '../../jobs/JobStep';
 import type { ServiceName } from '../../jobs/ServiceName';
 import type { TaskDemand } from '../../jobs/TaskDemand';
-import { demandSums } from '../../jobs/demandSums';
-import type { EndpointBook } from '../endpoints/EndpointBook';
-import type { RoomReservations } from './RoomReservations';
+import { resourceMath } from '../../jobs/resourceMath';
+import type { EndpointState } from '../endpoints/EndpointState';
+import type { EndpointReservations } from './EndpointReservations';
 import type { WaitingStep } from '../waiting/WaitingStep';
 
 /** Share of a service's processors that only the most urgent queues seen there may take. */
@@ -19,9 +19,9 @@
 const ID_DIGITS = 6;
 
 /** What the books say of room for a step. Changes no books; what it has worked out holds for one round of placement. */
-export class RoomView {
+export class CapacityView {
   /** Usable endpoints, by service and required label. */
-  private readonly eligible = new Map<string, readonly EndpointBook[]>();
+  private readonly eligible = new Map<string, readonly EndpointState[]>();
   /** How many usable endpoints each hall has, by service and required label; halls by name. */
   private readonly hallCounts = new Map<string, readonly (readonly [hall: string, count: number])[]>();
   /** Mean capacity of the usable endpoints, by service and required label. */
@@ -32,8 +32,8 @@
   private readonly mostUrgent = new Map<ServiceName, number>();
 
   constructor(
-    private readonly books: ReadonlyMap<EndpointLife, EndpointBook>,
-    private readonly reservations: RoomReservations,
+    private readonly books: ReadonlyMap<EndpointIncarnation, EndpointState>,
+    private readonly reservations: EndpointReservations,
   ) {}
 
   /** Notes that a queue uses a service. */
@@ -50,7 +50,7 @@
    * True for steps that would find room by chance only rarely: gangs and tasks that take much of an endpoint, while there is little
    * room on endpoints that may run them.
    */
-  isShortOfRoom(step: WaitingStep, eligible: readonly EndpointBook[]): boolean {
+  isCapacityScarce(step: WaitingStep, eligible: readonly EndpointState[]): boolean {
     return this.isLarge(step) && !this.hasAmpleRoom(step, eligible);
   }
 
@@ -59,7 +59,7 @@
       return true;
     }
     const capacity = this.readMeanCapacity(job.definition.queue.service, shape.requiredLabel);
-    const { cpuMillis, memoryMb, accelerators } = toCountedDemand(shape);
+    const { cpuMillis, memoryMb, accelerators } = toReservedDemand(shape);
     return (
       cpuMillis > capacity.cpuMillis * LARGE_SHARE ||
       memoryMb > capacity.memoryMb * LARGE_SHARE ||
@@ -69,13 +69,15 @@
 
   private hasAmpleRoom(
     { job, time, step, shape, indexes }: WaitingStep,
-    eligible: readonly EndpointBook[],
+    eligible: readonly EndpointState[],
   ): boolean {
-    const advice = job.readAdvice(time, step);
+    const advice = job.getAdvice(time, step);
     const ample = indexes.length * AMPLE_ROOM_FACTOR;
     let count = 0;
     for (const book of eligible) {
-      count += advice.isRefused(book.readProfile().life) ? 0 : this.measureFitCount(book.readFree(), shape);
+      count += advice.isRefused(book.getProfile().incarnation)
+        ? 0
+        : this.countFittingTasks(book.getFreeCapacity(), shape);
       if (count >= ample) {
         return true;
       }
@@ -84,8 +86,8 @@
   }
 
   /** Tasks of a step that fit some room on one endpoint. */
-  measureFitCount(room: TaskDemand, shape: JobStep): number {
-    const demand = toCountedDemand(shape);
+  countFittingTasks(room: TaskDemand, shape: JobStep): number {
+    const demand = toReservedDemand(shape);
     const toCount = (whole: number, part: number): number =>
       part === 0 ? Infinity : Math.max(0, Math.floor(whole / part));
     return Math.min(
@@ -97,7 +99,7 @@
   }
 
   /** Forgets what was worked out before. */
-  startRound(): void {
+  clearCache(): void {
     this.eligible.clear();
     this.hallCounts.clear();
     this.meanCapacity.clear();
@@ -105,23 +107,23 @@
   }
 
   /** Usable endpoints of the step's service with the label that it needs, but those kept for others. */
-  readEligible(step: WaitingStep): readonly EndpointBook[] {
+  listEligible(step: WaitingStep): readonly EndpointState[] {
     const { job, shape } = step;
     const usable = this.readUsable(job.definition.queue.service, shape.requiredLabel);
     return this.reservations.isEmpty()
       ? usable
-      : usable.filter((book) => !this.reservations.isKeptFrom(step, book.readProfile().life));
+      : usable.filter((book) => !this.reservations.isKeptFrom(step, book.getProfile().incarnation));
   }
 
   /** True when some endpoint has room for one task of the step. */
-  hasAnyRoom({ job, shape }: WaitingStep, eligible: readonly EndpointBook[]): boolean {
-    const demand = toCountedDemand(shape);
+  hasAnyRoom({ job, shape }: WaitingStep, eligible: readonly EndpointState[]): boolean {
+    const demand = toReservedDemand(shape);
     const key = this.toKey(job.definition.queue.service, shape.requiredLabel);
     const unmet = this.unmet.get(key) ?? [];
-    if (unmet.some((smaller) => demandSums.isWithin(smaller, demand))) {
+    if (unmet.some((smaller) => resourceMath.isWithin(smaller, demand))) {
       return false;
     }
-    if (eligible.some((book) => book.hasRoom(demand))) {
+    if (eligible.some((book) => book.hasCapacityFor(demand))) {
       return true;
     }
     // While room is kept for one step, what another finds says nothing of a third.
@@ -132,12 +134,12 @@
   }
 
   /** True when the endpoint holds as many tasks of the step as it may. */
-  isCrowded({ job, time, step, shape }: WaitingStep, book: EndpointBook): boolean {
+  hasMaxTasks({ job, time, step, shape }: WaitingStep, book: EndpointState): boolean {
     if (shape.maxPerEndpoint === 0) {
       return false;
     }
     let count = 0;
-    for (const run of book.readRuns()) {
+    for (const run of book.getRuns()) {
       const { address } = run;
       if (run.job === job.definition.id && address.time === time && address.step === step) {
         count += 1;
@@ -155,8 +157,8 @@
     let free = 0;
     let capacity = 0;
     for (const book of this.readUsable(queue.service, '')) {
-      free += book.readFreeCpuMillis();
-      capacity += book.readProfile().capacity.cpuMillis;
+      free += book.getFreeCpuMillis();
+      capacity += book.getProfile().capacity.cpuMillis;
     }
     return free - capacity * RESERVED_SHARE;
   }
@@ -164,7 +166,7 @@
   /** True when one task of the step touches nothing of what is kept for the most urgent. */
   isWithinReserve(step: WaitingStep): boolean {
     const { shape } = step;
-    return shape.isFiller || toCountedDemand(shape).cpuMillis <= this.readReserveLeft(step);
+    return shape.isFiller || toReservedDemand(shape).cpuMillis <= this.readReserveLeft(step);
   }
 
   /**
@@ -196,7 +198,7 @@
     }
     const counts = new Map<string, number>();
     for (const book of this.readUsable(service, label)) {
-      const { hall } = book.readProfile();
+      const { hall } = book.getProfile();
       counts.set(hall, (counts.get(hall) ?? 0) + 1);
     }
     const sorted = [...counts].sort(([left], [right]) => (left < right ? -1 : 1));
@@ -212,8 +214,8 @@
     }
     const books = this.readUsable(service, label);
     const sum = books.reduce(
-      (total, book) => demandSums.toSum(total, book.readProfile().capacity),
-      demandSums.NOTHING,
+      (total, book) => resourceMath.toSum(total, book.getProfile().capacity),
+      resourceMath.NOTHING,
     );
     const count = Math.max(1, books.length);
     const mean = {
@@ -225,16 +227,16 @@
     return mean;
   }
 
-  private readUsable(service: ServiceName, label: string): readonly EndpointBook[] {
+  private readUsable(service: ServiceName, label: string): readonly EndpointState[] {
     const key = this.toKey(service, label);
     const known = this.eligible.get(key);
     if (known !== undefined) {
       return known;
     }
     const books = [...this.books.values()].filter((book) => {
-      const profile = book.readProfile();
+      const profile = book.getProfile();
       const hasLabel = label === '' || profile.labels.includes(label);
-      return profile.service === service && hasLabel && book.isUsable();
+      return profile.service === service && hasLabel && book.isSchedulable();
     });
     this.eligible.set(key, books);
     return books;
