--- a/packages/dispatch/placing/EndpointPreference.ts
+++ b/packages/dispatch/placing/EndpointPreference.ts
@@ -1,14 +1,14 @@
-import type { EndpointBook } from '../endpoints/EndpointBook';
-import type { HallChoice } from './HallChoice';
-import { hallChoices } from './hallChoices';
-import type { SpeedChoice } from './SpeedChoice';
-import { speedChoices } from './speedChoices';
+import type { EndpointState } from '../endpoints/EndpointState';
+import type { HallPolicyName } from './HallPolicyName';
+import { hallPolicies } from './hallPolicies';
+import type { SpeedPolicyName } from './SpeedPolicyName';
+import { speedPolicies } from './speedPolicies';
 import type { SpeedSources } from './SpeedSources';
 import type { WaitingStep } from '../waiting/WaitingStep';
 
 interface EndpointPreferenceOptions extends SpeedSources {
-  readonly speedChoice: SpeedChoice;
-  readonly hallChoice: HallChoice;
+  readonly speedChoice: SpeedPolicyName;
+  readonly hallChoice: HallPolicyName;
 }
 
 /** Says which endpoints a step should rather have, for their speed and their hall. */
@@ -18,7 +18,7 @@
   constructor(private readonly options: EndpointPreferenceOptions) {}
 
   /** Begins a round of placement: objectives are compared with its time. */
-  startRound(wallMs: number): void {
+  setWallTime(wallMs: number): void {
     this.wallMs = wallMs;
   }
 
@@ -26,13 +26,16 @@
    * Gives the cost for a step of the endpoints that it may have, lower is better. It is 0 for steps that run on: they have no end
    * that would come sooner, and are spread.
    */
-  createCostOf(step: WaitingStep, endpoints: readonly EndpointBook[]): (book: EndpointBook) => number {
+  createCostFunction(
+    step: WaitingStep,
+    endpoints: readonly EndpointState[],
+  ): (book: EndpointState) => number {
     if (step.shape.isLongRunning || step.shape.isFiller) {
       return () => 0;
     }
     const { room, speedChoice, hallChoice } = this.options;
-    const readSpeedCost = speedChoices[speedChoice](step, this.options, endpoints, this.wallMs);
+    const readSpeedCost = speedPolicies[speedChoice](step, this.options, endpoints, this.wallMs);
     const homeHall = room.readHomeHall(step);
-    return (book) => readSpeedCost(book) + hallChoices[hallChoice](book.readProfile().hall === homeHall);
+    return (book) => readSpeedCost(book) + hallPolicies[hallChoice](book.getProfile().hall === homeHall);
   }
 }
--- a/packages/dispatch/placing/RoomReservations.ts
+++ b/packages/dispatch/placing/EndpointReservations.ts
@@ -1,4 +1,4 @@
-import type { EndpointLife } from '../../jobs/EndpointLife';
+import type { EndpointIncarnation } from '../../jobs/EndpointIncarnation';
 import { toStepName } from '../waiting/toStepName';
 import type { WaitingStep } from '../waiting/WaitingStep';
 
@@ -11,15 +11,15 @@
 }
 
 /** Endpoints on which room is being made for one step: what is no more urgent keeps off until it has been used, or time is over. */
-export class RoomReservations {
-  private readonly reservations = new Map<EndpointLife, Reservation>();
+export class EndpointReservations {
+  private readonly reservations = new Map<EndpointIncarnation, Reservation>();
 
   isEmpty(): boolean {
     return this.reservations.size === 0;
   }
 
   /** Keeps an endpoint for a step. */
-  recordReservation(endpoint: EndpointLife, step: WaitingStep, until: number): void {
+  recordReservation(endpoint: EndpointIncarnation, step: WaitingStep, until: number): void {
     const { priority } = step.job.definition.queue;
     this.reservations.set(endpoint, { holder: toStepName(step), priority, until });
   }
@@ -41,7 +41,7 @@
   }
 
   /** True when the endpoint is kept for another step that is at least as urgent. */
-  isKeptFrom(step: WaitingStep, endpoint: EndpointLife): boolean {
+  isKeptFrom(step: WaitingStep, endpoint: EndpointIncarnation): boolean {
     const reservation = this.reservations.get(endpoint);
     return (
       reservation !== undefined &&
@@ -51,7 +51,7 @@
   }
 
   /** Drops what has lapsed. */
-  applyTime(now: number): void {
+  removeExpired(now: number): void {
     for (const [endpoint, { until }] of this.reservations) {
       if (now >= until) {
         this.reservations.delete(endpoint);
--- a/packages/dispatch/placing/KindSpeeds.ts
+++ b/packages/dispatch/placing/KindSpeeds.ts
@@ -32,7 +32,7 @@
   }
 
   /** How much longer runs take on such endpoints than elsewhere; 1 while not known. */
-  readRatio(labels: readonly string[]): number {
+  getSlowdown(labels: readonly string[]): number {
     let kind: LabelSpeed | undefined;
     for (const label of labels) {
       const speed = this.speeds.get(label);
--- a/packages/dispatch/placing/Preemptor.ts
+++ b/packages/dispatch/placing/Preemptor.ts
@@ -1,22 +1,27 @@
 import type { JobId } from '../../jobs/JobId';
 import type { TaskDemand } from '../../jobs/TaskDemand';
-import { demandSums } from '../../jobs/demandSums';
-import type { EndpointBook } from '../endpoints/EndpointBook';
+import { resourceMath } from '../../jobs/resourceMath';
+import type { EndpointState } from '../endpoints/EndpointState';
 import { measureOutlook } from '../stops/measureOutlook';
 import { measureRoomWait } from '../stops/measureRoomWait';
 import { measureStopCost } from '../stops/measureStopCost';
 import type { RoomRule } from '../stops/RoomRule';
-import type { StopPrice } from '../stops/StopPrice';
+import type { PreemptionEstimate } from '../stops/PreemptionEstimate';
 import type { LiveJob } from '../waiting/LiveJob';
 import type { PlacedRun } from '../runs/PlacedRun';
-import type { RoomReservations } from './RoomReservations';
+import type { EndpointReservations } from './EndpointReservations';
 import type { WaitingStep } from '../waiting/WaitingStep';
 
 interface PreemptorOptions {
   readonly jobs: ReadonlyMap<JobId, LiveJob>;
-  readonly reservations: RoomReservations;
+  readonly reservations: EndpointReservations;
   readonly room: RoomRule;
-  readonly handlePreempted: (book: EndpointBook, run: PlacedRun, step: WaitingStep, price: StopPrice) => void;
+  readonly handlePreempted: (
+    book: EndpointState,
+    run: PlacedRun,
+    step: WaitingStep,
+    price: PreemptionEstimate,
+  ) => void;
 }
 
 /** What is to happen on one endpoint. */
@@ -49,12 +54,12 @@
   constructor(private readonly options: PreemptorOptions) {}
 
   /** Begins a round of placement. */
-  startRound(now: number, wallMs: number): void {
+  setTime(now: number, wallMs: number): void {
     this.wallOffsetMs = wallMs - now;
   }
 
   /** True when stopping less urgent work would make room on the endpoint for one task of the step. */
-  hasRoomWithStops(step: WaitingStep, book: EndpointBook, demand: TaskDemand, now: number): boolean {
+  hasRoomAfterPreemption(step: WaitingStep, book: EndpointState, demand: TaskDemand, now: number): boolean {
     return this.createPlan(step, book, demand, undefined, now) !== undefined;
   }
 
@@ -64,7 +69,7 @@
   }
 
   /** Begins to make room for the waiting tasks of a step on some endpoints, unless it already does. */
-  startMakingRoom(step: WaitingStep, allowed: readonly EndpointBook[], now: number): void {
+  startMakingRoom(step: WaitingStep, allowed: readonly EndpointState[], now: number): void {
     const { reservations, handlePreempted } = this.options;
     if (reservations.hasFor(step) || now < step.job.readRoomRetryAt(step.time, step.step)) {
       return;
@@ -81,7 +86,7 @@
     }
     step.job.recordRoomMade(step.time, step.step, now, this.options.room.retryMs);
     for (const [book, { victims }] of plans) {
-      reservations.recordReservation(book.readProfile().life, step, now + this.options.room.keepMs);
+      reservations.recordReservation(book.getProfile().incarnation, step, now + this.options.room.keepMs);
       for (const run of victims) {
         this.options.jobs.get(run.job)?.recordPreempted(run.task);
         handlePreempted(book, run, step, price);
@@ -91,18 +96,18 @@
 
   private measurePrice(
     step: WaitingStep,
-    allowed: readonly EndpointBook[],
-    plans: ReadonlyMap<EndpointBook, Plan>,
+    allowed: readonly EndpointState[],
+    plans: ReadonlyMap<EndpointState, Plan>,
     now: number,
-  ): StopPrice {
+  ): PreemptionEstimate {
     const { demand, estimatedMs, isGang, maxPerEndpoint } = step.shape;
     const startCount = [...plans.values()].reduce((sum, { count }) => sum + count, 0);
     const lostCoreMs = [...plans.values()]
       .flatMap(({ victims }) => victims)
       .reduce((sum, run) => sum + measureStopCost(this.toStoppable(run, now)), 0);
     const endpoints = allowed.map((book) => ({
-      free: book.readFree(),
-      holders: [...book.readRuns()].map((run) => ({
+      free: book.getFreeCapacity(),
+      holders: [...book.getRuns()].map((run) => ({
         demand: run.demand,
         remainingMs: this.readRemainingMs(run, now),
       })),
@@ -132,7 +137,7 @@
     if (job === undefined || shape === undefined || shape.isLongRunning) {
       return Infinity;
     }
-    const median = job.readSpeeds(run.address.time, run.address.step).readMedian();
+    const median = job.getSpeeds(run.address.time, run.address.step).getMedian();
     return measureOutlook(run, median ?? shape.estimatedMs / WHOLE, now);
   }
 
@@ -148,12 +153,12 @@
   /** One plan an endpoint, for as many tasks as find room; none for a gang that would not be whole. */
   private createPlans(
     step: WaitingStep,
-    allowed: readonly EndpointBook[],
+    allowed: readonly EndpointState[],
     now: number,
-  ): ReadonlyMap<EndpointBook, Plan> {
-    const plans = new Map<EndpointBook, Plan>();
+  ): ReadonlyMap<EndpointState, Plan> {
+    const plans = new Map<EndpointState, Plan>();
     for (let count = 0; count < step.indexes.length; count += 1) {
-      let best: EndpointBook | undefined;
+      let best: EndpointState | undefined;
       let bestPlan: Plan | undefined;
       for (const book of allowed) {
         const plan = this.createPlan(step, book, step.shape.demand, plans.get(book), now);
@@ -173,26 +178,26 @@
   /** Extends the plan of an endpoint by one task; undefined when it has no room even then. */
   private createPlan(
     step: WaitingStep,
-    book: EndpointBook,
+    book: EndpointState,
     demand: TaskDemand,
     before: Plan | undefined,
     now: number,
   ): Plan | undefined {
-    let free = before?.left ?? book.readFree();
+    let free = before?.left ?? book.getFreeCapacity();
     const earlier = before?.victims ?? [];
     let added: PlacedRun[] = [];
-    if (!demandSums.isWithin(demand, free)) {
+    if (!resourceMath.isWithin(demand, free)) {
       for (const run of this.readCandidates(step, book, now)) {
         if (!earlier.includes(run)) {
           added.push(run);
-          free = demandSums.toSum(free, run.demand);
+          free = resourceMath.toSum(free, run.demand);
         }
-        if (demandSums.isWithin(demand, free)) {
+        if (resourceMath.isWithin(demand, free)) {
           break;
         }
       }
     }
-    if (!demandSums.isWithin(demand, free)) {
+    if (!resourceMath.isWithin(demand, free)) {
       return undefined;
     }
     if (this.options.room.isTrimming) {
@@ -204,7 +209,7 @@
       before?.cost ?? 0,
     );
     const count = (before?.count ?? 0) + 1;
-    return { left: demandSums.toDifference(free, demand), victims, cost, count };
+    return { left: resourceMath.toDifference(free, demand), victims, cost, count };
   }
 
   /** Leaves out runs that need not go since others, chosen after them, free enough. */
@@ -216,8 +221,8 @@
     const added = [...victims];
     let left = free;
     for (const run of victims) {
-      const without = demandSums.toDifference(left, run.demand);
-      if (demandSums.isWithin(demand, without)) {
+      const without = resourceMath.toDifference(left, run.demand);
+      if (resourceMath.isWithin(demand, without)) {
         added.splice(added.indexOf(run), 1);
         left = without;
       }
@@ -226,9 +231,9 @@
   }
 
   /** Runs that may be stopped for the step: the least urgent first, and of these those that have done least. */
-  private readCandidates(step: WaitingStep, book: EndpointBook, now: number): readonly PlacedRun[] {
+  private readCandidates(step: WaitingStep, book: EndpointState, now: number): readonly PlacedRun[] {
     const { priority } = step.job.definition.queue;
-    return [...book.readRuns()]
+    return [...book.getRuns()]
       .filter((run) => run.priority > priority && this.isStoppable(run, now))
       .sort((left, right) => right.priority - left.priority || left.percent - right.percent);
   }
--- a/packages/dispatch/placing/RoundPacer.ts
+++ b/packages/dispatch/placing/RoundThrottle.ts
@@ -16,7 +16,7 @@
  * before, share one. A round takes longer the more work waits; without the rest, a backlog would keep a leader from its
  * heartbeats, and the one who replaced it too.
  */
-export class RoundPacer {
+export class RoundThrottle {
   private isQueued = false;
   private restsUntil = -Infinity;
 
--- a/packages/dispatch/placing/RoundWatch.ts
+++ b/packages/dispatch/placing/SlowRoundLogger.ts
@@ -12,7 +12,7 @@
 const LINE_MS = 1000;
 
 /** Tells of rounds of placement that took long. */
-export class RoundWatch {
+export class SlowRoundLogger {
   private count = 0;
   private longestMs = 0;
   private toldAt = -Infinity;
--- a/packages/dispatch/placing/LimitView.ts
+++ b/packages/dispatch/placing/StepLimiter.ts
@@ -1,12 +1,12 @@
 import { customerLimits } from '../../customers/customerLimits';
 import type { CustomerName } from '../../customers/CustomerName';
 import type { CustomerUsage } from '../../customers/CustomerUsage';
-import { demandSums } from '../../jobs/demandSums';
+import { resourceMath } from '../../jobs/resourceMath';
 import type { TaskDemand } from '../../jobs/TaskDemand';
 import type { WaitingStep } from '../waiting/WaitingStep';
 
 /** How much of a step its customer's limit lets start. Changes nothing; a question costs the same however much runs. */
-export class LimitView {
+export class StepLimiter {
   constructor(
     private readonly usage: CustomerUsage,
     /** The limit in force; undefined while no configuration is known, or it does not know the customer. */
@@ -17,14 +17,14 @@
    * The part of a step that may start beside everything that may be running now; undefined when that is nothing. A gang may start
    * whole or not at all; a step that is wider than the limit runs in waves.
    */
-  readStartable(step: WaitingStep): WaitingStep | undefined {
+  computeStartable(step: WaitingStep): WaitingStep | undefined {
     const { customer } = step.job.definition;
-    return customer === undefined ? step : this.toPart(step, this.usage.readTaken(customer.name));
+    return customer === undefined ? step : this.toPart(step, this.usage.getUsed(customer.name));
   }
 
   /** The part of a step that may ever run at once. What runs now may have ended by the time at which the step is ready. */
-  readEverStartable(step: WaitingStep): WaitingStep | undefined {
-    return this.toPart(step, demandSums.NOTHING);
+  computeMaxStartable(step: WaitingStep): WaitingStep | undefined {
+    return this.toPart(step, resourceMath.NOTHING);
   }
 
   private toPart(step: WaitingStep, taken: TaskDemand): WaitingStep | undefined {
--- a/packages/dispatch/placing/StepPlacer.ts
+++ b/packages/dispatch/placing/StepPlacer.ts
@@ -1,27 +1,27 @@
-import { toCountedDemand } from '../../jobs/toCountedDemand';
+import { toReservedDemand } from '../../jobs/toReservedDemand';
 import type { TaskAddress } from '../../jobs/TaskAddress';
 import type { TaskProgress } from '../../jobs/TaskProgress';
 import { createPlacedRun } from '../runs/createPlacedRun';
 import type { DispatchEffect } from '../DispatchEffect';
-import type { AdviceQuestions } from '../advice/AdviceQuestions';
-import type { EndpointBook } from '../endpoints/EndpointBook';
-import type { LimitView } from './LimitView';
+import type { AdviceRequester } from '../advice/AdviceRequester';
+import type { EndpointState } from '../endpoints/EndpointState';
+import type { StepLimiter } from './StepLimiter';
 import type { LiveJob } from '../waiting/LiveJob';
 import type { PlacedRun } from '../runs/PlacedRun';
 import type { Preemptor } from './Preemptor';
 import { rankingRules } from './rankingRules';
-import type { RoomReservations } from './RoomReservations';
-import type { RoomView } from './RoomView';
-import { isUnderSuspicion } from '../crashes/isUnderSuspicion';
-import type { SuspicionCosts } from './SuspicionCosts';
-import type { EndpointTrust } from '../stops/EndpointTrust';
+import type { EndpointReservations } from './EndpointReservations';
+import type { CapacityView } from './CapacityView';
+import { isCrashSuspect } from '../crashes/isCrashSuspect';
+import type { SuspectCosts } from './SuspectCosts';
+import type { EndpointQuarantine } from '../stops/EndpointQuarantine';
 import type { EndpointPreference } from './EndpointPreference';
 import { toRoundedTimes } from '../waiting/toRoundedTimes';
 import { toStepName } from '../waiting/toStepName';
 import type { WaitingStep } from '../waiting/WaitingStep';
 
 interface Choice {
-  readonly book: EndpointBook;
+  readonly book: EndpointState;
   readonly run: PlacedRun;
   readonly ticket: string;
 }
@@ -37,20 +37,20 @@
 type PlacerEffect = Extract<DispatchEffect, { kind: 'start' | 'tell' }>;
 
 interface StepPlacerOptions {
-  readonly room: RoomView;
-  readonly limits: LimitView;
-  readonly questions: AdviceQuestions;
+  readonly room: CapacityView;
+  readonly limits: StepLimiter;
+  readonly questions: AdviceRequester;
   readonly preemptor: Preemptor;
-  readonly reservations: RoomReservations;
+  readonly reservations: EndpointReservations;
   readonly preference: EndpointPreference;
-  readonly suspicion: SuspicionCosts;
-  readonly trust: EndpointTrust;
+  readonly suspicion: SuspectCosts;
+  readonly trust: EndpointQuarantine;
   readonly sendEffect: (effect: PlacerEffect) => void;
 }
 
 /** Chooses endpoints for waiting tasks and books them; asks for advice where a queue needs it. */
 export class StepPlacer {
-  private readonly room: RoomView;
+  private readonly room: CapacityView;
   /** Booked only to work out what to ask ahead. */
   private readonly booked: Choice[] = [];
 
@@ -66,20 +66,20 @@
       wait.recordCause('pause', now);
       return false;
     }
-    const step = this.options.limits.readStartable(due);
+    const step = this.options.limits.computeStartable(due);
     if (step === undefined) {
       wait.recordCause('limit', now);
       return false;
     }
-    const eligible = this.room.readEligible(step);
-    const isShortOfRoom = this.room.isShortOfRoom(step, eligible);
+    const eligible = this.room.listEligible(step);
+    const isShortOfRoom = this.room.isCapacityScarce(step, eligible);
     if (!isShortOfRoom && !this.room.hasAnyRoom(step, eligible)) {
       wait.recordCause('room', now);
       return false;
     }
     const choices = this.chooseEndpoints(step, eligible, now);
     const missing = step.indexes.length - choices.length;
-    const cause = missing === 0 ? 'room' : this.options.questions.sendQuestion(step, eligible, missing, now);
+    const cause = missing === 0 ? 'room' : this.options.questions.requestAdvice(step, eligible, missing, now);
     if (isShortOfRoom && choices.length === 0) {
       this.startMakingRoom(step, eligible, now);
     }
@@ -97,27 +97,27 @@
    * Asks for the tickets that the step lacks for starting later, and that will have run out once an answer could be there. Books
    * what it would take until `revokeBooked`, so that less urgent steps are asked about for the room that is left.
    */
-  sendQuestionAhead(whole: WaitingStep, now: number): void {
+  requestAdviceAhead(whole: WaitingStep, now: number): void {
     const due = this.readDue(whole, now);
-    const step = due === undefined ? undefined : this.options.limits.readStartable(due);
+    const step = due === undefined ? undefined : this.options.limits.computeStartable(due);
     if (step === undefined) {
       return;
     }
-    const eligible = this.room.readEligible(step);
+    const eligible = this.room.listEligible(step);
     if (!this.room.hasAnyRoom(step, eligible)) {
       return;
     }
     const { questions } = this.options;
-    const neededUntil = now + questions.readAnswerMs(step);
+    const neededUntil = now + questions.estimateResponseMs(step);
     const choices = this.chooseEndpoints(step, eligible, neededUntil);
     this.booked.push(...choices);
     if (choices.length < step.indexes.length) {
-      questions.sendQuestion(step, eligible, step.indexes.length - choices.length, now, neededUntil);
+      questions.requestAdvice(step, eligible, step.indexes.length - choices.length, now, neededUntil);
     }
   }
 
   /** Gives back what was booked for questions asked ahead. */
-  revokeBooked(): void {
+  releaseTentative(): void {
     this.booked.splice(0).forEach((choice) => this.revokeChoice(choice));
   }
 
@@ -131,7 +131,7 @@
     return indexes.length === 0 || whole.shape.isGang ? undefined : { ...whole, indexes };
   }
 
-  private startMakingRoom(step: WaitingStep, eligible: readonly EndpointBook[], now: number): void {
+  private startMakingRoom(step: WaitingStep, eligible: readonly EndpointState[], now: number): void {
     const { preemptor, trust } = this.options;
     const candidate = { isGang: step.shape.isGang, failures: 0 };
     const allowed = this.readAllowed(step, eligible, now + preemptor.readTicketMs()).filter((book) =>
@@ -143,18 +143,18 @@
   /** Endpoints for which no ticket is needed, or one holds until a time. */
   private readAllowed(
     step: WaitingStep,
-    eligible: readonly EndpointBook[],
+    eligible: readonly EndpointState[],
     until: number,
-  ): readonly EndpointBook[] {
+  ): readonly EndpointState[] {
     if (step.job.definition.queue.advice === undefined) {
       return eligible;
     }
     const advice = this.readAdviceBook(step);
-    return eligible.filter((book) => advice.readTicket(book.readProfile().life, until) !== undefined);
+    return eligible.filter((book) => advice.getTicket(book.getProfile().incarnation, until) !== undefined);
   }
 
   /** Books an endpoint for each task that finds one; for a gang for all or none. */
-  private chooseEndpoints(step: WaitingStep, eligible: readonly EndpointBook[], now: number): Choice[] {
+  private chooseEndpoints(step: WaitingStep, eligible: readonly EndpointState[], now: number): Choice[] {
     const choices = this.chooseSeparately(step, eligible, now);
     if (step.shape.isGang && choices.length < step.indexes.length) {
       choices.forEach((choice) => this.revokeChoice(choice));
@@ -163,7 +163,7 @@
     return choices;
   }
 
-  private chooseSeparately(step: WaitingStep, eligible: readonly EndpointBook[], now: number): Choice[] {
+  private chooseSeparately(step: WaitingStep, eligible: readonly EndpointState[], now: number): Choice[] {
     const choices: Choice[] = [];
     const advice = step.job.definition.queue.advice === undefined ? undefined : this.readAdviceBook(step);
     const allowed = this.readAllowed(step, eligible, now);
@@ -172,7 +172,7 @@
     }
     let reserveLeft = this.room.readReserveLeft(step);
     const runNumber = this.readNextRun(step);
-    const readCost = this.options.preference.createCostOf(step, allowed);
+    const readCost = this.options.preference.createCostFunction(step, allowed);
     for (const { address, task, isSuspect } of this.readBeginners(step)) {
       if (step.shape.demand.cpuMillis > reserveLeft && !step.shape.isFiller) {
         break;
@@ -193,10 +193,13 @@
       }
       const nextRun = step.shape.isGang ? runNumber : task.run + 1;
       const isFromStart = task.checkpoint === '';
-      const run = createPlacedRun(step.job.definition, address, nextRun, now, { isFromStart, isSuspect });
-      book.recordRun(run);
+      const run = createPlacedRun(step.job.definition, address, nextRun, now, {
+        isFromStart,
+        isCrashSuspect: isSuspect,
+      });
+      book.addRun(run);
       reserveLeft -= step.shape.demand.cpuMillis;
-      choices.push({ book, run, ticket: advice?.readTicket(book.readProfile().life, now) ?? '' });
+      choices.push({ book, run, ticket: advice?.getTicket(book.getProfile().incarnation, now) ?? '' });
     }
     return choices;
   }
@@ -205,8 +208,8 @@
   private readBeginners(step: WaitingStep): readonly Beginner[] {
     const beginners = step.indexes.flatMap((index): readonly Beginner[] => {
       const address = { time: step.time, step: step.step, index };
-      const task = step.job.progress.readTask(address);
-      return task === undefined ? [] : [{ address, task, isSuspect: isUnderSuspicion(task.crashes) }];
+      const task = step.job.progress.getTask(address);
+      return task === undefined ? [] : [{ address, task, isSuspect: isCrashSuspect(task.crashes) }];
     });
     const firstSuspect = beginners.find(({ isSuspect }) => isSuspect);
     if (firstSuspect === undefined || step.shape.isGang) {
@@ -218,18 +221,18 @@
 
   private chooseEndpoint(
     step: WaitingStep,
-    allowed: readonly EndpointBook[],
-    candidate: Parameters<SuspicionCosts['measureCost']>[1] & Parameters<EndpointTrust['isOpenFor']>[0],
-    readCost: (book: EndpointBook) => number,
+    allowed: readonly EndpointState[],
+    candidate: Parameters<SuspectCosts['measureCost']>[1] & Parameters<EndpointQuarantine['isOpenFor']>[0],
+    readCost: (book: EndpointState) => number,
     now: number,
-  ): EndpointBook | undefined {
+  ): EndpointState | undefined {
     const { shape } = step;
-    const demand = toCountedDemand(shape);
+    const demand = toReservedDemand(shape);
     const rules = rankingRules[shape.isFiller ? 'filler' : shape.isLongRunning ? 'serving' : 'batch'];
-    let best: EndpointBook | undefined;
+    let best: EndpointState | undefined;
     let bestFit = Infinity;
     for (const book of allowed) {
-      if (!book.hasRoom(demand) || this.room.isCrowded(step, book)) {
+      if (!book.hasCapacityFor(demand) || this.room.hasMaxTasks(step, book)) {
         continue;
       }
       if (!this.options.trust.isOpenFor(candidate, book, now)) {
@@ -247,15 +250,15 @@
 
   /** Members of a gang share one run number, above all that were used. */
   private readNextRun({ job, time, step }: WaitingStep): number {
-    return 1 + Math.max(0, ...job.progress.readTasks(time, step).map((task) => task.run));
+    return 1 + Math.max(0, ...job.progress.listTasks(time, step).map((task) => task.run));
   }
 
-  private readAdviceBook({ job, time, step }: WaitingStep): ReturnType<LiveJob['readAdvice']> {
-    return job.readAdvice(time, step);
+  private readAdviceBook({ job, time, step }: WaitingStep): ReturnType<LiveJob['getAdvice']> {
+    return job.getAdvice(time, step);
   }
 
   private revokeChoice({ book, run }: Choice): void {
-    book.recordRunEnd(run);
+    book.removeRun(run);
   }
 
   private placeChoices(step: WaitingStep, choices: readonly Choice[], now: number): void {
@@ -266,24 +269,24 @@
     this.options.reservations.revokeFor(step);
     const rows = choices.map(({ book, run, ticket }) => {
       const { address, task } = run;
-      const endpoint = book.readProfile().life;
-      const checkpoint = shape.isGang ? gangCheckpoint : progress.readTask(address)!.checkpoint;
+      const endpoint = book.getProfile().incarnation;
+      const checkpoint = shape.isGang ? gangCheckpoint : progress.getTask(address)!.checkpoint;
       progress.recordPlaced(address, run.run, endpoint);
       run.waits = waits;
       const order = { task, run: run.run, spec: definition.spec, checkpoint, ticket };
-      this.options.questions.recordUse(step, endpoint);
-      this.options.sendEffect({ kind: 'start', job: definition.id, endpoint, order, waits });
+      this.options.questions.recordTicketUse(step, endpoint);
+      this.options.sendEffect({ kind: 'start', job: definition.id, endpoint, command: order, waits });
       return {
         task,
         run: run.run,
         endpoint,
-        freeCpuMillis: book.readFree().cpuMillis,
-        failureRate: Number(book.readFailureRate(now).toFixed(2)),
+        freeCpuMillis: book.getFreeCapacity().cpuMillis,
+        failureRate: Number(book.computeFailureRate(now).toFixed(2)),
       };
     });
     this.options.sendEffect({
       kind: 'tell',
-      sentence: 'Tasks placed.',
+      message: 'Tasks placed.',
       fields: {
         job: definition.id,
         step: toStepName(step),
@@ -296,7 +299,7 @@
 
   /** The saved text of any member is good for all, and all must carry the same one. */
   private readGangCheckpoint({ job, time, step }: WaitingStep): string {
-    const saved = job.progress.readTasks(time, step).find((task) => task.checkpoint !== '');
-    return job.readGangSave(time, step) ?? saved?.checkpoint ?? '';
+    const saved = job.progress.listTasks(time, step).find((task) => task.checkpoint !== '');
+    return job.getGangCheckpoint(time, step) ?? saved?.checkpoint ?? '';
   }
 }
--- a/packages/dispatch/placing/SuspicionCosts.ts
+++ b/packages/dispatch/placing/SuspectCosts.ts
@@ -1,10 +1,10 @@
-import type { EndpointLife } from '../../jobs/EndpointLife';
+import type { EndpointIncarnation } from '../../jobs/EndpointIncarnation';
 import { toTaskName } from '../../jobs/toTaskName';
 import { crashLimits } from '../crashes/crashLimits';
-import type { CrashLedger } from '../crashes/CrashLedger';
-import { isUnderSuspicion } from '../crashes/isUnderSuspicion';
-import { isProven } from '../crashes/isProven';
-import type { EndpointBook } from '../endpoints/EndpointBook';
+import type { CrashTracker } from '../crashes/CrashTracker';
+import { isCrashSuspect } from '../crashes/isCrashSuspect';
+import { isPastStartup } from '../crashes/isPastStartup';
+import type { EndpointState } from '../endpoints/EndpointState';
 import type { PlacedRun } from '../runs/PlacedRun';
 import type { WaitingStep } from '../waiting/WaitingStep';
 
@@ -27,10 +27,10 @@
  * Keeps tasks under suspicion apart, so that the next crash tells which of them ended the endpoint, and takes little with it. Each begins
  * where no other one is about to show what it does, for at most as long as it takes to be proven.
  */
-export class SuspicionCosts {
+export class SuspectCosts {
   constructor(
-    private readonly books: ReadonlyMap<EndpointLife, EndpointBook>,
-    private readonly crashes: CrashLedger,
+    private readonly books: ReadonlyMap<EndpointIncarnation, EndpointState>,
+    private readonly crashes: CrashTracker,
   ) {}
 
   /**
@@ -41,13 +41,13 @@
     if (shape.isGang) {
       return false;
     }
-    return job.progress.readTasks(time, step).some((task, index) => {
-      if (task.phase !== 'placed' || !isUnderSuspicion(task.crashes)) {
+    return job.progress.listTasks(time, step).some((task, index) => {
+      if (task.phase !== 'placed' || !isCrashSuspect(task.crashes)) {
         return false;
       }
       const name = toTaskName(job.definition.id, { time, step, index });
-      const run = this.books.get(task.endpoint)?.readRun(name, task.run);
-      return run !== undefined && !isProven(run);
+      const run = this.books.get(task.endpoint)?.getRun(name, task.run);
+      return run !== undefined && !isPastStartup(run);
     });
   }
 
@@ -56,30 +56,35 @@
    * lost some already waits for its neighbour to be proven, 0.3 s: sound jobs beside harmful tasks would lose endpoint after endpoint to their
    * neighbours, and be given up.
    */
-  measureCost(step: WaitingStep, { isSuspect, crashes }: Candidate, book: EndpointBook, now: number): number {
+  measureCost(
+    step: WaitingStep,
+    { isSuspect, crashes }: Candidate,
+    book: EndpointState,
+    now: number,
+  ): number {
     const hasOthers = this.hasOthersOnProbation(step, book);
     if (!isSuspect) {
-      const neighbourCost = crashes >= crashLimits.maxExposed ? Infinity : SUSPECT_NEIGHBOUR_COST;
+      const neighbourCost = crashes >= crashLimits.protectedAfterCrashes ? Infinity : SUSPECT_NEIGHBOUR_COST;
       return hasOthers ? neighbourCost : 0;
     }
     if (hasOthers) {
       return Infinity;
     }
-    const isCrashed = this.crashes.hasCrashedLately(book.readProfile().address, now);
+    const isCrashed = this.crashes.hasCrashedRecently(book.getProfile().address, now);
     let cost = isCrashed ? CRASHED_LATELY_COST : 0;
-    for (const run of book.readRuns()) {
+    for (const run of book.getRuns()) {
       cost += this.measureNeighbour(step, run);
     }
     return cost;
   }
 
   private measureNeighbour(step: WaitingStep, run: PlacedRun): number {
-    const begunCost = isProven(run) || this.isOfGang(step, run) ? 0 : BEGUN_NEIGHBOUR_COST;
+    const begunCost = isPastStartup(run) || this.isOfGang(step, run) ? 0 : BEGUN_NEIGHBOUR_COST;
     return begunCost + (run.isServing ? SERVING_NEIGHBOUR_COST : NEIGHBOUR_COST);
   }
 
-  private hasOthersOnProbation(step: WaitingStep, book: EndpointBook): boolean {
-    for (const run of book.readProbation()) {
+  private hasOthersOnProbation(step: WaitingStep, book: EndpointState): boolean {
+    for (const run of book.getStartingSuspects()) {
       if (!this.isOfGang(step, run)) {
         return true;
       }
--- a/packages/dispatch/placing/rankingRules.ts
+++ b/packages/dispatch/placing/rankingRules.ts
@@ -1,4 +1,4 @@
-import type { EndpointBook } from '../endpoints/EndpointBook';
+import type { EndpointState } from '../endpoints/EndpointState';
 import type { RankingRule } from './RankingRule';
 import type { WaitingStep } from '../waiting/WaitingStep';
 
@@ -8,20 +8,20 @@
 const OTHER_RACK_COST = 100;
 const SERVING_NEIGHBOUR_COST = 50;
 
-const measureTrust = ({ job, time, step }: WaitingStep, book: EndpointBook, now: number): number => {
-  const failedHere = job.hasFailedOn(time, step, book.readProfile().life) ? FAILED_HERE_COST : 0;
-  return failedHere + (book.isDoubtful(now) ? DOUBTFUL_COST : 0);
+const measureTrust = ({ job, time, step }: WaitingStep, book: EndpointState, now: number): number => {
+  const failedHere = job.hasFailedOn(time, step, book.getProfile().incarnation) ? FAILED_HERE_COST : 0;
+  return failedHere + (book.isDegraded(now) ? DOUBTFUL_COST : 0);
 };
 
-const measureDataDistance = ({ shape }: WaitingStep, book: EndpointBook): number =>
-  shape.dataRack !== '' && !book.readProfile().labels.includes(shape.dataRack) ? OTHER_RACK_COST : 0;
+const measureDataDistance = ({ shape }: WaitingStep, book: EndpointState): number =>
+  shape.dataRack !== '' && !book.getProfile().labels.includes(shape.dataRack) ? OTHER_RACK_COST : 0;
 
 const toShare = (free: number, whole: number): number => (whole === 0 ? 1 : free / whole);
 
 /** Free share of the scarcest resource, 0 to 1, so that tasks that need little are packed beside each other. */
-const measureFreeShare = (book: EndpointBook): number => {
-  const { capacity } = book.readProfile();
-  const free = book.readFree();
+const measureFreeShare = (book: EndpointState): number => {
+  const { capacity } = book.getProfile();
+  const free = book.getFreeCapacity();
   return Math.min(
     toShare(free.cpuMillis, capacity.cpuMillis),
     toShare(free.memoryMb, capacity.memoryMb),
@@ -29,12 +29,12 @@
   );
 };
 
-const measureShared = (step: WaitingStep, book: EndpointBook, now: number): number =>
+const measureShared = (step: WaitingStep, book: EndpointState, now: number): number =>
   measureTrust(step, book, now) + measureDataDistance(step, book);
 
-const measureServing = (book: EndpointBook): number => {
+const measureServing = (book: EndpointState): number => {
   let count = 0;
-  for (const run of book.readRuns()) {
+  for (const run of book.getRuns()) {
     count += run.isServing ? 1 : 0;
   }
   return count;
--- a/packages/dispatch/placing/speedChoices.ts
+++ b/packages/dispatch/placing/speedPolicies.ts
@@ -1,14 +1,14 @@
-import type { EndpointBook } from '../endpoints/EndpointBook';
-import { createExpectedEndCost } from '../speeds/createExpectedEndCost';
+import type { EndpointState } from '../endpoints/EndpointState';
+import { createCompletionTimeCost } from '../speeds/createCompletionTimeCost';
 import type { WaitingStep } from '../waiting/WaitingStep';
-import type { SpeedChoice } from './SpeedChoice';
+import type { SpeedPolicyName } from './SpeedPolicyName';
 import type { SpeedSources } from './SpeedSources';
 
-type CostOf = (book: EndpointBook) => number;
+type CostOf = (book: EndpointState) => number;
 type CreateCostOf = (
   step: WaitingStep,
   sources: SpeedSources,
-  endpoints: readonly EndpointBook[],
+  endpoints: readonly EndpointState[],
   wallMs: number,
 ) => CostOf;
 
@@ -20,15 +20,15 @@
 const createKindCost: CreateCostOf = (step, { kinds, room }) => {
   const isMostUrgent = room.isMostUrgent(step.job.definition.queue);
   return (book) => {
-    const ratio = kinds.readRatio(book.readProfile().labels);
+    const ratio = kinds.getSlowdown(book.getProfile().labels);
     const cost = SPEED_COST * RATIO_STEP * Math.round((ratio - 1) / RATIO_STEP);
     return isMostUrgent ? cost : -cost;
   };
 };
 
 /** Ways of counting speeds: each gives the costs for a step of the endpoints that it may have, at a wall clock time. */
-export const speedChoices: Readonly<Record<SpeedChoice, CreateCostOf>> = {
+export const speedPolicies: Readonly<Record<SpeedPolicyName, CreateCostOf>> = {
   blind: () => () => 0,
   kinds: createKindCost,
-  endpoints: createExpectedEndCost,
+  endpoints: createCompletionTimeCost,
 };
--- a/packages/dispatch/runs/PlacedRun.ts
+++ b/packages/dispatch/runs/PlacedRun.ts
@@ -1,5 +1,5 @@
 import type { CustomerName } from '../../customers/CustomerName';
-import type { EndpointLife } from '../../jobs/EndpointLife';
+import type { EndpointIncarnation } from '../../jobs/EndpointIncarnation';
 import type { JobId } from '../../jobs/JobId';
 import type { TaskAddress } from '../../jobs/TaskAddress';
 import type { TaskDemand } from '../../jobs/TaskDemand';
@@ -34,14 +34,14 @@
   readonly isServing: boolean;
   readonly priority: number;
   /** An endpoint has ended under its task, which may be what ended it. */
-  readonly isSuspect: boolean;
+  readonly isCrashSuspect: boolean;
   /** False when it continues from a checkpoint. */
   readonly isFromStart: boolean;
   stage: RunStage;
   /** A look has listed it, so that it has certainly begun on the life in whose books it stands. */
   isListed: boolean;
   /** The life that it was sent to, where it may have reached the next one; undefined once a look there has told. */
-  carriedFrom: EndpointLife | undefined;
+  transferredFrom: EndpointIncarnation | undefined;
   /** What its task had waited for until the placement; undefined for one that an earlier leader placed. */
   waits: WaitTimes | undefined;
   /** Monotonic time of the placement. */
--- a/packages/dispatch/runs/RunOrders.ts
+++ b/packages/dispatch/runs/RunCommands.ts
@@ -1,22 +1,22 @@
-import type { EndpointLife } from '../../jobs/EndpointLife';
+import type { EndpointIncarnation } from '../../jobs/EndpointIncarnation';
 import type { JobId } from '../../jobs/JobId';
 import type { TaskName } from '../../jobs/TaskName';
 import type { DispatchEffect } from '../DispatchEffect';
-import type { EndpointBook } from '../endpoints/EndpointBook';
+import type { EndpointState } from '../endpoints/EndpointState';
 import type { LiveJob } from '../waiting/LiveJob';
-import type { OrderAnswer } from '../endpoints/OrderAnswer';
+import type { CommandResult } from '../endpoints/CommandResult';
 import type { PlacedRun } from './PlacedRun';
 import type { RunEnd } from './RunEnd';
-import type { RunLedger } from './RunLedger';
+import type { RunTracker } from './RunTracker';
 
 type StartEffect = Extract<DispatchEffect, { kind: 'start' }>;
 
 interface RunOrdersOptions {
-  readonly books: ReadonlyMap<EndpointLife, EndpointBook>;
+  readonly books: ReadonlyMap<EndpointIncarnation, EndpointState>;
   readonly jobs: ReadonlyMap<JobId, LiveJob>;
-  readonly ledger: RunLedger;
+  readonly ledger: RunTracker;
   /** The endpoint's life is over. */
-  readonly handleGone: (id: EndpointLife, now: number) => void;
+  readonly handleGone: (id: EndpointIncarnation, now: number) => void;
 }
 
 const NOT_SENT: RunEnd = { outcome: 'interrupted', cause: 'notSent', checkpoint: '' };
@@ -25,7 +25,7 @@
 const UNHEALTHY: RunEnd = { outcome: 'interrupted', cause: 'unhealthy', checkpoint: '' };
 
 /** Orders on their way to endpoints: which starts may leave once they are recorded, and what the answers mean. */
-export class RunOrders {
+export class RunCommands {
   constructor(private readonly options: RunOrdersOptions) {}
 
   /**
@@ -35,14 +35,15 @@
    */
   handleRecorded(effect: StartEffect, now: number): boolean {
     const { jobs, ledger } = this.options;
-    const placed = this.readPlaced(effect.endpoint, effect.order.task, effect.order.run);
+    const placed = this.readPlaced(effect.endpoint, effect.command.task, effect.command.run);
     if (placed === undefined || placed.run.stage !== 'recording') {
       return false;
     }
     const { book, run } = placed;
     const job = jobs.get(run.job);
     // The room may have shrunk since the run was chosen: 4 starts left for a room of 2 when only the choice looked at it.
-    const isWanted = job !== undefined && !job.progress.isEnded() && book.isUsable() && !book.isOverfull();
+    const isWanted =
+      job !== undefined && !job.progress.isEnded() && book.isSchedulable() && !book.isOvercommitted();
     if (!isWanted || !this.hasTicket(job, run, effect, now)) {
       ledger.recordRunEnd(book, run, NOT_SENT, now);
       return false;
@@ -53,15 +54,20 @@
     return true;
   }
 
-  private hasTicket(job: LiveJob, run: PlacedRun, { endpoint, order }: StartEffect, now: number): boolean {
+  private hasTicket(
+    job: LiveJob,
+    run: PlacedRun,
+    { endpoint, command: order }: StartEffect,
+    now: number,
+  ): boolean {
     const { time, step } = run.address;
-    return order.ticket === '' || job.readAdvice(time, step).isSendable(endpoint, now);
+    return order.ticket === '' || job.getAdvice(time, step).hasSendableTicket(endpoint, now);
   }
 
   /** Gives back the room of all starts whose records are not durable yet; they are chosen anew. */
   revokeUnrecorded(now: number): void {
     for (const book of this.options.books.values()) {
-      for (const run of [...book.readRuns()]) {
+      for (const run of [...book.getRuns()]) {
         if (run.stage === 'recording') {
           this.options.ledger.recordRunEnd(book, run, NOT_SENT, now);
         }
@@ -71,17 +77,17 @@
 
   /** A start could not be sent at all. */
   handleUnsent(effect: StartEffect, now: number): void {
-    const placed = this.readPlaced(effect.endpoint, effect.order.task, effect.order.run);
+    const placed = this.readPlaced(effect.endpoint, effect.command.task, effect.command.run);
     if (placed !== undefined) {
       this.options.ledger.recordRunEnd(placed.book, placed.run, NOT_SENT, now);
     }
   }
 
   handleStartAnswer(
-    id: EndpointLife,
+    id: EndpointIncarnation,
     task: TaskName,
     runNumber: number,
-    answer: OrderAnswer,
+    answer: CommandResult,
     now: number,
   ): void {
     const placed = this.readPlaced(id, task, runNumber);
@@ -92,10 +98,10 @@
   }
 
   handleStopAnswer(
-    id: EndpointLife,
+    id: EndpointIncarnation,
     task: TaskName,
     runNumber: number,
-    answer: OrderAnswer,
+    answer: CommandResult,
     now: number,
   ): void {
     const run = this.readPlaced(id, task, runNumber)?.run;
@@ -107,34 +113,34 @@
   }
 
   private readPlaced(
-    id: EndpointLife,
+    id: EndpointIncarnation,
     task: TaskName,
     runNumber: number,
-  ): { readonly book: EndpointBook; readonly run: PlacedRun } | undefined {
+  ): { readonly book: EndpointState; readonly run: PlacedRun } | undefined {
     const book = this.options.books.get(id);
-    const run = book?.readRun(task, runNumber);
+    const run = book?.getRun(task, runNumber);
     return book === undefined || run === undefined ? undefined : { book, run };
   }
 
-  private applyStartAnswer(book: EndpointBook, run: PlacedRun, answer: OrderAnswer, now: number): void {
+  private applyStartAnswer(book: EndpointState, run: PlacedRun, answer: CommandResult, now: number): void {
     const { jobs, ledger, handleGone } = this.options;
-    const { life: id } = book.readProfile();
+    const { incarnation: id } = book.getProfile();
     switch (answer.kind) {
       case 'done':
-        jobs.get(run.job)?.recordTaken(run.address);
+        jobs.get(run.job)?.recordStartAccepted(run.address);
         run.stage = 'running';
         run.confirmedAt = now;
         return;
       case 'undelivered':
         book.recordOutcome(true, now);
-        book.recordSilence(now);
+        book.recordUnreachable(now);
         // It never was there: its task need not wait for the endpoint, and is not charged with what becomes of it.
         ledger.recordRunEnd(book, run, NOT_DELIVERED, now);
         return;
       case 'unanswered':
         book.recordOutcome(true, now);
         // Nothing more goes there until a look is answered: on an endpoint that is cut off each start would wait for its lease.
-        book.recordSilence(now);
+        book.recordUnreachable(now);
         // It may work there, and only its answer be late: a look tells, where a stop would throw its work away.
         run.unansweredAt = now;
         ledger.sendLook(book);
@@ -144,14 +150,14 @@
         return;
       case 'rejected':
         if (answer.reason === 'ticket') {
-          jobs.get(run.job)?.readAdvice(run.address.time, run.address.step).revokeTicket(id);
+          jobs.get(run.job)?.getAdvice(run.address.time, run.address.step).removeTicket(id);
         }
-        jobs.get(run.job)?.recordTurnedDown(run.address, now);
+        jobs.get(run.job)?.recordStartRejected(run.address, now);
         ledger.recordRunEnd(book, run, TURNED_DOWN, now);
         return;
       case 'unhealthy':
         book.recordOutcome(true, now);
-        jobs.get(run.job)?.recordTurnedDown(run.address, now);
+        jobs.get(run.job)?.recordStartRejected(run.address, now);
         ledger.recordRunEnd(book, run, UNHEALTHY, now);
         return;
     }
--- a/packages/dispatch/runs/RunMover.ts
+++ b/packages/dispatch/runs/RunMover.ts
@@ -1,20 +1,20 @@
-import type { EndpointLife } from '../../jobs/EndpointLife';
+import type { EndpointIncarnation } from '../../jobs/EndpointIncarnation';
 import type { JobId } from '../../jobs/JobId';
 import type { JobStep } from '../../jobs/JobStep';
-import type { EndpointBook } from '../endpoints/EndpointBook';
+import type { EndpointState } from '../endpoints/EndpointState';
 import type { LiveJob } from '../waiting/LiveJob';
 import type { PlacedRun } from './PlacedRun';
 import type { RunTimeEstimate } from '../speeds/RunTimeEstimate';
 import { chooseMoves } from '../stops/chooseMoves';
 import type { MoveCandidate } from '../stops/MoveCandidate';
-import type { MoveInput } from '../stops/MoveInput';
+import type { SlowRunInput } from '../stops/SlowRunInput';
 import type { StopCause } from '../stops/StopCause';
-import type { StopRules } from '../stops/StopRules';
+import type { StopPolicy } from '../stops/StopPolicy';
 
 interface RunMoverOptions {
-  readonly books: ReadonlyMap<EndpointLife, EndpointBook>;
+  readonly books: ReadonlyMap<EndpointIncarnation, EndpointState>;
   readonly jobs: ReadonlyMap<JobId, LiveJob>;
-  readonly stops: StopRules;
+  readonly stops: StopPolicy;
   /** How long a task of a queue's step runs, as far as is known. */
   readonly readRunTime: (queue: string, shape: JobStep) => RunTimeEstimate;
   readonly handleMove: (candidate: MoveCandidate) => void;
@@ -45,7 +45,7 @@
     const candidates: MoveCandidate[] = [];
     const counts = { runs: 0, moving: 0 };
     for (const book of this.options.books.values()) {
-      for (const run of [...book.readRuns()]) {
+      for (const run of [...book.getRuns()]) {
         counts.runs += 1;
         counts.moving +=
           run.stage === 'stopping' && run.stopCause !== undefined && isSlowness(run.stopCause) ? 1 : 0;
@@ -55,7 +55,7 @@
         }
       }
     }
-    const mostMoving = counts.runs * this.options.stops.movingShare;
+    const mostMoving = counts.runs * this.options.stops.maxMovingShare;
     const slow = candidates.filter(({ reason }) => isSlowness(reason));
     const chosen = new Set(chooseMoves(slow, mostMoving, counts.moving));
     candidates
@@ -69,13 +69,13 @@
     this.options.handleMove(candidate);
   }
 
-  private readCandidate(book: EndpointBook, run: PlacedRun, now: number): MoveCandidate | undefined {
+  private readCandidate(book: EndpointState, run: PlacedRun, now: number): MoveCandidate | undefined {
     const shape = this.readShape(run);
-    if (shape === undefined || book.readSilentSince() !== undefined) {
+    if (shape === undefined || book.getUnreachableSince() !== undefined) {
       return undefined;
     }
     const { priority } = run;
-    if (book.readProfile().isDraining && book.readProfile().remainingMs > 0) {
+    if (book.getProfile().isDraining && book.getProfile().remainingMs > 0) {
       return this.isCutShort(book, run, shape, now)
         ? { book, run, priority, reason: 'endpointLeaves', gainMs: 0 }
         : undefined;
@@ -84,7 +84,7 @@
     // What was seen last counts, not what time has passed since.
     const seenMs = run.seenAt - run.confirmedAt;
     // A run of a task under which an endpoint has ended is to show whether it does so again.
-    const hasCrashed = (this.readJob(run)?.progress.readTask(run.address)?.crashes.length ?? 0) > 0;
+    const hasCrashed = (this.readJob(run)?.progress.getTask(run.address)?.crashes.length ?? 0) > 0;
     if (shape.isGang || isDone || hasCrashed || !this.isMeasurable(run) || seenMs < KNOWN_AFTER_MS) {
       return undefined;
     }
@@ -93,7 +93,7 @@
       return undefined;
     }
     // Fields one by one: this stands in the path of each run at each tick, and a spread costs several times as much.
-    const input: MoveInput = {
+    const input: SlowRunInput = {
       usualPace: usual.usualPace,
       slowPace: usual.slowPace,
       pace: seenMs / Math.max(1, run.percent),
@@ -102,15 +102,15 @@
       moveMs: MOVE_MS + (this.readJob(run)?.definition.queue.advice?.decisionMs ?? 0),
       isSaving: shape.isCheckpointing,
     };
-    const reason = this.options.stops.readMoveReason(input);
+    const reason = this.options.stops.findMoveReason(input);
     const gainMs = input.pace * (WHOLE - input.percent) - input.usualPace * WHOLE - input.moveMs;
     return reason === undefined ? undefined : { book, run, priority, reason, gainMs };
   }
 
   /** The pace that is usual for a step, by its other tasks, else by what is known of such tasks, else by the caller's estimate. */
-  private readUsual(run: PlacedRun, shape: JobStep): Pick<MoveInput, 'usualPace' | 'slowPace'> {
+  private readUsual(run: PlacedRun, shape: JobStep): Pick<SlowRunInput, 'usualPace' | 'slowPace'> {
     const job = this.readJob(run);
-    const median = job?.readSpeeds(run.address.time, run.address.step).readMedian();
+    const median = job?.getSpeeds(run.address.time, run.address.step).getMedian();
     if (median !== undefined) {
       return { usualPace: median, slowPace: SLOW_RATIO * median };
     }
@@ -118,7 +118,7 @@
     const isKnown = job !== undefined && stops.isUsingRunTimes;
     const known = isKnown ? readRunTime(job.definition.queue.name, shape) : undefined;
     if (known?.isLearnt === true) {
-      const slowMs = Math.max(SLOW_RATIO * known.medianMs, TAIL_RATIO * known.tailMs);
+      const slowMs = Math.max(SLOW_RATIO * known.medianMs, TAIL_RATIO * known.p90Ms);
       return { usualPace: known.medianMs / WHOLE, slowPace: slowMs / WHOLE };
     }
     const usualPace = (shape.estimatedMs * ESTIMATE_SLACK) / WHOLE;
@@ -126,15 +126,15 @@
   }
 
   /** True when the endpoint leaves before the run can be done there. */
-  private isCutShort(book: EndpointBook, run: PlacedRun, shape: JobStep, now: number): boolean {
+  private isCutShort(book: EndpointState, run: PlacedRun, shape: JobStep, now: number): boolean {
     if (shape.isGang && !this.options.stops.isMovingGangs) {
       return false;
     }
     if (shape.isLongRunning) {
       return true;
     }
-    return this.options.stops.isCutShort({
-      leftMs: book.readLeavesAt(now) - now,
+    return this.options.stops.isEvictionDue({
+      leftMs: book.getDrainDeadline(now) - now,
       remainingMs: this.readRemainingMs(run, shape),
       isSaving: shape.isCheckpointing,
     });
@@ -146,12 +146,12 @@
     return pace * (WHOLE - run.percent);
   }
 
-  private hasOtherRoom(book: EndpointBook, run: PlacedRun, now: number): boolean {
-    const { service, id } = book.readProfile();
+  private hasOtherRoom(book: EndpointState, run: PlacedRun, now: number): boolean {
+    const { service, id } = book.getProfile();
     for (const other of this.options.books.values()) {
-      const profile = other.readProfile();
+      const profile = other.getProfile();
       const isOther = profile.id !== id && profile.service === service;
-      if (isOther && other.isUsable() && !other.isDoubtful(now) && other.hasRoom(run.demand)) {
+      if (isOther && other.isSchedulable() && !other.isDegraded(now) && other.hasCapacityFor(run.demand)) {
         return true;
       }
     }
--- a/packages/dispatch/runs/RunLedger.ts
+++ b/packages/dispatch/runs/RunTracker.ts
@@ -1,14 +1,14 @@
-import type { EndpointLife } from '../../jobs/EndpointLife';
+import type { EndpointIncarnation } from '../../jobs/EndpointIncarnation';
 import type { JobId } from '../../jobs/JobId';
 import type { RunOutcome } from '../../jobs/RunOutcome';
-import type { DispatchCount } from '../DispatchCount';
+import type { DispatchCounterName } from '../DispatchCounterName';
 import type { DispatchEffect } from '../DispatchEffect';
-import type { EndpointBook } from '../endpoints/EndpointBook';
-import { measureWorkLost } from '../stops/measureWorkLost';
-import { readLossCause } from '../stops/readLossCause';
-import { toGangSave } from '../stops/toGangSave';
+import type { EndpointState } from '../endpoints/EndpointState';
+import { computeLostWork } from '../stops/computeLostWork';
+import { getLossCause } from '../stops/getLossCause';
+import { getGangCheckpoint } from '../stops/getGangCheckpoint';
 import type { StopCause } from '../stops/StopCause';
-import { formatLateJob } from '../../sight/formatLateJob';
+import { formatLateJob } from '../../logging/formatLateJob';
 import type { LiveJob } from '../waiting/LiveJob';
 import type { PlacedRun } from './PlacedRun';
 import type { RunEnd } from './RunEnd';
@@ -33,9 +33,9 @@
 const STOP_RETRY_MS = 600;
 
 /** Ends of runs and of jobs: frees room, carries ends into progress, and stops what should not run. */
-export class RunLedger {
+export class RunTracker {
   constructor(
-    private readonly books: Map<EndpointLife, EndpointBook>,
+    private readonly books: Map<EndpointIncarnation, EndpointState>,
     private readonly jobs: ReadonlyMap<JobId, LiveJob>,
     private readonly sinks: LedgerSinks,
     /** A gang goes on from the newest checkpoint of any member. */
@@ -43,29 +43,29 @@
   ) {}
 
   /** Frees the room of a run and carries its end into the job's progress. */
-  recordRunEnd(book: EndpointBook, run: PlacedRun, end: RunEnd, now: number): void {
+  recordRunEnd(book: EndpointState, run: PlacedRun, end: RunEnd, now: number): void {
     const { outcome, cause, checkpoint } = end;
-    book.recordRunEnd(run);
+    book.removeRun(run);
     this.sinks.handleFreed();
     this.recordLoss(book, run, end, now);
     const job = this.jobs.get(run.job);
     const kept = checkpoint === '' ? run.checkpoint : checkpoint;
-    const save = this.isSavingGangs && this.isOfGang(run) ? toGangSave(run, end, now) : undefined;
+    const save = this.isSavingGangs && this.isOfGang(run) ? getGangCheckpoint(run, end, now) : undefined;
     if (save !== undefined) {
-      job?.recordGangSave(run.address.time, run.address.step, save);
+      job?.recordGangCheckpoint(run.address.time, run.address.step, save);
     }
     if (job?.progress.recordEnd(run.address, run.run, outcome, kept) === true) {
       job.changedAt = now;
-      job.trace.recordRun(run, book.readProfile(), end, now);
+      job.trace.recordRun(run, book.getProfile(), end, now);
       this.sinks.handleChanged(run.job);
-      this.sendTell('Run ended.', {
+      this.sendLogLine('Run ended.', {
         job: run.job,
         task: run.task,
         run: run.run,
-        endpoint: book.readProfile().life,
+        endpoint: book.getProfile().incarnation,
         outcome,
         cause,
-        how: end.how,
+        how: end.reportedEnd,
         why: run.stopCause,
         stage: run.stage,
         ageMs: Math.round(now - run.placedAt),
@@ -82,20 +82,20 @@
   }
 
   /** Counts the work that a run lost, and tells of it where it is some. */
-  private recordLoss(book: EndpointBook, run: PlacedRun, end: RunEnd, now: number): void {
-    const lostBy = readLossCause(run, end);
+  private recordLoss(book: EndpointState, run: PlacedRun, end: RunEnd, now: number): void {
+    const lostBy = getLossCause(run, end);
     if (lostBy === undefined) {
       return;
     }
-    const lostCoreMs = measureWorkLost(run, end, now);
+    const lostCoreMs = computeLostWork(run, end, now);
     this.sendCount(`runsLostBy.${lostBy}`);
     this.sendCount(`coreMsLostBy.${lostBy}`, lostCoreMs);
     if (lostCoreMs >= TOLD_CORE_MS) {
-      this.sendTell('Work is lost.', {
+      this.sendLogLine('Work is lost.', {
         job: run.job,
         task: run.task,
         run: run.run,
-        endpoint: book.readProfile().life,
+        endpoint: book.getProfile().incarnation,
         by: lostBy,
         coreMs: lostCoreMs,
         percent: run.percent,
@@ -108,19 +108,19 @@
    * Takes a run that was sent to a life which is over into the books of the next one. What was to be stopped is stopped there too; of the rest the
    * next look tells whether it is there.
    */
-  recordCarried(from: EndpointBook, to: EndpointBook, run: PlacedRun): void {
-    from.recordRunEnd(run);
-    run.carriedFrom = from.readProfile().life;
-    to.recordRun(run);
-    const { life } = to.readProfile();
-    this.jobs.get(run.job)?.progress.recordCarried(run.address, run.run, life);
+  recordTransfer(from: EndpointState, to: EndpointState, run: PlacedRun): void {
+    from.removeRun(run);
+    run.transferredFrom = from.getProfile().incarnation;
+    to.addRun(run);
+    const { incarnation: life } = to.getProfile();
+    this.jobs.get(run.job)?.progress.recordTransfer(run.address, run.run, life);
     this.sinks.handleChanged(run.job);
-    this.sendTell('Run may have reached the next life.', {
+    this.sendLogLine('Run may have reached the next life.', {
       job: run.job,
       task: run.task,
       run: run.run,
       endpoint: life,
-      before: run.carriedFrom,
+      before: run.transferredFrom,
       stage: run.stage,
     });
     if (run.stage === 'stopping') {
@@ -136,14 +136,14 @@
     job: LiveJob,
     run: PlacedRun,
     outcome: RunOutcome,
-    endpoint: EndpointLife,
+    endpoint: EndpointIncarnation,
     wallMs: number,
   ): void {
     const { time, step, index } = run.address;
     const shape = job.definition.steps[step]!;
     if (outcome === 'failed') {
-      job.recordFailedOn(time, step, endpoint);
-      const failures = job.readFailures(time, step, index);
+      job.recordFailureOn(time, step, endpoint);
+      const failures = job.countFailures(time, step, index);
       if (!shape.isLongRunning && failures >= job.definition.queue.attempts) {
         this.recordJobEnd(job, 'failed', wallMs);
       }
@@ -162,10 +162,10 @@
     }
     job.progress.recordJobEnd(ending, wallMs);
     this.sinks.handleChanged(job.definition.id);
-    this.sendTell('Job ended.', { job: job.definition.id, queue: job.definition.queue.name, ending });
+    this.sendLogLine('Job ended.', { job: job.definition.id, queue: job.definition.queue.name, ending });
     this.checkLate(job, ending, wallMs);
     for (const book of this.books.values()) {
-      for (const run of [...book.readRuns()]) {
+      for (const run of [...book.getRuns()]) {
         if (run.job === job.definition.id) {
           this.sendStop(book, run, 'jobEnded');
         }
@@ -173,7 +173,7 @@
     }
   }
 
-  sendStop(book: EndpointBook, run: PlacedRun, cause: StopCause): void {
+  sendStop(book: EndpointState, run: PlacedRun, cause: StopCause): void {
     // While the record is on its way no order has left; `handleRecorded` frees the room.
     if (run.stage === 'stopping' || run.stage === 'recording') {
       return;
@@ -187,8 +187,8 @@
   }
 
   /** Repeats stops that had no answer, and stops what no look has shown since its order had none. */
-  sendStopsAgain(book: EndpointBook, now: number): void {
-    for (const run of book.readRuns()) {
+  sendStopsAgain(book: EndpointState, now: number): void {
+    for (const run of book.getRuns()) {
       if (run.stage === 'ordered' && now - (run.unansweredAt ?? now) >= UNANSWERED_STOP_MS) {
         this.sendStop(book, run, 'unanswered');
         continue;
@@ -207,36 +207,42 @@
   }
 
   /** Has the endpoint looked at now: something that it must show is waited for. */
-  sendLook(book: EndpointBook): void {
-    this.sinks.sendEffect({ kind: 'look', endpoint: book.readProfile().life });
+  sendLook(book: EndpointState): void {
+    this.sinks.sendEffect({ kind: 'look', endpoint: book.getProfile().incarnation });
   }
 
   /** The one line that tells why a caller was served late or not at all; it stays in the log whatever the load. */
   private checkLate(job: LiveJob, ending: JobEnding, wallMs: number): void {
     const { definition, trace } = job;
-    const lateMs = wallMs - job.readObjectiveAtMs(definition.times - 1);
+    const lateMs = wallMs - job.getObjectiveAtMs(definition.times - 1);
     if (ending === 'failed' || (ending === 'completed' && lateMs > 0)) {
-      const account = trace.readAccount(definition, ending, wallMs);
-      this.sendTell('Job ended late.', formatLateJob(account, lateMs));
+      const account = trace.createAccount(definition, ending, wallMs);
+      this.sendLogLine('Job ended late.', formatLateJob(account, lateMs));
     }
   }
 
-  private sendStopOrder(book: EndpointBook, run: PlacedRun): void {
+  private sendStopOrder(book: EndpointState, run: PlacedRun): void {
     const { task, run: number, isStopRepeated: isRepeated } = run;
-    this.sinks.sendEffect({ kind: 'stop', endpoint: book.readProfile().life, task, run: number, isRepeated });
+    this.sinks.sendEffect({
+      kind: 'stop',
+      endpoint: book.getProfile().incarnation,
+      task,
+      run: number,
+      isRepeated,
+    });
   }
 
-  checkEmptyBook(book: EndpointBook): void {
-    if (book.readProfile().address === '' && book.readRunCount() === 0) {
-      this.books.delete(book.readProfile().life);
+  checkEmptyBook(book: EndpointState): void {
+    if (book.getProfile().address === '' && book.countRuns() === 0) {
+      this.books.delete(book.getProfile().incarnation);
     }
   }
 
-  sendCount(name: DispatchCount, amount = 1): void {
+  sendCount(name: DispatchCounterName, amount = 1): void {
     this.sinks.sendEffect({ kind: 'count', name, amount });
   }
 
-  sendTell(sentence: string, fields: Readonly<Record<string, unknown>>): void {
-    this.sinks.sendEffect({ kind: 'tell', sentence, fields });
+  sendLogLine(sentence: string, fields: Readonly<Record<string, unknown>>): void {
+    this.sinks.sendEffect({ kind: 'tell', message: sentence, fields });
   }
 }
--- a/packages/dispatch/runs/createStrangeRun.ts
+++ b/packages/dispatch/runs/createOrphanRun.ts
@@ -1,26 +1,26 @@
 import { toId } from '../../common/toId';
 import type { JobId } from '../../jobs/JobId';
-import { demandSums } from '../../jobs/demandSums';
+import { resourceMath } from '../../jobs/resourceMath';
 import type { PlacedRun } from './PlacedRun';
-import type { RunningRow } from '../endpoints/RunningRow';
+import type { RunningTaskStatus } from '../endpoints/RunningTaskStatus';
 
 /** Creates the book entry of a run whose job is not known: its room is not known either, but it is stopped at once. */
-export const createStrangeRun = (row: RunningRow, now: number): PlacedRun => ({
+export const createOrphanRun = (row: RunningTaskStatus, now: number): PlacedRun => ({
   task: row.task,
   job: toId<JobId>(''),
   address: { time: 0, step: 0, index: 0 },
   run: row.run,
-  demand: demandSums.NOTHING,
+  demand: resourceMath.NOTHING,
   customer: undefined,
-  charge: demandSums.NOTHING,
+  charge: resourceMath.NOTHING,
   isFiller: false,
   isServing: false,
   priority: 0,
-  isSuspect: false,
+  isCrashSuspect: false,
   isFromStart: false,
   stage: 'running',
   isListed: true,
-  carriedFrom: undefined,
+  transferredFrom: undefined,
   waits: undefined,
   placedAt: now,
   recordedAt: now,
--- a/packages/dispatch/runs/createPlacedRun.ts
+++ b/packages/dispatch/runs/createPlacedRun.ts
@@ -1,4 +1,4 @@
-import { toCountedDemand } from '../../jobs/toCountedDemand';
+import { toReservedDemand } from '../../jobs/toReservedDemand';
 import type { JobDefinition } from '../../jobs/JobDefinition';
 import type { TaskAddress } from '../../jobs/TaskAddress';
 import { toTaskName } from '../../jobs/toTaskName';
@@ -7,7 +7,7 @@
 interface RunHistory {
   /** The run begins at nothing, not at a checkpoint. */
   readonly isFromStart?: boolean;
-  readonly isSuspect?: boolean;
+  readonly isCrashSuspect?: boolean;
 }
 
 /** Creates the book entry of a run that is about to be placed. */
@@ -16,7 +16,7 @@
   address: TaskAddress,
   run: number,
   now: number,
-  { isFromStart = false, isSuspect = false }: RunHistory = {},
+  { isFromStart = false, isCrashSuspect: isSuspect = false }: RunHistory = {},
 ): PlacedRun => {
   const shape = definition.steps[address.step]!;
   return {
@@ -24,17 +24,17 @@
     job: definition.id,
     address,
     run,
-    demand: toCountedDemand(shape),
+    demand: toReservedDemand(shape),
     customer: definition.customer?.name,
     charge: shape.demand,
     isFiller: shape.isFiller,
     isServing: shape.isLongRunning && !shape.isFiller,
     priority: definition.queue.priority,
-    isSuspect,
+    isCrashSuspect: isSuspect,
     isFromStart,
     stage: 'recording',
     isListed: false,
-    carriedFrom: undefined,
+    transferredFrom: undefined,
     waits: undefined,
     placedAt: now,
     recordedAt: now,
--- a/packages/dispatch/runs/readStraggling.ts
+++ b/packages/dispatch/runs/findStragglerReason.ts
@@ -10,7 +10,7 @@
   /** Only a run with a pace beyond this is slow; by default far beyond the usual one. */
   readonly slowPace?: number;
   /** Percent that are to be done elsewhere; by default all. */
-  readonly freshPercent?: number;
+  readonly restartPercent?: number;
 }
 
 const SLOW_RATIO = 2.5;
@@ -22,12 +22,12 @@
 const WHOLE = 100;
 
 /** Tells whether a run would end sooner if it were stopped and started elsewhere, and why. */
-export const readStraggling = (input: StragglerInput): 'stalled' | 'slow' | undefined => {
+export const findStragglerReason = (input: StragglerInput): 'stalled' | 'slow' | undefined => {
   if (input.stalledMs > Math.max(STALL_MS, STALL_PERCENT * input.usualPace)) {
     return 'stalled';
   }
   const remainingMs = input.pace * (WHOLE - input.percent);
-  const { usualPace, slowPace = SLOW_RATIO * usualPace, freshPercent = WHOLE } = input;
+  const { usualPace, slowPace = SLOW_RATIO * usualPace, restartPercent: freshPercent = WHOLE } = input;
   const freshMs = usualPace * freshPercent + input.moveMs;
   const isSlow = input.pace > slowPace;
   return isSlow && remainingMs > GAIN_SHARE * freshMs ? 'slow' : undefined;
--- a/packages/dispatch/speeds/EndpointSpeeds.ts
+++ b/packages/dispatch/speeds/EndpointSpeeds.ts
@@ -1,5 +1,5 @@
 import { appendTo } from '../../common/appendTo';
-import type { EndpointLife } from '../../jobs/EndpointLife';
+import type { EndpointIncarnation } from '../../jobs/EndpointIncarnation';
 import type { ServiceName } from '../../jobs/ServiceName';
 import type { EndpointProfile } from '../endpoints/EndpointProfile';
 import type { SpeedClass } from './SpeedClass';
@@ -22,7 +22,7 @@
 
 /** An endpoint whose class has changed. */
 interface ClassChange {
-  readonly life: EndpointLife;
+  readonly life: EndpointIncarnation;
   readonly speedClass: SpeedClass;
   readonly estimate: SpeedEstimate;
   readonly samples: number;
@@ -48,7 +48,7 @@
  * others of its label or hall; all are compared with the median endpoint of their service.
  */
 export class EndpointSpeeds {
-  private readonly known = new Map<EndpointLife, KnownSpeed>();
+  private readonly known = new Map<EndpointIncarnation, KnownSpeed>();
   private readonly groups = new Map<ServiceName, SpeedGroups>();
 
   /** Takes in the time of one run on an endpoint by its usual time. */
@@ -63,34 +63,34 @@
    * known to be faster is not slowed by it.
    */
   recordGang(members: readonly EndpointProfile[], evidence: Evidence, now: number): void {
-    const logRatios = members.map((member) => Math.log(this.readEstimate(member).ratio));
+    const logRatios = members.map((member) => Math.log(this.getEstimate(member).ratio));
     const slowest = Math.max(...logRatios);
     const bound = members.filter(
       (_, index) => logRatios[index] === slowest || logRatios[index]! > evidence.logRatio,
     );
-    const byLife = new Map(bound.map((member) => [member.life, member]));
+    const byLife = new Map(bound.map((member) => [member.incarnation, member]));
     // Members that are equally slow share the evidence: any one of them may be what holds the gang up.
     const variance = evidence.variance * (evidence.logRatio > slowest ? byLife.size : 1);
     byLife.forEach((member) => this.recordRun(member, { ...evidence, variance }, now));
   }
 
   /** What is known of an endpoint, by its own runs and its group. */
-  readEstimate(profile: EndpointProfile): SpeedEstimate {
-    return this.toEstimate(this.known.get(profile.life) ?? this.toAsked(profile));
+  getEstimate(profile: EndpointProfile): SpeedEstimate {
+    return this.toEstimate(this.known.get(profile.incarnation) ?? this.toAsked(profile));
   }
 
   /** What is known of a life that may have run something; else what is expected of any endpoint of its service. */
-  readLifeEstimate(life: EndpointLife, service: ServiceName): SpeedEstimate {
+  readLifeEstimate(life: EndpointIncarnation, service: ServiceName): SpeedEstimate {
     return this.toEstimate(this.known.get(life) ?? { service, groups: [] });
   }
 
   /** The ratio of an endpoint as far as it certainly differs from a usual one, in steps of a tenth; else 1. */
-  readKnownRatio(profile: EndpointProfile): number {
-    return this.known.get(profile.life)?.ratio ?? this.toSureRatio(this.toAsked(profile));
+  getSignificantRatio(profile: EndpointProfile): number {
+    return this.known.get(profile.incarnation)?.ratio ?? this.toSureRatio(this.toAsked(profile));
   }
 
   /** Lets time pass: what is known fades, and groups and the usual endpoint are worked out anew. */
-  applyTime(now: number, isPresent: (life: EndpointLife) => boolean): void {
+  applyTime(now: number, isPresent: (life: EndpointIncarnation) => boolean): void {
     for (const [life, { track }] of this.known) {
       if (isPresent(life)) {
         track.applyFading(now);
@@ -105,7 +105,7 @@
   }
 
   /** How many endpoints are known to be of a class. */
-  readCounts(): Readonly<Record<SpeedClass, number>> {
+  countByClass(): Readonly<Record<SpeedClass, number>> {
     const counts = { slow: 0, usual: 0, fast: 0 };
     for (const { ratio } of this.known.values()) {
       counts[this.toClass(ratio)] += 1;
@@ -154,7 +154,7 @@
   }
 
   private readOrCreate(profile: EndpointProfile): KnownSpeed {
-    const known = this.known.get(profile.life);
+    const known = this.known.get(profile.incarnation);
     if (known !== undefined) {
       return known;
     }
@@ -164,7 +164,7 @@
       ratio: 1,
       told: 'usual',
     };
-    this.known.set(profile.life, created);
+    this.known.set(profile.incarnation, created);
     return created;
   }
 
--- a/packages/dispatch/speeds/RunLearner.ts
+++ b/packages/dispatch/speeds/RunLearner.ts
@@ -1,30 +1,30 @@
-import type { EndpointLife } from '../../jobs/EndpointLife';
+import type { EndpointIncarnation } from '../../jobs/EndpointIncarnation';
 import type { JobId } from '../../jobs/JobId';
 import type { JobStep } from '../../jobs/JobStep';
-import type { EndpointBook } from '../endpoints/EndpointBook';
+import type { EndpointState } from '../endpoints/EndpointState';
 import type { EndpointProfile } from '../endpoints/EndpointProfile';
 import type { KindSpeeds } from '../placing/KindSpeeds';
-import type { SpeedChoice } from '../placing/SpeedChoice';
+import type { SpeedPolicyName } from '../placing/SpeedPolicyName';
 import type { PlacedRun } from '../runs/PlacedRun';
 import type { LiveJob } from '../waiting/LiveJob';
 import type { EndpointSpeeds } from './EndpointSpeeds';
 import type { RunTimes } from './RunTimes';
-import type { StepTimes } from './StepTimes';
+import type { StepRunTimes } from './StepRunTimes';
 import { toUsualStepTime } from './toUsualStepTime';
 
 interface RunLearnerOptions {
-  readonly books: ReadonlyMap<EndpointLife, EndpointBook>;
+  readonly books: ReadonlyMap<EndpointIncarnation, EndpointState>;
   readonly jobs: ReadonlyMap<JobId, LiveJob>;
   readonly kinds: KindSpeeds;
   readonly speeds: EndpointSpeeds;
   readonly times: RunTimes;
-  readonly speedChoice: SpeedChoice;
+  readonly speedChoice: SpeedPolicyName;
   readonly sendTell: (sentence: string, fields: Readonly<Record<string, unknown>>) => void;
 }
 
 /** A run with the step that it belongs to. */
 interface Measured {
-  readonly book: EndpointBook;
+  readonly book: EndpointState;
   readonly run: PlacedRun;
   readonly job: LiveJob;
   readonly shape: JobStep;
@@ -57,7 +57,7 @@
   constructor(private readonly options: RunLearnerOptions) {}
 
   /** Takes in what a look showed of a run. */
-  recordRun(book: EndpointBook, run: PlacedRun, now: number): void {
+  recordRun(book: EndpointState, run: PlacedRun, now: number): void {
     const ageMs = now - run.confirmedAt;
     const measured = ageMs >= KNOWN_AFTER_MS ? this.readMeasured(book, run) : undefined;
     if (measured === undefined) {
@@ -71,7 +71,7 @@
   }
 
   /** Takes in that a run was done. */
-  recordDone(book: EndpointBook, run: PlacedRun, now: number): void {
+  recordCompletion(book: EndpointState, run: PlacedRun, now: number): void {
     const measured = this.readMeasured(book, run);
     if (measured === undefined) {
       return;
@@ -85,7 +85,7 @@
   }
 
   /** Lets time pass: what is known of endpoints fades, and changes are told of. */
-  applyTime(now: number): void {
+  handleTick(now: number): void {
     if (now - this.refreshedAt < REFRESH_MS) {
       return;
     }
@@ -93,7 +93,7 @@
     const { speeds, books } = this.options;
     speeds.applyTime(now, (life) => books.has(life));
     for (const { life, speedClass, estimate, samples, recordedAt } of speeds.claimChanges(MAX_LINES)) {
-      const profile = books.get(life)?.readProfile();
+      const profile = books.get(life)?.getProfile();
       this.options.sendTell("Endpoint's speed has changed.", {
         endpoint: life,
         speed: speedClass,
@@ -108,15 +108,15 @@
   }
 
   private recordPace({ book, run, job, shape }: Measured, pace: number, now: number): void {
-    const paces = job.readSpeeds(run.address.time, run.address.step);
-    const profile = book.readProfile();
+    const paces = job.getSpeeds(run.address.time, run.address.step);
+    const profile = book.getProfile();
     // Members of a gang work at one pace, wherever they are.
     const ownRatio = shape.isGang ? 1 : this.readOwnRatio(profile);
     paces.recordPace(run.address.index, pace, pace / ownRatio);
-    const median = paces.readCorrectedMedian();
+    const median = paces.getNormalizedMedian();
     if (median !== undefined) {
       // An endpoint that is always slow, or one of a slow kind, is slow, not sick.
-      const usualRatio = ownRatio === 1 ? this.options.kinds.readRatio(profile.labels) : ownRatio;
+      const usualRatio = ownRatio === 1 ? this.options.kinds.getSlowdown(profile.labels) : ownRatio;
       book.recordSlowness(pace / median / usualRatio, now);
     }
   }
@@ -124,14 +124,14 @@
   /** How much longer runs usually take on the endpoint, as far as it is learnt by itself. */
   private readOwnRatio(profile: EndpointProfile): number {
     const { speeds, speedChoice } = this.options;
-    return speedChoice === 'endpoints' ? Math.min(MAX_USUAL_RATIO, speeds.readKnownRatio(profile)) : 1;
+    return speedChoice === 'endpoints' ? Math.min(MAX_USUAL_RATIO, speeds.getSignificantRatio(profile)) : 1;
   }
 
   /** Only whole runs tell of an endpoint's kind: the pace of a run under way is rough. */
   private recordKind({ book, run, job }: Measured, pace: number): void {
-    const median = job.readSpeeds(run.address.time, run.address.step).readMedian();
+    const median = job.getSpeeds(run.address.time, run.address.step).getMedian();
     if (median !== undefined && median > 0) {
-      this.options.kinds.recordRun(book.readProfile().labels, pace / median);
+      this.options.kinds.recordRun(book.getProfile().labels, pace / median);
     }
   }
 
@@ -142,13 +142,13 @@
     }
     return (
       run.percent >= KNOWN_PERCENT ||
-      ageMs >= this.options.times.readEstimate(job.definition.queue.name, shape).medianMs
+      ageMs >= this.options.times.getEstimate(job.definition.queue.name, shape).medianMs
     );
   }
 
   private recordTime(measured: Measured, wholeMs: number, now: number): void {
     const { run, job, shape } = measured;
-    const times = job.readTimes(run.address.time, run.address.step);
+    const times = job.getTimes(run.address.time, run.address.step);
     this.measured.add(run);
     if (wholeMs <= 0 || !this.isAtUsualPace(measured)) {
       return;
@@ -162,26 +162,26 @@
 
   private recordTaskTime(
     { book, run, job, shape }: Measured,
-    stepTimes: StepTimes,
+    stepTimes: StepRunTimes,
     logMs: number,
     now: number,
   ): void {
     const { speeds, times } = this.options;
-    const profile = book.readProfile();
+    const profile = book.getProfile();
     const queue = job.definition.queue.name;
     const usual = times.readUsual(queue, shape);
-    const siblings = stepTimes.readSiblings(profile.life, (life) =>
+    const siblings = stepTimes.readSiblings(profile.incarnation, (life) =>
       speeds.readLifeEstimate(life, profile.service),
     );
     const step = toUsualStepTime(usual, siblings);
-    stepTimes.recordTime(run.address.index, profile.life, logMs);
+    stepTimes.recordTime(run.address.index, profile.incarnation, logMs);
     if (usual.isLearnt || siblings.length >= MIN_SIBLINGS) {
       // Tasks of one step on one endpoint share what is not known of their step: together they tell little more than one.
-      const shared = step.variance * stepTimes.readCountOn(profile.life) ** 2;
+      const shared = step.variance * stepTimes.readCountOn(profile.incarnation) ** 2;
       const variance = usual.taskSpread ** 2 + shared;
       speeds.recordRun(profile, { logRatio: logMs - step.logMs, variance, step: this.toStepKey(run) }, now);
     }
-    const logUsualMs = logMs - Math.log(speeds.readEstimate(profile).ratio);
+    const logUsualMs = logMs - Math.log(speeds.getEstimate(profile).ratio);
     if (stepTimes.readCount() <= TELLING_TASKS) {
       times.recordRun(queue, shape, logUsualMs);
     }
@@ -195,8 +195,8 @@
     const queue = job.definition.queue.name;
     const usual = times.readUsual(queue, shape);
     const members = job.progress
-      .readTasks(run.address.time, run.address.step)
-      .flatMap(({ endpoint }) => books.get(endpoint)?.readProfile() ?? []);
+      .listTasks(run.address.time, run.address.step)
+      .flatMap(({ endpoint }) => books.get(endpoint)?.getProfile() ?? []);
     if (members.length < shape.count) {
       return;
     }
@@ -208,7 +208,7 @@
     if (usual.isLearnt) {
       speeds.recordGang(members, evidence, now);
     }
-    const slowest = Math.max(...members.map((member) => Math.log(speeds.readEstimate(member).ratio)));
+    const slowest = Math.max(...members.map((member) => Math.log(speeds.getEstimate(member).ratio)));
     times.recordRun(queue, shape, logMs - slowest);
   }
 
@@ -218,7 +218,7 @@
 
   /** Away from its data, or from the rack of the rest of its gang, work takes longer on any endpoint. */
   private isAtUsualPace({ book, shape }: Measured): boolean {
-    const isNearData = shape.dataRack === '' || book.readProfile().labels.includes(shape.dataRack);
+    const isNearData = shape.dataRack === '' || book.getProfile().labels.includes(shape.dataRack);
     return isNearData && !shape.isSameRack;
   }
 
@@ -226,7 +226,7 @@
    * Undefined for runs whose time tells nothing: fillers work at what is left over, and a run from a checkpoint does not begin at
    * nothing.
    */
-  private readMeasured(book: EndpointBook, run: PlacedRun): Measured | undefined {
+  private readMeasured(book: EndpointState, run: PlacedRun): Measured | undefined {
     if (run.isFiller || run.isServing || !run.isFromStart) {
       return undefined;
     }
--- a/packages/dispatch/speeds/RunTimeEstimate.ts
+++ b/packages/dispatch/speeds/RunTimeEstimate.ts
@@ -3,7 +3,7 @@
   /** Half of such tasks take less, in milliseconds. */
   readonly medianMs: number;
   /** Nine tenths of such tasks take less, in milliseconds. */
-  readonly tailMs: number;
+  readonly p90Ms: number;
   /** False while only the caller's own estimate is known. */
   readonly isLearnt: boolean;
 }
--- a/packages/dispatch/speeds/RunTimes.ts
+++ b/packages/dispatch/speeds/RunTimes.ts
@@ -51,16 +51,16 @@
   }
 
   /** The expected time of one task of a step, or of the whole gang. */
-  readEstimate(queue: string, shape: JobStep): RunTimeEstimate {
+  getEstimate(queue: string, shape: JobStep): RunTimeEstimate {
     const baseMs = toBaseMs(shape);
     const ratios = this.readLearnt(queue, shape);
     if (ratios === undefined) {
       const tailMs = baseMs * Math.exp(TAIL_DEVIATIONS * ESTIMATE_SPREAD);
-      return { medianMs: baseMs, tailMs, isLearnt: false };
+      return { medianMs: baseMs, p90Ms: tailMs, isLearnt: false };
     }
     return {
       medianMs: baseMs * Math.exp(ratios.readQuantile(0.5)),
-      tailMs: baseMs * Math.exp(ratios.readQuantile(TAIL_SHARE)),
+      p90Ms: baseMs * Math.exp(ratios.readQuantile(TAIL_SHARE)),
       isLearnt: true,
     };
   }
--- a/packages/dispatch/speeds/StepTimes.ts
+++ b/packages/dispatch/speeds/StepRunTimes.ts
@@ -1,22 +1,22 @@
 import { appendTo } from '../../common/appendTo';
-import type { EndpointLife } from '../../jobs/EndpointLife';
+import type { EndpointIncarnation } from '../../jobs/EndpointIncarnation';
 import { readMedian } from './readMedian';
 import type { SiblingTime } from './SiblingTime';
 import type { SpeedEstimate } from './SpeedEstimate';
 
 interface TaskTime {
-  readonly life: EndpointLife;
+  readonly life: EndpointIncarnation;
   /** Natural logarithm of the whole time in milliseconds, as it was expected when the run was measured. */
   readonly logMs: number;
 }
 
 /** How long the tasks of one step take, each measured once. */
-export class StepTimes {
+export class StepRunTimes {
   private readonly tasks = new Map<number, TaskTime>();
   private measuredGangRun = 0;
 
   /** Takes in the time of a task; that of its newest run counts. */
-  recordTime(index: number, life: EndpointLife, logMs: number): void {
+  recordTime(index: number, life: EndpointIncarnation, logMs: number): void {
     this.tasks.set(index, { life, logMs });
   }
 
@@ -25,7 +25,7 @@
   }
 
   /** How many tasks were measured on an endpoint. */
-  readCountOn(life: EndpointLife): number {
+  readCountOn(life: EndpointIncarnation): number {
     let count = 0;
     for (const task of this.tasks.values()) {
       count += task.life === life ? 1 : 0;
@@ -37,10 +37,10 @@
    * The times elsewhere than on one endpoint, one for each other endpoint. What ran on the endpoint itself cannot tell how fast it is.
    */
   readSiblings(
-    except: EndpointLife,
-    readEstimate: (life: EndpointLife) => SpeedEstimate,
+    except: EndpointIncarnation,
+    readEstimate: (life: EndpointIncarnation) => SpeedEstimate,
   ): readonly SiblingTime[] {
-    const byLife = new Map<EndpointLife, number[]>();
+    const byLife = new Map<EndpointIncarnation, number[]>();
     for (const { life, logMs } of this.tasks.values()) {
       if (life !== except) {
         appendTo(byLife, life, logMs);
--- a/packages/dispatch/speeds/createExpectedEndCost.ts
+++ b/packages/dispatch/speeds/createCompletionTimeCost.ts
@@ -1,4 +1,4 @@
-import type { EndpointBook } from '../endpoints/EndpointBook';
+import type { EndpointState } from '../endpoints/EndpointState';
 import type { SpeedSources } from '../placing/SpeedSources';
 import type { WaitingStep } from '../waiting/WaitingStep';
 import { measureLateChance } from './measureLateChance';
@@ -14,13 +14,13 @@
 const readGangRoom = (
   step: WaitingStep,
   { speeds, room }: SpeedSources,
-  endpoints: readonly EndpointBook[],
+  endpoints: readonly EndpointState[],
 ): readonly (readonly [ratio: number, count: number])[] => {
   const counts = new Map<number, number>();
   for (const book of endpoints) {
-    const count = room.measureFitCount(book.readFree(), step.shape);
+    const count = room.countFittingTasks(book.getFreeCapacity(), step.shape);
     if (count > 0) {
-      const ratio = speeds.readKnownRatio(book.readProfile());
+      const ratio = speeds.getSignificantRatio(book.getProfile());
       counts.set(ratio, (counts.get(ratio) ?? 0) + count);
     }
   }
@@ -34,7 +34,7 @@
 const chooseGangRatio = (
   step: WaitingStep,
   sources: SpeedSources,
-  endpoints: readonly EndpointBook[],
+  endpoints: readonly EndpointState[],
   measureCost: (ratio: number) => number,
 ): number | undefined => {
   let room = 0;
@@ -55,17 +55,17 @@
  * Costs of endpoints by the expected end of a step's tasks there. The chance of being late counts first; what bears a slow endpoint
  * leaves fast ones to the most urgent. All are differences from a usual endpoint, which costs 0.
  */
-export const createExpectedEndCost = (
+export const createCompletionTimeCost = (
   step: WaitingStep,
   sources: SpeedSources,
-  endpoints: readonly EndpointBook[],
+  endpoints: readonly EndpointState[],
   wallMs: number,
-): ((book: EndpointBook) => number) => {
+): ((book: EndpointState) => number) => {
   const { definition } = step.job;
   const usual = sources.times.readUsual(definition.queue.name, step.shape);
   // A gang is known as a whole.
   const count = step.shape.isGang ? 1 : step.shape.count;
-  const leftMs = step.objectiveAtMs - wallMs - step.job.readRestMs(step.step);
+  const leftMs = step.objectiveAtMs - wallMs - step.job.getCriticalPathAfterMs(step.step);
   const isMostUrgent = sources.room.isMostUrgent(definition.queue);
   const usualChance = measureLateChance({ usual, count, ratio: 1, leftMs });
   const measureCost = (ratio: number): number => {
@@ -83,7 +83,7 @@
   };
   const costs = new Map<number, number>([[1, gangRatio === undefined ? 0 : measureMemberCost(1)]]);
   return (book) => {
-    const ratio = sources.speeds.readKnownRatio(book.readProfile());
+    const ratio = sources.speeds.getSignificantRatio(book.getProfile());
     const known = costs.get(ratio);
     if (known !== undefined) {
       return known;
--- a/packages/dispatch/stops/EndpointTrust.ts
+++ b/packages/dispatch/stops/EndpointQuarantine.ts
@@ -1,6 +1,6 @@
-import type { EndpointLife } from '../../jobs/EndpointLife';
+import type { EndpointIncarnation } from '../../jobs/EndpointIncarnation';
 import type { ServiceName } from '../../jobs/ServiceName';
-import type { EndpointBook } from '../endpoints/EndpointBook';
+import type { EndpointState } from '../endpoints/EndpointState';
 
 /** A task that is to be placed. */
 interface Candidate {
@@ -17,25 +17,25 @@
  * elsewhere, everything would go there and use up its attempts. A single run at a time, of a task that has all its attempts, shows when it
  * works again.
  */
-export class EndpointTrust {
+export class EndpointQuarantine {
   /** Services with too many such endpoints, for the round. */
   private readonly excused = new Map<ServiceName, boolean>();
 
   constructor(
-    private readonly books: ReadonlyMap<EndpointLife, EndpointBook>,
+    private readonly books: ReadonlyMap<EndpointIncarnation, EndpointState>,
     /** False to trust all alike. */
     private readonly isClosing: boolean,
   ) {}
 
   /** Forgets what was worked out before. */
-  startRound(): void {
+  clearCache(): void {
     this.excused.clear();
   }
 
   /** True when a task may go to the endpoint, as far as its failures matter. */
-  isOpenFor(candidate: Candidate, book: EndpointBook, now: number): boolean {
-    const streak = book.readFailureStreak();
-    if (!this.isClosing || !streak.isBroken() || this.isExcused(book.readProfile().service)) {
+  isOpenFor(candidate: Candidate, book: EndpointState, now: number): boolean {
+    const streak = book.getFailureStreak();
+    if (!this.isClosing || !streak.isFailing() || this.isExcused(book.getProfile().service)) {
       return true;
     }
     const mayProbe = !candidate.isGang && candidate.failures === 0 && now >= streak.readProbeAt();
@@ -43,9 +43,9 @@
   }
 
   /** True while a run that was placed after the newest failure has not ended. */
-  private isProbed(book: EndpointBook): boolean {
-    const failedAt = book.readFailureStreak().readFailedAt();
-    return [...book.readRuns()].some((run) => run.placedAt >= failedAt);
+  private isProbed(book: EndpointState): boolean {
+    const failedAt = book.getFailureStreak().readFailedAt();
+    return [...book.getRuns()].some((run) => run.placedAt >= failedAt);
   }
 
   private isExcused(service: ServiceName): boolean {
@@ -54,9 +54,9 @@
       return known;
     }
     const usable = [...this.books.values()].filter(
-      (book) => book.isUsable() && book.readProfile().service === service,
+      (book) => book.isSchedulable() && book.getProfile().service === service,
     );
-    const broken = usable.filter((book) => book.readFailureStreak().isBroken());
+    const broken = usable.filter((book) => book.getFailureStreak().isFailing());
     const isExcused = broken.length > usable.length * MAX_CLOSED_SHARE;
     this.excused.set(service, isExcused);
     return isExcused;
--- a/packages/dispatch/stops/FailureStreak.ts
+++ b/packages/dispatch/stops/FailureStreak.ts
@@ -21,7 +21,7 @@
     }
   }
 
-  isBroken(): boolean {
+  isFailing(): boolean {
     return this.failures >= MIN_FAILURES;
   }
 
--- a/packages/dispatch/stops/GangSave.ts
+++ b/packages/dispatch/stops/GangCheckpoint.ts
@@ -1,5 +1,5 @@
 /** The newest checkpoint that members of a gang have left. */
-export interface GangSave {
+export interface GangCheckpoint {
   readonly checkpoint: string;
   readonly run: number;
   /** Monotonic time up to which its work is in it. */
--- a/packages/dispatch/stops/MoveCandidate.ts
+++ b/packages/dispatch/stops/MoveCandidate.ts
@@ -1,10 +1,10 @@
-import type { EndpointBook } from '../endpoints/EndpointBook';
+import type { EndpointState } from '../endpoints/EndpointState';
 import type { PlacedRun } from '../runs/PlacedRun';
 import type { MoveReason } from './MoveReason';
 
 /** A run that would end sooner, or at all, on another endpoint. */
 export interface MoveCandidate {
-  readonly book: EndpointBook;
+  readonly book: EndpointState;
   readonly run: PlacedRun;
   readonly reason: MoveReason;
   readonly priority: number;
--- a/packages/dispatch/stops/StopPrice.ts
+++ b/packages/dispatch/stops/PreemptionEstimate.ts
@@ -1,5 +1,5 @@
 /** What stopping runs for a waiting step loses, and what it gains. */
-export interface StopPrice {
+export interface PreemptionEstimate {
   /** Core-milliseconds that the stopped runs lose: work in no checkpoint, and their restart. */
   readonly lostCoreMs: number;
   /** Time until known ends would make the room that the stops make, in milliseconds. */
--- a/packages/dispatch/stops/RoomRule.ts
+++ b/packages/dispatch/stops/RoomRule.ts
@@ -1,10 +1,10 @@
-import type { StopPrice } from './StopPrice';
+import type { PreemptionEstimate } from './PreemptionEstimate';
 
 /** How room is made by stopping less urgent work. */
 export interface RoomRule {
   /** What a stop of one run counts; of the plans that make room the one with the smallest sum is taken. */
   readonly measureCost: (run: StoppableRun) => number;
-  readonly isWorthStopping: (price: StopPrice) => boolean;
+  readonly isWorthStopping: (price: PreemptionEstimate) => boolean;
   /** Runs that need not go after all, once others go, stay. */
   readonly isTrimming: boolean;
   /** A run that was stopped before has worked for so long since, in milliseconds, before it is stopped again. */
--- a/packages/dispatch/stops/MoveInput.ts
+++ b/packages/dispatch/stops/SlowRunInput.ts
@@ -1,5 +1,5 @@
 /** What is known of a run that may be slow. */
-export interface MoveInput {
+export interface SlowRunInput {
   /** Milliseconds for one percent, of this run and of a new one as far as is known. */
   readonly pace: number;
   readonly usualPace: number;
--- a/packages/dispatch/stops/measureWorkLost.ts
+++ b/packages/dispatch/stops/computeLostWork.ts
@@ -4,7 +4,11 @@
 const MILLIS = 1000;
 
 /** Core-milliseconds of work that ended with a run and are in no checkpoint. */
-export const measureWorkLost = (run: PlacedRun, { how, checkpoint }: RunEnd, now: number): number => {
+export const computeLostWork = (
+  run: PlacedRun,
+  { reportedEnd: how, checkpoint }: RunEnd,
+  now: number,
+): number => {
   const isAllSaved = how === 'stopped' && checkpoint !== '';
   if (run.stage === 'recording' || isAllSaved) {
     return 0;
--- a/packages/dispatch/stops/toGangSave.ts
+++ b/packages/dispatch/stops/getGangCheckpoint.ts
@@ -1,16 +1,16 @@
 import type { PlacedRun } from '../runs/PlacedRun';
 import type { RunEnd } from '../runs/RunEnd';
-import type { GangSave } from './GangSave';
+import type { GangCheckpoint } from './GangCheckpoint';
 
 /**
  * What an ended member leaves to its gang; undefined for nothing. Members work in step, so the one that was saved last has most; one that was
  * stopped is saved at its end, one that was broken some time before.
  */
-export const toGangSave = (
+export const getGangCheckpoint = (
   run: PlacedRun,
-  { how, checkpoint }: RunEnd,
+  { reportedEnd: how, checkpoint }: RunEnd,
   now: number,
-): GangSave | undefined => {
+): GangCheckpoint | undefined => {
   const kept = checkpoint === '' ? run.checkpoint : checkpoint;
   if (kept === '') {
     return undefined;
--- a/packages/dispatch/stops/readLossCause.ts
+++ b/packages/dispatch/stops/getLossCause.ts
@@ -1,10 +1,10 @@
-import type { EndedRow } from '../endpoints/EndedRow';
+import type { EndedTaskStatus } from '../endpoints/EndedTaskStatus';
 import type { PlacedRun } from '../runs/PlacedRun';
 import type { RunEnd } from '../runs/RunEnd';
 import type { LossCause } from './LossCause';
 
 /** Ends that an endpoint tells and the leader has not asked for. */
-const UNASKED: Readonly<Record<EndedRow['how'], LossCause | undefined>> = {
+const UNASKED: Readonly<Record<EndedTaskStatus['how'], LossCause | undefined>> = {
   done: undefined,
   failed: undefined,
   stopped: 'notWanted',
@@ -14,7 +14,10 @@
 };
 
 /** What an interrupted run was lost by; undefined for one that ended by itself, or never began. */
-export const readLossCause = (run: PlacedRun, { outcome, cause, how }: RunEnd): LossCause | undefined => {
+export const getLossCause = (
+  run: PlacedRun,
+  { outcome, cause, reportedEnd: how }: RunEnd,
+): LossCause | undefined => {
   if (outcome !== 'interrupted') {
     return undefined;
   }
--- a/packages/dispatch/stops/isWorthStopping.ts
+++ b/packages/dispatch/stops/isWorthStopping.ts
@@ -1,4 +1,4 @@
-import type { StopPrice } from './StopPrice';
+import type { PreemptionEstimate } from './PreemptionEstimate';
 
 /** Room that is made is there after so long: a stop, the look that shows its end, and a round. */
 const MAKE_ROOM_MS = 500;
@@ -9,7 +9,7 @@
 const MILLIS = 1000;
 
 /** True when a step gains more by the stops than the stopped runs lose; one that is in time without them gains nothing. */
-export const isWorthStopping = (price: StopPrice): boolean => {
+export const isWorthStopping = (price: PreemptionEstimate): boolean => {
   // Others take what becomes free meanwhile: what has waited for some time will wait for as long again.
   const expectedMs = Math.max(price.roomWaitMs, price.waitedMs);
   const savedMs = expectedMs - MAKE_ROOM_MS;
--- a/packages/dispatch/stops/measureRoomWait.ts
+++ b/packages/dispatch/stops/measureRoomWait.ts
@@ -1,4 +1,4 @@
-import { demandSums } from '../../jobs/demandSums';
+import { resourceMath } from '../../jobs/resourceMath';
 import type { TaskDemand } from '../../jobs/TaskDemand';
 import type { RoomHolder } from './RoomHolder';
 
@@ -14,14 +14,14 @@
   let room = free;
   let waitMs = 0;
   const recordFits = (): void => {
-    while (times.length < most && demandSums.isWithin(demand, room)) {
-      room = demandSums.toDifference(room, demand);
+    while (times.length < most && resourceMath.isWithin(demand, room)) {
+      room = resourceMath.toDifference(room, demand);
       times.push(waitMs);
     }
   };
   recordFits();
   for (const holder of [...holders].sort((left, right) => left.remainingMs - right.remainingMs)) {
-    room = demandSums.toSum(room, holder.demand);
+    room = resourceMath.toSum(room, holder.demand);
     waitMs = holder.remainingMs;
     recordFits();
   }
--- a/packages/dispatch/stops/stopChoices.ts
+++ b/packages/dispatch/stops/stopPolicies.ts
@@ -1,9 +1,9 @@
 import { isCutShort } from './isCutShort';
 import { isWorthStopping } from './isWorthStopping';
 import { measureStopCost } from './measureStopCost';
-import { readStraggling } from '../runs/readStraggling';
-import type { StopChoice } from './StopChoice';
-import type { StopRules } from './StopRules';
+import { findStragglerReason } from '../runs/findStragglerReason';
+import type { StopPolicyName } from './StopPolicyName';
+import type { StopPolicy } from './StopPolicy';
 
 const WHOLE = 100;
 /** A leaving endpoint is left so long before its time is over, in milliseconds. */
@@ -22,11 +22,11 @@
 const MIN_WORK_MS = 1000;
 
 /** The ways of choosing what is stopped. */
-export const stopChoices: Readonly<Record<StopChoice, StopRules>> = {
+export const stopPolicies: Readonly<Record<StopPolicyName, StopPolicy>> = {
   ranked: {
-    isCutShort: (input) => isCutShort(input, LEAVE_MARGIN_MS),
-    readMoveReason: (input) => readStraggling(input),
-    room: {
+    isEvictionDue: (input) => isCutShort(input, LEAVE_MARGIN_MS),
+    findMoveReason: (input) => findStragglerReason(input),
+    preemption: {
       measureCost: () => 1,
       isWorthStopping: () => true,
       isTrimming: false,
@@ -37,14 +37,14 @@
     },
     isMovingGangs: false,
     isUsingRunTimes: false,
-    movingShare: 1,
-    isClosing: false,
+    maxMovingShare: 1,
+    isQuarantining: false,
   },
   priced: {
-    isCutShort: (input) => isCutShort(input, SAFE_LEAVE_MARGIN_MS),
-    readMoveReason: (input) =>
-      readStraggling({ ...input, freshPercent: input.isSaving ? WHOLE - input.percent : WHOLE }),
-    room: {
+    isEvictionDue: (input) => isCutShort(input, SAFE_LEAVE_MARGIN_MS),
+    findMoveReason: (input) =>
+      findStragglerReason({ ...input, restartPercent: input.isSaving ? WHOLE - input.percent : WHOLE }),
+    preemption: {
       measureCost: measureStopCost,
       isWorthStopping,
       isTrimming: true,
@@ -55,7 +55,7 @@
     },
     isMovingGangs: true,
     isUsingRunTimes: true,
-    movingShare: MOVING_SHARE,
-    isClosing: true,
+    maxMovingShare: MOVING_SHARE,
+    isQuarantining: true,
   },
 };
--- a/packages/dispatch/waiting/LiveJob.ts
+++ b/packages/dispatch/waiting/LiveJob.ts
@@ -1,15 +1,15 @@
-import type { EndpointLife } from '../../jobs/EndpointLife';
+import type { EndpointIncarnation } from '../../jobs/EndpointIncarnation';
 import type { JobDefinition } from '../../jobs/JobDefinition';
 import type { JobProgress } from '../../jobs/JobProgress';
 import type { TaskAddress } from '../../jobs/TaskAddress';
 import type { TaskName } from '../../jobs/TaskName';
-import { measureRemaining } from '../../jobs/measureRemaining';
-import { measureStepWork } from '../../jobs/measureStepWork';
+import { computeCriticalPaths } from '../../jobs/computeCriticalPaths';
+import { computeStepWork } from '../../jobs/computeStepWork';
 import { toTaskName } from '../../jobs/toTaskName';
-import { JobTrace } from '../../sight/JobTrace';
-import { AdviceBook } from '../advice/AdviceBook';
-import { StepTimes } from '../speeds/StepTimes';
-import type { GangSave } from '../stops/GangSave';
+import { JobTrace } from '../../logging/JobTrace';
+import { StepAdvice } from '../advice/StepAdvice';
+import { StepRunTimes } from '../speeds/StepRunTimes';
+import type { GangCheckpoint } from '../stops/GangCheckpoint';
 import { StepSpeeds } from './StepSpeeds';
 import { StepWait } from './StepWait';
 import { readWaitingSteps } from './readWaitingSteps';
@@ -17,13 +17,13 @@
 
 /** What the leader has learnt of one step. */
 interface StepMemory {
-  readonly advice: AdviceBook;
+  readonly advice: StepAdvice;
   readonly speeds: StepSpeeds;
-  readonly times: StepTimes;
+  readonly times: StepRunTimes;
   /** Endpoints on which runs of the step failed. */
-  readonly failedOn: Set<EndpointLife>;
+  readonly failedOn: Set<EndpointIncarnation>;
   /** What its gang goes on from; undefined while nothing is known, or it is no gang. */
-  gangSave: GangSave | undefined;
+  gangSave: GangCheckpoint | undefined;
   /** Room was made for the step so often without a start since, and may be made again at that monotonic time. */
   roomMade: { readonly count: number; readonly retryAt: number };
   /** Undefined while no task of the step was seen waiting since the last was placed. */
@@ -71,40 +71,40 @@
     /** Monotonic time at which a task may last have become able to start: the job was taken in, or a run ended. */
     public changedAt: number,
     /** The customer had sent more than it is owed when it sent this job. */
-    readonly isBeyondShare = false,
+    readonly isOverShare = false,
   ) {
     this.trace = new JobTrace(changedAt);
-    this.remainingMs = measureRemaining(definition.steps);
+    this.remainingMs = computeCriticalPaths(definition.steps);
     this.chainMs = Math.max(0, ...this.remainingMs);
   }
 
   /** Wall clock time at which repetition `time` may start. */
-  readDueAtMs(time: number): number {
+  getDueAtMs(time: number): number {
     return this.definition.firstRunMs + time * this.definition.intervalMs;
   }
 
   /** Wall clock time by which repetition `time` should be complete. */
-  readObjectiveAtMs(time: number): number {
+  getObjectiveAtMs(time: number): number {
     const { queue, acceptedAtMs } = this.definition;
-    const startsAt = Math.max(acceptedAtMs, this.readDueAtMs(time));
+    const startsAt = Math.max(acceptedAtMs, this.getDueAtMs(time));
     return startsAt + queue.targetLatencyMs + queue.stretch * this.chainMs;
   }
 
   /** Longest chain of estimated work from the start of a step to the job's end, in milliseconds. */
-  readRemainingMs(step: number): number {
+  getCriticalPathMs(step: number): number {
     return this.remainingMs[step] ?? 0;
   }
 
   /** Longest chain of estimated work after a step, in milliseconds. */
-  readRestMs(step: number): number {
+  getCriticalPathAfterMs(step: number): number {
     const shape = this.definition.steps[step];
-    const ownMs = shape === undefined ? 0 : measureStepWork(shape);
-    return this.readRemainingMs(step) - ownMs;
+    const ownMs = shape === undefined ? 0 : computeStepWork(shape);
+    return this.getCriticalPathMs(step) - ownMs;
   }
 
   /** Steps with tasks to start at a wall clock time. Worked out anew only when something has changed. */
-  readWaiting(wallMs: number): readonly WaitingStep[] {
-    const version = this.progress.readVersion();
+  getWaitingSteps(wallMs: number): readonly WaitingStep[] {
+    const version = this.progress.getVersion();
     const known = this.waiting;
     if (known?.version === version && wallMs >= known.fromMs && wallMs < known.untilMs) {
       return known.steps;
@@ -114,15 +114,15 @@
     return steps;
   }
 
-  readAdvice(time: number, step: number): AdviceBook {
+  getAdvice(time: number, step: number): StepAdvice {
     return this.readStepMemory(time, step).advice;
   }
 
-  readSpeeds(time: number, step: number): StepSpeeds {
+  getSpeeds(time: number, step: number): StepSpeeds {
     return this.readStepMemory(time, step).speeds;
   }
 
-  readTimes(time: number, step: number): StepTimes {
+  getTimes(time: number, step: number): StepRunTimes {
     return this.readStepMemory(time, step).times;
   }
 
@@ -145,12 +145,12 @@
   }
 
   /** The newest checkpoint that members of a step's gang have left; undefined when none is known. */
-  readGangSave(time: number, step: number): string | undefined {
+  getGangCheckpoint(time: number, step: number): string | undefined {
     return this.readStepMemory(time, step).gangSave?.checkpoint;
   }
 
   /** A member of a gang has ended and left a checkpoint. */
-  recordGangSave(time: number, step: number, save: GangSave): void {
+  recordGangCheckpoint(time: number, step: number, save: GangCheckpoint): void {
     const memory = this.readStepMemory(time, step);
     const known = memory.gangSave;
     if (
@@ -180,11 +180,11 @@
     memory.roomMade = { ...memory.roomMade, retryAt: until };
   }
 
-  hasFailedOn(time: number, step: number, endpoint: EndpointLife): boolean {
+  hasFailedOn(time: number, step: number, endpoint: EndpointIncarnation): boolean {
     return this.readStepMemory(time, step).failedOn.has(endpoint);
   }
 
-  recordFailedOn(time: number, step: number, endpoint: EndpointLife): void {
+  recordFailureOn(time: number, step: number, endpoint: EndpointIncarnation): void {
     this.readStepMemory(time, step).failedOn.add(endpoint);
   }
 
@@ -198,24 +198,24 @@
   }
 
   /** A task is not started before a monotonic time. */
-  recordPause(address: TaskAddress, until: number): void {
+  recordBackoff(address: TaskAddress, until: number): void {
     const task = toTaskName(this.definition.id, address);
     this.pauses.set(task, Math.max(until, this.pauses.get(task) ?? until));
   }
 
   /** An endpoint did not take a start of the task: the next one follows at once, later ones ever more rarely. */
-  recordTurnedDown(address: TaskAddress, now: number): void {
+  recordStartRejected(address: TaskAddress, now: number): void {
     const task = toTaskName(this.definition.id, address);
     const count = (this.turnDowns.get(task) ?? 0) + 1;
     this.turnDowns.set(task, count);
     if (count > 1) {
       const pauseMs = Math.min(MAX_TURNED_DOWN_PAUSE_MS, TURNED_DOWN_PAUSE_MS * 2 ** (count - 2));
-      this.recordPause(address, now + pauseMs);
+      this.recordBackoff(address, now + pauseMs);
     }
   }
 
   /** An endpoint took a start of the task. */
-  recordTaken(address: TaskAddress): void {
+  recordStartAccepted(address: TaskAddress): void {
     if (this.turnDowns.size > 0) {
       this.turnDowns.delete(toTaskName(this.definition.id, address));
     }
@@ -233,10 +233,10 @@
       return known;
     }
     const created = {
-      advice: new AdviceBook(),
+      advice: new StepAdvice(),
       speeds: new StepSpeeds(),
-      times: new StepTimes(),
-      failedOn: new Set<EndpointLife>(),
+      times: new StepRunTimes(),
+      failedOn: new Set<EndpointIncarnation>(),
       gangSave: undefined,
       roomMade: NO_ROOM_MADE,
       wait: undefined,
@@ -247,7 +247,7 @@
 
   private readNextDueAtMs(wallMs: number): number {
     for (let time = 0; time < this.definition.times; time += 1) {
-      const dueAtMs = this.readDueAtMs(time);
+      const dueAtMs = this.getDueAtMs(time);
       if (dueAtMs > wallMs) {
         return dueAtMs;
       }
@@ -256,8 +256,8 @@
   }
 
   /** Failed runs that count against the attempts of a task, or of its gang. */
-  readFailures(time: number, step: number, index: number): number {
-    const tasks = this.progress.readTasks(time, step);
+  countFailures(time: number, step: number, index: number): number {
+    const tasks = this.progress.listTasks(time, step);
     if (this.definition.steps[step]?.isGang === true) {
       return tasks.reduce((sum, task) => sum + task.failures, 0);
     }
--- a/packages/dispatch/waiting/WaitTeller.ts
+++ b/packages/dispatch/waiting/LongWaitLogger.ts
@@ -1,5 +1,5 @@
 import type { JobId } from '../../jobs/JobId';
-import type { LineFields } from '../../sight/LineFields';
+import type { LineFields } from '../../logging/LineFields';
 import type { LiveJob } from './LiveJob';
 import type { StepWait } from './StepWait';
 import { toRoundedTimes } from './toRoundedTimes';
@@ -23,7 +23,7 @@
  * Tells why steps wait while they do so, each time the wait has doubled: once they are placed the line of it tells, but a leader may go before
  * that, and what it knew of the wait goes with it.
  */
-export class WaitTeller {
+export class LongWaitLogger {
   private lookedAt = -Infinity;
   /** How long each had waited when it was last told, in milliseconds. */
   private readonly told = new WeakMap<StepWait, number>();
@@ -33,7 +33,7 @@
     private readonly sendTell: (sentence: string, fields: LineFields) => void,
   ) {}
 
-  applyTime(now: number): void {
+  logLongWaits(now: number): void {
     if (now - this.lookedAt < LOOK_MS) {
       return;
     }
@@ -46,7 +46,7 @@
   }
 
   /** Fields of a line about each wait that goes on: this leader goes, and the next one knows nothing of them. */
-  readAll(now: number): readonly LineFields[] {
+  listOpenWaits(now: number): readonly LineFields[] {
     return [...this.jobs.values()]
       .filter(({ progress }) => !progress.isEnded())
       .flatMap((job) => job.readWaits().map(([name, wait]) => toFields(job, name, wait.readTimes(now))));
--- a/packages/dispatch/waiting/StepSpeeds.ts
+++ b/packages/dispatch/waiting/StepSpeeds.ts
@@ -22,7 +22,7 @@
   }
 
   /** The median pace; undefined while too few are known. */
-  readMedian(): number | undefined {
+  getMedian(): number | undefined {
     if (this.paces.size < MIN_SAMPLES) {
       return undefined;
     }
@@ -31,7 +31,7 @@
   }
 
   /** The median of the paces as they would be on a usual endpoint; undefined while too few are known. */
-  readCorrectedMedian(): number | undefined {
+  getNormalizedMedian(): number | undefined {
     if (this.corrected.size < MIN_SAMPLES) {
       return undefined;
     }
--- a/packages/dispatch/waiting/placementOrders.ts
+++ b/packages/dispatch/waiting/placementOrders.ts
@@ -15,14 +15,14 @@
 
 const measureObjective: Rule = (left, right) => left.objectiveAtMs - right.objectiveAtMs;
 
-const measureShare: Rule = (left, right) => Number(left.job.isBeyondShare) - Number(right.job.isBeyondShare);
+const measureShare: Rule = (left, right) => Number(left.job.isOverShare) - Number(right.job.isOverShare);
 
 /** Processors that a step's customer has running for each unit of its weight; 0 for jobs of no customer. */
 const readWeightedUsage = ({ job }: WaitingStep, usage: CustomerUsage): number => {
   const { customer } = job.definition;
   return customer === undefined || customer.weight === 0
     ? 0
-    : usage.readTaken(customer.name).cpuMillis / customer.weight;
+    : usage.getUsed(customer.name).cpuMillis / customer.weight;
 };
 
 const measureUsage: Rule = (left, right, { usage }) =>
@@ -58,15 +58,15 @@
 export const placementOrders: Readonly<
   Record<
     PlacementOrder,
-    { readonly toOrder: (waiting: readonly WaitingStep[], input: OrderInput) => readonly WaitingStep[] }
+    { readonly sortSteps: (waiting: readonly WaitingStep[], input: OrderInput) => readonly WaitingStep[] }
   >
 > = {
-  objective: { toOrder: toSorter(RULES.objective) },
-  shares: { toOrder: toSharesOrder },
-  usage: { toOrder: toSorter(RULES.usage) },
-  sharesThenUsage: { toOrder: toSorter(RULES.sharesThenUsage) },
+  objective: { sortSteps: toSorter(RULES.objective) },
+  shares: { sortSteps: toSharesOrder },
+  usage: { sortSteps: toSorter(RULES.usage) },
+  sharesThenUsage: { sortSteps: toSorter(RULES.sharesThenUsage) },
   // Without customers to divide room among, this order is no other than the usual one.
   held: {
-    toOrder: (waiting, input) => (hasShares(waiting) ? toHeldOrder : toSharesOrder)(waiting, input),
+    sortSteps: (waiting, input) => (hasShares(waiting) ? toHeldOrder : toSharesOrder)(waiting, input),
   },
 };
--- a/packages/dispatch/waiting/readWaitingSteps.ts
+++ b/packages/dispatch/waiting/readWaitingSteps.ts
@@ -9,7 +9,7 @@
   const waiting: WaitingStep[] = [];
   const { definition, progress } = job;
   for (let time = 0; time < definition.times; time += 1) {
-    if (job.readDueAtMs(time) > wallMs) {
+    if (job.getDueAtMs(time) > wallMs) {
       break;
     }
     for (const [step, shape] of definition.steps.entries()) {
@@ -17,7 +17,7 @@
         continue;
       }
       const indexes: number[] = [];
-      for (const [index, task] of progress.readTasks(time, step).entries()) {
+      for (const [index, task] of progress.listTasks(time, step).entries()) {
         if (task.phase === 'waiting') {
           indexes.push(index);
         }
@@ -25,7 +25,7 @@
       if (indexes.length === 0 || (shape.isGang && !isGangWhole(indexes, shape.count))) {
         continue;
       }
-      waiting.push({ job, time, step, shape, indexes, objectiveAtMs: job.readObjectiveAtMs(time) });
+      waiting.push({ job, time, step, shape, indexes, objectiveAtMs: job.getObjectiveAtMs(time) });
     }
   }
   return waiting;
--- a/packages/dispatch/waiting/toHeldOrder.ts
+++ b/packages/dispatch/waiting/toHeldOrder.ts
@@ -1,11 +1,11 @@
 import type { CustomerName } from '../../customers/CustomerName';
 import type { TaskDemand } from '../../jobs/TaskDemand';
-import { toUsefulMs } from '../../jobs/toUsefulMs';
-import type { OwedShares } from '../../load/OwedShares';
-import { toDominantShare } from '../../load/toDominantShare';
-import { toOwedShares } from '../../load/toOwedShares';
+import { computeMaxUsefulMs } from '../../jobs/computeMaxUsefulMs';
+import type { FairShares } from '../../load/FairShares';
+import { computeDominantShare } from '../../load/computeDominantShare';
+import { computeFairShares } from '../../load/computeFairShares';
 import type { OrderInput } from './OrderInput';
-import { toWaitingDemand } from './toWaitingDemand';
+import { computeWaitingDemand } from './computeWaitingDemand';
 import type { WaitingStep } from './WaitingStep';
 
 /** A waiting step with what it is sorted by, worked out once a round. */
@@ -34,13 +34,13 @@
   return customer === undefined || customer.weight === 0 ? undefined : customer;
 };
 
-const readCertainMs = ({ job, step }: WaitingStep): number => job.readRemainingMs(step) * CERTAIN_PART;
+const readCertainMs = ({ job, step }: WaitingStep): number => job.getCriticalPathMs(step) * CERTAIN_PART;
 
 const toRanked = (step: WaitingStep, capacity: TaskDemand, input: OrderInput): RankedStep => {
   const { job, time, objectiveAtMs } = step;
   const remainingMs = (input.readRemainingMs ?? readCertainMs)(step);
-  const startedAtMs = Math.max(job.definition.acceptedAtMs, job.readDueAtMs(time));
-  const usefulUntilMs = startedAtMs + toUsefulMs(objectiveAtMs - startedAtMs);
+  const startedAtMs = Math.max(job.definition.acceptedAtMs, job.getDueAtMs(time));
+  const usefulUntilMs = startedAtMs + computeMaxUsefulMs(objectiveAtMs - startedAtMs);
   const isInTime = input.wallMs + remainingMs <= objectiveAtMs;
   const isUseful = input.wallMs + remainingMs <= usefulUntilMs;
   return {
@@ -48,24 +48,24 @@
     priority: job.definition.queue.priority,
     timeliness: isInTime ? TIMELINESS.inTime : isUseful ? TIMELINESS.late : TIMELINESS.useless,
     startByMs: (isInTime ? objectiveAtMs : usefulUntilMs) - remainingMs,
-    share: toDominantShare(toWaitingDemand(step), capacity),
+    share: computeDominantShare(computeWaitingDemand(step), capacity),
     isBeyond: false,
   };
 };
 
 /** What each customer that waits is owed beside what those hold that have nothing waiting. */
-const readOwed = (ranked: readonly RankedStep[], held: ReadonlyMap<CustomerName, number>): OwedShares => {
-  const wanted = new Map<CustomerName, { weight: number; wantedShare: number }>();
+const readOwed = (ranked: readonly RankedStep[], held: ReadonlyMap<CustomerName, number>): FairShares => {
+  const wanted = new Map<CustomerName, { weight: number; demandedShare: number }>();
   for (const { step, share } of ranked) {
     const customer = readShareholder(step);
     if (customer !== undefined) {
-      const before = wanted.get(customer.name)?.wantedShare ?? held.get(customer.name) ?? 0;
-      wanted.set(customer.name, { weight: customer.weight, wantedShare: before + share });
+      const before = wanted.get(customer.name)?.demandedShare ?? held.get(customer.name) ?? 0;
+      wanted.set(customer.name, { weight: customer.weight, demandedShare: before + share });
     }
   }
   const others = [...held].reduce((sum, [name, share]) => sum + (wanted.has(name) ? 0 : share), 0);
   const claims = [...wanted].map(([customer, claim]) => ({ customer, ...claim }));
-  return toOwedShares(claims, Math.max(0, 1 - others));
+  return computeFairShares(claims, Math.max(0, 1 - others));
 };
 
 /**
@@ -74,8 +74,8 @@
  */
 const recordBeyond = (ranked: readonly RankedStep[], { usage }: OrderInput, capacity: TaskDemand): void => {
   const held = new Map<CustomerName, number>();
-  for (const [name, { taken }] of usage.readAll()) {
-    held.set(name, toDominantShare(taken, capacity));
+  for (const [name, { taken }] of usage.getAll()) {
+    held.set(name, computeDominantShare(taken, capacity));
   }
   const owed = readOwed(ranked, held);
   const counted = new Map<number, Map<CustomerName, number>>();
--- a/packages/dispatch/waiting/waitTimeNames.ts
+++ b/packages/dispatch/waiting/waitMetricNames.ts
@@ -1,7 +1,7 @@
 import type { WaitCause } from './WaitCause';
 
 /** Names of the measured times by what a task waited for. */
-export const waitTimeNames = {
+export const waitMetricNames = {
   round: 'waitRoundMs',
   turn: 'waitTurnMs',
   answer: 'waitAnswerMs',
--- a/packages/jobs/JobProgress.ts
+++ b/packages/jobs/JobProgress.ts
@@ -1,5 +1,5 @@
 import { toId } from '../common/toId';
-import type { EndpointLife } from './EndpointLife';
+import type { EndpointIncarnation } from './EndpointIncarnation';
 import type { JobDefinition } from './JobDefinition';
 import type { JobState } from './JobState';
 import type { RunOutcome } from './RunOutcome';
@@ -7,7 +7,7 @@
 import type { TaskCrash } from './TaskCrash';
 import type { TaskProgress } from './TaskProgress';
 
-const NOWHERE = toId<EndpointLife>('');
+const NOWHERE = toId<EndpointIncarnation>('');
 const UNTOUCHED: TaskProgress = {
   phase: 'waiting',
   run: 0,
@@ -43,24 +43,24 @@
     this.openTotal = definition.times * definition.steps.reduce((sum, step) => sum + step.count, 0);
   }
 
-  readTask(address: TaskAddress): TaskProgress | undefined {
+  getTask(address: TaskAddress): TaskProgress | undefined {
     return this.tasks[address.time]?.[address.step]?.[address.index];
   }
 
-  readTasks(time: number, step: number): readonly TaskProgress[] {
+  listTasks(time: number, step: number): readonly TaskProgress[] {
     return this.tasks[time]?.[step] ?? [];
   }
 
   /** A number that rises with each change of a task. */
-  readVersion(): number {
+  getVersion(): number {
     return this.version;
   }
 
-  readState(): JobState {
+  getState(): JobState {
     return this.ending ?? (this.begun ? 'running' : 'queued');
   }
 
-  readEndedAtMs(): number {
+  getEndedAtMs(): number {
     return this.endedAtMs;
   }
 
@@ -73,7 +73,7 @@
   }
 
   /** Tasks of a step that are not done. */
-  readOpenCount(time: number, step: number): number {
+  countOpenTasks(time: number, step: number): number {
     return this.open[time]?.[step] ?? 0;
   }
 
@@ -87,8 +87,8 @@
   }
 
   /** Records that a run was placed. */
-  recordPlaced(address: TaskAddress, run: number, endpoint: EndpointLife): void {
-    const task = this.readTask(address);
+  recordPlaced(address: TaskAddress, run: number, endpoint: EndpointIncarnation): void {
+    const task = this.getTask(address);
     if (task === undefined || task.phase === 'done' || run <= task.run) {
       return;
     }
@@ -97,8 +97,8 @@
   }
 
   /** Records that the newest run, which has not ended, may have reached another life than the one that it was placed on. */
-  recordCarried(address: TaskAddress, run: number, endpoint: EndpointLife): void {
-    const task = this.readTask(address);
+  recordTransfer(address: TaskAddress, run: number, endpoint: EndpointIncarnation): void {
+    const task = this.getTask(address);
     if (task?.phase === 'placed' && task.run === run) {
       this.writeTask(address, { ...task, endpoint });
     }
@@ -106,7 +106,7 @@
 
   /** Records how the newest run ended. Returns false when that run is not the newest, or has ended before. */
   recordEnd(address: TaskAddress, run: number, outcome: RunOutcome, checkpoint: string): boolean {
-    const task = this.readTask(address);
+    const task = this.getTask(address);
     if (task === undefined || task.phase !== 'placed' || task.run !== run) {
       return false;
     }
@@ -122,7 +122,7 @@
 
   /** Records that a gang is done: the end of one member stands for all, also for those whose own end was lost. */
   recordGangDone(time: number, step: number): void {
-    for (const [index, task] of this.readTasks(time, step).entries()) {
+    for (const [index, task] of this.listTasks(time, step).entries()) {
       if (task.phase !== 'done') {
         this.writeDone({ time, step, index }, task);
       }
@@ -131,7 +131,7 @@
 
   /** Records a newer checkpoint of a task. */
   recordCheckpoint(address: TaskAddress, checkpoint: string): void {
-    const task = this.readTask(address);
+    const task = this.getTask(address);
     if (task !== undefined && task.phase !== 'done' && checkpoint !== '') {
       this.writeTask(address, { ...task, checkpoint });
     }
@@ -139,7 +139,7 @@
 
   /** Sets the count of failed runs, as read from the log. */
   recordFailures(address: TaskAddress, failures: number): void {
-    const task = this.readTask(address);
+    const task = this.getTask(address);
     if (task !== undefined) {
       this.writeTask(address, { ...task, failures });
     }
@@ -147,7 +147,7 @@
 
   /** Records that an endpoint ended under a task, or what is newly known of that. */
   recordCrash(address: TaskAddress, crash: TaskCrash): void {
-    const task = this.readTask(address);
+    const task = this.getTask(address);
     if (task !== undefined && task.phase !== 'done') {
       const isOther = ({ endpoint }: TaskCrash): boolean => endpoint !== crash.endpoint;
       const crashes = [...task.crashes.filter(isOther), crash];
@@ -156,8 +156,8 @@
   }
 
   /** Notes that an endpoint fell silent for good under a task, which is to be charged with it once it is known to have ended. */
-  recordDoubt(address: TaskAddress, doubt: TaskCrash): void {
-    const task = this.readTask(address);
+  recordUnconfirmedCrash(address: TaskAddress, doubt: TaskCrash): void {
+    const task = this.getTask(address);
     if (task !== undefined && task.phase !== 'done') {
       const others = task.doubts.filter(({ endpoint }) => endpoint !== doubt.endpoint);
       this.writeTask(address, { ...task, doubts: [...others, doubt] });
@@ -165,8 +165,8 @@
   }
 
   /** Drops the note on an endpoint. */
-  revokeDoubt(address: TaskAddress, endpoint: EndpointLife): void {
-    const task = this.readTask(address);
+  removeUnconfirmedCrash(address: TaskAddress, endpoint: EndpointIncarnation): void {
+    const task = this.getTask(address);
     if (task?.doubts.some((doubt) => doubt.endpoint === endpoint) === true) {
       this.writeTask(address, {
         ...task,
@@ -176,8 +176,8 @@
   }
 
   /** Takes back some of what was recorded of endpoints. Returns false when there was nothing of it. */
-  revokeCrashes(address: TaskAddress, isRevoked: (crash: TaskCrash) => boolean): boolean {
-    const task = this.readTask(address);
+  removeCrashes(address: TaskAddress, isRevoked: (crash: TaskCrash) => boolean): boolean {
+    const task = this.getTask(address);
     if (task === undefined || ![...task.crashes, ...task.doubts].some(isRevoked)) {
       return false;
     }
--- a/packages/jobs/JobReplica.ts
+++ b/packages/jobs/JobReplica.ts
@@ -11,7 +11,7 @@
   readonly accepted: readonly JobDefinition[];
   readonly cancelled: readonly JobId[];
   /** Jobs whose records cannot be read: another writer's, since each box checks what it accepts. They are passed over. */
-  readonly refused: readonly JobId[];
+  readonly invalid: readonly JobId[];
 }
 
 /** All jobs as the log shows them: accepted definitions, cancels, and the newest state of each. */
@@ -40,7 +40,7 @@
         cancelled.push(cancelId);
       }
     }
-    return { accepted, cancelled, refused };
+    return { accepted, cancelled, invalid: refused };
   }
 
   /** Takes in a job that is durable. Returns false when it was known. */
@@ -78,25 +78,25 @@
   }
 
   /** Takes a newer state from the process itself, as it would come from the log. */
-  applyState(id: JobId, state: JobState): void {
+  setState(id: JobId, state: JobState): void {
     this.states.set(id, state);
   }
 
   /** The state that leaders have written. */
-  readWrittenState(id: JobId): JobState {
+  getWrittenState(id: JobId): JobState {
     return this.states.get(id) ?? 'queued';
   }
 
-  readDefinition(id: JobId): JobDefinition | undefined {
+  getDefinition(id: JobId): JobDefinition | undefined {
     return this.definitions.get(id);
   }
 
-  readJobCount(): number {
+  countJobs(): number {
     return this.definitions.size;
   }
 
   /** All jobs in the order of acceptance, the same in every process that has read them. */
-  readDefinitionsInOrder(): readonly JobDefinition[] {
+  listDefinitionsInOrder(): readonly JobDefinition[] {
     return [...this.definitions.values()].sort(
       (left, right) => left.acceptedAtMs - right.acceptedAtMs || (left.id < right.id ? -1 : 1),
     );
@@ -107,17 +107,17 @@
   }
 
   /** State for callers; undefined for an unknown job. */
-  readState(id: JobId): JobState | undefined {
+  getState(id: JobId): JobState | undefined {
     if (!this.definitions.has(id)) {
       return undefined;
     }
-    const state = this.readWrittenState(id);
+    const state = this.getWrittenState(id);
     const isEnded = state === 'completed' || state === 'failed';
     return this.cancelled.has(id) && !isEnded ? 'cancelled' : state;
   }
 
   /** Jobs of a queue none of whose tasks has begun. */
-  readPendingCount(queueName: string): number {
+  countPending(queueName: string): number {
     let count = 0;
     for (const definition of this.definitions.values()) {
       const isPending = !this.states.has(definition.id) && !this.cancelled.has(definition.id);
--- a/packages/jobs/TaskProgress.ts
+++ b/packages/jobs/TaskProgress.ts
@@ -1,4 +1,4 @@
-import type { EndpointLife } from './EndpointLife';
+import type { EndpointIncarnation } from './EndpointIncarnation';
 import type { TaskCrash } from './TaskCrash';
 import type { TaskPhase } from './TaskPhase';
 
@@ -10,7 +10,7 @@
   /** Runs that ended in failure. */
   readonly failures: number;
   /** Where the newest run was placed; empty before the first. */
-  readonly endpoint: EndpointLife;
+  readonly endpoint: EndpointIncarnation;
   /** Newest checkpoint; empty for none. */
   readonly checkpoint: string;
   /** Endpoints that ended under the task, since it last worked for a while. */
--- a/packages/jobs/readDefinitionProblem.ts
+++ b/packages/jobs/checkDefinition.ts
@@ -4,7 +4,7 @@
 const MAX_TASKS = 100_000;
 
 /** Tells why the steps of a job cannot be taken; undefined when they can. */
-export const readDefinitionProblem = (steps: readonly JobStep[], times: number): string | undefined => {
+export const checkDefinition = (steps: readonly JobStep[], times: number): string | undefined => {
   if (steps.length === 0) {
     return 'steps: expected at least one';
   }
--- a/packages/jobs/measureRemaining.ts
+++ b/packages/jobs/computeCriticalPaths.ts
@@ -1,18 +1,18 @@
 import type { JobStep } from './JobStep';
-import { measureStepWork } from './measureStepWork';
+import { computeStepWork } from './computeStepWork';
 
 /**
  * Longest chain of estimated work from the start of each step to the end of the job, in milliseconds, by the step's number. The largest is that
  * of the whole job.
  */
-export const measureRemaining = (steps: readonly JobStep[]): readonly number[] => {
-  const remaining = steps.map(measureStepWork);
+export const computeCriticalPaths = (steps: readonly JobStep[]): readonly number[] => {
+  const remaining = steps.map(computeStepWork);
   // Steps depend on earlier ones only, so that from the last to the first each one's followers are complete.
   for (const [number, { dependsOn }] of [...steps.entries()].reverse()) {
     for (const earlier of dependsOn) {
       remaining[earlier] = Math.max(
         remaining[earlier]!,
-        measureStepWork(steps[earlier]!) + remaining[number]!,
+        computeStepWork(steps[earlier]!) + remaining[number]!,
       );
     }
   }
--- a/packages/jobs/measureStepWork.ts
+++ b/packages/jobs/computeStepWork.ts
@@ -1,5 +1,5 @@
 import type { JobStep } from './JobStep';
 
 /** Estimated work of one task of a step in milliseconds; steps that run on have no end to wait for. */
-export const measureStepWork = ({ isLongRunning, estimatedMs }: JobStep): number =>
+export const computeStepWork = ({ isLongRunning, estimatedMs }: JobStep): number =>
   isLongRunning ? 0 : estimatedMs;
--- a/packages/jobs/formatProgress.ts
+++ b/packages/jobs/formatProgress.ts
@@ -15,7 +15,7 @@
   const touched: Touched[] = [];
   for (let time = 0; time < definition.times; time += 1) {
     for (const [step] of definition.steps.entries()) {
-      for (const [index, task] of progress.readTasks(time, step).entries()) {
+      for (const [index, task] of progress.listTasks(time, step).entries()) {
         if (task.run > 0) {
           touched.push([time, step, index, task]);
         }
@@ -39,10 +39,10 @@
   });
   const crashes = toCrashRows(touched, 'crashes');
   const doubts = toCrashRows(touched, 'doubts');
-  const ending = progress.isEnded() ? progress.readState() : undefined;
+  const ending = progress.isEnded() ? progress.getState() : undefined;
   return JSON.stringify({
     ending,
-    endedAtMs: progress.readEndedAtMs(),
+    endedAtMs: progress.getEndedAtMs(),
     tasks: rows,
     ...(crashes.length === 0 ? {} : { crashes }),
     ...(doubts.length === 0 ? {} : { doubts }),
--- a/packages/jobs/parseDefinition.ts
+++ b/packages/jobs/parseDefinition.ts
@@ -2,7 +2,7 @@
 import { definitionSchema } from './definitionSchema';
 import type { JobDefinition } from './JobDefinition';
 import type { JobId } from './JobId';
-import { readDefinitionProblem } from './readDefinitionProblem';
+import { checkDefinition } from './checkDefinition';
 
 /** Reads the log record of an accepted job; undefined when it is none, or that of another job, or could not have been accepted. */
 export const parseDefinition = (id: JobId, text: string): JobDefinition | undefined => {
@@ -11,5 +11,5 @@
     return undefined;
   }
   const { steps, times } = parsed.data;
-  return readDefinitionProblem(steps, times) === undefined ? parsed.data : undefined;
+  return checkDefinition(steps, times) === undefined ? parsed.data : undefined;
 };
--- a/packages/jobs/parseProgress.ts
+++ b/packages/jobs/parseProgress.ts
@@ -1,7 +1,7 @@
 import { z } from 'zod';
 import { parseJson } from '../common/parseJson';
 import { toId } from '../common/toId';
-import type { EndpointLife } from './EndpointLife';
+import type { EndpointIncarnation } from './EndpointIncarnation';
 import type { JobDefinition } from './JobDefinition';
 import { JobProgress } from './JobProgress';
 
@@ -40,7 +40,7 @@
   const progress = new JobProgress(definition);
   for (const [time, step, index, phase, run, failures, endpoint, checkpoint] of parsed.data.tasks) {
     const address = { time, step, index };
-    progress.recordPlaced(address, run, toId<EndpointLife>(endpoint));
+    progress.recordPlaced(address, run, toId<EndpointIncarnation>(endpoint));
     if (phase !== 'p') {
       progress.recordEnd(address, run, phase === 'd' ? 'done' : 'interrupted', checkpoint);
     } else {
@@ -50,12 +50,18 @@
   }
   for (const [time, step, index, rows] of parsed.data.crashes) {
     for (const [endpoint, blame, ageMs] of rows) {
-      progress.recordCrash({ time, step, index }, { endpoint: toId<EndpointLife>(endpoint), blame, ageMs });
+      progress.recordCrash(
+        { time, step, index },
+        { endpoint: toId<EndpointIncarnation>(endpoint), blame, ageMs },
+      );
     }
   }
   for (const [time, step, index, rows] of parsed.data.doubts) {
     for (const [endpoint, blame, ageMs] of rows) {
-      progress.recordDoubt({ time, step, index }, { endpoint: toId<EndpointLife>(endpoint), blame, ageMs });
+      progress.recordUnconfirmedCrash(
+        { time, step, index },
+        { endpoint: toId<EndpointIncarnation>(endpoint), blame, ageMs },
+      );
     }
   }
   if (parsed.data.ending !== undefined) {
--- a/packages/jobs/demandSums.ts
+++ b/packages/jobs/resourceMath.ts
@@ -1,20 +1,20 @@
 import type { TaskDemand } from './TaskDemand';
 
-const NOTHING: TaskDemand = { cpuMillis: 0, memoryMb: 0, accelerators: 0 };
+const ZERO: TaskDemand = { cpuMillis: 0, memoryMb: 0, accelerators: 0 };
 
-const toSum = (left: TaskDemand, right: TaskDemand): TaskDemand => ({
+const computeSum = (left: TaskDemand, right: TaskDemand): TaskDemand => ({
   cpuMillis: left.cpuMillis + right.cpuMillis,
   memoryMb: left.memoryMb + right.memoryMb,
   accelerators: left.accelerators + right.accelerators,
 });
 
-const toDifference = (left: TaskDemand, right: TaskDemand): TaskDemand => ({
+const computeDifference = (left: TaskDemand, right: TaskDemand): TaskDemand => ({
   cpuMillis: left.cpuMillis - right.cpuMillis,
   memoryMb: left.memoryMb - right.memoryMb,
   accelerators: left.accelerators - right.accelerators,
 });
 
-const toScaled = (demand: TaskDemand, factor: number): TaskDemand => ({
+const computeProduct = (demand: TaskDemand, factor: number): TaskDemand => ({
   cpuMillis: demand.cpuMillis * factor,
   memoryMb: demand.memoryMb * factor,
   accelerators: demand.accelerators * factor,
@@ -26,4 +26,10 @@
   need.accelerators <= room.accelerators;
 
 /** Arithmetic on demands of tasks; all functions are pure. */
-export const demandSums = { NOTHING, toSum, toDifference, toScaled, isWithin } as const;
+export const resourceMath = {
+  NOTHING: ZERO,
+  toSum: computeSum,
+  toDifference: computeDifference,
+  toScaled: computeProduct,
+  isWithin,
+} as const;
--- a/packages/leadership/LeaderWatch.ts
+++ b/packages/leadership/LeaderWatch.ts
@@ -27,7 +27,7 @@
   constructor(private readonly options: LeaderWatchOptions) {}
 
   /** Watches a leader's process from now on; undefined watches none. */
-  applyLeader(watched: Watched | undefined): void {
+  setLeader(watched: Watched | undefined): void {
     if (watched?.process === this.watched?.process && watched?.address === this.watched?.address) {
       return;
     }
--- a/packages/leadership/Leadership.ts
+++ b/packages/leadership/Leadership.ts
@@ -82,7 +82,7 @@
     this.shortJitter = options.random();
   }
 
-  readRecord(): LeaderRecord | undefined {
+  getRecord(): LeaderRecord | undefined {
     return this.record;
   }
 
@@ -92,7 +92,7 @@
     this.signAt = now;
     for (const { key, value } of records) {
       if (key !== leaderKeys.recordKey) {
-        this.leases.recordSign(now);
+        this.leases.recordActivity(now);
         continue;
       }
       const parsed = leaderRecordSchema.safeParse(parseJson(value));
@@ -158,7 +158,7 @@
   handleDeposed(): void {
     this.isLeading = false;
     this.signAt = this.options.clock.readNow();
-    this.leases.recordSign(this.signAt);
+    this.leases.recordActivity(this.signAt);
   }
 
   /** Claims no more. */
@@ -208,7 +208,7 @@
     if (this.record.box === box && this.record.process !== process) {
       return 'an earlier process of this box led';
     }
-    const silentMs = follower.readLastOkAt() - Math.max(this.signAt, this.readableSince);
+    const silentMs = follower.getLastSuccessAt() - Math.max(this.signAt, this.readableSince);
     if (silentMs <= leaderTimings.silenceMs) {
       this.silenceSeenAt = undefined;
       return undefined;
@@ -223,7 +223,7 @@
   }
 
   /** True while the leader has shown a sign within a time, and after a moment. Both are monotonic milliseconds. */
-  hasSignSince(after: number, withinMs: number): boolean {
+  hasActivitySince(after: number, withinMs: number): boolean {
     return this.signAt > after && this.options.clock.readNow() - this.signAt <= withinMs;
   }
 
@@ -243,8 +243,8 @@
       timeoutMs: CLAIM_TIMEOUT_MS,
     });
     // Without an answer the claim may still have landed: reading on shows it.
-    const target = answer.ok ? answer.value + 1 : (follower.readOffset() ?? 0) + 1;
-    await follower.startReadingTo(target, CLAIM_TIMEOUT_MS);
+    const target = answer.ok ? answer.value + 1 : (follower.getOffset() ?? 0) + 1;
+    await follower.waitForOffset(target, CLAIM_TIMEOUT_MS);
     if (this.isStopped || this.record?.epoch !== epoch || this.record.process !== this.options.process) {
       logger.info('Claim lost.', { epoch, leader: this.record?.process ?? '' });
       return;
@@ -253,7 +253,7 @@
     this.options.handleElected({
       epoch,
       claimedAt,
-      earlierLeasesEndAt: this.leases.readEarlierEndAt(),
+      earlierLeasesEndAt: this.leases.getEarlierEndAt(),
     });
   }
 }
--- a/packages/leadership/LeaseHistory.ts
+++ b/packages/leadership/LeaseHistory.ts
@@ -1,7 +1,7 @@
 import type { LeaderRecord } from './LeaderRecord';
 import { leaderTimings } from './leaderTimings';
 
-const { leaseMs, clockDriftShare, marginMs, unconfirmedMs } = leaderTimings;
+const { leaseMs, clockDriftShare, marginMs, unconfirmedGraceMs: unconfirmedMs } = leaderTimings;
 /** From the sending of a grant until all that it leased has certainly ended. */
 const LEASE_BOUND_MS = leaseMs * (1 + clockDriftShare) + marginMs;
 
@@ -25,12 +25,12 @@
       this.earlierEndAt = Math.max(this.earlierEndAt, this.readEndAt());
       this.epoch = epoch;
     }
-    this.recordSign(now);
+    this.recordActivity(now);
     this.hasStopped = isResigned;
   }
 
   /** Any record of the leader was read. */
-  recordSign(now: number): void {
+  recordActivity(now: number): void {
     this.signAt = now;
   }
 
@@ -43,7 +43,7 @@
   }
 
   /** Monotonic time by which all that the leaders before the newest one leased has ended. */
-  readEarlierEndAt(): number {
+  getEarlierEndAt(): number {
     return this.earlierEndAt;
   }
 
--- a/packages/leadership/leaderTimings.ts
+++ b/packages/leadership/leaderTimings.ts
@@ -13,5 +13,5 @@
   /** Added to every bound that is computed from a lease. */
   marginMs: 250,
   /** A leader that cannot write to the log renews leases for so long after its last answered write. */
-  unconfirmedMs: 8000,
+  unconfirmedGraceMs: 8000,
 } as const;
--- a/packages/ledger/createLedger.ts
+++ b/packages/ledger/createLedger.ts
@@ -1,7 +1,7 @@
 import { CauseSums } from './CauseSums';
 import type { JobAccount } from './JobAccount';
 import type { LedgerSpan } from './LedgerSpan';
-import { readStoryDepth } from '../sight/readStoryDepth';
+import { computeSamplingLevel } from '../logging/computeSamplingLevel';
 import { readBestPath } from './readBestPath';
 
 interface LedgerOptions {
@@ -105,7 +105,7 @@
   { windowMs, worstCount, depth = 0 }: LedgerOptions,
 ): Ledger => {
   const startedAt = accounts.reduce((first, { acceptedAt }) => Math.min(first, acceptedAt), Infinity);
-  const isInShare = ({ job }: JobAccount): boolean => readStoryDepth(job) >= depth;
+  const isInShare = ({ job }: JobAccount): boolean => computeSamplingLevel(job) >= depth;
   const isLate = ({ toldPath }: JobAccount): boolean => toldPath !== undefined;
   const ended = accounts.filter(({ endedAt }) => endedAt !== undefined).map(toLedgerJob);
   const chosen = ended.filter(({ account }) => isInShare(account));
--- a/packages/load/DoorAnswer.ts
+++ b/packages/load/AdmissionDecision.ts
@@ -5,7 +5,7 @@
  * - `bearable`: it is expected to wait, and to be of use all the same; it is taken.
  * - `hopeless`: it could not be of use any more; it is refused.
  */
-export type DoorAnswer =
+export type AdmissionDecision =
   | { readonly kind: 'unknown' | 'room' }
   | { readonly kind: 'bearable'; readonly expectedWaitMs: number }
   | { readonly kind: 'hopeless'; readonly expectedWaitMs: number; readonly retryAfterMs: number };
--- a/packages/load/Door.ts
+++ b/packages/load/AdmissionMode.ts
@@ -4,4 +4,4 @@
  * - `watch`: it is told and written beside each accepted job, and every job is taken.
  * - `load`: a job that by a fresh digest could not be of use is refused.
  */
-export type Door = 'open' | 'watch' | 'load';
+export type AdmissionMode = 'open' | 'watch' | 'load';
--- a/packages/load/DoorCaller.ts
+++ b/packages/load/AdmissionRequest.ts
@@ -4,7 +4,7 @@
 import type { JobStep } from '../jobs/JobStep';
 
 /** A job at the door. */
-export interface DoorCaller {
+export interface AdmissionRequest {
   readonly id: JobId;
   readonly queue: JobQueue;
   readonly customer: CustomerName | undefined;
--- a/packages/load/CustomerLoad.ts
+++ b/packages/load/CustomerLoad.ts
@@ -7,5 +7,5 @@
   /** Part of the scarcest resource that it holds, 0 to 1. */
   readonly dominantShare: number;
   /** Part that its weight gives it while everybody has work waiting, 0 to 1. */
-  readonly owedShare: number;
+  readonly fairShare: number;
 }
--- a/packages/load/LoadTeller.ts
+++ b/packages/load/LoadPublisher.ts
@@ -12,7 +12,7 @@
 const INTERVAL_MS = 1000;
 
 /** Decides when a leader tells its load, and what. One for each epoch. */
-export class LoadTeller {
+export class LoadPublisher {
   private readonly rates: StartRates;
   private sequence = 0;
   private toldAt = -Infinity;
@@ -31,7 +31,7 @@
   }
 
   /** The text of a digest that is due; undefined when none is, or nothing waits and the boxes know it. */
-  createDue({ now, wallMs }: LoadMoment, readSnapshot: () => LoadSnapshot): string | undefined {
+  createDueDigest({ now, wallMs }: LoadMoment, readSnapshot: () => LoadSnapshot): string | undefined {
     if (now - this.toldAt < INTERVAL_MS) {
       return undefined;
     }
@@ -49,7 +49,7 @@
         sequence: this.sequence,
         madeAtMs: Math.round(wallMs),
         snapshot,
-        readStartsPerSecond: (queue) => this.rates.readPerSecond(queue, now),
+        getStartsPerSecond: (queue) => this.rates.computePerSecond(queue, now),
       }),
     );
   }
--- a/packages/load/LoadView.ts
+++ b/packages/load/LoadView.ts
@@ -48,15 +48,15 @@
   }
 
   /** Milliseconds since the newest digest was made; undefined without one. */
-  readAgeMs({ now, wallMs }: LoadMoment): number | undefined {
+  getAgeMs({ now, wallMs }: LoadMoment): number | undefined {
     // Clocks that are apart, and records that are read long after they were written, may make a digest older than it is, not younger.
     return this.newest && Math.max(now - this.readAt, wallMs - this.newest.madeAtMs);
   }
 
   /** The load to go by; undefined when there is none, it is old, or a newer leader has not told its own yet. */
-  readLoad(moment: LoadMoment): KnownLoad | undefined {
+  getLoad(moment: LoadMoment): KnownLoad | undefined {
     const digest = this.newest;
-    const ageMs = this.readAgeMs(moment);
+    const ageMs = this.getAgeMs(moment);
     if (
       digest === undefined ||
       ageMs === undefined ||
--- a/packages/load/StartRates.ts
+++ b/packages/load/StartRates.ts
@@ -23,7 +23,7 @@
   }
 
   /** Starts a second; undefined while it has been counted for too short a time. */
-  readPerSecond(queue: string, now: number): number | undefined {
+  computePerSecond(queue: string, now: number): number | undefined {
     return now - this.since < LEARN_MS ? undefined : Math.max(0, ...this.readRecent(queue, now).values());
   }
 
--- a/packages/load/chooseDoorAnswer.ts
+++ b/packages/load/chooseAdmission.ts
@@ -1,7 +1,7 @@
-import { measureRemaining } from '../jobs/measureRemaining';
-import { toUsefulMs } from '../jobs/toUsefulMs';
-import type { DoorAnswer } from './DoorAnswer';
-import type { DoorCaller } from './DoorCaller';
+import { computeCriticalPaths } from '../jobs/computeCriticalPaths';
+import { computeMaxUsefulMs } from '../jobs/computeMaxUsefulMs';
+import type { AdmissionDecision } from './AdmissionDecision';
+import type { AdmissionRequest } from './AdmissionRequest';
 import type { KnownLoad } from './KnownLoad';
 import type { LoadDigest } from './LoadDigest';
 
@@ -13,19 +13,19 @@
 const ID_DIGITS = 6;
 
 /** Processor time that the job could start with at once. */
-const measureFirstCpu = ({ steps }: DoorCaller): number =>
+const measureFirstCpu = ({ steps }: AdmissionRequest): number =>
   steps
     .filter(({ dependsOn, isFiller }) => dependsOn.length === 0 && !isFiller)
     .reduce((sum, { count, demand }) => sum + count * demand.cpuMillis, 0);
 
 /** Longest time that a job may wait before it is of no use, by its caller's estimates; they err on the side of taking. */
-const measureUsefulMs = ({ queue, steps, dueInMs }: DoorCaller): number => {
-  const objectiveMs = queue.targetLatencyMs + queue.stretch * Math.max(0, ...measureRemaining(steps));
-  return dueInMs + toUsefulMs(objectiveMs);
+const measureUsefulMs = ({ queue, steps, dueInMs }: AdmissionRequest): number => {
+  const objectiveMs = queue.targetLatencyMs + queue.stretch * Math.max(0, ...computeCriticalPaths(steps));
+  return dueInMs + computeMaxUsefulMs(objectiveMs);
 };
 
 /** A customer that holds less than it is owed waits behind others for so much less. */
-const readPatience = (digest: LoadDigest, { customer }: DoorCaller): number => {
+const readPatience = (digest: LoadDigest, { customer }: AdmissionRequest): number => {
   if (customer === undefined) {
     return 1;
   }
@@ -33,13 +33,13 @@
   if (load === undefined) {
     return digest.customers.length === 0 ? 1 : 0;
   }
-  return load.owedShare === 0 ? 1 : Math.min(1, load.dominantShare / load.owedShare);
+  return load.fairShare === 0 ? 1 : Math.min(1, load.dominantShare / load.fairShare);
 };
 
 /** Where in the time of return a job stands, 0 to 1; the same on every box. */
-const toSpread = ({ id }: DoorCaller): number => parseInt(id.slice(-ID_DIGITS), 16) / 16 ** ID_DIGITS;
+const toSpread = ({ id }: AdmissionRequest): number => parseInt(id.slice(-ID_DIGITS), 16) / 16 ** ID_DIGITS;
 
-const measureRetryMs = (hopelessMs: number, caller: DoorCaller): number => {
+const measureRetryMs = (hopelessMs: number, caller: AdmissionRequest): number => {
   const earliestMs = Math.max(MIN_RETRY_MS, hopelessMs);
   const spreadMs = Math.round(earliestMs * (1 + SPREAD_PART * toSpread(caller)));
   // Within its time a caller may come back; the spread alone must not take it out of that.
@@ -47,7 +47,7 @@
 };
 
 /** Takes a job, or refuses it where by a fresh digest it could not be of use to its caller. */
-export const chooseDoorAnswer = (load: KnownLoad | undefined, caller: DoorCaller): DoorAnswer => {
+export const chooseAdmission = (load: KnownLoad | undefined, caller: AdmissionRequest): AdmissionDecision => {
   const queue = load?.digest.queues.find((row) => row.queue === caller.queue.name);
   if (load === undefined || queue === undefined) {
     return { kind: 'unknown' };
--- a/packages/load/createDigest.ts
+++ b/packages/load/createDigest.ts
@@ -2,13 +2,13 @@
 import type { LoadDigest } from './LoadDigest';
 import type { LoadSnapshot } from './LoadSnapshot';
 import type { QueueLoad } from './QueueLoad';
-import { toDominantShare } from './toDominantShare';
-import { toOwedShares } from './toOwedShares';
+import { computeDominantShare } from './computeDominantShare';
+import { computeFairShares } from './computeFairShares';
 
 interface DigestInput extends Pick<LoadDigest, 'epoch' | 'sequence' | 'madeAtMs'> {
   readonly snapshot: LoadSnapshot;
   /** Tasks of a queue that start in a second; undefined when not known. */
-  readonly readStartsPerSecond: (queue: string) => number | undefined;
+  readonly getStartsPerSecond: (queue: string) => number | undefined;
 }
 
 /** A digest is read by every box: with these and names of 30 letters it stays below 2 kB. */
@@ -33,25 +33,29 @@
 
 const toCustomers = ({ customers, capacity, othersShare }: LoadSnapshot): readonly CustomerLoad[] => {
   const rows = [...customers].map(([customer, { weight, waitingTasks, waiting, held }]) => {
-    const dominantShare = toDominantShare(held, capacity);
-    const wantedShare = dominantShare + toDominantShare(waiting, capacity);
-    return { customer, weight, waitingTasks, dominantShare, wantedShare };
+    const dominantShare = computeDominantShare(held, capacity);
+    const demandedShare = dominantShare + computeDominantShare(waiting, capacity);
+    return { customer, weight, waitingTasks, dominantShare, demandedShare };
   });
-  const owed = toOwedShares(
+  const owed = computeFairShares(
     rows.filter(({ weight }) => weight > 0),
     Math.max(0, 1 - othersShare),
   );
   return rows
     .map(({ customer, waitingTasks, dominantShare }) => {
-      const owedShare = toRounded(owed.get(customer) ?? dominantShare);
-      return { customer, waitingTasks, dominantShare: toRounded(dominantShare), owedShare };
+      const fairShare = toRounded(owed.get(customer) ?? dominantShare);
+      return { customer, waitingTasks, dominantShare: toRounded(dominantShare), fairShare };
     })
     .sort(measureByWaiting)
     .slice(0, MAX_CUSTOMERS);
 };
 
 /** Cuts what a leader knows down to what all boxes are told. */
-export const createDigest = ({ snapshot, readStartsPerSecond, ...head }: DigestInput): LoadDigest => {
+export const createDigest = ({
+  snapshot,
+  getStartsPerSecond: readStartsPerSecond,
+  ...head
+}: DigestInput): LoadDigest => {
   const queues = [...snapshot.queues]
     .sort(measureByWaiting)
     .slice(0, MAX_QUEUES)
--- a/packages/load/digestSchema.ts
+++ b/packages/load/digestSchema.ts
@@ -31,8 +31,8 @@
     .max(MAX_ROWS),
   customers: z
     .array(
-      customerRow.transform(([customer, waitingTasks, dominantShare, owedShare]) => {
-        return { customer: toId<CustomerName>(customer), waitingTasks, dominantShare, owedShare };
+      customerRow.transform(([customer, waitingTasks, dominantShare, fairShare]) => {
+        return { customer: toId<CustomerName>(customer), waitingTasks, dominantShare, fairShare };
       }),
     )
     .max(MAX_ROWS),
--- a/packages/load/formatDigest.ts
+++ b/packages/load/formatDigest.ts
@@ -15,6 +15,6 @@
       row.customer,
       row.waitingTasks,
       row.dominantShare,
-      row.owedShare,
+      row.fairShare,
     ]),
   });
--- a/packages/sight/DecisionLog.ts
+++ b/packages/logging/DecisionLog.ts
@@ -6,16 +6,16 @@
 import type { LineFields } from './LineFields';
 import type { LineLevel } from './LineLevel';
 import { LineRates } from './LineRates';
-import { readLineClass } from './readLineClass';
-import { readLineJob } from './readLineJob';
-import { readStoryDepth } from './readStoryDepth';
+import { getLineClass } from './getLineClass';
+import { findLineJob } from './findLineJob';
+import { computeSamplingLevel } from './computeSamplingLevel';
 
 interface DecisionLogOptions {
   readonly box: string;
   /** Takes one line with its newline. Must not block. */
   readonly writeLine: (line: string) => void;
   /** Bytes that wait to be taken by the reader of the lines. */
-  readonly readBacklogBytes: () => number;
+  readonly getBacklogBytes: () => number;
   /** Monotonic milliseconds. */
   readonly readNow: () => number;
   /** Milliseconds since 1970. */
@@ -50,7 +50,7 @@
   }
 
   /** The logger of one part of the process. */
-  createPartLogger(part: string): Logger {
+  createLogger(part: string): Logger {
     return {
       info: (sentence, fields) => this.handleLine({ level: 'info', part, sentence, fields }),
       warn: (sentence, fields) => this.handleLine({ level: 'warn', part, sentence, fields }),
@@ -76,7 +76,7 @@
   private handleLine(line: Line): void {
     this.applyTime();
     const now = this.options.readNow();
-    const known = readLineClass(line.level, line.sentence, line.fields);
+    const known = getLineClass(line.level, line.sentence, line.fields);
     this.rates.recordLine(known === 'story', now);
     const depth = this.readDepth();
     const lineClass = known === 'story' ? this.chooseStoryClass(line, depth) : known;
@@ -88,7 +88,7 @@
   }
 
   private chooseStoryClass({ fields }: Line, depth: number): LineClass {
-    return readStoryDepth(readLineJob(fields) ?? '') >= depth ? 'story' : 'rest';
+    return computeSamplingLevel(findLineJob(fields) ?? '') >= depth ? 'story' : 'rest';
   }
 
   private readDepth(): number {
@@ -102,7 +102,7 @@
   }
 
   private isReaderTaking(): boolean {
-    return this.options.readBacklogBytes() < MAX_BACKLOG_BYTES;
+    return this.options.getBacklogBytes() < MAX_BACKLOG_BYTES;
   }
 
   /** Takes room like an error: without this line nobody knows that others are missing. */
--- a/packages/sight/JobTrace.ts
+++ b/packages/logging/JobTrace.ts
@@ -19,7 +19,12 @@
     this.newestAt = takenInAt;
   }
 
-  recordRun(run: PlacedRun, { life, hall }: EndpointProfile, { outcome, how }: RunEnd, now: number): void {
+  recordRun(
+    run: PlacedRun,
+    { incarnation: life, hall }: EndpointProfile,
+    { outcome, reportedEnd: how }: RunEnd,
+    now: number,
+  ): void {
     this.newestAt = now;
     this.runs.push({
       task: run.task,
@@ -39,7 +44,7 @@
   }
 
   /** The account of the job, which ends now at a wall clock time. */
-  readAccount({ id, queue, ...definition }: JobDefinition, ending: string, wallMs: number): JobAccount {
+  createAccount({ id, queue, ...definition }: JobDefinition, ending: string, wallMs: number): JobAccount {
     const offsetMs = wallMs - this.newestAt;
     const dueAt = definition.firstRunMs + (definition.times - 1) * definition.intervalMs;
     const acceptedAt = Math.max(definition.acceptedAtMs, dueAt);
--- a/packages/sight/LineGatherer.ts
+++ b/packages/logging/LineBatcher.ts
@@ -18,7 +18,7 @@
   Object.fromEntries(Object.entries(fields).filter(([name]) => isWanted(name)));
 
 /** Writes lines of one kind that come together as one line with rows; all others as they come. */
-export class LineGatherer {
+export class LineBatcher {
   private readonly gathered = new Map<string, Gathered>();
 
   constructor(private readonly logger: Logger) {}
--- a/packages/sight/readStoryDepth.ts
+++ b/packages/logging/computeSamplingLevel.ts
@@ -21,7 +21,7 @@
  * In how small a share of all jobs this one still is: one in 2^n jobs has a depth of n or more. By the id alone, so that all boxes and all
  * leaders choose the same jobs, and each share holds all smaller ones.
  */
-export const readStoryDepth = (job: string): number => {
+export const computeSamplingLevel = (job: string): number => {
   const hash = toHash(job);
   const lowestBit = hash & -hash;
   return lowestBit === 0 ? HASH_BITS : HASH_BITS - 1 - Math.clz32(lowestBit);
--- a/packages/sight/readLineJob.ts
+++ b/packages/logging/findLineJob.ts
@@ -4,7 +4,7 @@
 const JOB_FIELDS = ['job', 'step', 'task'] as const;
 
 /** The job that a line is about; undefined when it names none. */
-export const readLineJob = (fields: LineFields | undefined): string | undefined => {
+export const findLineJob = (fields: LineFields | undefined): string | undefined => {
   for (const name of JOB_FIELDS) {
     const value = fields?.[name];
     if (typeof value === 'string' && value !== '') {
--- a/packages/sight/readLineClass.ts
+++ b/packages/logging/getLineClass.ts
@@ -2,10 +2,10 @@
 import type { LineFields } from './LineFields';
 import { lineClasses } from './lineClasses';
 import type { LineLevel } from './LineLevel';
-import { readLineJob } from './readLineJob';
+import { findLineJob } from './findLineJob';
 
 /** The class of a line, before it is known whether its job is chosen. */
-export const readLineClass = (
+export const getLineClass = (
   level: LineLevel,
   sentence: string,
   fields: LineFields | undefined,
@@ -13,6 +13,6 @@
   if (level === 'error') {
     return 'error';
   }
-  const byDefault = readLineJob(fields) === undefined ? 'vital' : 'story';
+  const byDefault = findLineJob(fields) === undefined ? 'vital' : 'story';
   return level === 'warn' ? 'vital' : (lineClasses[sentence] ?? byDefault);
 };
--- a/packages/serve/JobDesk.ts
+++ b/packages/serve/JobDesk.ts
@@ -83,7 +83,7 @@
     deadline: number,
   ): Promise<JobOutcome<SubmitAnswer>> {
     const { replica, writer, clock, metrics } = this.options;
-    const known = replica.readDefinition(id);
+    const known = replica.getDefinition(id);
     if (known !== undefined) {
       return this.toKnownAnswer(known, queue, customer);
     }
@@ -110,7 +110,7 @@
     };
     const check = await this.options.door.startCheck(definition, this.readRefreshDeadline(deadline));
     if (check.kind === 'known') {
-      return this.toKnownAnswer(replica.readDefinition(id)!, queue, customer);
+      return this.toKnownAnswer(replica.getDefinition(id)!, queue, customer);
     }
     if (check.kind === 'refused') {
       metrics.recordCount('notTaken');
@@ -165,20 +165,20 @@
     const { replica, clock, metrics } = this.options;
     const startedAt = clock.readNow();
     metrics.recordCount('reads');
-    const known = replica.readState(id);
+    const known = replica.getState(id);
     if (known === undefined) {
       const isFresh = await this.startRefresh(this.options.jobsFollower, deadline);
-      if (!isFresh && replica.readState(id) === undefined) {
+      if (!isFresh && replica.getState(id) === undefined) {
         return this.readFromLeader(id, caller, deadline);
       }
     }
     if (!this.isOpenTo(id, caller)) {
       return ABSENT;
     }
-    const isOver = isEnded(replica.readState(id));
+    const isOver = isEnded(replica.getState(id));
     const newest = isOver ? undefined : await this.readNewestState(id, caller, deadline);
     metrics.recordTime('readMs', clock.readNow() - startedAt);
-    const held = replica.readState(id);
+    const held = replica.getState(id);
     const answer = isEnded(held) ? held : (newest ?? held);
     return { kind: 'answered', answer: answer ?? 'absent' };
   }
@@ -215,9 +215,9 @@
   ): Promise<JobOutcome<'cancelled' | 'absent'>> {
     const { replica, writer, clock, metrics } = this.options;
     const startedAt = clock.readNow();
-    if (replica.readDefinition(id) === undefined) {
+    if (replica.getDefinition(id) === undefined) {
       const isFresh = await this.startRefresh(this.options.jobsFollower, deadline);
-      if (replica.readDefinition(id) === undefined) {
+      if (replica.getDefinition(id) === undefined) {
         const found = isFresh ? ABSENT : await this.readFromLeader(id, caller, deadline);
         if (found.kind !== 'answered' || found.answer === 'absent') {
           return found.kind === 'answered' ? ABSENT : found;
@@ -243,9 +243,9 @@
 
   readPendingCount(queueName: string): JobOutcome<number> {
     const { replica, jobsFollower } = this.options;
-    return jobsFollower.readOffset() === undefined
+    return jobsFollower.getOffset() === undefined
       ? { kind: 'unavailable', retryAfterMs: RETRY_AFTER_MS }
-      : { kind: 'answered', answer: replica.readPendingCount(queueName) };
+      : { kind: 'answered', answer: replica.countPending(queueName) };
   }
 
   /** What the leader knows of a job that this box cannot read about in the log. */
@@ -262,14 +262,14 @@
 
   /** False when the job is known here and belongs to another customer. */
   private isOpenTo(id: JobId, caller: JobCaller): boolean {
-    const definition = this.options.replica.readDefinition(id);
+    const definition = this.options.replica.getDefinition(id);
     return definition === undefined || hasAccess(caller, definition);
   }
 
   /** True when trying an append would only keep the caller waiting. */
   private isLogOut(): boolean {
     const { writer, isReading } = this.options;
-    return writer.readFailingMs() > (isReading() ? LONG_OUTAGE_MS : OUTAGE_MS);
+    return writer.getOutageMs() > (isReading() ? LONG_OUTAGE_MS : OUTAGE_MS);
   }
 
   private readWriteLimit(startedAt: number, deadline: number): number {
@@ -277,14 +277,14 @@
   }
 
   private createUnavailable(id: JobId, queue: string): JobOutcome<never> {
-    const failingMs = Math.round(this.options.writer.readFailingMs());
+    const failingMs = Math.round(this.options.writer.getOutageMs());
     this.options.metrics.recordCount('notTaken');
     this.recordDecision('Job not taken: the log is out.', id, queue, { failingMs });
     return { kind: 'unavailable', retryAfterMs: RETRY_AFTER_MS };
   }
 
   private startRefresh(follower: LogFollower, deadline: number): Promise<boolean> {
-    return follower.startRefresh(this.readRefreshLimit(deadline));
+    return follower.waitForRefresh(this.readRefreshLimit(deadline));
   }
 
   private readRefreshDeadline(deadline: number): number {
--- a/packages/serve/LeaderHandOver.ts
+++ b/packages/serve/LeaderHandOver.ts
@@ -3,7 +3,7 @@
 import type { BoxDirectory } from '../boxes/BoxDirectory';
 import type { Clock } from '../common/Clock';
 import { startDelay } from '../common/startDelay';
-import type { LeaderDuty } from '../dispatch/LeaderDuty';
+import type { LeaderController } from '../dispatch/LeaderController';
 import type { ServeSettings } from './ServeSettings';
 
 interface LeaderHandOverOptions {
@@ -12,7 +12,7 @@
   readonly boxes: BoxClients;
   readonly directory: BoxDirectory;
   /** The duty of this process; undefined while it does not lead. */
-  readonly readDuty: () => LeaderDuty | undefined;
+  readonly readDuty: () => LeaderController | undefined;
   readonly readEpoch: () => number;
   /** The log has answered another box: calls of this one that still wait are made again. */
   readonly startCallsAgain: () => void;
@@ -57,7 +57,7 @@
     if (duty === undefined || this.isHandingOver) {
       return;
     }
-    if (duty.readFailingMs() > FAILING_MS) {
+    if (duty.getLogOutageMs() > FAILING_MS) {
       this.startOnce(() => this.startLeavingToServed());
       return;
     }
@@ -75,7 +75,7 @@
     const { clock, settings, boxes, readDuty, readEpoch, handleLeft } = this.options;
     this.isHandingOver = true;
     const until = clock.readNow() + settings.graceMs - STOP_RESERVE_MS;
-    while ((readDuty()?.readFailingMs() ?? 0) > 0 && clock.readNow() < until) {
+    while ((readDuty()?.getLogOutageMs() ?? 0) > 0 && clock.readNow() < until) {
       if ((await boxes.startChoosingLogUser()) !== undefined) {
         break;
       }
@@ -87,7 +87,7 @@
     }
     const epoch = readEpoch();
     handleLeft();
-    await duty.startResigning();
+    await duty.stopGracefully();
     const next = await boxes.startChoosingLogUser();
     await next?.sendHandOver(epoch);
   }
@@ -104,7 +104,7 @@
     this.leadingSince = this.options.clock.readNow();
     const next = await this.options.boxes.startChoosingStronger();
     const duty = this.options.readDuty();
-    if (next !== undefined && duty?.readFailingMs() === 0) {
+    if (next !== undefined && duty?.getLogOutageMs() === 0) {
       await this.startLeavingTo(next, duty, 'a stronger box is asked to lead');
     }
   }
@@ -120,16 +120,16 @@
     await startDelay(RETURN_CHECK_MS);
     const canRead = await startLogRead();
     const duty = readDuty();
-    if (duty === undefined || duty.readFailingMs() === 0) {
+    if (duty === undefined || duty.getLogOutageMs() === 0) {
       return;
     }
-    if (canRead && duty.readFailingMs() < WRITES_LOST_MS) {
+    if (canRead && duty.getLogOutageMs() < WRITES_LOST_MS) {
       return;
     }
     await this.startLeavingTo(next, duty, 'the log does not serve this box');
   }
 
-  private async startLeavingTo(next: BoxClient, duty: LeaderDuty, reason: string): Promise<void> {
+  private async startLeavingTo(next: BoxClient, duty: LeaderController, reason: string): Promise<void> {
     const epoch = this.options.readEpoch();
     duty.stop();
     this.options.handleDeposed(epoch, `${reason}; ${next.address} is asked to lead`);
--- a/packages/serve/LeaderWriter.ts
+++ b/packages/serve/LeaderWriter.ts
@@ -75,8 +75,8 @@
   }
 
   /** While a leader can be asked it takes writes that this box cannot make. */
-  readFailingMs(): number {
-    return this.readWay().leader === undefined ? this.options.own.readFailingMs() : 0;
+  getOutageMs(): number {
+    return this.readWay().leader === undefined ? this.options.own.getOutageMs() : 0;
   }
 
   private readWay(): LeaderWay {
@@ -98,7 +98,7 @@
       this.options.logger.info('A record was not written by any way.', {
         record: write.key,
         own,
-        ownFailingMs: Math.round(this.options.own.readFailingMs()),
+        ownFailingMs: Math.round(this.options.own.getOutageMs()),
         leader,
         isReadingSigns: this.options.isReadingSigns(),
       });
@@ -140,8 +140,6 @@
 
   private writeOwn(write: LogWrite, deadline: number): Promise<WriteOutcome> {
     const { own } = this.options;
-    return own.readFailingMs() > OWN_OUTAGE_MS
-      ? Promise.resolve('refused')
-      : own.writeRecord(write, deadline);
+    return own.getOutageMs() > OWN_OUTAGE_MS ? Promise.resolve('refused') : own.writeRecord(write, deadline);
   }
 }
--- a/packages/serve/LoadDoor.ts
+++ b/packages/serve/LoadDoor.ts
@@ -2,16 +2,16 @@
 import type { Logger } from '../common/Logger';
 import type { JobDefinition } from '../jobs/JobDefinition';
 import type { JobId } from '../jobs/JobId';
-import { chooseDoorAnswer } from '../load/chooseDoorAnswer';
-import type { Door } from '../load/Door';
-import type { DoorAnswer } from '../load/DoorAnswer';
-import { doors } from '../load/doors';
+import { chooseAdmission } from '../load/chooseAdmission';
+import type { AdmissionMode } from '../load/AdmissionMode';
+import type { AdmissionDecision } from '../load/AdmissionDecision';
+import { admissionModes } from '../load/admissionModes';
 import type { KnownLoad } from '../load/KnownLoad';
 import type { LoadView } from '../load/LoadView';
 import type { ServeMetrics } from './ServeMetrics';
 
 interface LoadDoorOptions {
-  readonly door: Door;
+  readonly door: AdmissionMode;
   readonly view: LoadView;
   readonly clock: Clock;
   readonly logger: Logger;
@@ -39,7 +39,7 @@
   room: 'doorRoom',
   bearable: 'doorBearable',
   hopeless: 'doorHopeless',
-} as const satisfies Readonly<Record<DoorAnswer['kind'], string>>;
+} as const satisfies Readonly<Record<AdmissionDecision['kind'], string>>;
 
 /** Takes jobs in, or refuses them by what this box knows of the load. What may have been taken before is never refused. */
 export class LoadDoor {
@@ -58,13 +58,13 @@
 
   async startCheck(newcomer: Newcomer, deadline: number): Promise<DoorCheck> {
     const { door, metrics } = this.options;
-    if (!doors[door].isTold) {
+    if (!admissionModes[door].isLoadPublished) {
       return { kind: 'taken', load: {} };
     }
     const load = this.readLoad();
     const answer = this.chooseAnswer(load, newcomer, deadline);
     metrics.recordCount(OUTCOME_COUNTS[answer.kind]);
-    if (answer.kind !== 'hopeless' || !doors[door].mayRefuse) {
+    if (answer.kind !== 'hopeless' || !admissionModes[door].canRefuse) {
       return { kind: 'taken', load: this.formatLoad(load, answer) };
     }
     if (this.doubts.has(newcomer.id) || !(await this.options.startJobsRefresh(deadline))) {
@@ -86,12 +86,12 @@
 
   private readLoad(): KnownLoad | undefined {
     const { clock, readEpoch, view } = this.options;
-    return view.readLoad({ now: clock.readNow(), wallMs: clock.readWall(), epoch: readEpoch() });
+    return view.getLoad({ now: clock.readNow(), wallMs: clock.readWall(), epoch: readEpoch() });
   }
 
-  private chooseAnswer(load: KnownLoad | undefined, newcomer: Newcomer, deadline: number): DoorAnswer {
+  private chooseAnswer(load: KnownLoad | undefined, newcomer: Newcomer, deadline: number): AdmissionDecision {
     const { clock } = this.options;
-    return chooseDoorAnswer(load, {
+    return chooseAdmission(load, {
       id: newcomer.id,
       queue: newcomer.queue,
       customer: newcomer.customer?.name,
@@ -101,7 +101,10 @@
     });
   }
 
-  private formatLoad(load: KnownLoad | undefined, answer: DoorAnswer): Readonly<Record<string, unknown>> {
+  private formatLoad(
+    load: KnownLoad | undefined,
+    answer: AdmissionDecision,
+  ): Readonly<Record<string, unknown>> {
     return load === undefined
       ? {}
       : {
--- a/packages/serve/ServeMetrics.ts
+++ b/packages/serve/ServeMetrics.ts
@@ -1,6 +1,6 @@
 import { build, type Histogram } from 'hdr-histogram-js';
 import { lossCauses } from '../dispatch/stops/lossCauses';
-import type { LossCount } from '../dispatch/stops/LossCount';
+import type { LossCounterName } from '../dispatch/stops/LossCounterName';
 
 const COUNTS = [
   'accepted',
@@ -30,8 +30,8 @@
   'runsLapsed',
   'crashesCharged',
   'tasksGivenUp',
-  ...lossCauses.map((cause): LossCount => `runsLostBy.${cause}`),
-  ...lossCauses.map((cause): LossCount => `coreMsLostBy.${cause}`),
+  ...lossCauses.map((cause): LossCounterName => `runsLostBy.${cause}`),
+  ...lossCauses.map((cause): LossCounterName => `coreMsLostBy.${cause}`),
   'questionsFirst',
   'questionsMore',
   'questionsAgain',
--- a/packages/serve/ServeProcess.ts
+++ b/packages/serve/ServeProcess.ts
@@ -4,9 +4,9 @@
 import type { Random } from '../common/Random';
 import { startDelay } from '../common/startDelay';
 import type { AdviceClient } from '../dispatch/advice/AdviceClient';
-import { LeaderDuty } from '../dispatch/LeaderDuty';
+import { LeaderController } from '../dispatch/LeaderController';
 import { QueueRouter } from '../gateway/QueueRouter';
-import { formatCustomerFigures } from '../customers/formatCustomerFigures';
+import { formatCustomerMetrics } from '../customers/formatCustomerMetrics';
 import type { JobCaller } from '../customers/JobCaller';
 import { CallerGate } from '../gateway/CallerGate';
 import type { JobDefinition } from '../jobs/JobDefinition';
@@ -16,7 +16,7 @@
 import type { LeaderIntroduction } from '../leadership/LeaderIntroduction';
 import { LeaderWatch } from '../leadership/LeaderWatch';
 import { Leadership } from '../leadership/Leadership';
-import { doors } from '../load/doors';
+import { admissionModes } from '../load/admissionModes';
 import { loadKeys } from '../load/loadKeys';
 import { LoadView } from '../load/LoadView';
 import type { LogClient } from '../store/LogClient';
@@ -80,7 +80,7 @@
   private readonly boxServer: BoxServer;
   private readonly callers: ReturnType<ServeAdapter['createCallerServer']>;
   private readonly jobs: JobDesk;
-  private duty: LeaderDuty | undefined;
+  private duty: LeaderController | undefined;
   private timer: NodeJS.Timeout | undefined;
   private isStopping = false;
 
@@ -94,7 +94,7 @@
       process: options.process,
       clock,
       logger: options.createPartLogger('leader'),
-      readLeader: () => this.leadership.readRecord(),
+      readLeader: () => this.leadership.getRecord(),
       isLeading: () => this.duty !== undefined && !this.isStopping,
       isStopping: () => this.isStopping,
     });
@@ -102,7 +102,7 @@
       client: this.log,
       topic: topics.jobs,
       clock,
-      gatherMs: GATHER_MS,
+      lingerMs: GATHER_MS,
       maxBytes: settings.maxAppendBytes,
       random,
       probe: this.others.createAnnouncement(),
@@ -168,7 +168,7 @@
     await this.handOver.startLeaving();
     await startDelay(Math.max(0, leaveAt - this.options.clock.readNow()));
     clearInterval(this.timer);
-    this.watch.applyLeader(undefined);
+    this.watch.setLeader(undefined);
     await this.callers.stop();
     await this.boxServer.stop();
     this.followers.stop();
@@ -188,7 +188,7 @@
 
   /** True while the log answers this box. Topics are read at different paces: whichever notices first counts. */
   private hasLog(): boolean {
-    return this.isReading() && (this.duty?.readFailingMs() ?? 0) < LOG_OUT_MS;
+    return this.isReading() && (this.duty?.getLogOutageMs() ?? 0) < LOG_OUT_MS;
   }
 
   private isReading(): boolean {
@@ -210,7 +210,7 @@
 
   /** Appends a record for another box along with this one's own, and takes it in. */
   private async writeForOther(write: LogWrite, timeoutMs: number): Promise<WriteOutcome> {
-    if (this.isStopping || this.writer.readFailingMs() > LOG_OUT_MS) {
+    if (this.isStopping || this.writer.getOutageMs() > LOG_OUT_MS) {
       return 'refused';
     }
     const deadline = this.options.clock.readNow() + timeoutMs * FORWARDED_SHARE;
@@ -230,7 +230,7 @@
         logger: this.options.createPartLogger('jobs'),
         readLeader: () => this.others.readLeaderContact(),
         isReadingSigns: () => this.followers.states.isFollowing(),
-        hasSignSince: (after, withinMs) => this.leadership.hasSignSince(after, withinMs),
+        hasSignSince: (after, withinMs) => this.leadership.hasActivitySince(after, withinMs),
       }),
       jobsFollower: this.followers.jobs,
       statesFollower: this.followers.states,
@@ -254,9 +254,9 @@
       clock,
       logger: this.options.createPartLogger('jobs'),
       metrics: this.metrics,
-      readEpoch: () => this.leadership.readRecord()?.epoch,
-      startJobsRefresh: (deadline) => this.followers.jobs.startRefresh(deadline - clock.readNow()),
-      isKnown: (id) => this.replica.readDefinition(id) !== undefined,
+      readEpoch: () => this.leadership.getRecord()?.epoch,
+      startJobsRefresh: (deadline) => this.followers.jobs.waitForRefresh(deadline - clock.readNow()),
+      isKnown: (id) => this.replica.getDefinition(id) !== undefined,
     });
   }
 
@@ -264,7 +264,7 @@
   private handleIntroduction(introduction: LeaderIntroduction): void {
     const { record } = introduction;
     this.others.recordIntroduction(introduction);
-    const ledEpoch = this.leadership.readRecord()?.epoch ?? 0;
+    const ledEpoch = this.leadership.getRecord()?.epoch ?? 0;
     if (!this.leadership.handleIntroduction(record) || this.duty === undefined) {
       return;
     }
@@ -280,9 +280,9 @@
       boxes: this.others.clients,
       directory: this.others.directory,
       readDuty: () => this.duty,
-      readEpoch: () => this.leadership.readRecord()?.epoch ?? 0,
+      readEpoch: () => this.leadership.getRecord()?.epoch ?? 0,
       startCallsAgain: () => this.handleLogBack(clock.readNow()),
-      startLogRead: () => this.followers.jobs.startRefresh(FRESH_LOG_MS),
+      startLogRead: () => this.followers.jobs.waitForRefresh(FRESH_LOG_MS),
       handleLeft: () => {
         this.duty = undefined;
       },
@@ -311,7 +311,7 @@
   }
 
   private foldLoad(records: readonly LogWrite[]): void {
-    const epoch = this.leadership.readRecord()?.epoch ?? 0;
+    const epoch = this.leadership.getRecord()?.epoch ?? 0;
     const refusedCount = this.load.foldRecords(records, this.options.clock.readNow(), epoch);
     if (refusedCount > 0) {
       this.metrics.recordCount('digestsRefused', refusedCount);
@@ -322,8 +322,8 @@
   /** One answer of the log shows that it is back: whatever still waits for an older call is tried again at once. */
   private handleLogBack(answeredSentAt: number): void {
     this.followers.startAgain(answeredSentAt);
-    this.writer.startAgain();
-    this.duty?.startAgain(answeredSentAt);
+    this.writer.retryPending();
+    this.duty?.retryPending(answeredSentAt);
   }
 
   private handleJobRecords(records: readonly LogRecord[]): void {
@@ -332,7 +332,7 @@
   }
 
   private handleJobWrites(records: readonly LogWrite[]): void {
-    const { accepted, cancelled, refused } = this.replica.foldJobRecords(records);
+    const { accepted, cancelled, invalid: refused } = this.replica.foldJobRecords(records);
     refused.forEach((job) => this.logger.warn('Job record cannot be read and is passed over.', { job }));
     accepted.forEach((definition) => this.duty?.handleJob(definition));
     cancelled.forEach((id) => this.duty?.handleCancel(id));
@@ -349,7 +349,7 @@
       logger: createPartLogger('configuration'),
       maxAgeMs: settings.maxConfigurationAgeMs,
       isFollowing: () => this.followers.operator.isFollowing(),
-      readFollowedAt: () => this.followers.operator.readLastOkAt(),
+      readFollowedAt: () => this.followers.operator.getLastSuccessAt(),
       readOthers: () => this.others.clients.readOthers(),
     });
   }
@@ -391,7 +391,7 @@
     this.metrics.recordCount('elections');
     this.handOver.recordElected();
     this.followers.startLeading();
-    this.duty = new LeaderDuty({
+    this.duty = new LeaderController({
       ...election,
       client: this.log,
       statesTopic: topics.states,
@@ -399,24 +399,24 @@
       endpointsTopic: adapter.endpointsTopic,
       maxAppendBytes: settings.maxAppendBytes,
       replica: this.replica,
-      startJobsRefresh: () => this.followers.jobs.startRefresh(TAKE_OVER_READ_MS),
+      updateReplica: () => this.followers.jobs.waitForRefresh(TAKE_OVER_READ_MS),
       clock,
       random,
       logger: this.options.createPartLogger('leader'),
-      ways: settings,
+      policies: settings,
       // A leader does not read what it writes.
-      ...(doors[settings.door].isTold
-        ? { handleLoad: (value) => this.foldLoad([{ key: loadKeys.digestKey, value }]) }
+      ...(admissionModes[settings.door].isLoadPublished
+        ? { handleLoadDigest: (value) => this.foldLoad([{ key: loadKeys.digestKey, value }]) }
         : {}),
-      readLimit: (customer) => this.router.readCustomers().readByName(customer)?.limit,
+      getLimit: (customer) => this.router.readCustomers().findByName(customer)?.limit,
       parseEndpoint: (id, text) => adapter.parseEndpoint(id, text),
       createEndpointClient: (profile, readToken) => adapter.createEndpointClient(profile, readToken),
       isServiceRouted: (service) => this.router.hasService(service),
       longestLeaseMs: settings.longestLeaseMs,
-      readAskers: () => this.readAskers(),
+      listChannels: () => this.readAskers(),
       formatLeaderRecord: (isResigned) => this.leadership.formatRecord(epoch, isResigned),
-      handleDeposed: (detail) => this.handleDeposed(epoch, detail),
-      handleLogBack: (answeredSentAt) => this.handleLogBack(answeredSentAt),
+      handleLeadershipLost: (detail) => this.handleDeposed(epoch, detail),
+      handleLogRecovered: (answeredSentAt) => this.handleLogBack(answeredSentAt),
       recordCount: (name, amount) => this.metrics.recordCount(name, amount),
       recordTime: (name, valueMs) => this.metrics.recordTime(name, valueMs),
     });
@@ -444,12 +444,12 @@
    */
   private async isLogUsable(): Promise<boolean> {
     const { clock } = this.options;
-    if (this.duty?.isLogShown() === true && !this.isStopping && this.writer.readFailingMs() === 0) {
+    if (this.duty?.isHeartbeatFresh() === true && !this.isStopping && this.writer.getOutageMs() === 0) {
       return true;
     }
     const askedAt = clock.readNow();
-    const isReading = await this.followers.states.startRefresh(FRESH_LOG_MS);
-    const failingMs = this.writer.readFailingMs();
+    const isReading = await this.followers.states.waitForRefresh(FRESH_LOG_MS);
+    const failingMs = this.writer.getOutageMs();
     const isUsable = isReading && failingMs === 0 && !this.isStopping;
     if (!isUsable) {
       this.logger.info('Another box was told that the log cannot be used from here.', {
@@ -464,10 +464,10 @@
 
   private applyTime(): void {
     this.leadership.applyTime();
-    const record = this.leadership.readRecord();
+    const record = this.leadership.getRecord();
     const leaderBox = this.others.directory.readBoxes().find(({ box }) => box === record?.box);
     const isOther = record !== undefined && record.process !== this.options.process;
-    this.watch.applyLeader(
+    this.watch.setLeader(
       isOther && leaderBox !== undefined
         ? { process: record.process, address: leaderBox.address }
         : undefined,
@@ -478,18 +478,18 @@
   }
 
   private formatMetrics(): string {
-    const speeds = this.duty?.readDispatcher().readSpeeds().readCounts();
+    const speeds = this.duty?.getDispatcher().getSpeeds().countByClass();
     const text = this.metrics.formatText({
       leading: this.duty === undefined ? 0 : 1,
-      liveJobs: this.duty?.readDispatcher().readJobCount() ?? 0,
+      liveJobs: this.duty?.getDispatcher().countJobs() ?? 0,
       slowEndpoints: speeds?.slow ?? 0,
       fastEndpoints: speeds?.fast ?? 0,
       configurationVersion: this.router.readConfiguration()?.version ?? 0,
-      logWriteFailingMs: Math.round(this.writer.readFailingMs()),
+      logWriteFailingMs: Math.round(this.writer.getOutageMs()),
       readingOperatorTopic: Number(this.followers.operator.isFollowing()),
       readingStatesTopic: Number(this.followers.states.isFollowing()),
       readingJobsTopic: Number(this.followers.jobs.isFollowing()),
-      knownJobs: this.replica.readJobCount(),
+      knownJobs: this.replica.countJobs(),
       ...this.readLoadGauges(),
     });
     return text + this.formatCustomers();
@@ -498,17 +498,17 @@
   /** Of the newest digest, however old; none before the first. */
   private readLoadGauges(): Readonly<Record<string, number>> {
     const { clock } = this.options;
-    const epoch = this.leadership.readRecord()?.epoch;
-    const ageMs = this.load.readAgeMs({ now: clock.readNow(), wallMs: clock.readWall(), epoch });
+    const epoch = this.leadership.getRecord()?.epoch;
+    const ageMs = this.load.getAgeMs({ now: clock.readNow(), wallMs: clock.readWall(), epoch });
     return ageMs === undefined ? {} : { loadDigestAgeMs: Math.round(ageMs) };
   }
 
   /** Nobody but the leader knows what runs. */
   private formatCustomers(): string {
-    const dispatcher = this.duty?.readDispatcher();
+    const dispatcher = this.duty?.getDispatcher();
     const wallMs = this.options.clock.readWall();
     return dispatcher === undefined
       ? ''
-      : formatCustomerFigures(readCustomerFigures(this.router.readCustomers(), dispatcher, wallMs));
+      : formatCustomerMetrics(readCustomerFigures(this.router.readCustomers(), dispatcher, wallMs));
   }
 }
--- a/packages/serve/TopicFollowers.ts
+++ b/packages/serve/TopicFollowers.ts
@@ -65,11 +65,11 @@
   /** A leader writes the states itself, and reads jobs without a pause. */
   startLeading(): void {
     this.states.stop();
-    this.jobs.applyPause(LEADER_PAUSE_MS);
+    this.jobs.setPause(LEADER_PAUSE_MS);
   }
 
   stopLeading(): void {
-    this.jobs.applyPause(JOBS_PACE.pauseMs);
+    this.jobs.setPause(JOBS_PACE.pauseMs);
     void this.states.start();
   }
 
@@ -79,14 +79,14 @@
    */
   isReading(isLeading: boolean): boolean {
     const isFollowingStates = isLeading || this.states.isFollowing();
-    return isFollowingStates && this.jobs.isAnswered() && this.operator.isFollowing();
+    return isFollowingStates && this.jobs.isReachable() && this.operator.isFollowing();
   }
 
   /** The log is known to answer calls sent at a monotonic time: whatever still waits for an older one is tried again at once. */
   startAgain(answeredSentAt: number): void {
-    this.jobs.startAgain(answeredSentAt);
-    this.states.startAgain(answeredSentAt);
-    this.operator.startAgain(answeredSentAt);
+    this.jobs.retryPending(answeredSentAt);
+    this.states.retryPending(answeredSentAt);
+    this.operator.retryPending(answeredSentAt);
   }
 
   private createFollower(
--- a/packages/serve/readCustomerFigures.ts
+++ b/packages/serve/readCustomerFigures.ts
@@ -1,20 +1,20 @@
 import type { CustomerDirectory } from '../customers/CustomerDirectory';
-import type { CustomerFigures } from '../customers/CustomerFigures';
+import type { CustomerMetrics } from '../customers/CustomerMetrics';
 import type { Dispatcher } from '../dispatch/Dispatcher';
-import { demandSums } from '../jobs/demandSums';
+import { resourceMath } from '../jobs/resourceMath';
 
 /** What runs, waits and may run of each customer, as the leader's dispatcher sees it at a wall clock time. */
 export const readCustomerFigures = (
   customers: CustomerDirectory,
   dispatcher: Dispatcher,
   wallMs: number,
-): readonly CustomerFigures[] => {
-  const usage = dispatcher.readUsage().readAll();
-  const waiting = dispatcher.readWaitingCounts(wallMs);
-  return [...customers.readCustomers()].map(({ name, limit }) => ({
+): readonly CustomerMetrics[] => {
+  const usage = dispatcher.getUsage().getAll();
+  const waiting = dispatcher.countWaitingTasks(wallMs);
+  return [...customers.listCustomers()].map(({ name, limit }) => ({
     name,
     limit,
-    taken: usage.get(name)?.taken ?? demandSums.NOTHING,
+    used: usage.get(name)?.taken ?? resourceMath.NOTHING,
     runs: usage.get(name)?.runs ?? 0,
     waiting: waiting.get(name) ?? 0,
   }));
--- a/packages/store/ExclusiveWriter.ts
+++ b/packages/store/ExclusiveWriter.ts
@@ -14,7 +14,7 @@
   /** Number of the newest append that this writer has made in the epoch. */
   readonly lastSequence: number;
   /** Waits this long for more records before an append is sent. */
-  readonly gatherMs: number;
+  readonly lingerMs: number;
   readonly maxBytes: number;
   /** A newer writer holds the topic: nothing of this one lands any more. */
   readonly handleFenced: (detail: string) => void;
@@ -66,7 +66,7 @@
   }
 
   /** How long appends have failed, in milliseconds; 0 while the newest was answered. */
-  readFailingMs(): number {
+  getOutageMs(): number {
     return this.failingSince === undefined ? 0 : this.options.clock.readNow() - this.failingSince;
   }
 
@@ -80,7 +80,7 @@
   }
 
   /** Sends the append under way once more if it has had no answer yet: the log is known to answer again. */
-  startAgain(): void {
+  retryPending(): void {
     if (this.failingSince !== undefined) {
       this.interruption.stopWait();
     }
@@ -93,7 +93,7 @@
   }
 
   /** Resolves once all that is queued is durable, or the time is over. */
-  async startFlush(timeoutMs: number): Promise<void> {
+  async waitForFlush(timeoutMs: number): Promise<void> {
     const until = this.options.clock.readNow() + timeoutMs;
     while (this.isSending && this.options.clock.readNow() < until) {
       await startDelay(5);
@@ -101,7 +101,7 @@
   }
 
   private async sendQueued(): Promise<void> {
-    await startDelay(this.options.gatherMs);
+    await startDelay(this.options.lingerMs);
     while (this.dirty.size > 0 && !this.isStopped) {
       const writes = this.createBatch();
       // Changes that did not fit wait for the next append, and so do the handlers: a handler's record may be among them.
@@ -136,7 +136,7 @@
   private async sendBatch(writes: readonly LogWrite[]): Promise<boolean> {
     const { client, topic, clock, producer, epoch } = this.options;
     this.sequence += 1;
-    let timeoutMs: number = appendRules.firstTimeoutMs;
+    let timeoutMs: number = appendRules.initialTimeoutMs;
     while (!this.isStopped) {
       const sentAt = clock.readNow();
       const writer = { producer, epoch, sequence: this.sequence };
--- a/packages/store/LogFollower.ts
+++ b/packages/store/LogFollower.ts
@@ -111,7 +111,7 @@
    * one under way was sent earlier: it may have gone into the outage, and would be missed only after its wait and time limit
    * (1.5 s for a leader's long poll).
    */
-  startAgain(answeredSentAt: number): void {
+  retryPending(answeredSentAt: number): void {
     const isOlder = this.offset !== undefined && this.sentAt < answeredSentAt;
     if (this.isFailing || isOlder) {
       this.interruption.stopWait();
@@ -122,18 +122,18 @@
   }
 
   /** Sets the pause between reads from now on. */
-  applyPause(pauseMs: number): void {
+  setPause(pauseMs: number): void {
     this.pauseMs = pauseMs;
     this.pauseEnd?.abort();
   }
 
   /** Offset of the next record to come; undefined before the first read. */
-  readOffset(): number | undefined {
+  getOffset(): number | undefined {
     return this.offset;
   }
 
   /** Monotonic time of which the newest successful read tells. */
-  readLastOkAt(): number {
+  getLastSuccessAt(): number {
     return this.lastOkAt;
   }
 
@@ -143,7 +143,7 @@
   }
 
   /** True while reads are answered, also before the whole topic is known. */
-  isAnswered(): boolean {
+  isReachable(): boolean {
     return this.hasAnswered && !this.isFailing;
   }
 
@@ -151,7 +151,7 @@
    * Resolves to true once a read that was sent after this call has been handled; to false when there was none in time, and at
    * once while the topic has not been read whole.
    */
-  startRefresh(timeoutMs: number): Promise<boolean> {
+  waitForRefresh(timeoutMs: number): Promise<boolean> {
     return startBounded(this.queueRefresh(timeoutMs), timeoutMs, false);
   }
 
@@ -267,14 +267,14 @@
   }
 
   /** Reads until all records before `offset` have been handled; false when the time is over first. */
-  async startReadingTo(offset: number, timeoutMs: number): Promise<boolean> {
+  async waitForOffset(offset: number, timeoutMs: number): Promise<boolean> {
     const until = this.options.clock.readNow() + timeoutMs;
     while ((this.offset ?? 0) < offset) {
       const leftMs = until - this.options.clock.readNow();
       if (leftMs <= 0 || this.isStopped) {
         return false;
       }
-      if (!(await this.startRefresh(leftMs))) {
+      if (!(await this.waitForRefresh(leftMs))) {
         await startDelay(READ_AGAIN_MS);
       }
     }
--- a/packages/store/LogWriter.ts
+++ b/packages/store/LogWriter.ts
@@ -14,7 +14,7 @@
   readonly topic: string;
   readonly clock: Clock;
   /** Waits this long for more records before an append is sent. */
-  readonly gatherMs: number;
+  readonly lingerMs: number;
   /** Largest append in bytes. */
   readonly maxBytes: number;
   readonly random: Random;
@@ -39,7 +39,7 @@
 export class LogWriter implements RecordWriter {
   private readonly queued: QueuedWrite[] = [];
   private isSending = false;
-  private timeoutMs: number = appendRules.firstTimeoutMs;
+  private timeoutMs: number = appendRules.initialTimeoutMs;
   private failingSince: number | undefined;
   private isProbing = false;
   private readonly interruption = new Interruption();
@@ -58,19 +58,19 @@
   }
 
   /** How long appends have failed, in milliseconds; 0 while the newest was answered. */
-  readFailingMs(): number {
+  getOutageMs(): number {
     return this.failingSince === undefined ? 0 : this.options.clock.readNow() - this.failingSince;
   }
 
   /** Sends the append under way once more if it has had no answer yet: the log is known to answer again. */
-  startAgain(): void {
+  retryPending(): void {
     if (this.failingSince !== undefined) {
       this.interruption.stopWait();
     }
   }
 
   private async sendQueued(): Promise<void> {
-    await startDelay(this.options.gatherMs);
+    await startDelay(this.options.lingerMs);
     while (this.queued.length > 0) {
       const isAnswered = await this.sendBatch(this.createBatch());
       if (!isAnswered) {
@@ -150,7 +150,7 @@
 
   private recordSuccess(): void {
     this.failingSince = undefined;
-    this.timeoutMs = appendRules.firstTimeoutMs;
+    this.timeoutMs = appendRules.initialTimeoutMs;
   }
 
   private recordFailure(error: LogError): void {
--- a/packages/store/RecordWriter.ts
+++ b/packages/store/RecordWriter.ts
@@ -6,5 +6,5 @@
   /** Writes one record. Answers by the deadline, in monotonic milliseconds, at the latest. */
   writeRecord(write: LogWrite, deadline: number): Promise<WriteOutcome>;
   /** How long writes have failed, in milliseconds; 0 while the newest was answered. */
-  readFailingMs(): number;
+  getOutageMs(): number;
 }
--- a/packages/store/appendRules.ts
+++ b/packages/store/appendRules.ts
@@ -10,7 +10,7 @@
 /** What holds for all appends to the log. */
 export const appendRules = {
   /** Time for an answer in milliseconds; doubles with each call that had none, up to the second figure. */
-  firstTimeoutMs: 350,
+  initialTimeoutMs: 350,
   maxTimeoutMs: 1400,
   measureBytes,
 } as const;
--- a/tests/acknowledgedLives.test.ts
+++ b/tests/acknowledgedLives.test.ts
@@ -12,14 +12,14 @@
 import { afterEach, beforeEach, describe, expect, it } from 'vitest';
 import { chooseFreePorts } from '../dev/fleet/chooseFreePorts';
 import { CustomerUsage } from '../packages/customers/CustomerUsage';
-import { EndpointBook } from '../packages/dispatch/endpoints/EndpointBook';
+import { EndpointState } from '../packages/dispatch/endpoints/EndpointState';
 import { EndpointSession } from '../packages/dispatch/endpoints/EndpointSession';
-import type { HoldAnswer } from '../packages/dispatch/endpoints/HoldAnswer';
+import type { PollResult } from '../packages/dispatch/endpoints/PollResult';
 import { startDelay } from '../packages/common/startDelay';
 import { systemClock } from '../packages/common/systemClock';
 import { toId } from '../packages/common/toId';
 import type { EndpointId } from '../packages/jobs/EndpointId';
-import { endpointLives } from '../packages/jobs/endpointLives';
+import { endpointIncarnations } from '../packages/jobs/endpointIncarnations';
 import type { TaskName } from '../packages/jobs/TaskName';
 import { ExecutorStandin } from '../packages/standins/platform/ExecutorStandin';
 import { RunWitness } from '../packages/standins/platform/RunWitness';
@@ -47,7 +47,7 @@
   };
 
   const createClient = (bornAtMs: number): PlatformEndpoint => {
-    const life = endpointLives.toLife(ID, bornAtMs);
+    const life = endpointIncarnations.toLife(ID, bornAtMs);
     const readNow = (): number => performance.now();
     const client = new PlatformEndpoint({ address, id: ID, life, readToken: () => 7, readNow, clockMs: 0 });
     clients.push(client);
@@ -56,7 +56,7 @@
 
   /** Has an endpoint run some tasks to their ends, which nobody has listed yet. */
   const startEnds = async (client: PlatformEndpoint, first: number): Promise<void> => {
-    await client.sendHold({ lastSeen: 0, leaseMs: 4000, waitMs: 0, timeoutMs: 500 });
+    await client.sendPoll({ lastSeen: 0, leaseMs: 4000, waitMs: 0, timeoutMs: 500 });
     for (let number = first; number < first + TASKS; number += 1) {
       const order = { task: toTask(number), run: 1, spec: String(RUN_MS), checkpoint: '', ticket: '' };
       expect(await client.sendStart(order, 4000, 500)).toEqual({ kind: 'done' });
@@ -74,8 +74,8 @@
   };
 
   const createSession = (client: PlatformEndpoint, handleHeld: () => Promise<void>): EndpointSession => {
-    const life = endpointLives.toLife(ID, FIRST_MS);
-    const book = new EndpointBook(createProfile(ID, { life, address }), 0, new CustomerUsage());
+    const life = endpointIncarnations.toLife(ID, FIRST_MS);
+    const book = new EndpointState(createProfile(ID, { incarnation: life, address }), 0, new CustomerUsage());
     const session = new EndpointSession({
       book,
       client,
@@ -87,7 +87,7 @@
       },
       handleOtherLife: () => undefined,
       handleHeld,
-      handleSilence: () => book.recordSilence(systemClock.readNow()),
+      handleSilence: () => book.recordUnreachable(systemClock.readNow()),
       handleGone: () => undefined,
       handleFenced: () => undefined,
     });
@@ -96,7 +96,7 @@
   };
 
   const readEnds = async (client: PlatformEndpoint): Promise<number> => {
-    const answer: HoldAnswer = await client.sendHold({
+    const answer: PollResult = await client.sendPoll({
       lastSeen: 0,
       leaseMs: undefined,
       waitMs: 0,
@@ -130,7 +130,7 @@
         await new Promise<void>((resolve) => (goOn = resolve));
       }
     });
-    void session.start();
+    void session.run();
     while (looks.length < 2) {
       await startDelay(5);
     }
@@ -151,12 +151,12 @@
         await new Promise<void>(() => undefined);
       }
     });
-    void session.start();
+    void session.run();
     while (count < 2) {
       await startDelay(5);
     }
     const next = await startNextLife();
-    await session.startExtraLook();
+    await session.sendExtraPoll();
     expect(witness.readProblems()).toEqual([]);
     expect(await readEnds(next)).toBe(TASKS);
   });
