--- a/tests/adviceQuestions.test.ts
+++ b/tests/adviceQuestions.test.ts
@@ -2,7 +2,7 @@
 import { toId } from '../packages/common/toId';
 import type { DispatchEffect } from '../packages/dispatch/DispatchEffect';
 import { Dispatcher } from '../packages/dispatch/Dispatcher';
-import type { EndpointLife } from '../packages/jobs/EndpointLife';
+import type { EndpointIncarnation } from '../packages/jobs/EndpointIncarnation';
 import type { JobDefinition } from '../packages/jobs/JobDefinition';
 import { JobProgress } from '../packages/jobs/JobProgress';
 import { createJobDefinition } from './helpers/createJobDefinition';
@@ -24,12 +24,12 @@
   let dispatcher: Dispatcher;
 
   beforeEach(() => {
-    dispatcher = new Dispatcher({ readDefinition: () => undefined, unheardUntil: 0 });
+    dispatcher = new Dispatcher({ getDefinition: () => undefined, earlierLeasesEndAt: 0 });
     for (let index = 0; index < ENDPOINTS; index += 1) {
-      const id = toId<EndpointLife>(`i-${index}`);
+      const id = toId<EndpointIncarnation>(`i-${index}`);
       const capacity = { cpuMillis: 1000, memoryMb: 10_000, accelerators: 0 };
-      dispatcher.handleEndpoint(createProfile(id, { capacity }));
-      dispatcher.handleLook({ endpoint: id, running: [], ended: [], sentAt: 0 }, 0, 0);
+      dispatcher.handleEndpointProfile(createProfile(id, { capacity }));
+      dispatcher.handleStatus({ endpoint: id, running: [], ended: [], sentAt: 0 }, 0, 0);
     }
   });
 
@@ -40,7 +40,7 @@
 
   const readQuestions = (now: number): readonly Question[] => {
     dispatcher.placeWaiting(now, now);
-    return dispatcher.readEffects().filter((effect): effect is Question => effect.kind === 'advise');
+    return dispatcher.takeEffects().filter((effect): effect is Question => effect.kind === 'advise');
   };
 
   it('name as many endpoints as the tasks are likely to need, and for another step others', () => {
@@ -57,10 +57,15 @@
     for (let number = 1; number < 40; number += 1) {
       sendJob(number);
       for (const { step, endpoints } of readQuestions(number)) {
-        dispatcher.handleAdvice(step, endpoints, new Map(endpoints.map((id) => [id, 'ticket'])), number);
+        dispatcher.handleAdviceResponse(
+          step,
+          endpoints,
+          new Map(endpoints.map((id) => [id, 'ticket'])),
+          number,
+        );
       }
       dispatcher.handleCancel(createJob(number).id, number);
-      dispatcher.applyTime(number);
+      dispatcher.handleTick(number);
     }
     sendJob(40);
     const [last] = readQuestions(40);
@@ -71,7 +76,7 @@
   it('go on at once after an answer that was not enough, with endpoints that were not named before', () => {
     sendJob(1);
     const [first] = readQuestions(0);
-    dispatcher.handleAdvice(first!.step, first!.endpoints, new Map(), 40);
+    dispatcher.handleAdviceResponse(first!.step, first!.endpoints, new Map(), 40);
     const [second] = readQuestions(41);
     expect(second!.endpoints.length).toBeGreaterThan(0);
     expect(second!.endpoints.filter((id) => first!.endpoints.includes(id))).toEqual([]);
@@ -80,9 +85,9 @@
   it('wait a little after a question that had no answer', () => {
     sendJob(1);
     const [first] = readQuestions(0);
-    dispatcher.handleAdvice(first!.step, first!.endpoints, undefined, 40);
+    dispatcher.handleAdviceResponse(first!.step, first!.endpoints, undefined, 40);
     expect(readQuestions(41)).toEqual([]);
-    dispatcher.applyTime(161);
+    dispatcher.handleTick(161);
     expect(readQuestions(161)).toHaveLength(1);
   });
 });
--- a/tests/adviceTurns.test.ts
+++ b/tests/adviceTurns.test.ts
@@ -2,8 +2,8 @@
 import { chooseQuestionSize } from '../packages/dispatch/advice/chooseQuestionSize';
 import { RoomAhead } from '../packages/dispatch/advice/RoomAhead';
 import { ShortTurns } from '../packages/dispatch/advice/ShortTurns';
-import type { TurnChoice } from '../packages/dispatch/advice/TurnChoice';
-import { EndpointBook } from '../packages/dispatch/endpoints/EndpointBook';
+import type { AdvicePolicyName } from '../packages/dispatch/advice/AdvicePolicyName';
+import { EndpointState } from '../packages/dispatch/endpoints/EndpointState';
 import { CustomerUsage } from '../packages/customers/CustomerUsage';
 import { LiveJob } from '../packages/dispatch/waiting/LiveJob';
 import type { WaitingStep } from '../packages/dispatch/waiting/WaitingStep';
@@ -92,7 +92,7 @@
 
 type LoadOptions = ConstructorParameters<typeof AdviceLoad>[0];
 
-const createLoad = (turns: TurnChoice, options: Partial<LoadOptions> = {}): AdviceLoad => {
+const createLoad = (turns: AdvicePolicyName, options: Partial<LoadOptions> = {}): AdviceLoad => {
   vi.setSystemTime(0);
   return new AdviceLoad({
     turns,
@@ -106,7 +106,7 @@
 };
 
 /** The same load with each seed. */
-const startLoads = async (turns: TurnChoice): Promise<readonly AdviceLoad[]> => {
+const startLoads = async (turns: AdvicePolicyName): Promise<readonly AdviceLoad[]> => {
   const loads: AdviceLoad[] = [];
   for (const seed of SEEDS) {
     const load = createLoad(turns, { seed });
@@ -264,7 +264,7 @@
   it('asks for those that may find room, not for those behind them', () => {
     const books = Array.from(
       { length: 10 },
-      (_none, number) => new EndpointBook(createProfile(`i-${number}`), 0, new CustomerUsage()),
+      (_none, number) => new EndpointState(createProfile(`i-${number}`), 0, new CustomerUsage()),
     );
     const ahead = new RoomAhead();
     const readAsking = (): number => {
--- a/tests/configurationDesk.test.ts
+++ b/tests/configurationDesk.test.ts
@@ -50,7 +50,7 @@
   }
 
   readWorkingKeys(): readonly string[] {
-    return ALL_KEYS.filter((key) => this.router.readCustomers().readByKey(key) !== undefined);
+    return ALL_KEYS.filter((key) => this.router.readCustomers().findByKey(key) !== undefined);
   }
 
   handleText(text: string): void {
--- a/tests/crashCharges.test.ts
+++ b/tests/crashCharges.test.ts
@@ -2,7 +2,7 @@
 import { toId } from '../packages/common/toId';
 import type { DispatchEffect } from '../packages/dispatch/DispatchEffect';
 import { Dispatcher } from '../packages/dispatch/Dispatcher';
-import type { EndpointLife } from '../packages/jobs/EndpointLife';
+import type { EndpointIncarnation } from '../packages/jobs/EndpointIncarnation';
 import { formatProgress } from '../packages/jobs/formatProgress';
 import type { JobDefinition } from '../packages/jobs/JobDefinition';
 import { JobProgress } from '../packages/jobs/JobProgress';
@@ -25,41 +25,41 @@
   let effects: DispatchEffect[];
 
   beforeEach(() => {
-    dispatcher = new Dispatcher({ readDefinition: () => undefined, unheardUntil: 0 });
+    dispatcher = new Dispatcher({ getDefinition: () => undefined, earlierLeasesEndAt: 0 });
     now = 0;
     lifeCount = 0;
     effects = [];
   });
 
   /** An endpoint that has answered a look. */
-  const startEndpoint = (): EndpointLife => {
+  const startEndpoint = (): EndpointIncarnation => {
     lifeCount += 1;
-    const id = toId<EndpointLife>(`i-${lifeCount}`);
-    dispatcher.handleEndpoint(createProfile(id));
+    const id = toId<EndpointIncarnation>(`i-${lifeCount}`);
+    dispatcher.handleEndpointProfile(createProfile(id));
     sendLook(id);
     return id;
   };
 
-  const sendLook = (id: EndpointLife): void => {
-    const running = [...(dispatcher.readBook(id)?.readRuns() ?? [])].map(({ task, run }) => ({
+  const sendLook = (id: EndpointIncarnation): void => {
+    const running = [...(dispatcher.getEndpointState(id)?.getRuns() ?? [])].map(({ task, run }) => ({
       task,
       run,
       checkpoint: '',
       percent: 1,
       load: 0,
     }));
-    dispatcher.handleLook({ endpoint: id, running, ended: [], sentAt: now }, now, now);
+    dispatcher.handleStatus({ endpoint: id, running, ended: [], sentAt: now }, now, now);
   };
 
   /** Places what waits, and lets every start be confirmed. */
   const startRuns = (): void => {
-    dispatcher.applyTime(now);
+    dispatcher.handleTick(now);
     dispatcher.placeWaiting(now, now);
-    for (const effect of dispatcher.readEffects()) {
+    for (const effect of dispatcher.takeEffects()) {
       effects.push(effect);
-      if (effect.kind === 'start' && dispatcher.handleRecorded(effect, now)) {
-        const { task, run } = effect.order;
-        dispatcher.handleStartAnswer(effect.endpoint, task, run, { kind: 'done' }, now);
+      if (effect.kind === 'start' && dispatcher.handleStartRecorded(effect, now)) {
+        const { task, run } = effect.command;
+        dispatcher.handleStartResult(effect.endpoint, task, run, { kind: 'done' }, now);
       }
     }
   };
@@ -67,28 +67,28 @@
   const sendJob = (definition: JobDefinition): void =>
     dispatcher.handleJob(definition, new JobProgress(definition), now);
 
-  const stopEndpoint = (id: EndpointLife): void => {
-    dispatcher.handleSilence(id, now);
+  const stopEndpoint = (id: EndpointIncarnation): void => {
+    dispatcher.handleUnreachable(id, now);
     now += 3000;
-    dispatcher.handleLifeOver(id, now);
+    dispatcher.handleIncarnationEnd(id, now);
   };
 
   /** A run on an endpoint that falls silent until its lease has run out; gives the endpoint. */
-  const startLapsedRun = (): EndpointLife => {
+  const startLapsedRun = (): EndpointIncarnation => {
     const id = startEndpoint();
     sendJob(createJob());
     startRuns();
-    dispatcher.readBook(id)!.recordLease(4000);
-    dispatcher.handleSilence(id, now);
+    dispatcher.getEndpointState(id)!.recordLease(4000);
+    dispatcher.handleUnreachable(id, now);
     now = 4100;
-    dispatcher.applyTime(now);
+    dispatcher.handleTick(now);
     return id;
   };
 
   const readCrashes = (definition: JobDefinition): readonly Pick<TaskCrash, 'endpoint' | 'blame'>[] =>
     dispatcher
-      .readJob(definition.id)!
-      .progress.readTask(FIRST_TASK)!
+      .getJob(definition.id)!
+      .progress.getTask(FIRST_TASK)!
       .crashes.map(({ endpoint, blame }) => ({ endpoint, blame }));
 
   it('is charged to the run that had just begun there, and to none that is not recorded', () => {
@@ -107,7 +107,7 @@
     const id = startEndpoint();
     sendJob(createJob());
     startRuns();
-    dispatcher.handleEndpoint(createProfile(id, { isDraining: true, remainingMs: 0 }));
+    dispatcher.handleEndpointProfile(createProfile(id, { isDraining: true, remainingMs: 0 }));
     stopEndpoint(id);
     expect(readCrashes(createJob())).toEqual([]);
   });
@@ -116,7 +116,7 @@
     const id = startEndpoint();
     sendJob(createJob());
     startRuns();
-    dispatcher.handleEndpointLeft(id);
+    dispatcher.handleEndpointDeregistered(id);
     sendLook(id);
     stopEndpoint(id);
     expect(readCrashes(createJob())).toEqual([]);
@@ -126,12 +126,12 @@
     const [id] = [startEndpoint(), startEndpoint()];
     sendJob(createJob());
     dispatcher.placeWaiting(now, now);
-    const start = dispatcher.readEffects().find((effect) => effect.kind === 'start')!;
-    expect(dispatcher.handleRecorded(start, now)).toBe(true);
+    const start = dispatcher.takeEffects().find((effect) => effect.kind === 'start')!;
+    expect(dispatcher.handleStartRecorded(start, now)).toBe(true);
     const refused = { kind: 'undelivered', detail: 'ECONNREFUSED' } as const;
-    dispatcher.handleStartAnswer(start.endpoint, start.order.task, start.order.run, refused, now);
+    dispatcher.handleStartResult(start.endpoint, start.command.task, start.command.run, refused, now);
     dispatcher.placeWaiting(now, now);
-    const again = dispatcher.readEffects().find((effect) => effect.kind === 'start')!;
+    const again = dispatcher.takeEffects().find((effect) => effect.kind === 'start')!;
     expect(again.endpoint).not.toBe(start.endpoint);
     stopEndpoint(start.endpoint);
     expect([id, 'i-2']).toContain(start.endpoint);
@@ -147,8 +147,8 @@
 
   it('is known later where another life answers after the lease has run out', () => {
     const id = startLapsedRun();
-    expect(dispatcher.isAwaited(id, now)).toBe(true);
-    dispatcher.handleLifeOver(id, now);
+    expect(dispatcher.isCrashUnconfirmed(id, now)).toBe(true);
+    dispatcher.handleIncarnationEnd(id, now);
     expect(readCrashes(createJob())).toEqual([{ endpoint: id, blame: 'sole' }]);
   });
 
@@ -160,8 +160,8 @@
     stopEndpoint(first);
     startEndpoint();
     startRuns();
-    const { progress } = dispatcher.readJob(job.id)!;
-    const readPhases = (): readonly string[] => progress.readTasks(0, 0).map(({ phase }) => phase);
+    const { progress } = dispatcher.getJob(job.id)!;
+    const readPhases = (): readonly string[] => progress.listTasks(0, 0).map(({ phase }) => phase);
     expect(readPhases()).toEqual(['waiting', 'placed']);
     startEndpoint();
     now += 400;
@@ -175,7 +175,7 @@
   it('ends the job of a task that ended two, with the reason and the endpoints in the log', () => {
     for (const fields of [{}, { isLongRunning: true }, { allowsDuplicates: true }, { isGang: true }]) {
       const job = { ...createJob(fields), id: createJobDefinition(lifeCount + 1, []).id };
-      const ended: EndpointLife[] = [];
+      const ended: EndpointIncarnation[] = [];
       sendJob(job);
       for (let count = 0; count < 2; count += 1) {
         const id = startEndpoint();
@@ -184,9 +184,9 @@
         stopEndpoint(id);
         now += 3000;
       }
-      const { progress } = dispatcher.readJob(job.id)!;
+      const { progress } = dispatcher.getJob(job.id)!;
       startRuns();
-      expect(progress.readState()).toBe('failed');
+      expect(progress.getState()).toBe('failed');
       expect(effects).toContainEqual(
         expect.objectContaining({
           sentence: 'Task is given up: endpoints ended under it.',
@@ -221,16 +221,16 @@
   it('is kept with the progress of the job, and records without it have none', () => {
     const job = createJob();
     const progress = new JobProgress(job);
-    progress.recordPlaced(FIRST_TASK, 1, toId<EndpointLife>('i-1'));
+    progress.recordPlaced(FIRST_TASK, 1, toId<EndpointIncarnation>('i-1'));
     const before = formatProgress(job, progress);
     expect(before).not.toContain('crashes');
-    expect(parseProgress(job, before)!.readTask(FIRST_TASK)!.crashes).toEqual([]);
+    expect(parseProgress(job, before)!.getTask(FIRST_TASK)!.crashes).toEqual([]);
     const crashes: readonly TaskCrash[] = [
-      { endpoint: toId<EndpointLife>('i-1'), blame: 'sole', ageMs: 10 },
-      { endpoint: toId<EndpointLife>('i-2'), blame: 'unproved', ageMs: 0 },
+      { endpoint: toId<EndpointIncarnation>('i-1'), blame: 'sole', ageMs: 10 },
+      { endpoint: toId<EndpointIncarnation>('i-2'), blame: 'unproved', ageMs: 0 },
     ];
     crashes.forEach((crash) => progress.recordCrash(FIRST_TASK, crash));
     const after = parseProgress(job, formatProgress(job, progress))!;
-    expect(after.readTask(FIRST_TASK)!.crashes).toEqual(crashes);
+    expect(after.getTask(FIRST_TASK)!.crashes).toEqual(crashes);
   });
 });
--- a/tests/crashes.test.ts
+++ b/tests/crashes.test.ts
@@ -113,7 +113,7 @@
 /** Tasks that were given up, with the endpoints that had ended under them. */
 const readGivenUp = (world: CrashWorld): readonly { readonly job: unknown; readonly charged: number }[] =>
   world.lines
-    .filter(({ sentence }) => sentence.startsWith('Task is given up'))
+    .filter(({ message }) => message.startsWith('Task is given up'))
     .map(({ fields }) => ({ job: fields['job'], charged: (fields['crashes'] as readonly unknown[]).length }));
 
 /** A site of 33 endpoints under a fifth of its load, with harmful jobs that all come at once, and trouble from outside. */
--- a/tests/customerLimits.test.ts
+++ b/tests/customerLimits.test.ts
@@ -21,11 +21,15 @@
   let limit: TaskDemand | undefined;
 
   const startLeader = (unheardUntil = 0, isHeard = true): void => {
-    dispatcher = new Dispatcher({ readDefinition: () => undefined, unheardUntil, readLimit: () => limit });
-    PROFILES.forEach((profile) => dispatcher.handleEndpoint(profile));
+    dispatcher = new Dispatcher({
+      getDefinition: () => undefined,
+      earlierLeasesEndAt: unheardUntil,
+      getLimit: () => limit,
+    });
+    PROFILES.forEach((profile) => dispatcher.handleEndpointProfile(profile));
     if (isHeard) {
-      PROFILES.forEach(({ life: endpoint }) =>
-        dispatcher.handleLook({ endpoint, running: [], ended: [], sentAt: 0 }, 1, 1),
+      PROFILES.forEach(({ incarnation: endpoint }) =>
+        dispatcher.handleStatus({ endpoint, running: [], ended: [], sentAt: 0 }, 1, 1),
       );
     }
   };
@@ -48,26 +52,32 @@
     dispatcher.placeWaiting(now, now);
     const starts = readKind('start');
     for (const start of starts) {
-      dispatcher.handleRecorded(start, now);
-      dispatcher.handleStartAnswer(start.endpoint, start.order.task, start.order.run, { kind: 'done' }, now);
+      dispatcher.handleStartRecorded(start, now);
+      dispatcher.handleStartResult(
+        start.endpoint,
+        start.command.task,
+        start.command.run,
+        { kind: 'done' },
+        now,
+      );
     }
     return starts;
   };
 
   const readKind = <Kind extends DispatchEffect['kind']>(kind: Kind) =>
     dispatcher
-      .readEffects()
+      .takeEffects()
       .filter((effect): effect is Extract<DispatchEffect, { kind: Kind }> => effect.kind === kind);
 
   /** A look shows that one run was done and all others go on. */
   const handleDone = (start: Start, now: number): void => {
-    const { task, run } = start.order;
-    const others = [...dispatcher.readBook(start.endpoint)!.readRuns()].filter(
+    const { task, run } = start.command;
+    const others = [...dispatcher.getEndpointState(start.endpoint)!.getRuns()].filter(
       (other) => other.task !== task,
     );
     const running = others.map((other) => ({ ...other, percent: 10, load: 0 }));
     const ended = [{ number: 1, task, run, how: 'done', checkpoint: '' } as const];
-    dispatcher.handleLook({ endpoint: start.endpoint, running, ended, sentAt: now }, now, now);
+    dispatcher.handleStatus({ endpoint: start.endpoint, running, ended, sentAt: now }, now, now);
   };
 
   it('has a wide step run in waves, beside other customers that go on', () => {
@@ -110,12 +120,12 @@
     handleJob(createJob(2, [createStep({ count: 3 })]));
     dispatcher.handleCancel(job.id, 100);
     expect(placeAll(100)).toEqual([]);
-    starts.forEach(({ endpoint, order }) =>
-      dispatcher.handleStopAnswer(endpoint, order.task, order.run, { kind: 'done' }, 110),
+    starts.forEach(({ endpoint, command: order }) =>
+      dispatcher.handleStopResult(endpoint, order.task, order.run, { kind: 'done' }, 110),
     );
     expect(placeAll(120)).toEqual([]);
-    PROFILES.forEach(({ life: endpoint }) =>
-      dispatcher.handleLook({ endpoint, running: [], ended: [], sentAt: 130 }, 131, 131),
+    PROFILES.forEach(({ incarnation: endpoint }) =>
+      dispatcher.handleStatus({ endpoint, running: [], ended: [], sentAt: 130 }, 131, 131),
     );
     expect(placeAll(132)).toHaveLength(3);
   });
@@ -124,14 +134,14 @@
     handleJob(createJob(1, [createStep({ count: 3 })]));
     dispatcher.placeWaiting(2, 2);
     const starts = readKind('start');
-    starts.forEach((start) => dispatcher.handleRecorded(start, 2));
-    for (const { endpoint, order } of starts) {
-      dispatcher.handleStartAnswer(endpoint, order.task, order.run, { kind: 'unanswered', detail: '' }, 50);
+    starts.forEach((start) => dispatcher.handleStartRecorded(start, 2));
+    for (const { endpoint, command: order } of starts) {
+      dispatcher.handleStartResult(endpoint, order.task, order.run, { kind: 'unanswered', detail: '' }, 50);
     }
     handleJob(createJob(2, [createStep({ count: 1 })]));
     // Other endpoints have room and answer.
-    PROFILES.forEach(({ life: endpoint }) =>
-      dispatcher.handleLook({ endpoint, running: [], ended: [], sentAt: 60 }, 61, 61),
+    PROFILES.forEach(({ incarnation: endpoint }) =>
+      dispatcher.handleStatus({ endpoint, running: [], ended: [], sentAt: 60 }, 61, 61),
     );
     expect(placeAll(62)).toEqual([]);
   });
@@ -139,17 +149,19 @@
   it('has what an earlier leader placed counted before the first start, also on endpoints that are not heard', () => {
     const job = createJob(1, [createStep({ count: 3 })]);
     const progress = new JobProgress(job);
-    [0, 1, 2].forEach((index) => progress.recordPlaced({ time: 0, step: 0, index }, 1, PROFILES[2]!.life));
+    [0, 1, 2].forEach((index) =>
+      progress.recordPlaced({ time: 0, step: 0, index }, 1, PROFILES[2]!.incarnation),
+    );
     startLeader(5000, false);
     dispatcher.handleJob(job, progress, 1);
     handleJob(createJob(2, [createStep({ count: 1 })]));
     const heard = PROFILES.slice(0, 2);
-    heard.forEach(({ life: endpoint }) =>
-      dispatcher.handleLook({ endpoint, running: [], ended: [], sentAt: 2 }, 3, 3),
+    heard.forEach(({ incarnation: endpoint }) =>
+      dispatcher.handleStatus({ endpoint, running: [], ended: [], sentAt: 2 }, 3, 3),
     );
-    dispatcher.applyTime(4000);
+    dispatcher.handleTick(4000);
     expect(placeAll(4000)).toEqual([]);
-    dispatcher.applyTime(5001);
+    dispatcher.handleTick(5001);
     expect(placeAll(5002)).toHaveLength(3);
   });
 
@@ -162,11 +174,11 @@
     handleJob(createJob(1, [createStep({ count: 9 })]));
     expect(placeAll(2)).toHaveLength(3);
     limit = { ...LIMIT, cpuMillis: 1000 };
-    dispatcher.applyTime(100);
+    dispatcher.handleTick(100);
     expect(readKind('stop')).toEqual([]);
     expect(placeAll(100)).toEqual([]);
     limit = { ...LIMIT, cpuMillis: 5000 };
-    dispatcher.applyTime(200);
+    dispatcher.handleTick(200);
     expect(placeAll(200)).toHaveLength(2);
   });
 
--- a/tests/customers.test.ts
+++ b/tests/customers.test.ts
@@ -5,7 +5,7 @@
 import { customerLimits } from '../packages/customers/customerLimits';
 import type { CustomerName } from '../packages/customers/CustomerName';
 import { CustomerUsage } from '../packages/customers/CustomerUsage';
-import { formatCustomerFigures } from '../packages/customers/formatCustomerFigures';
+import { formatCustomerMetrics } from '../packages/customers/formatCustomerMetrics';
 import { hasAccess } from '../packages/customers/hasAccess';
 import { toKeyDigest } from '../packages/customers/toKeyDigest';
 import { configurationSchema } from '../packages/gateway/configurationSchema';
@@ -117,9 +117,9 @@
     }
     expect(changing.applyConfiguration(newer.value)).toBe(true);
     expect(changing.applyConfiguration(older.value)).toBe(false);
-    expect(changing.readCustomers().readByKey(KEYS.clinic)).toBeUndefined();
-    expect(changing.readCustomers().readByKey(KEYS.builders)).toBeUndefined();
-    expect(changing.readCustomers().readByKey(KEYS.clinicSecond)?.name).toBe('clinic');
+    expect(changing.readCustomers().findByKey(KEYS.clinic)).toBeUndefined();
+    expect(changing.readCustomers().findByKey(KEYS.builders)).toBeUndefined();
+    expect(changing.readCustomers().findByKey(KEYS.clinicSecond)?.name).toBe('clinic');
   });
 
   it('stand in no configuration that is kept or given to another box, only their digests', () => {
@@ -127,7 +127,7 @@
     Object.values(KEYS).forEach((key) => expect(kept).not.toContain(key));
     expect(kept).toContain(toKeyDigest(KEYS.clinic));
     const given = configurationSchema.parse(JSON.parse(kept));
-    expect(new CustomerDirectory(given.customers).readByKey(KEYS.clinic)?.name).toBe('clinic');
+    expect(new CustomerDirectory(given.customers).findByKey(KEYS.clinic)?.name).toBe('clinic');
     expect(given).toEqual(router.readConfiguration());
   });
 });
@@ -231,12 +231,12 @@
   it('are given by name, with what could break the text form escaped, for a bounded number of customers', () => {
     const figures = {
       name: toId<CustomerName>('a "b"\\'),
-      taken: { cpuMillis: 1500, memoryMb: 0, accelerators: 0 },
+      used: { cpuMillis: 1500, memoryMb: 0, accelerators: 0 },
       runs: 2,
       waiting: 7,
       limit: { cpuMillis: 4000, memoryMb: 0, accelerators: 0 },
     };
-    expect(formatCustomerFigures([figures]).split('\n')).toEqual([
+    expect(formatCustomerMetrics([figures]).split('\n')).toEqual([
       'stairline_customer_running_tasks{customer="a \\"b\\"\\\\"} 2',
       'stairline_customer_running_cpu_millis{customer="a \\"b\\"\\\\"} 1500',
       'stairline_customer_waiting_tasks{customer="a \\"b\\"\\\\"} 7',
@@ -244,8 +244,8 @@
       '',
     ]);
     const many = Array.from({ length: 2000 }, (_, runs) => ({ ...figures, runs }));
-    expect(formatCustomerFigures(many).split('\n').length).toBeLessThan(1100);
-    expect(formatCustomerFigures(many)).toContain('} 1999\n');
+    expect(formatCustomerMetrics(many).split('\n').length).toBeLessThan(1100);
+    expect(formatCustomerMetrics(many)).toContain('} 1999\n');
   });
 });
 
@@ -260,9 +260,9 @@
     usage.recordRun(run);
     usage.recordRun(run);
     usage.recordRun({ ...run, customer: undefined });
-    expect(usage.readTaken(run.customer)).toEqual({ cpuMillis: 6, memoryMb: 4, accelerators: 2 });
+    expect(usage.getUsed(run.customer)).toEqual({ cpuMillis: 6, memoryMb: 4, accelerators: 2 });
     usage.recordRunEnd(run);
     usage.recordRunEnd(run);
-    expect(usage.readAll().size).toBe(0);
+    expect(usage.getAll().size).toBe(0);
   });
 });
--- a/tests/dispatch.test.ts
+++ b/tests/dispatch.test.ts
@@ -7,10 +7,10 @@
 import type { DispatchEffect } from '../packages/dispatch/DispatchEffect';
 import { Dispatcher } from '../packages/dispatch/Dispatcher';
 import type { PlacedRun } from '../packages/dispatch/runs/PlacedRun';
-import type { EndedRow } from '../packages/dispatch/endpoints/EndedRow';
+import type { EndedTaskStatus } from '../packages/dispatch/endpoints/EndedTaskStatus';
 import type { EndpointProfile } from '../packages/dispatch/endpoints/EndpointProfile';
-import { readStraggling } from '../packages/dispatch/runs/readStraggling';
-import type { EndpointLife } from '../packages/jobs/EndpointLife';
+import { findStragglerReason } from '../packages/dispatch/runs/findStragglerReason';
+import type { EndpointIncarnation } from '../packages/jobs/EndpointIncarnation';
 import { formatProgress } from '../packages/jobs/formatProgress';
 import type { JobDefinition } from '../packages/jobs/JobDefinition';
 import type { JobId } from '../packages/jobs/JobId';
@@ -48,7 +48,7 @@
   readonly task: TaskName;
   readonly run: number;
   readonly endsAt: number;
-  readonly how: EndedRow['how'];
+  readonly how: EndedTaskStatus['how'];
 }
 
 /** An endpoint that guards nothing: it runs what it is told, obeys the highest token, and lists ends until acknowledged. */
@@ -56,7 +56,7 @@
   readonly profile: EndpointProfile;
   readonly runs: Map<TaskName, ModelRun>;
   readonly rejected: Map<TaskName, number>;
-  ends: EndedRow[];
+  ends: EndedTaskStatus[];
   endCount: number;
   lapsedUpTo: number;
   lastSeen: number;
@@ -131,7 +131,7 @@
       this.applyLate();
       this.endpoints.forEach((endpoint) => this.applyEndpoint(endpoint));
       this.endpoints.forEach((endpoint) => this.handleLook(endpoint, isTroubled));
-      this.dispatcher.applyTime(this.now);
+      this.dispatcher.handleTick(this.now);
       this.dispatcher.placeWaiting(this.now, this.now);
       this.applyEffects(isTroubled);
     }
@@ -169,15 +169,15 @@
     this.epoch += 1;
     const waitMs = this.mutation === 'noLeaseWait' ? 0 : LEASE_MS + 1000;
     this.dispatcher = new Dispatcher({
-      unheardUntil: this.now + waitMs,
-      readDefinition: (id) => this.definitions.get(id),
+      earlierLeasesEndAt: this.now + waitMs,
+      getDefinition: (id) => this.definitions.get(id),
     });
-    this.endpoints.forEach(({ profile }) => this.dispatcher.handleEndpoint(profile));
+    this.endpoints.forEach(({ profile }) => this.dispatcher.handleEndpointProfile(profile));
     for (const definition of this.definitions.values()) {
       this.dispatcher.handleJob(definition, this.readProgress(definition), this.now);
     }
     if (this.mutation === 'usageNotInherited') {
-      this.readBookedRuns().forEach((run) => this.dispatcher.readUsage().recordRunEnd(run));
+      this.readBookedRuns().forEach((run) => this.dispatcher.getUsage().recordRunEnd(run));
     }
     this.endpoints.forEach((endpoint) => {
       endpoint.lastSeen = 0;
@@ -191,11 +191,11 @@
   }
 
   private applyEffects(isTroubled: boolean): void {
-    const effects = this.dispatcher.readEffects();
+    const effects = this.dispatcher.takeEffects();
     const starts: Extract<DispatchEffect, { kind: 'start' }>[] = [];
     for (const effect of effects) {
       if (effect.kind === 'record') {
-        const job = this.dispatcher.readJob(effect.job);
+        const job = this.dispatcher.getJob(effect.job);
         if (job !== undefined) {
           this.log.set(effect.job, formatProgress(job.definition, job.progress));
         }
@@ -212,14 +212,14 @@
 
   private readBookedRuns(): readonly PlacedRun[] {
     return this.endpoints.flatMap(({ profile }) => [
-      ...(this.dispatcher.readBook(profile.life)?.readRuns() ?? []),
+      ...(this.dispatcher.getEndpointState(profile.incarnation)?.getRuns() ?? []),
     ]);
   }
 
   private applyStopMutation({ endpoint, task, run }: Extract<DispatchEffect, { kind: 'stop' }>): void {
-    const booked = this.dispatcher.readBook(endpoint)?.readRun(task, run);
+    const booked = this.dispatcher.getEndpointState(endpoint)?.getRun(task, run);
     if (this.mutation === 'stopCountsAsEnd' && booked !== undefined) {
-      this.dispatcher.readUsage().recordRunEnd(booked);
+      this.dispatcher.getUsage().recordRunEnd(booked);
     }
   }
 
@@ -230,8 +230,8 @@
     }
     const booked = new CustomerUsage();
     this.readBookedRuns().forEach((run) => booked.recordRun(run));
-    const [counted, expected] = [this.dispatcher.readUsage(), booked].map((usage) =>
-      JSON.stringify([...usage.readAll()].sort()),
+    const [counted, expected] = [this.dispatcher.getUsage(), booked].map((usage) =>
+      JSON.stringify([...usage.getAll()].sort()),
     );
     if (counted !== expected) {
       this.problems.push(`usage ${counted} for ${expected}`);
@@ -251,21 +251,21 @@
   }
 
   private sendStart(effect: Extract<DispatchEffect, { kind: 'start' }>, isTroubled: boolean): void {
-    const endpoint = this.endpoints.find(({ profile }) => profile.life === effect.endpoint)!;
-    if (!this.dispatcher.handleRecorded(effect, this.now)) {
+    const endpoint = this.endpoints.find(({ profile }) => profile.incarnation === effect.endpoint)!;
+    if (!this.dispatcher.handleStartRecorded(effect, this.now)) {
       return;
     }
-    const { task, run } = effect.order;
+    const { task, run } = effect.command;
     const token = this.epoch;
     const leasedUntil = this.now + LEASE_MS;
-    this.dispatcher.readBook(effect.endpoint)?.recordLease(leasedUntil + 100);
+    this.dispatcher.getEndpointState(effect.endpoint)?.recordLease(leasedUntil + 100);
     const call = (): void => this.startRun(endpoint, task, run, leasedUntil);
     const isLost = endpoint.isCut || (isTroubled && this.random() < 0.15);
     if (isLost) {
       if (this.random() < 0.6) {
         this.late.push({ at: this.now + 200 + this.random() * 6000, token, call });
       }
-      this.dispatcher.handleStartAnswer(
+      this.dispatcher.handleStartResult(
         effect.endpoint,
         task,
         run,
@@ -275,16 +275,16 @@
       return;
     }
     call();
-    this.dispatcher.handleStartAnswer(effect.endpoint, task, run, { kind: 'done' }, this.now);
+    this.dispatcher.handleStartResult(effect.endpoint, task, run, { kind: 'done' }, this.now);
   }
 
   private sendStop(effect: Extract<DispatchEffect, { kind: 'stop' }>, isTroubled: boolean): void {
-    const endpoint = this.endpoints.find(({ profile }) => profile.life === effect.endpoint);
+    const endpoint = this.endpoints.find(({ profile }) => profile.incarnation === effect.endpoint);
     if (endpoint === undefined || endpoint.isCut || (isTroubled && this.random() < 0.15)) {
       return;
     }
     this.applyStop(endpoint, effect.task, effect.run);
-    this.dispatcher.handleStopAnswer(effect.endpoint, effect.task, effect.run, { kind: 'done' }, this.now);
+    this.dispatcher.handleStopResult(effect.endpoint, effect.task, effect.run, { kind: 'done' }, this.now);
   }
 
   private applyLate(): void {
@@ -319,7 +319,7 @@
     const how = this.random() < 0.1 ? 'failed' : 'done';
     endpoint.runs.set(task, { task, run, endsAt: this.now + 200 + this.random() * 400, how });
     if (endpoint.runs.size * 1000 > CPUS) {
-      this.problems.push(`${endpoint.profile.life} holds ${endpoint.runs.size} tasks`);
+      this.problems.push(`${endpoint.profile.incarnation} holds ${endpoint.runs.size} tasks`);
     }
     this.checkLimit(task);
   }
@@ -343,7 +343,7 @@
     }
   }
 
-  private recordEnd(endpoint: ModelEndpoint, task: TaskName, how: EndedRow['how']): void {
+  private recordEnd(endpoint: ModelEndpoint, task: TaskName, how: EndedTaskStatus['how']): void {
     const run = endpoint.runs.get(task)!;
     endpoint.runs.delete(task);
     endpoint.rejected.set(task, Math.max(endpoint.rejected.get(task) ?? 0, run.run));
@@ -355,19 +355,19 @@
   }
 
   private handleLook(endpoint: ModelEndpoint, isTroubled: boolean): void {
-    const { life: id } = endpoint.profile;
+    const { incarnation: id } = endpoint.profile;
     if (endpoint.lookAt > this.now) {
       return;
     }
-    const book = this.dispatcher.readBook(id)!;
+    const book = this.dispatcher.getEndpointState(id)!;
     endpoint.lookAt = this.now + 50;
     if (endpoint.isCut || (isTroubled && this.random() < 0.05)) {
-      this.dispatcher.handleSilence(id, this.now);
+      this.dispatcher.handleUnreachable(id, this.now);
       return;
     }
     endpoint.token = Math.max(endpoint.token, this.epoch);
     this.applyNoted(endpoint);
-    if (book.isSettled() && book.readSilentSince() === undefined) {
+    if (book.isSynced() && book.getUnreachableSince() === undefined) {
       endpoint.leasedUntil = this.now + LEASE_MS;
       book.recordLease(this.now + LEASE_MS + 100);
     }
@@ -389,7 +389,7 @@
         return;
       }
     }
-    this.dispatcher.handleLook(answer, this.now, this.now);
+    this.dispatcher.handleStatus(answer, this.now, this.now);
     this.applyEffects(isTroubled);
     endpoint.lastSeen = ended.reduce((highest, { number }) => Math.max(highest, number), endpoint.lastSeen);
   }
@@ -493,7 +493,7 @@
   it('keeps progress through the log: what is read back is what was written', () => {
     const definition = createJob(1, [createStep({ count: 3 })]);
     const progress = new JobProgress(definition);
-    const endpoint = toId<EndpointLife>('i-0');
+    const endpoint = toId<EndpointIncarnation>('i-0');
     progress.recordPlaced({ time: 0, step: 0, index: 0 }, 1, endpoint);
     progress.recordPlaced({ time: 0, step: 0, index: 1 }, 1, endpoint);
     progress.recordEnd({ time: 0, step: 0, index: 1 }, 1, 'failed', 'saved');
@@ -502,47 +502,47 @@
     const text = formatProgress(definition, progress);
     const read = parseProgress(definition, text)!;
     expect(formatProgress(definition, read)).toBe(text);
-    expect(read.readTasks(0, 0)).toEqual(progress.readTasks(0, 0));
-    expect(read.readOpenCount(0, 0)).toBe(2);
+    expect(read.listTasks(0, 0)).toEqual(progress.listTasks(0, 0));
+    expect(read.countOpenTasks(0, 0)).toBe(2);
   });
 });
 
 describe('endpoints that leave', () => {
   /** A long-running task at work on the first of two endpoints. */
   const createAtWork = () => {
-    const dispatcher = new Dispatcher({ readDefinition: () => undefined, unheardUntil: 0 });
+    const dispatcher = new Dispatcher({ getDefinition: () => undefined, earlierLeasesEndAt: 0 });
     const [first, second] = [createProfile('i-0'), createProfile('i-1')];
     const definition = createJob(1, [createStep({ count: 1, isLongRunning: true, missAllowed: 1 })]);
-    dispatcher.handleEndpoint(first);
-    dispatcher.handleLook({ endpoint: first.life, running: [], ended: [], sentAt: 0 }, 1, 1);
+    dispatcher.handleEndpointProfile(first);
+    dispatcher.handleStatus({ endpoint: first.incarnation, running: [], ended: [], sentAt: 0 }, 1, 1);
     dispatcher.handleJob(definition, new JobProgress(definition), 1);
     dispatcher.placeWaiting(2, 2);
-    const start = dispatcher.readEffects().find((effect) => effect.kind === 'start') as Extract<
+    const start = dispatcher.takeEffects().find((effect) => effect.kind === 'start') as Extract<
       DispatchEffect,
       { kind: 'start' }
     >;
-    dispatcher.handleRecorded(start, 3);
-    dispatcher.handleStartAnswer(first.life, start.order.task, 1, { kind: 'done' }, 4);
-    dispatcher.handleEndpoint(second);
-    dispatcher.handleLook({ endpoint: second.life, running: [], ended: [], sentAt: 5 }, 6, 6);
+    dispatcher.handleStartRecorded(start, 3);
+    dispatcher.handleStartResult(first.incarnation, start.command.task, 1, { kind: 'done' }, 4);
+    dispatcher.handleEndpointProfile(second);
+    dispatcher.handleStatus({ endpoint: second.incarnation, running: [], ended: [], sentAt: 5 }, 6, 6);
     return { dispatcher, first, second };
   };
 
   const readStops = (dispatcher: Dispatcher) =>
-    dispatcher.readEffects().filter((effect) => effect.kind === 'stop');
+    dispatcher.takeEffects().filter((effect) => effect.kind === 'stop');
 
   it('keep what they run when only their record is gone, and get nothing new', () => {
     const { dispatcher, first } = createAtWork();
-    dispatcher.handleEndpointLeft(first.life);
-    dispatcher.applyTime(1000);
+    dispatcher.handleEndpointDeregistered(first.incarnation);
+    dispatcher.handleTick(1000);
     expect(readStops(dispatcher)).toEqual([]);
-    expect(dispatcher.readBook(first.life)?.isUsable()).toBe(false);
+    expect(dispatcher.getEndpointState(first.incarnation)?.isSchedulable()).toBe(false);
   });
 
   it('have long-running work moved ahead when they say that they drain', () => {
     const { dispatcher, first } = createAtWork();
-    dispatcher.handleEndpoint({ ...first, isDraining: true, remainingMs: 2000 });
-    dispatcher.applyTime(1000);
+    dispatcher.handleEndpointProfile({ ...first, isDraining: true, remainingMs: 2000 });
+    dispatcher.handleTick(1000);
     expect(readStops(dispatcher)).toHaveLength(1);
   });
 });
@@ -551,12 +551,12 @@
   const usual = { pace: 8, usualPace: 8, percent: 50, stalledMs: 0, moveMs: 300 };
 
   it('leaves runs alone that work as fast as their siblings, and slow ones that are nearly done', () => {
-    expect(readStraggling(usual)).toBeUndefined();
-    expect(readStraggling({ ...usual, pace: 40, percent: 95 })).toBeUndefined();
+    expect(findStragglerReason(usual)).toBeUndefined();
+    expect(findStragglerReason({ ...usual, pace: 40, percent: 95 })).toBeUndefined();
   });
 
   it('moves a run that is several times slower, or that stands still', () => {
-    expect(readStraggling({ ...usual, pace: 52, percent: 8 })).toBe('slow');
-    expect(readStraggling({ ...usual, stalledMs: 1000 })).toBe('stalled');
+    expect(findStragglerReason({ ...usual, pace: 52, percent: 8 })).toBe('slow');
+    expect(findStragglerReason({ ...usual, stalledMs: 1000 })).toBe('stalled');
   });
 });
--- a/tests/endedLives.test.ts
+++ b/tests/endedLives.test.ts
@@ -2,7 +2,7 @@
 import { toId } from '../packages/common/toId';
 import type { DispatchEffect } from '../packages/dispatch/DispatchEffect';
 import { Dispatcher } from '../packages/dispatch/Dispatcher';
-import type { EndpointLife } from '../packages/jobs/EndpointLife';
+import type { EndpointIncarnation } from '../packages/jobs/EndpointIncarnation';
 import { JobProgress } from '../packages/jobs/JobProgress';
 import { createJobDefinition } from './helpers/createJobDefinition';
 import { createProfile } from './helpers/createProfile';
@@ -10,33 +10,33 @@
 
 type Tell = Extract<DispatchEffect, { kind: 'tell' }>;
 
-const ENDPOINT = toId<EndpointLife>('i-0');
+const ENDPOINT = toId<EndpointIncarnation>('i-0');
 const JOB = createJobDefinition(1, [createStep({ count: 1 })]);
 
 describe('what the log tells of a run that was lost', () => {
   let dispatcher: Dispatcher;
 
   beforeEach(() => {
-    dispatcher = new Dispatcher({ readDefinition: () => undefined, unheardUntil: 0 });
-    dispatcher.handleEndpoint(createProfile(ENDPOINT));
-    dispatcher.handleLook({ endpoint: ENDPOINT, running: [], ended: [], sentAt: 0 }, 0, 0);
+    dispatcher = new Dispatcher({ getDefinition: () => undefined, earlierLeasesEndAt: 0 });
+    dispatcher.handleEndpointProfile(createProfile(ENDPOINT));
+    dispatcher.handleStatus({ endpoint: ENDPOINT, running: [], ended: [], sentAt: 0 }, 0, 0);
     dispatcher.handleJob(JOB, new JobProgress(JOB), 0);
     dispatcher.placeWaiting(0, 0);
-    for (const effect of dispatcher.readEffects()) {
+    for (const effect of dispatcher.takeEffects()) {
       if (effect.kind === 'start') {
-        dispatcher.handleRecorded(effect, 10);
-        dispatcher.handleStartAnswer(ENDPOINT, effect.order.task, effect.order.run, { kind: 'done' }, 20);
+        dispatcher.handleStartRecorded(effect, 10);
+        dispatcher.handleStartResult(ENDPOINT, effect.command.task, effect.command.run, { kind: 'done' }, 20);
       }
     }
   });
 
   const readTell = (effects: readonly DispatchEffect[], sentence: string): Tell['fields'] | undefined =>
-    effects.find((effect): effect is Tell => effect.kind === 'tell' && effect.sentence === sentence)?.fields;
+    effects.find((effect): effect is Tell => effect.kind === 'tell' && effect.message === sentence)?.fields;
 
   it('names the end of the endpoint, how long it was unheard, and what ran there', () => {
-    dispatcher.handleSilence(ENDPOINT, 100);
-    dispatcher.handleLifeOver(ENDPOINT, 3100);
-    const effects = dispatcher.readEffects();
+    dispatcher.handleUnreachable(ENDPOINT, 100);
+    dispatcher.handleIncarnationEnd(ENDPOINT, 3100);
+    const effects = dispatcher.takeEffects();
     expect(readTell(effects, 'Endpoint life is over.')).toMatchObject({
       unheardMs: 3100,
       silentMs: 3000,
@@ -49,10 +49,10 @@
   });
 
   it('tells a lease that ran out from the end of the endpoint', () => {
-    dispatcher.readBook(ENDPOINT)!.recordLease(4000);
-    dispatcher.handleSilence(ENDPOINT, 100);
-    dispatcher.applyTime(4100);
-    const effects = dispatcher.readEffects();
+    dispatcher.getEndpointState(ENDPOINT)!.recordLease(4000);
+    dispatcher.handleUnreachable(ENDPOINT, 100);
+    dispatcher.handleTick(4100);
+    const effects = dispatcher.takeEffects();
     expect(readTell(effects, 'Run ended.')).toMatchObject({ outcome: 'interrupted', cause: 'leaseOver' });
     expect(effects).toContainEqual({ kind: 'count', name: 'runsLapsed', amount: 1 });
   });
--- a/tests/endpointSession.test.ts
+++ b/tests/endpointSession.test.ts
@@ -2,14 +2,14 @@
 import { describe, expect, it } from 'vitest';
 import { systemClock } from '../packages/common/systemClock';
 import { toId } from '../packages/common/toId';
-import { EndpointBook } from '../packages/dispatch/endpoints/EndpointBook';
+import { EndpointState } from '../packages/dispatch/endpoints/EndpointState';
 import type { EndpointClient } from '../packages/dispatch/endpoints/EndpointClient';
 import { EndpointSession } from '../packages/dispatch/endpoints/EndpointSession';
-import type { HoldAnswer } from '../packages/dispatch/endpoints/HoldAnswer';
+import type { PollResult } from '../packages/dispatch/endpoints/PollResult';
 import type { TaskName } from '../packages/jobs/TaskName';
 import { createProfile } from './helpers/createProfile';
 
-type HoldRequest = Parameters<EndpointClient['sendHold']>[0];
+type HoldRequest = Parameters<EndpointClient['sendPoll']>[0];
 type HeldHandler = ConstructorParameters<typeof EndpointSession>[0]['handleHeld'];
 
 /** An endpoint takes so long for each answer. */
@@ -19,11 +19,11 @@
 const LEASE_MS = 4000;
 const END = { number: 1, task: toId<TaskName>('0.0.0.0'), run: 1, how: 'done', checkpoint: '' } as const;
 
-const createBook = (): EndpointBook => new EndpointBook(createProfile('i-0'), 0, new CustomerUsage());
+const createBook = (): EndpointState => new EndpointState(createProfile('i-0'), 0, new CustomerUsage());
 
 const createSession = (
-  book: EndpointBook,
-  sendHold: (request: HoldRequest) => Promise<HoldAnswer>,
+  book: EndpointState,
+  sendHold: (request: HoldRequest) => Promise<PollResult>,
   handleHeld: HeldHandler,
 ): EndpointSession =>
   new EndpointSession({
@@ -31,7 +31,7 @@
     client: {
       sendStart: () => Promise.resolve({ kind: 'done' }),
       sendStop: () => Promise.resolve({ kind: 'done' }),
-      sendHold,
+      sendPoll: sendHold,
       stop: () => Promise.resolve(),
     },
     clock: systemClock,
@@ -64,7 +64,7 @@
           return Promise.resolve();
         },
       );
-      void session.start();
+      void session.run();
     });
     expect(limits).toEqual([300, 600, 1200]);
   });
@@ -96,7 +96,7 @@
         return answer.ended.length === 0 ? new Promise(() => undefined) : durable;
       },
     );
-    void session.start();
+    void session.run();
     await new Promise((resolve) => setTimeout(resolve, OUTAGE_MS));
     const during = [...looks];
     startDurable();
--- a/tests/endpointSpeeds.test.ts
+++ b/tests/endpointSpeeds.test.ts
@@ -2,10 +2,10 @@
 import { describe, expect, it } from 'vitest';
 import { CustomerUsage } from '../packages/customers/CustomerUsage';
 import { createRandom } from '../packages/common/createRandom';
-import type { SpeedChoice } from '../packages/dispatch/placing/SpeedChoice';
-import { EndpointBook } from '../packages/dispatch/endpoints/EndpointBook';
+import type { SpeedPolicyName } from '../packages/dispatch/placing/SpeedPolicyName';
+import { EndpointState } from '../packages/dispatch/endpoints/EndpointState';
 import type { SpeedSources } from '../packages/dispatch/placing/SpeedSources';
-import { createExpectedEndCost } from '../packages/dispatch/speeds/createExpectedEndCost';
+import { createCompletionTimeCost } from '../packages/dispatch/speeds/createCompletionTimeCost';
 import { LiveJob } from '../packages/dispatch/waiting/LiveJob';
 import { JobProgress } from '../packages/jobs/JobProgress';
 import type { JobStep } from '../packages/jobs/JobStep';
@@ -14,9 +14,9 @@
 import { RunTimes } from '../packages/dispatch/speeds/RunTimes';
 import { toId } from '../packages/common/toId';
 import type { ServiceName } from '../packages/jobs/ServiceName';
-import { StepTimes } from '../packages/dispatch/speeds/StepTimes';
+import { StepRunTimes } from '../packages/dispatch/speeds/StepRunTimes';
 import { toUsualStepTime } from '../packages/dispatch/speeds/toUsualStepTime';
-import type { EndpointLife } from '../packages/jobs/EndpointLife';
+import type { EndpointIncarnation } from '../packages/jobs/EndpointIncarnation';
 import { createProfile } from './helpers/createProfile';
 import { createJobDefinition } from './helpers/createJobDefinition';
 import { createStep } from './helpers/createStep';
@@ -66,7 +66,7 @@
 
   readSlowNumbers(): readonly number[] {
     return this.profiles.flatMap((profile, number) =>
-      this.speeds.readKnownRatio(profile) > 1 ? [number] : [],
+      this.speeds.getSignificantRatio(profile) > 1 ? [number] : [],
     );
   }
 }
@@ -88,7 +88,7 @@
     const bench = new SpeedBench();
     for (let part = 0; part < 20; part += 1) {
       bench.recordRuns(5, () => 1);
-      expect(bench.speeds.readCounts()).toEqual({ slow: 0, usual: 40, fast: 0 });
+      expect(bench.speeds.countByClass()).toEqual({ slow: 0, usual: 40, fast: 0 });
     }
     let misled = 0;
     for (let run = 0; run < 100; run += 1) {
@@ -110,9 +110,9 @@
   it('are those of the label or the hall for one that has run nothing, where these tell', () => {
     const bench = new SpeedBench((number) => (number % 3 === 2 ? 'b' : 'a'));
     bench.recordRuns(12, toSlowThird);
-    expect(bench.speeds.readKnownRatio(createProfile('new-b', { labels: ['b'] }))).toBeGreaterThan(1.6);
-    expect(bench.speeds.readKnownRatio(createProfile('new-a', { labels: ['a'] }))).toBe(1);
-    expect(bench.speeds.readKnownRatio(createProfile('new-c', { labels: ['c'] }))).toBe(1);
+    expect(bench.speeds.getSignificantRatio(createProfile('new-b', { labels: ['b'] }))).toBeGreaterThan(1.6);
+    expect(bench.speeds.getSignificantRatio(createProfile('new-a', { labels: ['a'] }))).toBe(1);
+    expect(bench.speeds.getSignificantRatio(createProfile('new-c', { labels: ['c'] }))).toBe(1);
   });
 
   it('are learnt from gangs for the slowest member alone', () => {
@@ -138,14 +138,14 @@
         bench.speeds.recordRun(profile, evidence, bench.now);
       }
     }
-    expect(others.map((profile) => bench.speeds.readKnownRatio(profile))).toEqual(others.map(() => 1));
+    expect(others.map((profile) => bench.speeds.getSignificantRatio(profile))).toEqual(others.map(() => 1));
     expect(bench.readSlowNumbers()).toEqual(SLOW_THIRD);
   });
 
   it('forget lives that are gone', () => {
     const bench = new SpeedBench();
     bench.recordRuns(10, toSlowThird);
-    bench.speeds.applyTime(bench.now, (life) => life !== bench.readProfile(2).life);
+    bench.speeds.applyTime(bench.now, (life) => life !== bench.readProfile(2).incarnation);
     expect(bench.readSlowNumbers()).toEqual(SLOW_THIRD.filter((number) => number !== 2));
   });
 
@@ -173,14 +173,14 @@
           }
           speeds.applyTime(now, () => true);
           for (const known of profiles) {
-            const { ratio, spread } = speeds.readEstimate(known);
+            const { ratio, spread } = speeds.getEstimate(known);
             expect(Math.abs(Math.log(ratio))).toBeLessThanOrEqual(16);
             expect(spread).toBeGreaterThan(0);
             expect(spread).toBeLessThan(10);
-            expect(speeds.readKnownRatio(known)).toBeGreaterThan(0);
+            expect(speeds.getSignificantRatio(known)).toBeGreaterThan(0);
           }
         }
-        const { slow, usual, fast } = speeds.readCounts();
+        const { slow, usual, fast } = speeds.countByClass();
         expect(slow + usual + fast).toBeLessThanOrEqual(10);
       }),
       { seed: 20261203, numRuns: 150 },
@@ -192,16 +192,16 @@
   it('are learnt by image, else by queue, else the caller is believed', () => {
     const times = new RunTimes();
     const step = createStep({ estimatedMs: 1000, image: 'a' });
-    expect(times.readEstimate('q', step)).toMatchObject({ medianMs: 1000, isLearnt: false });
+    expect(times.getEstimate('q', step)).toMatchObject({ medianMs: 1000, isLearnt: false });
     for (let run = 0; run < 40; run += 1) {
       times.recordRun('q', step, Math.log(run % 10 === 0 ? 7000 : 1500));
     }
-    const learnt = times.readEstimate('q', step);
+    const learnt = times.getEstimate('q', step);
     expect(learnt.isLearnt).toBe(true);
     expect(learnt.medianMs).toBeCloseTo(1500);
-    expect(times.readEstimate('q', createStep({ estimatedMs: 500, image: 'b' })).medianMs).toBeCloseTo(750);
-    expect(times.readEstimate('q', createStep({ estimatedMs: 0, image: 'a' })).isLearnt).toBe(false);
-    expect(times.readEstimate('other', step).isLearnt).toBe(false);
+    expect(times.getEstimate('q', createStep({ estimatedMs: 500, image: 'b' })).medianMs).toBeCloseTo(750);
+    expect(times.getEstimate('q', createStep({ estimatedMs: 0, image: 'a' })).isLearnt).toBe(false);
+    expect(times.getEstimate('other', step).isLearnt).toBe(false);
   });
 
   it('follow a change, and stay bounded', () => {
@@ -210,19 +210,19 @@
     for (let run = 0; run < 200; run += 1) {
       times.recordRun('q', step, Math.log(run < 100 ? 1000 : 3000));
     }
-    expect(times.readEstimate('q', step).medianMs).toBeCloseTo(3000);
+    expect(times.getEstimate('q', step).medianMs).toBeCloseTo(3000);
     for (let image = 0; image < 1000; image += 1) {
       times.recordRun('q', createStep({ estimatedMs: 1000, image: `image-${image}` }), Math.log(3000));
     }
     expect(times.readKindCount()).toBeLessThan(300);
-    expect(times.readEstimate('q', step).isLearnt).toBe(true);
+    expect(times.getEstimate('q', step).isLearnt).toBe(true);
   });
 });
 
 describe('the usual time of a step', () => {
   it('comes from siblings elsewhere, one for each endpoint, corrected for it', () => {
-    const [here, slow, usual] = ['here', 'slow', 'usual'].map((name) => toId<EndpointLife>(name));
-    const times = new StepTimes();
+    const [here, slow, usual] = ['here', 'slow', 'usual'].map((name) => toId<EndpointIncarnation>(name));
+    const times = new StepRunTimes();
     times.recordTime(0, here!, Math.log(9000));
     times.recordTime(1, slow!, Math.log(2000));
     times.recordTime(2, slow!, Math.log(2000));
@@ -258,14 +258,14 @@
     ];
     const definition = createJobDefinition(1, steps);
     const job = new LiveJob(definition, new JobProgress(definition), 0);
-    expect(steps.map((_, step) => job.readRestMs(step))).toEqual([500, 300, 0, 0]);
+    expect(steps.map((_, step) => job.getCriticalPathAfterMs(step))).toEqual([500, 300, 0, 0]);
   });
 });
 
 describe('the cost of an endpoint by the expected end', () => {
-  const createBook = (id: string, freeCpuMillis: number): EndpointBook => {
+  const createBook = (id: string, freeCpuMillis: number): EndpointState => {
     const capacity = { cpuMillis: freeCpuMillis, memoryMb: 64_000, accelerators: 0 };
-    return new EndpointBook(createProfile(id, { capacity }), 0, new CustomerUsage());
+    return new EndpointState(createProfile(id, { capacity }), 0, new CustomerUsage());
   };
   const ratios: Readonly<Record<string, number>> = { usual: 1, slow: 2, slower: 3 };
   const books = [createBook('usual', 2000), createBook('slow', 4000), createBook('slower', 9000)];
@@ -287,8 +287,8 @@
         measureFitCount: (free: { cpuMillis: number }) => Math.floor(free.cpuMillis / 1000),
       },
     } as unknown as SpeedSources;
-    const readCost = createExpectedEndCost(step, sources, books, 0);
-    return Object.fromEntries(books.map((book) => [book.readProfile().id, readCost(book)]));
+    const readCost = createCompletionTimeCost(step, sources, books, 0);
+    return Object.fromEntries(books.map((book) => [book.getProfile().id, readCost(book)]));
   };
 
   it('is higher where work would be late, and lower on slow endpoints for work that bears them', () => {
@@ -360,7 +360,7 @@
 type UnlikeOptions = ConstructorParameters<typeof UnlikeWorld>[0];
 
 const createUnlike = (
-  speedChoice: SpeedChoice,
+  speedChoice: SpeedPolicyName,
   seed: number,
   options: Partial<UnlikeOptions> = {},
 ): UnlikeWorld =>
@@ -374,13 +374,17 @@
     ...options,
   });
 
-const startUnlike = (speedChoice: SpeedChoice, seed: number): UnlikeWorld => {
+const startUnlike = (speedChoice: SpeedPolicyName, seed: number): UnlikeWorld => {
   const world = createUnlike(speedChoice, seed);
   world.start(LOAD_MS);
   return world;
 };
 
-const startAlike = (speedChoice: SpeedChoice, seed: number, options: Partial<UnlikeOptions>): UnlikeWorld => {
+const startAlike = (
+  speedChoice: SpeedPolicyName,
+  seed: number,
+  options: Partial<UnlikeOptions>,
+): UnlikeWorld => {
   const world = createUnlike(speedChoice, seed, { readSlowness: () => 1, ...options });
   world.start(COUNTED_UNTIL_MS);
   return world;
@@ -397,7 +401,7 @@
       expect(readShare(endpoints, 'batch')).toBeGreaterThanOrEqual(0.95);
       expect(readShare(endpoints, 'gang')).toBeGreaterThan(readShare(blind, 'gang'));
       expect(readShare(blind, 'urgent')).toBeLessThan(0.86);
-      expect(endpoints.dispatcher.readSpeeds().readCounts()).toEqual({ slow: 20, usual: 40, fast: 0 });
+      expect(endpoints.dispatcher.getSpeeds().countByClass()).toEqual({ slow: 20, usual: 40, fast: 0 });
     }
   }, 60_000);
 
@@ -414,25 +418,25 @@
   it('has hardly an endpoint taken for another where all are alike, with long tails and failures', () => {
     for (const seed of [1, 2, 3]) {
       const { dispatcher } = startAlike('endpoints', seed, {});
-      expect(dispatcher.readSpeeds().readCounts().usual).toBeGreaterThanOrEqual(ENDPOINTS - 3);
+      expect(dispatcher.getSpeeds().countByClass().usual).toBeGreaterThanOrEqual(ENDPOINTS - 3);
     }
   }, 60_000);
 
   it('is known anew to a new leader within seconds, from nothing but what runs', () => {
     const world = createUnlike('endpoints', 4);
     world.start(12_000);
-    expect(world.dispatcher.readSpeeds().readCounts().slow).toBeGreaterThan(15);
+    expect(world.dispatcher.getSpeeds().countByClass().slow).toBeGreaterThan(15);
     world.startLeader();
-    expect(world.dispatcher.readSpeeds().readCounts()).toEqual({ slow: 0, usual: 0, fast: 0 });
+    expect(world.dispatcher.getSpeeds().countByClass()).toEqual({ slow: 0, usual: 0, fast: 0 });
     world.start(24_000);
-    const { slow, fast } = world.dispatcher.readSpeeds().readCounts();
+    const { slow, fast } = world.dispatcher.getSpeeds().countByClass();
     expect(slow).toBeGreaterThan(15);
     expect(slow + fast).toBeLessThan(25);
     expect(world.readInTime('urgent', 17_000, 22_000)).toBeGreaterThanOrEqual(0.92);
   }, 30_000);
 
   it('has urgent work in time at least as often as by kinds where labels tell', () => {
-    const readShare = (speedChoice: SpeedChoice): number => {
+    const readShare = (speedChoice: SpeedPolicyName): number => {
       const world = createUnlike(speedChoice, 5, {
         readSlowness: (endpoint) => (endpoint % 3 === 2 ? 2 : 1),
         readLabel: (endpoint) => (endpoint % 3 === 2 ? 'b' : 'a'),
@@ -449,7 +453,9 @@
   }, 30_000);
 
   it('has slow endpoints that are not held for sick, and sick ones that are', () => {
-    const countDoubtful = (speedChoice: SpeedChoice): { readonly sound: number; readonly sick: number } => {
+    const countDoubtful = (
+      speedChoice: SpeedPolicyName,
+    ): { readonly sound: number; readonly sick: number } => {
       const world = createUnlike(speedChoice, 6, {
         readSlowness: (endpoint, now) => (endpoint < 3 && now > 15_000 ? 9 : endpoint % 3 === 2 ? 1.7 : 0.7),
         tailShare: 0,
@@ -460,7 +466,7 @@
       for (let now = 10_100; now < 20_000; now += 100) {
         world.start(now);
         for (const book of world.readDoubtfulBooks()) {
-          const isSick = Number(book.readProfile().id.slice(2)) < 3;
+          const isSick = Number(book.getProfile().id.slice(2)) < 3;
           counts[isSick ? 'sick' : 'sound'] += 1;
         }
       }
--- a/tests/foreignRecords.test.ts
+++ b/tests/foreignRecords.test.ts
@@ -154,7 +154,7 @@
     const good: unknown = JSON.parse(formatProgress(DEFINITION, progress));
     checkAll(createTexts(good), (text) => {
       const read = parseProgress(DEFINITION, text);
-      const runs = read?.readTasks(0, 0).map(({ run }) => run) ?? [];
+      const runs = read?.listTasks(0, 0).map(({ run }) => run) ?? [];
       expect(runs.every(isUsableNumber)).toBe(true);
     });
   });
@@ -169,7 +169,7 @@
       { key: jobKeys.toDefinitionKey(bad), value: formatDefinition(huge) },
       { key: jobKeys.toDefinitionKey(DEFINITION.id), value: formatDefinition(DEFINITION) },
     ]);
-    expect(change.refused).toEqual([bad, bad, bad]);
+    expect(change.invalid).toEqual([bad, bad, bad]);
     expect(change.accepted.map(({ id }) => id)).toEqual([DEFINITION.id]);
   });
 
--- a/tests/hallChoices.test.ts
+++ b/tests/hallChoices.test.ts
@@ -1,8 +1,8 @@
 import { describe, expect, it } from 'vitest';
 import type { DispatchEffect } from '../packages/dispatch/DispatchEffect';
 import { Dispatcher } from '../packages/dispatch/Dispatcher';
-import type { HallChoice } from '../packages/dispatch/placing/HallChoice';
-import type { EndpointLife } from '../packages/jobs/EndpointLife';
+import type { HallPolicyName } from '../packages/dispatch/placing/HallPolicyName';
+import type { EndpointIncarnation } from '../packages/jobs/EndpointIncarnation';
 import type { JobId } from '../packages/jobs/JobId';
 import { JobProgress } from '../packages/jobs/JobProgress';
 import { createJobDefinition } from './helpers/createJobDefinition';
@@ -18,22 +18,22 @@
 
 interface Play {
   readonly dispatcher: Dispatcher;
-  readonly halls: ReadonlyMap<EndpointLife, string>;
+  readonly halls: ReadonlyMap<EndpointIncarnation, string>;
   /** Halls of the tasks of each job. */
   readonly hallsOf: ReadonlyMap<JobId, readonly string[]>;
 }
 
 /** Places jobs of ten tasks, spread over the ids as callers choose them, on endpoints of three halls. */
-const createPlay = (hallChoice: HallChoice, usableHalls: readonly string[] = HALLS): Play => {
-  const dispatcher = new Dispatcher({ readDefinition: () => undefined, unheardUntil: 0, hallChoice });
-  const halls = new Map<EndpointLife, string>();
+const createPlay = (hallChoice: HallPolicyName, usableHalls: readonly string[] = HALLS): Play => {
+  const dispatcher = new Dispatcher({ getDefinition: () => undefined, earlierLeasesEndAt: 0, hallChoice });
+  const halls = new Map<EndpointIncarnation, string>();
   for (let number = 0; number < ENDPOINTS; number += 1) {
     const hall = HALLS[number % HALLS.length]!;
     const profile = createProfile(`i-${number}`, { hall, capacity: CAPACITY });
-    halls.set(profile.life, hall);
-    dispatcher.handleEndpoint(profile);
+    halls.set(profile.incarnation, hall);
+    dispatcher.handleEndpointProfile(profile);
     if (usableHalls.includes(hall)) {
-      dispatcher.handleLook({ endpoint: profile.life, running: [], ended: [], sentAt: 0 }, 1, 1);
+      dispatcher.handleStatus({ endpoint: profile.incarnation, running: [], ended: [], sentAt: 0 }, 1, 1);
     }
   }
   const demand = { cpuMillis: 4500, memoryMb: 6400, accelerators: 0 };
@@ -45,7 +45,7 @@
   }
   const hallsOf = new Map<JobId, string[]>();
   const starts = dispatcher
-    .readEffects()
+    .takeEffects()
     .filter((effect): effect is Extract<DispatchEffect, { kind: 'start' }> => effect.kind === 'start');
   for (const { job, endpoint } of starts) {
     hallsOf.set(job, [...(hallsOf.get(job) ?? []), halls.get(endpoint)!]);
--- a/tests/heldShares.test.ts
+++ b/tests/heldShares.test.ts
@@ -3,15 +3,15 @@
 import type { CustomerName } from '../packages/customers/CustomerName';
 import { CustomerUsage } from '../packages/customers/CustomerUsage';
 import { LiveJob } from '../packages/dispatch/waiting/LiveJob';
-import { measureRemaining } from '../packages/jobs/measureRemaining';
+import { computeCriticalPaths } from '../packages/jobs/computeCriticalPaths';
 import type { PlacementOrder } from '../packages/dispatch/waiting/PlacementOrder';
 import { placementOrders } from '../packages/dispatch/waiting/placementOrders';
 import type { WaitingStep } from '../packages/dispatch/waiting/WaitingStep';
 import type { JobCustomer } from '../packages/customers/JobCustomer';
 import { JobProgress } from '../packages/jobs/JobProgress';
 import type { TaskDemand } from '../packages/jobs/TaskDemand';
-import { toDominantShare } from '../packages/load/toDominantShare';
-import { toOwedShares } from '../packages/load/toOwedShares';
+import { computeDominantShare } from '../packages/load/computeDominantShare';
+import { computeFairShares } from '../packages/load/computeFairShares';
 import { createCustomer } from './helpers/createCustomer';
 import { createJobDefinition } from './helpers/createJobDefinition';
 import { createStep } from './helpers/createStep';
@@ -24,8 +24,8 @@
 describe('what customers are owed', () => {
   const owe = (claims: readonly (readonly [string, number, number])[], part = 1): Record<string, number> =>
     Object.fromEntries(
-      toOwedShares(
-        claims.map(([name, weight, wantedShare]) => ({ customer: toName(name), weight, wantedShare })),
+      computeFairShares(
+        claims.map(([name, weight, demandedShare]) => ({ customer: toName(name), weight, demandedShare })),
         part,
       ),
     );
@@ -56,8 +56,8 @@
 
   it('counts the resource of which they hold most', () => {
     const room = { cpuMillis: 1000, memoryMb: 50_000, accelerators: 3 };
-    expect(toDominantShare(room, CAPACITY)).toBe(0.5);
-    expect(toDominantShare(room, toCpu(0))).toBe(0);
+    expect(computeDominantShare(room, CAPACITY)).toBe(0.5);
+    expect(computeDominantShare(room, toCpu(0))).toBe(0);
   });
 });
 
@@ -70,7 +70,7 @@
       createStep({ estimatedMs: 10, dependsOn: [1, 2] }),
       createStep({ estimatedMs: 900, isLongRunning: true }),
     ];
-    expect(measureRemaining(steps)).toEqual([180, 60, 80, 10, 0]);
+    expect(computeCriticalPaths(steps)).toEqual([180, 60, 80, 10, 0]);
   });
 });
 
@@ -116,7 +116,7 @@
     held.forEach((cpuMillis, { name }) => usage.recordRun({ customer: name, charge: toCpu(cpuMillis) }));
     const input = { wallMs: atMs, usage, readCapacity: () => CAPACITY, ...times };
     return placementOrders[order]
-      .toOrder(waiting, input)
+      .sortSteps(waiting, input)
       .map((step) => (step as { name?: string }).name ?? '');
   };
 
--- a/tests/heldStarts.test.ts
+++ b/tests/heldStarts.test.ts
@@ -2,7 +2,7 @@
 import { toId } from '../packages/common/toId';
 import type { DispatchEffect } from '../packages/dispatch/DispatchEffect';
 import { Dispatcher } from '../packages/dispatch/Dispatcher';
-import type { EndpointLife } from '../packages/jobs/EndpointLife';
+import type { EndpointIncarnation } from '../packages/jobs/EndpointIncarnation';
 import type { JobDefinition } from '../packages/jobs/JobDefinition';
 import { JobProgress } from '../packages/jobs/JobProgress';
 import { createJobDefinition } from './helpers/createJobDefinition';
@@ -12,7 +12,7 @@
 type StartEffect = Extract<DispatchEffect, { kind: 'start' }>;
 type Question = Extract<DispatchEffect, { kind: 'advise' }>;
 
-const ENDPOINT = toId<EndpointLife>('i-0');
+const ENDPOINT = toId<EndpointIncarnation>('i-0');
 const VALIDITY_MS = 2500;
 const ROOM = 4;
 const TURNS = { all: 1, long: 1 };
@@ -32,10 +32,10 @@
   let dispatcher: Dispatcher;
 
   beforeEach(() => {
-    dispatcher = new Dispatcher({ readDefinition: () => undefined, unheardUntil: 0 });
+    dispatcher = new Dispatcher({ getDefinition: () => undefined, earlierLeasesEndAt: 0 });
     const capacity = { cpuMillis: ROOM * 1000, memoryMb: 10_000, accelerators: 0 };
-    dispatcher.handleEndpoint(createProfile(ENDPOINT, { capacity }));
-    dispatcher.handleLook({ endpoint: ENDPOINT, running: [], ended: [], sentAt: 0 }, 0, 0);
+    dispatcher.handleEndpointProfile(createProfile(ENDPOINT, { capacity }));
+    dispatcher.handleStatus({ endpoint: ENDPOINT, running: [], ended: [], sentAt: 0 }, 0, 0);
   });
 
   const sendJob = (definition: JobDefinition, now: number): void =>
@@ -43,14 +43,14 @@
 
   const sendAnswer = ({ step, endpoints }: Question, now: number): void => {
     const good = new Map(endpoints.map((id) => [id, `ticket ${step} ${now}`]));
-    dispatcher.handleAdvice(step, endpoints, good, now);
+    dispatcher.handleAdviceResponse(step, endpoints, good, now);
   };
 
   const readQuestions = (): readonly Question[] =>
-    dispatcher.readEffects().filter((effect): effect is Question => effect.kind === 'advise');
+    dispatcher.takeEffects().filter((effect): effect is Question => effect.kind === 'advise');
 
   const readStarts = (): readonly StartEffect[] =>
-    dispatcher.readEffects().filter((effect): effect is StartEffect => effect.kind === 'start');
+    dispatcher.takeEffects().filter((effect): effect is StartEffect => effect.kind === 'start');
 
   /** Places a job of as many tasks as there is room for. */
   const startPlaced = (): readonly StartEffect[] => {
@@ -61,23 +61,25 @@
     return readStarts();
   };
 
-  const readFreeCpuMillis = (): number => dispatcher.readBook(ENDPOINT)!.readFreeCpuMillis();
+  const readFreeCpuMillis = (): number => dispatcher.getEndpointState(ENDPOINT)!.getFreeCpuMillis();
 
   it('are sent when it comes in time, and not once their tickets have run out', () => {
     const [first, second] = startPlaced();
-    expect(dispatcher.handleRecorded(first!, 100)).toBe(true);
-    expect(dispatcher.handleRecorded(second!, VALIDITY_MS)).toBe(false);
+    expect(dispatcher.handleStartRecorded(first!, 100)).toBe(true);
+    expect(dispatcher.handleStartRecorded(second!, VALIDITY_MS)).toBe(false);
     expect(readFreeCpuMillis()).toBe(1000);
   });
 
   it('give their room back when they are revoked, and are not sent later', () => {
     const starts = startPlaced();
     expect(readFreeCpuMillis()).toBe(0);
-    dispatcher.revokeUnrecorded(1000);
+    dispatcher.cancelUnrecordedStarts(1000);
     expect(readFreeCpuMillis()).toBe(ROOM * 1000);
-    expect(starts.map((start) => dispatcher.handleRecorded(start, 1100))).toEqual(starts.map(() => false));
+    expect(starts.map((start) => dispatcher.handleStartRecorded(start, 1100))).toEqual(
+      starts.map(() => false),
+    );
     dispatcher.placeWaiting(1200, 1200);
-    expect(readStarts().map(({ order }) => order.run)).toEqual(starts.map(() => 2));
+    expect(readStarts().map(({ command: order }) => order.run)).toEqual(starts.map(() => 2));
   });
 
   it('are prepared by tickets for what is placed first, which are asked for again before they run out', () => {
@@ -85,8 +87,8 @@
     sendJob(createJob(2, 0, ROOM), 0);
     const asked: { readonly step: string; readonly at: number }[] = [];
     for (let now = 0; now <= 6000; now += 100) {
-      dispatcher.applyTime(now);
-      dispatcher.sendQuestionsAhead(now, now, TURNS);
+      dispatcher.handleTick(now);
+      dispatcher.requestAdviceAhead(now, now, TURNS);
       for (const question of readQuestions()) {
         asked.push({ step: question.step, at: now });
         sendAnswer(question, now);
--- a/tests/helpers/AdviceLoad.ts
+++ b/tests/helpers/AdviceLoad.ts
@@ -1,15 +1,15 @@
 import { vi } from 'vitest';
 import { createRandom } from '../../packages/common/createRandom';
 import { toId } from '../../packages/common/toId';
-import { adviceDesks } from '../../packages/dispatch/advice/adviceDesks';
-import type { AdviceAsker } from '../../packages/dispatch/advice/AdviceAsker';
-import type { QuestionDesk } from '../../packages/dispatch/advice/QuestionDesk';
-import type { TurnChoice } from '../../packages/dispatch/advice/TurnChoice';
+import { adviceBalancers } from '../../packages/dispatch/advice/adviceBalancers';
+import type { AdviceChannel } from '../../packages/dispatch/advice/AdviceChannel';
+import type { AdviceBalancer } from '../../packages/dispatch/advice/AdviceBalancer';
+import type { AdvicePolicyName } from '../../packages/dispatch/advice/AdvicePolicyName';
 import type { DispatchEffect } from '../../packages/dispatch/DispatchEffect';
 import { Dispatcher } from '../../packages/dispatch/Dispatcher';
-import type { EndedRow } from '../../packages/dispatch/endpoints/EndedRow';
+import type { EndedTaskStatus } from '../../packages/dispatch/endpoints/EndedTaskStatus';
 import type { EndpointId } from '../../packages/jobs/EndpointId';
-import type { EndpointLife } from '../../packages/jobs/EndpointLife';
+import type { EndpointIncarnation } from '../../packages/jobs/EndpointIncarnation';
 import type { JobDefinition } from '../../packages/jobs/JobDefinition';
 import { JobProgress } from '../../packages/jobs/JobProgress';
 import type { JobQueue } from '../../packages/jobs/JobQueue';
@@ -34,7 +34,7 @@
 }
 
 interface AdviceLoadOptions {
-  readonly turns: TurnChoice;
+  readonly turns: AdvicePolicyName;
   readonly streams: readonly Stream[];
   readonly endpoints: number;
   readonly boxes: number;
@@ -87,18 +87,18 @@
   badTickets = 0;
   readonly counts = new Map<string, number>();
   private readonly random: () => number;
-  private readonly running = new Map<EndpointLife, PlayedRun[]>();
-  private readonly ended = new Map<EndpointLife, EndedRow[]>();
-  private readonly askers: readonly AdviceAsker[];
+  private readonly running = new Map<EndpointIncarnation, PlayedRun[]>();
+  private readonly ended = new Map<EndpointIncarnation, EndedTaskStatus[]>();
+  private readonly askers: readonly AdviceChannel[];
   private dispatcher: Dispatcher;
-  private desk: QuestionDesk;
+  private desk: AdviceBalancer;
   private endCount = 0;
   private now = 0;
 
   constructor(private readonly options: AdviceLoadOptions) {
     this.random = createRandom(options.seed);
     for (let number = 0; number < options.endpoints; number += 1) {
-      this.running.set(toId<EndpointLife>(`i-${number}`), []);
+      this.running.set(toId<EndpointIncarnation>(`i-${number}`), []);
     }
     this.askers = Array.from({ length: options.boxes }, (_none, box) => this.createAsker(box));
     this.dispatcher = this.createDispatcher();
@@ -112,10 +112,10 @@
       this.applyEnds();
       if (this.now % LOOK_EVERY_MS === 0) {
         this.sendLooks();
-        this.dispatcher.applyTime(this.now);
+        this.dispatcher.handleTick(this.now);
       }
-      this.dispatcher.placeWaiting(this.now, this.now, this.desk.readFreeTurns());
-      this.dispatcher.readEffects().forEach((effect) => this.applyEffect(effect));
+      this.dispatcher.placeWaiting(this.now, this.now, this.desk.getFreeSlots());
+      this.dispatcher.takeEffects().forEach((effect) => this.applyEffect(effect));
       await vi.advanceTimersByTimeAsync(TICK_MS);
     }
   }
@@ -134,29 +134,29 @@
   private createDispatcher(): Dispatcher {
     const { turns } = this.options;
     const dispatcher = new Dispatcher({
-      readDefinition: () => undefined,
-      unheardUntil: 0,
+      getDefinition: () => undefined,
+      earlierLeasesEndAt: 0,
       turnChoice: turns,
     });
     const capacity = { cpuMillis: 64_000, memoryMb: 128_000, accelerators: 0 };
     for (const life of this.running.keys()) {
-      dispatcher.handleEndpoint(createProfile(life, { capacity }));
-      dispatcher.handleLook({ endpoint: life, running: [], ended: [], sentAt: -1 }, this.now, this.now);
+      dispatcher.handleEndpointProfile(createProfile(life, { capacity }));
+      dispatcher.handleStatus({ endpoint: life, running: [], ended: [], sentAt: -1 }, this.now, this.now);
     }
     return dispatcher;
   }
 
-  private createDesk(dispatcher: Dispatcher): QuestionDesk {
-    return adviceDesks[this.options.turns]({
+  private createDesk(dispatcher: Dispatcher): AdviceBalancer {
+    return adviceBalancers[this.options.turns]({
       clock: { readNow: () => Date.now(), readWall: () => Date.now() },
-      readAskers: () => this.askers,
-      handleAnswer: ({ step, endpoints }, answer) =>
-        dispatcher.handleAdvice(step, endpoints, answer, Date.now()),
+      listChannels: () => this.askers,
+      handleResponse: ({ step, endpoints }, answer) =>
+        dispatcher.handleAdviceResponse(step, endpoints, answer, Date.now()),
     });
   }
 
   /** A box of whose questions the service takes one after the other. */
-  private createAsker(box: number): AdviceAsker {
+  private createAsker(box: number): AdviceChannel {
     let freeAt = 0;
     const sendQuestion = async (
       step: string,
@@ -180,7 +180,11 @@
         ? undefined
         : new Map(good.map((id) => [id, String(answeredAt + queue.advice.validityMs)] as const));
     };
-    return { box: `box-${box}`, isOwn: box === 0, client: { sendQuestion, stop: () => Promise.resolve() } };
+    return {
+      box: `box-${box}`,
+      isOwn: box === 0,
+      client: { requestAdvice: sendQuestion, stop: () => Promise.resolve() },
+    };
   }
 
   private readStream(step: string): Stream {
@@ -205,7 +209,7 @@
 
   private applyEffect(effect: DispatchEffect): void {
     if (effect.kind === 'advise') {
-      void this.desk.sendQuestion(effect);
+      void this.desk.sendRequest(effect);
     } else if (effect.kind === 'start') {
       const { dispatcher } = this;
       setTimeout(() => this.applyStart(dispatcher, effect), ORDER_MS);
@@ -217,31 +221,36 @@
   }
 
   private applyStart(dispatcher: Dispatcher, effect: StartEffect): void {
-    const { endpoint, order } = effect;
+    const { endpoint, command: order } = effect;
     const now = Date.now();
-    if (!dispatcher.handleRecorded(effect, now)) {
+    if (!dispatcher.handleStartRecorded(effect, now)) {
       return;
     }
     this.badTickets += order.ticket === '' || Number(order.ticket) < now ? 1 : 0;
-    dispatcher.handleStartAnswer(endpoint, order.task, order.run, { kind: 'done' }, now);
+    dispatcher.handleStartResult(endpoint, order.task, order.run, { kind: 'done' }, now);
     const job = this.jobs.find(({ definition }) => definition.id === effect.job)!;
     const { estimatedMs, isGang } = job.definition.steps[0]!;
     // A checkpoint tells how long the task has worked.
     const workMs = estimatedMs * (isGang ? 1 : 0.7 + 0.6 * toChance(order.task)) - Number(order.checkpoint);
     const run = { task: order.task, run: order.run, job: effect.job, startedAt: now, endsAt: now + workMs };
     this.running.get(endpoint)!.push(run);
-    const isWaiting = job.progress.readTasks(0, 0).some(({ phase }) => phase === 'waiting');
+    const isWaiting = job.progress.listTasks(0, 0).some(({ phase }) => phase === 'waiting');
     job.startedAt ??= isWaiting ? undefined : now;
   }
 
-  private applyStop(endpoint: EndpointLife, task: TaskName): void {
+  private applyStop(endpoint: EndpointIncarnation, task: TaskName): void {
     const run = this.running.get(endpoint)!.find((other) => other.task === task);
     if (run !== undefined) {
       this.recordEnd(endpoint, run, 'stopped', String(Date.now() - run.startedAt));
     }
   }
 
-  private recordEnd(endpoint: EndpointLife, run: PlayedRun, how: EndedRow['how'], checkpoint: string): void {
+  private recordEnd(
+    endpoint: EndpointIncarnation,
+    run: PlayedRun,
+    how: EndedTaskStatus['how'],
+    checkpoint: string,
+  ): void {
     const left = this.running.get(endpoint)!.filter((other) => other !== run);
     this.running.set(endpoint, left);
     const row = { number: (this.endCount += 1), task: run.task, run: run.run, how, checkpoint };
@@ -268,7 +277,7 @@
     }
   }
 
-  private sendLook(endpoint: EndpointLife): void {
+  private sendLook(endpoint: EndpointIncarnation): void {
     const running = this.running.get(endpoint)!.map(({ task, run, startedAt, endsAt }) => ({
       task,
       run,
@@ -278,6 +287,6 @@
     }));
     const ended = this.ended.get(endpoint) ?? [];
     this.ended.delete(endpoint);
-    this.dispatcher.handleLook({ endpoint, running, ended, sentAt: this.now }, this.now, this.now);
+    this.dispatcher.handleStatus({ endpoint, running, ended, sentAt: this.now }, this.now, this.now);
   }
 }
--- a/tests/helpers/CrashWorld.ts
+++ b/tests/helpers/CrashWorld.ts
@@ -3,10 +3,10 @@
 import { toId } from '../../packages/common/toId';
 import type { DispatchEffect } from '../../packages/dispatch/DispatchEffect';
 import { Dispatcher } from '../../packages/dispatch/Dispatcher';
-import type { EndedRow } from '../../packages/dispatch/endpoints/EndedRow';
+import type { EndedTaskStatus } from '../../packages/dispatch/endpoints/EndedTaskStatus';
 import type { EndpointProfile } from '../../packages/dispatch/endpoints/EndpointProfile';
-import { endpointLives } from '../../packages/jobs/endpointLives';
-import type { EndpointLife } from '../../packages/jobs/EndpointLife';
+import { endpointIncarnations } from '../../packages/jobs/endpointIncarnations';
+import type { EndpointIncarnation } from '../../packages/jobs/EndpointIncarnation';
 import { formatProgress } from '../../packages/jobs/formatProgress';
 import type { JobDefinition } from '../../packages/jobs/JobDefinition';
 import type { JobId } from '../../packages/jobs/JobId';
@@ -62,7 +62,7 @@
 interface Life {
   readonly profile: EndpointProfile;
   readonly runs: Map<TaskName, ModelRun>;
-  ends: EndedRow[];
+  ends: EndedTaskStatus[];
   endCount: number;
 }
 
@@ -98,7 +98,7 @@
   /** Sentences of the leaders' log, with their fields. */
   readonly lines: {
     readonly at: number;
-    readonly sentence: string;
+    readonly message: string;
     readonly fields: Readonly<Record<string, unknown>>;
   }[] = [];
   private readonly random: Random;
@@ -108,10 +108,10 @@
   private readonly jobs = new Map<JobId, JobFigures>();
   private readonly log = new Map<JobId, string>();
   /** Ids that the leader looks at, with the machine at whose address they were. */
-  private readonly looked = new Map<EndpointLife, Machine>();
-  private readonly leavesAt = new Map<EndpointLife, number>();
+  private readonly looked = new Map<EndpointIncarnation, Machine>();
+  private readonly leavesAt = new Map<EndpointIncarnation, number>();
   private readonly unanswered: { readonly at: number; readonly effect: StartEffect }[] = [];
-  private readonly darkSince = new Map<EndpointLife, number>();
+  private readonly darkSince = new Map<EndpointIncarnation, number>();
 
   constructor(private readonly options: CrashWorldOptions) {
     this.random = createRandom(options.seed);
@@ -139,7 +139,7 @@
   }
 
   readState(id: JobId): JobState {
-    return this.readProgress(this.jobs.get(id)!.definition).readState();
+    return this.readProgress(this.jobs.get(id)!.definition).getState();
   }
 
   /** Time from acceptance to the end of a job, Infinity while it has none. */
@@ -181,7 +181,7 @@
       if (isChanging && this.now % leaderEveryMs === 0) {
         this.startLeader();
       }
-      this.dispatcher.applyTime(this.now);
+      this.dispatcher.handleTick(this.now);
       this.dispatcher.placeWaiting(this.now, this.now);
       this.applyEffects();
     }
@@ -189,21 +189,21 @@
 
   private startLeader(): void {
     this.dispatcher = new Dispatcher({
-      unheardUntil: this.now + LEASE_BOUND_MS,
-      readDefinition: (id) => this.jobs.get(id)?.definition,
+      earlierLeasesEndAt: this.now + LEASE_BOUND_MS,
+      getDefinition: (id) => this.jobs.get(id)?.definition,
     });
     this.unanswered.length = 0;
     this.looked.clear();
     for (const machine of this.machines) {
       if (machine.life !== undefined) {
-        this.dispatcher.handleEndpoint(machine.life.profile);
-        this.looked.set(machine.life.profile.life, machine);
+        this.dispatcher.handleEndpointProfile(machine.life.profile);
+        this.looked.set(machine.life.profile.incarnation, machine);
       }
     }
     // Records of lives that are over stay until they lapse.
     for (const id of this.leavesAt.keys()) {
       const machine = this.machines[Number(/^i-(\d+)/.exec(id)![1])]!;
-      this.dispatcher.handleEndpoint(this.createLifeProfile(machine, id));
+      this.dispatcher.handleEndpointProfile(this.createLifeProfile(machine, id));
       this.looked.set(id, machine);
     }
     for (const { definition } of this.jobs.values()) {
@@ -216,37 +216,37 @@
     return text === undefined ? new JobProgress(definition) : parseProgress(definition, text)!;
   }
 
-  private createLifeProfile(machine: Machine, life: EndpointLife): EndpointProfile {
+  private createLifeProfile(machine: Machine, life: EndpointIncarnation): EndpointProfile {
     const capacity = { cpuMillis: this.options.cpuMillis, memoryMb: 100_000, accelerators: 0 };
-    const id = endpointLives.readEndpoint(life);
-    return createProfile(id, { life, capacity, address: `machine-${machine.index}:80` });
+    const id = endpointIncarnations.readEndpoint(life);
+    return createProfile(id, { incarnation: life, capacity, address: `machine-${machine.index}:80` });
   }
 
   private startLife(machine: Machine): void {
     machine.lifeCount += 1;
     const separator = this.options.keepsIds === true ? '@' : '-';
-    const id = toId<EndpointLife>(`i-${machine.index}${separator}${machine.lifeCount}`);
+    const id = toId<EndpointIncarnation>(`i-${machine.index}${separator}${machine.lifeCount}`);
     this.handleRecordReplaced(id);
     const profile = this.createLifeProfile(machine, id);
     machine.life = { profile, runs: new Map(), ends: [], endCount: 0 };
     if (machine.lifeCount > 1) {
-      this.dispatcher.handleEndpoint(profile);
+      this.dispatcher.handleEndpointProfile(profile);
       this.looked.set(id, machine);
     }
   }
 
   /** The record of a new life stands in the place of that of the one before under its id. */
-  private handleRecordReplaced(life: EndpointLife): void {
+  private handleRecordReplaced(life: EndpointIncarnation): void {
     for (const earlier of this.leavesAt.keys()) {
-      if (endpointLives.readEndpoint(earlier) === endpointLives.readEndpoint(life)) {
+      if (endpointIncarnations.readEndpoint(earlier) === endpointIncarnations.readEndpoint(life)) {
         this.leavesAt.delete(earlier);
-        this.dispatcher.handleEndpointLeft(earlier);
+        this.dispatcher.handleEndpointDeregistered(earlier);
       }
     }
   }
 
   private stopLife(machine: Machine): void {
-    const { life: id } = machine.life!.profile;
+    const { incarnation: id } = machine.life!.profile;
     machine.life = undefined;
     machine.backAt = this.now + this.options.returnMs;
     this.leavesAt.set(id, this.now + RECORD_LAPSE_MS);
@@ -266,7 +266,7 @@
     for (const [id, at] of this.leavesAt) {
       if (this.now >= at) {
         this.leavesAt.delete(id);
-        this.dispatcher.handleEndpointLeft(id);
+        this.dispatcher.handleEndpointDeregistered(id);
       }
     }
   }
@@ -285,7 +285,7 @@
     }
   }
 
-  private recordEnd(life: Life, task: TaskName, how: EndedRow['how']): void {
+  private recordEnd(life: Life, task: TaskName, how: EndedTaskStatus['how']): void {
     const run = life.runs.get(task)!;
     life.runs.delete(task);
     life.endCount += 1;
@@ -295,29 +295,29 @@
   private sendLooks(): void {
     for (const [id, machine] of [...this.looked]) {
       const { life } = machine;
-      if (life?.profile.life === id) {
+      if (life?.profile.incarnation === id) {
         this.handleLookAnswered(life);
       } else if (life !== undefined) {
         this.looked.delete(id);
-        const next = this.options.keepsIds === true ? life.profile.life : undefined;
-        this.dispatcher.handleLifeOver(id, this.now, next);
+        const next = this.options.keepsIds === true ? life.profile.incarnation : undefined;
+        this.dispatcher.handleIncarnationEnd(id, this.now, next);
       } else if (this.options.isDark !== true || this.now - this.darkSince.get(id)! >= DARK_NOTICE_MS) {
-        this.dispatcher.handleSilence(id, this.now);
+        this.dispatcher.handleUnreachable(id, this.now);
         this.checkAwaited(id);
       }
     }
   }
 
   /** An endpoint without a record is looked at only while that may tell something. */
-  private checkAwaited(id: EndpointLife): void {
-    const runCount = this.dispatcher.readBook(id)?.readRunCount() ?? 0;
-    if (!this.leavesAt.has(id) && runCount === 0 && !this.dispatcher.isAwaited(id, this.now)) {
+  private checkAwaited(id: EndpointIncarnation): void {
+    const runCount = this.dispatcher.getEndpointState(id)?.countRuns() ?? 0;
+    if (!this.leavesAt.has(id) && runCount === 0 && !this.dispatcher.isCrashUnconfirmed(id, this.now)) {
       this.looked.delete(id);
     }
   }
 
   private handleLookAnswered(life: Life): void {
-    const { life: id } = life.profile;
+    const { incarnation: id } = life.profile;
     const running = [...life.runs.values()].map(({ task, run, startedAt, endsAt }) => ({
       task,
       run,
@@ -327,13 +327,13 @@
     }));
     const ended = life.ends;
     life.ends = [];
-    this.dispatcher.handleLook({ endpoint: id, running, ended, sentAt: this.now }, this.now, this.now);
-    this.dispatcher.readBook(id)?.recordLease(this.now + LEASE_BOUND_MS);
+    this.dispatcher.handleStatus({ endpoint: id, running, ended, sentAt: this.now }, this.now, this.now);
+    this.dispatcher.getEndpointState(id)?.recordLease(this.now + LEASE_BOUND_MS);
   }
 
   private applyEffects(): void {
     const starts: StartEffect[] = [];
-    for (const effect of this.dispatcher.readEffects()) {
+    for (const effect of this.dispatcher.takeEffects()) {
       if (effect.kind === 'record') {
         this.writeProgress(effect.job);
       } else if (effect.kind === 'start') {
@@ -348,7 +348,7 @@
   }
 
   private writeProgress(id: JobId): void {
-    const job = this.dispatcher.readJob(id);
+    const job = this.dispatcher.getJob(id);
     if (job === undefined) {
       return;
     }
@@ -360,12 +360,12 @@
   }
 
   private sendStart(effect: StartEffect): void {
-    if (!this.dispatcher.handleRecorded(effect, this.now)) {
+    if (!this.dispatcher.handleStartRecorded(effect, this.now)) {
       return;
     }
-    const { task, run } = effect.order;
-    this.dispatcher.readBook(effect.endpoint)?.recordLease(this.now + LEASE_BOUND_MS);
-    const life = this.machines.find((machine) => machine.life?.profile.life === effect.endpoint)?.life;
+    const { task, run } = effect.command;
+    this.dispatcher.getEndpointState(effect.endpoint)?.recordLease(this.now + LEASE_BOUND_MS);
+    const life = this.machines.find((machine) => machine.life?.profile.incarnation === effect.endpoint)?.life;
     if (life === undefined) {
       this.unanswered.push({ at: this.now + ORDER_TIMEOUT_MS, effect });
       return;
@@ -386,7 +386,7 @@
     if (crashAfterMs < LEASE_MS && this.options.isAnswerLost === true) {
       this.unanswered.push({ at: this.now + ORDER_TIMEOUT_MS, effect });
     } else {
-      this.dispatcher.handleStartAnswer(effect.endpoint, task, run, { kind: 'done' }, this.now);
+      this.dispatcher.handleStartResult(effect.endpoint, task, run, { kind: 'done' }, this.now);
     }
   }
 
@@ -394,20 +394,20 @@
     const due = this.unanswered.filter(({ at }) => at <= this.now);
     this.unanswered.splice(0, this.unanswered.length, ...this.unanswered.filter(({ at }) => at > this.now));
     for (const { effect } of due) {
-      const { endpoint, order } = effect;
+      const { endpoint, command: order } = effect;
       const answer = { kind: 'unanswered', detail: 'lost' } as const;
-      this.dispatcher.handleStartAnswer(endpoint, order.task, order.run, answer, this.now);
+      this.dispatcher.handleStartResult(endpoint, order.task, order.run, answer, this.now);
     }
   }
 
   private sendStop({ endpoint, task, run }: Extract<DispatchEffect, { kind: 'stop' }>): void {
-    const life = this.machines.find((machine) => machine.life?.profile.life === endpoint)?.life;
+    const life = this.machines.find((machine) => machine.life?.profile.incarnation === endpoint)?.life;
     if (life === undefined) {
       return;
     }
     if (life.runs.get(task)?.run === run) {
       this.recordEnd(life, task, 'stopped');
     }
-    this.dispatcher.handleStopAnswer(endpoint, task, run, { kind: 'done' }, this.now);
+    this.dispatcher.handleStopResult(endpoint, task, run, { kind: 'done' }, this.now);
   }
 }
--- a/tests/helpers/LifeWorld.ts
+++ b/tests/helpers/LifeWorld.ts
@@ -4,12 +4,12 @@
 import { toId } from '../../packages/common/toId';
 import type { EndpointClient } from '../../packages/dispatch/endpoints/EndpointClient';
 import type { EndpointProfile } from '../../packages/dispatch/endpoints/EndpointProfile';
-import type { HoldAnswer } from '../../packages/dispatch/endpoints/HoldAnswer';
-import type { OrderAnswer } from '../../packages/dispatch/endpoints/OrderAnswer';
-import { LeaderDuty } from '../../packages/dispatch/LeaderDuty';
+import type { PollResult } from '../../packages/dispatch/endpoints/PollResult';
+import type { CommandResult } from '../../packages/dispatch/endpoints/CommandResult';
+import { LeaderController } from '../../packages/dispatch/LeaderController';
 import type { EndpointId } from '../../packages/jobs/EndpointId';
-import type { EndpointLife } from '../../packages/jobs/EndpointLife';
-import { endpointLives } from '../../packages/jobs/endpointLives';
+import type { EndpointIncarnation } from '../../packages/jobs/EndpointIncarnation';
+import { endpointIncarnations } from '../../packages/jobs/endpointIncarnations';
 import type { JobDefinition } from '../../packages/jobs/JobDefinition';
 import type { JobId } from '../../packages/jobs/JobId';
 import { JobReplica } from '../../packages/jobs/JobReplica';
@@ -17,7 +17,7 @@
 import { RunWitness } from '../../packages/standins/platform/RunWitness';
 import { createProfile } from './createProfile';
 import { MemoryLog } from './MemoryLog';
-import { ModelLife } from './ModelLife';
+import { SimulatedIncarnation } from './SimulatedIncarnation';
 
 /** What is wrong on purpose, to show that the checks catch it. */
 export type LifeMutation =
@@ -49,13 +49,13 @@
 interface Machine {
   readonly id: EndpointId;
   readonly address: string;
-  life: ModelLife | undefined;
-  name: EndpointLife;
+  life: SimulatedIncarnation | undefined;
+  name: EndpointIncarnation;
   isRefusing: boolean;
   isCut: boolean;
 }
 
-type Delivery<Answer> = (life: ModelLife, name: EndpointLife) => Promise<Answer> | Answer;
+type Delivery<Answer> = (life: SimulatedIncarnation, name: EndpointIncarnation) => Promise<Answer> | Answer;
 
 const ENDPOINTS_TOPIC = 'endpoints';
 const STATES_TOPIC = 'states';
@@ -80,7 +80,7 @@
   private readonly machines: Machine[] = [];
   private readonly definitions = new Map<JobId, JobDefinition>();
   private readonly replicas: JobReplica[] = [];
-  private duty!: LeaderDuty;
+  private duty!: LeaderController;
   private epoch = 0;
   private births = 1_700_000_000_000;
   /** Sentences of the leaders' log, with their fields. */
@@ -97,7 +97,7 @@
         id,
         address: `machine-${index}:80`,
         life: undefined,
-        name: toId<EndpointLife>(id),
+        name: toId<EndpointIncarnation>(id),
         isRefusing: true,
         isCut: false,
       };
@@ -121,7 +121,7 @@
     };
     const record = (message: string, fields?: object): void =>
       void this.lines.push({ at: Math.round(performance.now()), message, fields });
-    this.duty = new LeaderDuty({
+    this.duty = new LeaderController({
       epoch,
       claimedAt: performance.now(),
       earlierLeasesEndAt: epoch === 1 ? 0 : performance.now() + REPLACED_MS + LEASES_OVER_MS,
@@ -131,26 +131,26 @@
       endpointsTopic: ENDPOINTS_TOPIC,
       maxAppendBytes: MAX_APPEND_BYTES,
       replica,
-      startJobsRefresh: () => Promise.resolve(true),
+      updateReplica: () => Promise.resolve(true),
       clock,
       random: this.random,
       logger: { info: record, warn: record, error: record },
-      ways: {
+      policies: {
         placementOrder: 'objective',
         speedChoice: 'kinds',
         hallChoice: 'spread',
         stopChoice: 'ranked',
         turnChoice: 'asked',
       },
-      readLimit: () => undefined,
+      getLimit: () => undefined,
       parseEndpoint: (_id, text) => ({ ok: true, value: JSON.parse(text) as EndpointProfile }),
       createEndpointClient: (profile, readToken) => this.createClient(profile, readToken, epoch),
       isServiceRouted: () => true,
       longestLeaseMs: 10_000,
-      readAskers: () => [],
+      listChannels: () => [],
       formatLeaderRecord: () => String(epoch),
-      handleDeposed: () => undefined,
-      handleLogBack: () => undefined,
+      handleLeadershipLost: () => undefined,
+      handleLogRecovered: () => undefined,
       recordCount: (name, amount = 1) => this.counts.set(name, (this.counts.get(name) ?? 0) + amount),
       recordTime: () => undefined,
     });
@@ -175,7 +175,7 @@
   }
 
   readState(id: JobId): JobState {
-    return this.duty.readDispatcher().readJob(id)?.progress.readState() ?? this.readWrittenState(id);
+    return this.duty.getDispatcher().getJob(id)?.progress.getState() ?? this.readWrittenState(id);
   }
 
   /** Ends the life of an endpoint; another one under its id comes later. */
@@ -197,14 +197,14 @@
   }
 
   private readWrittenState(id: JobId): JobState {
-    return this.replicas[this.replicas.length - 1]!.readWrittenState(id);
+    return this.replicas[this.replicas.length - 1]!.getWrittenState(id);
   }
 
   private startLife(machine: Machine, recordAfterMs: number): void {
     this.births += 1 + Math.floor(this.random() * 1000);
-    const name = endpointLives.toLife(machine.id, this.births);
+    const name = endpointIncarnations.toLife(machine.id, this.births);
     machine.name = name;
-    machine.life = new ModelLife({
+    machine.life = new SimulatedIncarnation({
       life: name,
       witness: this.witness,
       handleCrash: () =>
@@ -217,10 +217,10 @@
     void startDelay(recordAfterMs).then(() => this.writeRecord(machine, name));
   }
 
-  private writeRecord(machine: Machine, life: EndpointLife): void {
+  private writeRecord(machine: Machine, life: EndpointIncarnation): void {
     const { room } = this.options;
     const capacity = { cpuMillis: room * CORE_MILLIS, memoryMb: room * TASK_MEMORY_MB, accelerators: 0 };
-    const profile = createProfile(machine.id, { life, address: machine.address, capacity });
+    const profile = createProfile(machine.id, { incarnation: life, address: machine.address, capacity });
     this.log.writeRecord(ENDPOINTS_TOPIC, machine.id, JSON.stringify(profile));
   }
 
@@ -241,28 +241,28 @@
       sendStop: async (task, run, timeoutMs) => {
         const token = readCallToken();
         return this.sendOrder(machine, timeoutMs, (life) => {
-          if (!life.applyToken(token)) {
+          if (!life.checkToken(token)) {
             return { kind: 'rejected', reason: 'fence' };
           }
           life.handleStop(task, run);
           return { kind: 'done' };
         });
       },
-      sendHold: async ({ lastSeen, leaseMs, waitMs, timeoutMs }) => {
+      sendPoll: async ({ lastSeen, leaseMs, waitMs, timeoutMs }) => {
         const token = readCallToken();
         const expiresMs =
           leaseMs === undefined || clockOffsetMs === undefined ? undefined : toExpiry(leaseMs);
-        const answer = await this.startDelivery<HoldAnswer>(machine, timeoutMs, async (life, name) => {
-          if (!life.applyToken(token)) {
+        const answer = await this.startDelivery<PollResult>(machine, timeoutMs, async (life, name) => {
+          if (!life.checkToken(token)) {
             return { kind: 'fenced' };
           }
-          life.applyHold(lastSeen, expiresMs);
-          await life.startWait(waitMs);
-          if (mutation !== 'livesNotTold' && name !== profile.life) {
+          life.handlePoll(lastSeen, expiresMs);
+          await life.waitForEnd(waitMs);
+          if (mutation !== 'livesNotTold' && name !== profile.incarnation) {
             return { kind: 'otherLife', life: name };
           }
-          clockOffsetMs = life.readClock() - performance.now();
-          return { kind: 'held', ...life.readLists() };
+          clockOffsetMs = life.getClock() - performance.now();
+          return { kind: 'held', ...life.getStatus() };
         });
         return 'detail' in answer ? { kind: 'unanswered', detail: answer.detail } : answer;
       },
@@ -274,8 +274,8 @@
   private async sendOrder(
     machine: Machine,
     timeoutMs: number,
-    deliver: Delivery<OrderAnswer>,
-  ): Promise<OrderAnswer> {
+    deliver: Delivery<CommandResult>,
+  ): Promise<CommandResult> {
     const { lostOrders = 0 } = this.options;
     if (this.random() >= lostOrders) {
       return this.startDelivery(machine, timeoutMs, deliver);
@@ -299,7 +299,7 @@
     machine: Machine,
     timeoutMs: number,
     deliver: Delivery<Answer>,
-  ): Promise<Answer | Extract<OrderAnswer, { kind: 'unanswered' | 'undelivered' }>> {
+  ): Promise<Answer | Extract<CommandResult, { kind: 'unanswered' | 'undelivered' }>> {
     await startDelay(LATENCY_MS);
     const { life, name } = machine;
     if (life === undefined && machine.isRefusing && !machine.isCut) {
--- a/tests/helpers/ShareLoad.ts
+++ b/tests/helpers/ShareLoad.ts
@@ -3,9 +3,9 @@
 import type { CustomerName } from '../../packages/customers/CustomerName';
 import type { DispatchEffect } from '../../packages/dispatch/DispatchEffect';
 import { Dispatcher } from '../../packages/dispatch/Dispatcher';
-import type { EndedRow } from '../../packages/dispatch/endpoints/EndedRow';
+import type { EndedTaskStatus } from '../../packages/dispatch/endpoints/EndedTaskStatus';
 import type { PlacementOrder } from '../../packages/dispatch/waiting/PlacementOrder';
-import type { EndpointLife } from '../../packages/jobs/EndpointLife';
+import type { EndpointIncarnation } from '../../packages/jobs/EndpointIncarnation';
 import type { JobId } from '../../packages/jobs/JobId';
 import { JobProgress } from '../../packages/jobs/JobProgress';
 import type { TaskName } from '../../packages/jobs/TaskName';
@@ -142,21 +142,21 @@
   private readonly jobs = new Map<JobId, SentJob>();
   private readonly dispatcher: Dispatcher;
   private readonly random: () => number;
-  private readonly running = new Map<EndpointLife, Run[]>();
+  private readonly running = new Map<EndpointIncarnation, Run[]>();
   private endCount = 0;
 
   constructor(private readonly options: ShareLoadOptions) {
     this.random = createRandom(options.seed);
     this.dispatcher = new Dispatcher({
-      readDefinition: () => undefined,
-      unheardUntil: 0,
+      getDefinition: () => undefined,
+      earlierLeasesEndAt: 0,
       placementOrder: options.order,
     });
     for (let number = 0; number < ENDPOINTS; number += 1) {
       const capacity = { cpuMillis: CORES * 1000, memoryMb: 128_000, accelerators: 0 };
-      const { life } = createProfile(`i-${number}`);
-      this.dispatcher.handleEndpoint(createProfile(`i-${number}`, { capacity }));
-      this.dispatcher.handleLook({ endpoint: life, running: [], ended: [], sentAt: 0 }, 0, 0);
+      const { incarnation: life } = createProfile(`i-${number}`);
+      this.dispatcher.handleEndpointProfile(createProfile(`i-${number}`, { capacity }));
+      this.dispatcher.handleStatus({ endpoint: life, running: [], ended: [], sentAt: 0 }, 0, 0);
       this.running.set(life, []);
     }
   }
@@ -178,9 +178,9 @@
           }
         }
       }
-      this.dispatcher.applyTime(now);
+      this.dispatcher.handleTick(now);
       this.dispatcher.placeWaiting(now, now);
-      this.dispatcher.readEffects().forEach((effect) => this.applyEffect(effect, now));
+      this.dispatcher.takeEffects().forEach((effect) => this.applyEffect(effect, now));
     }
   }
 
@@ -242,12 +242,12 @@
 
   private applyEffect(effect: DispatchEffect, now: number): void {
     if (effect.kind === 'start') {
-      const { endpoint, order, job } = effect;
-      this.dispatcher.handleRecorded(effect, now);
-      this.dispatcher.handleStartAnswer(endpoint, order.task, order.run, { kind: 'done' }, now);
+      const { endpoint, command: order, job } = effect;
+      this.dispatcher.handleStartRecorded(effect, now);
+      this.dispatcher.handleStartResult(endpoint, order.task, order.run, { kind: 'done' }, now);
       const endsAt = now + this.jobs.get(job)!.workMs[Number(order.task.split('.')[3])]!;
       this.running.get(endpoint)!.push({ task: order.task, run: order.run, endsAt });
-    } else if (effect.kind === 'tell' && effect.sentence === 'Job ended.') {
+    } else if (effect.kind === 'tell' && effect.message === 'Job ended.') {
       const job = this.jobs.get(toId<JobId>(String(effect.fields['job'])))!;
       job.tookMs = now - job.sentAt;
     }
@@ -255,14 +255,14 @@
 
   private applyEnds(now: number): void {
     for (const [endpoint, runs] of this.running) {
-      const ended: EndedRow[] = runs
+      const ended: EndedTaskStatus[] = runs
         .filter(({ endsAt }) => endsAt <= now)
         .map(({ task, run }) => ({ number: (this.endCount += 1), task, run, how: 'done', checkpoint: '' }));
       if (ended.length > 0) {
         const left = runs.filter(({ endsAt }) => endsAt > now);
         this.running.set(endpoint, left);
         const rows = left.map(({ task, run }) => ({ task, run, checkpoint: '', percent: 50, load: 0 }));
-        this.dispatcher.handleLook({ endpoint, running: rows, ended, sentAt: now }, now, now);
+        this.dispatcher.handleStatus({ endpoint, running: rows, ended, sentAt: now }, now, now);
       }
     }
   }
--- a/tests/helpers/ModelLife.ts
+++ b/tests/helpers/SimulatedIncarnation.ts
@@ -1,6 +1,6 @@
-import type { EndedRow } from '../../packages/dispatch/endpoints/EndedRow';
-import type { RunningRow } from '../../packages/dispatch/endpoints/RunningRow';
-import type { EndpointLife } from '../../packages/jobs/EndpointLife';
+import type { EndedTaskStatus } from '../../packages/dispatch/endpoints/EndedTaskStatus';
+import type { RunningTaskStatus } from '../../packages/dispatch/endpoints/RunningTaskStatus';
+import type { EndpointIncarnation } from '../../packages/jobs/EndpointIncarnation';
 import type { TaskName } from '../../packages/jobs/TaskName';
 import type { RunWitness } from '../../packages/standins/platform/RunWitness';
 
@@ -12,7 +12,7 @@
 }
 
 interface ModelLifeOptions {
-  readonly life: EndpointLife;
+  readonly life: EndpointIncarnation;
   readonly witness: RunWitness;
   /** A task ends the life. */
   readonly handleCrash: () => void;
@@ -29,11 +29,11 @@
  * One life of an endpoint on virtual time. It knows nothing of the life before: its clock and its numbers of ends begin anew, it has seen no
  * token, and no run has ended or was stopped there.
  */
-export class ModelLife {
+export class SimulatedIncarnation {
   private readonly startedAt = performance.now();
   private readonly runs = new Map<TaskName, ModelRun>();
   private readonly stopped = new Map<TaskName, number>();
-  private ends: EndedRow[] = [];
+  private ends: EndedTaskStatus[] = [];
   private endCount = 0;
   private lapsedUpTo = 0;
   private listedUpTo = 0;
@@ -46,12 +46,12 @@
   constructor(private readonly options: ModelLifeOptions) {}
 
   /** The life's own clock. */
-  readClock(): number {
+  getClock(): number {
     return performance.now() - this.startedAt;
   }
 
   /** Takes a call's token; false when a higher one has been seen. */
-  applyToken(token: number): boolean {
+  checkToken(token: number): boolean {
     if (token < this.token) {
       return false;
     }
@@ -60,13 +60,13 @@
   }
 
   handleStart(task: TaskName, run: number, spec: string, expiresMs: number, token: number): StartResult {
-    if (!this.applyToken(token)) {
+    if (!this.checkToken(token)) {
       return 'fence';
     }
     if ((this.stopped.get(task) ?? 0) >= run) {
       return 'old';
     }
-    if (expiresMs <= this.readClock()) {
+    if (expiresMs <= this.getClock()) {
       return 'late';
     }
     if (!this.runs.has(task)) {
@@ -84,7 +84,7 @@
   }
 
   /** Forgets ends up to a number, and takes a lease. */
-  applyHold(lastSeen: number, expiresMs: number | undefined): void {
+  handlePoll(lastSeen: number, expiresMs: number | undefined): void {
     const { life, witness } = this.options;
     for (const { number, task, run, how } of this.ends) {
       if (number <= lastSeen && number > this.listedUpTo) {
@@ -101,7 +101,7 @@
   }
 
   /** Resolves when there is an end to list, or after a time. */
-  async startWait(waitMs: number): Promise<void> {
+  async waitForEnd(waitMs: number): Promise<void> {
     if (waitMs <= 0 || this.ends.length > 0) {
       return;
     }
@@ -114,7 +114,10 @@
     });
   }
 
-  readLists(): { readonly running: readonly RunningRow[]; readonly ended: readonly EndedRow[] } {
+  getStatus(): {
+    readonly running: readonly RunningTaskStatus[];
+    readonly ended: readonly EndedTaskStatus[];
+  } {
     this.listedUpTo = this.ends[this.ends.length - 1]?.number ?? this.listedUpTo;
     const running = [...this.runs].map(([task, { run, startedAt, runMs }]) => ({
       task,
@@ -149,7 +152,7 @@
     this.options.witness.recordStart(this.options.life, task, run);
   }
 
-  private recordEnd(task: TaskName, how: EndedRow['how']): void {
+  private recordEnd(task: TaskName, how: EndedTaskStatus['how']): void {
     const { run, timer } = this.runs.get(task)!;
     clearTimeout(timer);
     this.runs.delete(task);
@@ -162,13 +165,13 @@
 
   /** A lease is never shortened, and never longer than the endpoint grants. */
   private applyLease(expiresMs: number): void {
-    const until = Math.min(expiresMs, this.readClock() + MAX_HOLD_MS);
+    const until = Math.min(expiresMs, this.getClock() + MAX_HOLD_MS);
     if (until <= this.expiresAt) {
       return;
     }
     this.expiresAt = until;
     clearTimeout(this.leaseTimer);
-    this.leaseTimer = setTimeout(() => this.applyLapse(), Math.max(0, until - this.readClock()));
+    this.leaseTimer = setTimeout(() => this.applyLapse(), Math.max(0, until - this.getClock()));
   }
 
   private applyLapse(): void {
--- a/tests/helpers/StopWorld.ts
+++ b/tests/helpers/StopWorld.ts
@@ -1,9 +1,9 @@
 import type { DispatchEffect } from '../../packages/dispatch/DispatchEffect';
 import { Dispatcher } from '../../packages/dispatch/Dispatcher';
-import type { EndedRow } from '../../packages/dispatch/endpoints/EndedRow';
+import type { EndedTaskStatus } from '../../packages/dispatch/endpoints/EndedTaskStatus';
 import type { EndpointProfile } from '../../packages/dispatch/endpoints/EndpointProfile';
-import type { StopChoice } from '../../packages/dispatch/stops/StopChoice';
-import type { EndpointLife } from '../../packages/jobs/EndpointLife';
+import type { StopPolicyName } from '../../packages/dispatch/stops/StopPolicyName';
+import type { EndpointIncarnation } from '../../packages/jobs/EndpointIncarnation';
 import type { JobDefinition } from '../../packages/jobs/JobDefinition';
 import type { JobId } from '../../packages/jobs/JobId';
 import { JobProgress } from '../../packages/jobs/JobProgress';
@@ -29,14 +29,14 @@
 interface WorldEndpoint {
   readonly profile: EndpointProfile;
   readonly runs: Map<string, WorldRun>;
-  ended: EndedRow[];
+  ended: EndedTaskStatus[];
   lookAt: number;
   endCount: number;
   leavesAt: number;
 }
 
 interface WorldOptions {
-  readonly stopChoice: StopChoice;
+  readonly stopChoice: StopPolicyName;
   readonly endpoints: number;
   /** Work of a run in milliseconds. */
   readonly readWorkMs: (job: JobDefinition, task: TaskName, run: number) => number;
@@ -68,20 +68,20 @@
   readonly finishedAt = new Map<JobId, number>();
   readonly progress = new Map<JobId, JobProgress>();
   private readonly jobs = new Map<JobId, JobDefinition>();
-  private readonly fleet = new Map<EndpointLife, WorldEndpoint>();
+  private readonly fleet = new Map<EndpointIncarnation, WorldEndpoint>();
   private readonly later: { readonly at: number; readonly act: () => void }[] = [];
   readonly dispatcher: Dispatcher;
 
   constructor(private readonly options: WorldOptions) {
     const { stopChoice } = options;
     this.dispatcher = new Dispatcher({
-      readDefinition: (id) => this.jobs.get(id),
-      unheardUntil: 0,
+      getDefinition: (id) => this.jobs.get(id),
+      earlierLeasesEndAt: 0,
       stopChoice,
     });
     for (let number = 0; number < options.endpoints; number += 1) {
       const profile = createProfile(`i-${number}`, { capacity: CAPACITY });
-      this.fleet.set(profile.life, {
+      this.fleet.set(profile.incarnation, {
         profile,
         runs: new Map(),
         ended: [],
@@ -89,7 +89,7 @@
         endCount: 0,
         leavesAt: Infinity,
       });
-      this.dispatcher.handleEndpoint(profile);
+      this.dispatcher.handleEndpointProfile(profile);
     }
   }
 
@@ -104,7 +104,7 @@
   startLeaving(number: number, remainingMs: number): void {
     const endpoint = [...this.fleet.values()][number]!;
     endpoint.leavesAt = this.now + remainingMs;
-    this.dispatcher.handleEndpoint({ ...endpoint.profile, isDraining: true, remainingMs });
+    this.dispatcher.handleEndpointProfile({ ...endpoint.profile, isDraining: true, remainingMs });
   }
 
   applyTime(untilMs: number): void {
@@ -113,10 +113,10 @@
       this.later.splice(0).forEach((entry) => (entry.at <= this.now ? entry.act() : this.later.push(entry)));
       [...this.fleet.values()].forEach((endpoint, number) => this.applyWork(endpoint, number));
       if (this.now % DISPATCH_TICK_MS === 0) {
-        this.dispatcher.applyTime(this.now);
+        this.dispatcher.handleTick(this.now);
       }
       this.dispatcher.placeWaiting(this.now, this.now);
-      this.dispatcher.readEffects().forEach((effect) => this.handleEffect(effect));
+      this.dispatcher.takeEffects().forEach((effect) => this.handleEffect(effect));
       for (const [id, progress] of this.progress) {
         if (progress.isEnded() && !this.finishedAt.has(id)) {
           this.finishedAt.set(id, this.now);
@@ -133,8 +133,8 @@
     const { runs, profile } = endpoint;
     if (this.now >= endpoint.leavesAt) {
       runs.forEach((run) => this.recordLoss(run, run.savedMs));
-      this.fleet.delete(profile.life);
-      this.dispatcher.handleLifeOver(profile.life, this.now);
+      this.fleet.delete(profile.incarnation);
+      this.dispatcher.handleIncarnationEnd(profile.incarnation, this.now);
       return;
     }
     for (const run of runs.values()) {
@@ -178,7 +178,12 @@
     this.lostCoreMs += (run.doneMs - savedMs) * run.cores;
   }
 
-  private recordEnd(endpoint: WorldEndpoint, run: WorldRun, how: EndedRow['how'], savedMs: number): void {
+  private recordEnd(
+    endpoint: WorldEndpoint,
+    run: WorldRun,
+    how: EndedTaskStatus['how'],
+    savedMs: number,
+  ): void {
     endpoint.runs.delete(`${run.task}#${run.run}`);
     endpoint.endCount += 1;
     const checkpoint = savedMs > 0 ? String(savedMs) : '';
@@ -203,9 +208,9 @@
     }));
     const ended = endpoint.ended.splice(0);
     endpoint.lookAt = this.now + LOOK_MS;
-    const { life } = endpoint.profile;
-    this.dispatcher.readBook(life)?.recordLease(this.now + 10_000);
-    this.dispatcher.handleLook({ endpoint: life, running, ended, sentAt: this.now }, this.now, this.now);
+    const { incarnation: life } = endpoint.profile;
+    this.dispatcher.getEndpointState(life)?.recordLease(this.now + 10_000);
+    this.dispatcher.handleStatus({ endpoint: life, running, ended, sentAt: this.now }, this.now, this.now);
   }
 
   private handleEffect(effect: DispatchEffect): void {
@@ -224,10 +229,10 @@
 
   private handleStart(effect: StartEffect): void {
     const endpoint = this.fleet.get(effect.endpoint);
-    if (!this.dispatcher.handleRecorded(effect, this.now) || endpoint === undefined) {
+    if (!this.dispatcher.handleStartRecorded(effect, this.now) || endpoint === undefined) {
       return;
     }
-    const { task, run, checkpoint } = effect.order;
+    const { task, run, checkpoint } = effect.command;
     const job = this.jobs.get(effect.job)!;
     const { isCheckpointing, isGang, demand } = job.steps[0]!;
     const savedMs = Number(checkpoint);
@@ -245,7 +250,7 @@
     });
     const isLate = this.options.isAnswerLate?.(this.now) === true;
     const answer = isLate ? ({ kind: 'unanswered', detail: '' } as const) : ({ kind: 'done' } as const);
-    const act = (): void => this.dispatcher.handleStartAnswer(effect.endpoint, task, run, answer, this.now);
+    const act = (): void => this.dispatcher.handleStartResult(effect.endpoint, task, run, answer, this.now);
     this.later.push({ at: this.now + (isLate ? ANSWER_MS : 0), act });
   }
 
@@ -258,6 +263,6 @@
       this.stopsByTask.set(run.task, (this.stopsByTask.get(run.task) ?? 0) + 1);
       run.stopAt ??= this.now + this.options.stopMs(number, this.now);
     }
-    this.dispatcher.handleStopAnswer(effect.endpoint, effect.task, effect.run, { kind: 'done' }, this.now);
+    this.dispatcher.handleStopResult(effect.endpoint, effect.task, effect.run, { kind: 'done' }, this.now);
   }
 }
--- a/tests/helpers/UnlikeWorld.ts
+++ b/tests/helpers/UnlikeWorld.ts
@@ -3,10 +3,10 @@
 import type { DispatchEffect } from '../../packages/dispatch/DispatchEffect';
 import { Dispatcher } from '../../packages/dispatch/Dispatcher';
 import type { EndpointProfile } from '../../packages/dispatch/endpoints/EndpointProfile';
-import type { EndpointBook } from '../../packages/dispatch/endpoints/EndpointBook';
-import type { EndedRow } from '../../packages/dispatch/endpoints/EndedRow';
-import type { SpeedChoice } from '../../packages/dispatch/placing/SpeedChoice';
-import type { EndpointLife } from '../../packages/jobs/EndpointLife';
+import type { EndpointState } from '../../packages/dispatch/endpoints/EndpointState';
+import type { EndedTaskStatus } from '../../packages/dispatch/endpoints/EndedTaskStatus';
+import type { SpeedPolicyName } from '../../packages/dispatch/placing/SpeedPolicyName';
+import type { EndpointIncarnation } from '../../packages/jobs/EndpointIncarnation';
 import type { JobDefinition } from '../../packages/jobs/JobDefinition';
 import type { JobId } from '../../packages/jobs/JobId';
 import { JobProgress } from '../../packages/jobs/JobProgress';
@@ -35,7 +35,7 @@
 }
 
 interface UnlikeOptions {
-  readonly speedChoice: SpeedChoice;
+  readonly speedChoice: SpeedPolicyName;
   readonly queues: readonly QueueLoad[];
   readonly endpoints: number;
   readonly seed: number;
@@ -54,7 +54,7 @@
   readonly endsAt: number;
   /** Time of the whole work, of which a run that fails does a part. */
   readonly wholeMs: number;
-  readonly how: EndedRow['how'];
+  readonly how: EndedTaskStatus['how'];
 }
 
 interface ModelJob {
@@ -86,8 +86,8 @@
   readonly lines: { readonly at: number; readonly sentence: string }[] = [];
   private readonly random: Random;
   private readonly profiles: EndpointProfile[] = [];
-  private readonly running = new Map<EndpointLife, ModelRun[]>();
-  private readonly stopped = new Map<EndpointLife, ModelRun[]>();
+  private readonly running = new Map<EndpointIncarnation, ModelRun[]>();
+  private readonly stopped = new Map<EndpointIncarnation, ModelRun[]>();
   private readonly jobs = new Map<JobId, ModelJob>();
   private endCount = 0;
   private now = 0;
@@ -100,8 +100,8 @@
       const label = options.readLabel?.(number) ?? `kind-${number % 2}`;
       const profile = createProfile(`i-${number}`, { capacity, labels: [label, `rack-${number % 5}`] });
       this.profiles.push(profile);
-      this.running.set(profile.life, []);
-      this.stopped.set(profile.life, []);
+      this.running.set(profile.incarnation, []);
+      this.stopped.set(profile.incarnation, []);
     }
     this.startDispatcher();
   }
@@ -112,7 +112,7 @@
     this.dispatcher = this.createDispatcher();
     this.startDispatcher();
     for (const [id, { definition }] of this.jobs) {
-      const progress = before.readJob(id)?.progress;
+      const progress = before.getJob(id)?.progress;
       if (progress !== undefined) {
         this.dispatcher.handleJob(definition, progress, this.now);
       }
@@ -130,10 +130,10 @@
         .filter(({ everyMs }) => this.now % everyMs < TICK_MS)
         .forEach((queue) => this.sendJob(queue));
       if (tick % APPLY_TICKS === 0) {
-        this.dispatcher.applyTime(this.now);
+        this.dispatcher.handleTick(this.now);
       }
       this.dispatcher.placeWaiting(this.now, this.now);
-      this.dispatcher.readEffects().forEach((effect) => this.applyEffect(effect));
+      this.dispatcher.takeEffects().forEach((effect) => this.applyEffect(effect));
     }
   }
 
@@ -148,22 +148,22 @@
   }
 
   /** Books of the endpoints that the dispatcher holds for sick. */
-  readDoubtfulBooks(): readonly EndpointBook[] {
+  readDoubtfulBooks(): readonly EndpointState[] {
     return this.profiles
-      .map(({ life }) => this.dispatcher.readBook(life)!)
-      .filter((book) => book.isDoubtful(this.now));
+      .map(({ incarnation: life }) => this.dispatcher.getEndpointState(life)!)
+      .filter((book) => book.isDegraded(this.now));
   }
 
   private createDispatcher(): Dispatcher {
     return new Dispatcher({
-      readDefinition: (id) => this.jobs.get(id)?.definition,
-      unheardUntil: this.now,
+      getDefinition: (id) => this.jobs.get(id)?.definition,
+      earlierLeasesEndAt: this.now,
       speedChoice: this.options.speedChoice,
     });
   }
 
   private startDispatcher(): void {
-    this.profiles.forEach((profile) => this.dispatcher.handleEndpoint(profile));
+    this.profiles.forEach((profile) => this.dispatcher.handleEndpointProfile(profile));
   }
 
   private sendJob(queue: QueueLoad): void {
@@ -196,8 +196,8 @@
     } else if (effect.kind === 'stop') {
       this.stopRun(effect.endpoint, effect.task, effect.run);
     } else if (effect.kind === 'tell') {
-      this.lines.push({ at: this.now, sentence: effect.sentence });
-      if (effect.sentence === 'Job ended.') {
+      this.lines.push({ at: this.now, sentence: effect.message });
+      if (effect.message === 'Job ended.') {
         this.recordResult(effect.fields);
       }
     }
@@ -211,11 +211,11 @@
   }
 
   private startRun(effect: Extract<DispatchEffect, { kind: 'start' }>): void {
-    const { endpoint, order } = effect;
+    const { endpoint, command: order } = effect;
     const job = this.jobs.get(effect.job)!;
     this.starts.push(`${order.task}#${order.run} ${endpoint}`);
-    this.dispatcher.handleRecorded(effect, this.now);
-    this.dispatcher.handleStartAnswer(endpoint, order.task, order.run, { kind: 'done' }, this.now);
+    this.dispatcher.handleStartRecorded(effect, this.now);
+    this.dispatcher.handleStartResult(endpoint, order.task, order.run, { kind: 'done' }, this.now);
     const slowness = this.options.readSlowness(Number(endpoint.slice(2)), this.now);
     // Drawn also where it is not used, so that like decisions meet like chances.
     const [tail, failure, failsAt] = [this.random(), this.random(), this.random()];
@@ -241,16 +241,16 @@
     });
   }
 
-  private stopRun(endpoint: EndpointLife, task: TaskName, run: number): void {
+  private stopRun(endpoint: EndpointIncarnation, task: TaskName, run: number): void {
     const runs = this.running.get(endpoint)!;
     const found = runs.findIndex((row) => row.task === task && row.run === run);
     if (found >= 0) {
       this.stopped.get(endpoint)!.push(...runs.splice(found, 1));
     }
-    this.dispatcher.handleStopAnswer(endpoint, task, run, { kind: 'done' }, this.now);
+    this.dispatcher.handleStopResult(endpoint, task, run, { kind: 'done' }, this.now);
   }
 
-  private sendLook(endpoint: EndpointLife, isDue: boolean): void {
+  private sendLook(endpoint: EndpointIncarnation, isDue: boolean): void {
     const runs = this.running.get(endpoint)!;
     const stopped = this.stopped.get(endpoint)!.splice(0);
     const over = runs.filter(({ endsAt }) => endsAt <= this.now);
@@ -259,7 +259,7 @@
     }
     const left = runs.filter(({ endsAt }) => endsAt > this.now);
     this.running.set(endpoint, left);
-    const toRow = ({ task, run }: ModelRun, how: EndedRow['how']): EndedRow => ({
+    const toRow = ({ task, run }: ModelRun, how: EndedTaskStatus['how']): EndedTaskStatus => ({
       number: (this.endCount += 1),
       task,
       run,
@@ -274,6 +274,6 @@
       percent: Math.floor((100 * (this.now - startedAt)) / Math.max(wholeMs, endsAt - startedAt)),
       load: 0,
     }));
-    this.dispatcher.handleLook({ endpoint, running: rows, ended, sentAt: this.now }, this.now, this.now);
+    this.dispatcher.handleStatus({ endpoint, running: rows, ended, sentAt: this.now }, this.now, this.now);
   }
 }
--- a/tests/helpers/createProfile.ts
+++ b/tests/helpers/createProfile.ts
@@ -1,13 +1,13 @@
 import { toId } from '../../packages/common/toId';
 import type { EndpointProfile } from '../../packages/dispatch/endpoints/EndpointProfile';
 import type { EndpointId } from '../../packages/jobs/EndpointId';
-import type { EndpointLife } from '../../packages/jobs/EndpointLife';
+import type { EndpointIncarnation } from '../../packages/jobs/EndpointIncarnation';
 import type { ServiceName } from '../../packages/jobs/ServiceName';
 
 /** An endpoint of four cores, or what the fields say. */
 export const createProfile = (id: string, fields: Partial<EndpointProfile> = {}): EndpointProfile => ({
   id: toId<EndpointId>(id),
-  life: toId<EndpointLife>(id),
+  incarnation: toId<EndpointIncarnation>(id),
   service: toId<ServiceName>('service-a'),
   address: `${id}:80`,
   hall: 'hall-a',
--- a/tests/kindSpeeds.test.ts
+++ b/tests/kindSpeeds.test.ts
@@ -2,10 +2,10 @@
 import { createRandom } from '../packages/common/createRandom';
 import type { DispatchEffect } from '../packages/dispatch/DispatchEffect';
 import { Dispatcher } from '../packages/dispatch/Dispatcher';
-import type { EndedRow } from '../packages/dispatch/endpoints/EndedRow';
+import type { EndedTaskStatus } from '../packages/dispatch/endpoints/EndedTaskStatus';
 import { KindSpeeds } from '../packages/dispatch/placing/KindSpeeds';
-import type { SpeedChoice } from '../packages/dispatch/placing/SpeedChoice';
-import type { EndpointLife } from '../packages/jobs/EndpointLife';
+import type { SpeedPolicyName } from '../packages/dispatch/placing/SpeedPolicyName';
+import type { EndpointIncarnation } from '../packages/jobs/EndpointIncarnation';
 import type { JobId } from '../packages/jobs/JobId';
 import { JobProgress } from '../packages/jobs/JobProgress';
 import type { TaskName } from '../packages/jobs/TaskName';
@@ -20,13 +20,13 @@
       Array.from({ length: count }).forEach(() => kinds.recordRun(labels, ratio));
     };
     record(['b', 'rack-1'], 1.3, 60);
-    expect(kinds.readRatio(['b', 'rack-1'])).toBe(1);
+    expect(kinds.getSlowdown(['b', 'rack-1'])).toBe(1);
     record(['b', 'rack-2'], 1.3, 60);
     record(['a', 'rack-3'], 0.9, 300);
-    expect(kinds.readRatio(['b', 'rack-1'])).toBeCloseTo(1.3);
-    expect(kinds.readRatio(['b', 'rack-9'])).toBeCloseTo(1.3);
-    expect(kinds.readRatio(['a', 'rack-3'])).toBeCloseTo(0.9);
-    expect(kinds.readRatio([])).toBe(1);
+    expect(kinds.getSlowdown(['b', 'rack-1'])).toBeCloseTo(1.3);
+    expect(kinds.getSlowdown(['b', 'rack-9'])).toBeCloseTo(1.3);
+    expect(kinds.getSlowdown(['a', 'rack-3'])).toBeCloseTo(0.9);
+    expect(kinds.getSlowdown([])).toBe(1);
   });
 
   it('are not made by single sick endpoints, and follow a change', () => {
@@ -34,11 +34,11 @@
     for (let run = 0; run < 1000; run += 1) {
       kinds.recordRun(['a'], run % 50 === 0 ? 40 : 1);
     }
-    expect(kinds.readRatio(['a'])).toBeLessThan(1.05);
+    expect(kinds.getSlowdown(['a'])).toBeLessThan(1.05);
     for (let run = 0; run < 8000; run += 1) {
       kinds.recordRun(['a'], 1.5);
     }
-    expect(kinds.readRatio(['a'])).toBeGreaterThan(1.45);
+    expect(kinds.getSlowdown(['a'])).toBeGreaterThan(1.45);
   });
 });
 
@@ -73,13 +73,13 @@
  * 0.27 of them when placed blind, 0.86 with the kinds known; batch jobs done after 5.92 and 6.02 s in the mean.
  * Gives the share of urgent jobs in time, and the mean time of batch jobs.
  */
-const startLoad = (speedChoice: SpeedChoice): { readonly urgent: number; readonly batchMs: number } => {
+const startLoad = (speedChoice: SpeedPolicyName): { readonly urgent: number; readonly batchMs: number } => {
   const random = createRandom(7);
-  const dispatcher = new Dispatcher({ readDefinition: () => undefined, unheardUntil: 0, speedChoice });
-  const running = new Map<EndpointLife, PlayedRun[]>();
+  const dispatcher = new Dispatcher({ getDefinition: () => undefined, earlierLeasesEndAt: 0, speedChoice });
+  const running = new Map<EndpointIncarnation, PlayedRun[]>();
   const jobs = new Map<JobId, PlayedJob>();
   const tookMs: { readonly job: PlayedJob; readonly ms: number }[] = [];
-  const slow = new Set<EndpointLife>();
+  const slow = new Set<EndpointIncarnation>();
   for (let number = 0; number < ENDPOINTS; number += 1) {
     const isSlow = number % 3 === 2;
     const capacity = { cpuMillis: 32_000, memoryMb: 64_000, accelerators: 0 };
@@ -87,11 +87,11 @@
       capacity,
       labels: [isSlow ? 'b' : 'a', `rack-${number % 5}`],
     });
-    dispatcher.handleEndpoint(profile);
-    dispatcher.handleLook({ endpoint: profile.life, running: [], ended: [], sentAt: 0 }, 0, 0);
-    running.set(profile.life, []);
+    dispatcher.handleEndpointProfile(profile);
+    dispatcher.handleStatus({ endpoint: profile.incarnation, running: [], ended: [], sentAt: 0 }, 0, 0);
+    running.set(profile.incarnation, []);
     if (isSlow) {
-      slow.add(profile.life);
+      slow.add(profile.incarnation);
     }
   }
 
@@ -110,9 +110,9 @@
   };
 
   const startRun = (effect: Extract<DispatchEffect, { kind: 'start' }>, now: number): void => {
-    const { endpoint, order, job } = effect;
-    dispatcher.handleRecorded(effect, now);
-    dispatcher.handleStartAnswer(endpoint, order.task, order.run, { kind: 'done' }, now);
+    const { endpoint, command: order, job } = effect;
+    dispatcher.handleStartRecorded(effect, now);
+    dispatcher.handleStartResult(endpoint, order.task, order.run, { kind: 'done' }, now);
     const workMs = jobs.get(job)!.workMs[Number(order.task.split('.')[3])]!;
     const endsAt = now + workMs * (slow.has(endpoint) ? SLOW_RATIO : 1);
     running.get(endpoint)!.push({ task: order.task, run: order.run, startedAt: now, endsAt });
@@ -121,7 +121,7 @@
   let endCount = 0;
   const applyEnds = (now: number): void => {
     for (const [endpoint, runs] of running) {
-      const ended: EndedRow[] = runs
+      const ended: EndedTaskStatus[] = runs
         .filter(({ endsAt }) => endsAt <= now)
         .map(({ task, run }) => ({ number: (endCount += 1), task, run, how: 'done', checkpoint: '' }));
       if (ended.length > 0) {
@@ -134,7 +134,7 @@
           percent: Math.floor((100 * (now - startedAt)) / (endsAt - startedAt)),
           load: 0,
         }));
-        dispatcher.handleLook({ endpoint, running: rows, ended, sentAt: now }, now, now);
+        dispatcher.handleStatus({ endpoint, running: rows, ended, sentAt: now }, now, now);
       }
     }
   };
@@ -148,10 +148,10 @@
       sendJob(now, false);
     }
     dispatcher.placeWaiting(now, now);
-    for (const effect of dispatcher.readEffects()) {
+    for (const effect of dispatcher.takeEffects()) {
       if (effect.kind === 'start') {
         startRun(effect, now);
-      } else if (effect.kind === 'tell' && effect.sentence === 'Job ended.') {
+      } else if (effect.kind === 'tell' && effect.message === 'Job ended.') {
         const job = jobs.get(effect.fields['job'] as JobId)!;
         tookMs.push({ job, ms: now - job.sentAt });
       }
--- a/tests/lapsedRecords.test.ts
+++ b/tests/lapsedRecords.test.ts
@@ -3,11 +3,11 @@
 import { Dispatcher } from '../packages/dispatch/Dispatcher';
 import type { EndpointClient } from '../packages/dispatch/endpoints/EndpointClient';
 import { EndpointSessions } from '../packages/dispatch/endpoints/EndpointSessions';
-import type { EndpointLife } from '../packages/jobs/EndpointLife';
+import type { EndpointIncarnation } from '../packages/jobs/EndpointIncarnation';
 import type { LogClient } from '../packages/store/LogClient';
 import { createProfile } from './helpers/createProfile';
 
-const ENDPOINT = toId<EndpointLife>('i-0');
+const ENDPOINT = toId<EndpointIncarnation>('i-0');
 /** Timers fire a little early by the clock, as they do when a process was busy as it set them. */
 const CLOCK_SHARE = 0.99;
 const RELISTING_MS = 2000;
@@ -16,7 +16,7 @@
 const noEndpoint: EndpointClient = {
   sendStart: () => Promise.resolve({ kind: 'unhealthy' }),
   sendStop: () => Promise.resolve({ kind: 'unhealthy' }),
-  sendHold: () => new Promise(() => undefined),
+  sendPoll: () => new Promise(() => undefined),
   stop: () => Promise.resolve(),
 };
 
@@ -47,7 +47,7 @@
   it('is taken as gone when it has not come back, also where the timer fires early by the clock', async () => {
     const messages: string[] = [];
     const record = (message: string): void => void messages.push(message);
-    const dispatcher = new Dispatcher({ readDefinition: () => undefined, unheardUntil: 0 });
+    const dispatcher = new Dispatcher({ getDefinition: () => undefined, earlierLeasesEndAt: 0 });
     const sessions = new EndpointSessions({
       client: createLog(),
       topic: 'keyed.servers',
--- a/tests/lateJobs.test.ts
+++ b/tests/lateJobs.test.ts
@@ -2,8 +2,8 @@
 import { toId } from '../packages/common/toId';
 import type { DispatchEffect } from '../packages/dispatch/DispatchEffect';
 import { Dispatcher } from '../packages/dispatch/Dispatcher';
-import type { EndedRow } from '../packages/dispatch/endpoints/EndedRow';
-import type { EndpointLife } from '../packages/jobs/EndpointLife';
+import type { EndedTaskStatus } from '../packages/dispatch/endpoints/EndedTaskStatus';
+import type { EndpointIncarnation } from '../packages/jobs/EndpointIncarnation';
 import { JobProgress } from '../packages/jobs/JobProgress';
 import type { ServiceName } from '../packages/jobs/ServiceName';
 import type { TaskName } from '../packages/jobs/TaskName';
@@ -12,10 +12,10 @@
 import type { LedgerCause } from '../packages/ledger/LedgerCause';
 import { readAccounts } from '../packages/ledger/readAccounts';
 import { readBestPath } from '../packages/ledger/readBestPath';
-import { DecisionLog } from '../packages/sight/DecisionLog';
-import { formatLateJob } from '../packages/sight/formatLateJob';
-import { JobTrace } from '../packages/sight/JobTrace';
-import { readStoryDepth } from '../packages/sight/readStoryDepth';
+import { DecisionLog } from '../packages/logging/DecisionLog';
+import { formatLateJob } from '../packages/logging/formatLateJob';
+import { JobTrace } from '../packages/logging/JobTrace';
+import { computeSamplingLevel } from '../packages/logging/computeSamplingLevel';
 import { createJobDefinition } from './helpers/createJobDefinition';
 import { createProfile } from './helpers/createProfile';
 import { createStep } from './helpers/createStep';
@@ -38,7 +38,7 @@
 interface Trouble {
   readonly expected: LedgerCause;
   readonly workMs: number;
-  readonly how: EndedRow['how'];
+  readonly how: EndedTaskStatus['how'];
 }
 
 const TROUBLES: readonly Trouble[] = [
@@ -54,7 +54,7 @@
   readonly run: number;
   readonly startedAt: number;
   readonly endsAt: number;
-  readonly how: EndedRow['how'];
+  readonly how: EndedTaskStatus['how'];
 }
 
 /**
@@ -68,29 +68,29 @@
   private now = 0;
   private jobCount = 0;
   private endCount = 0;
-  private readonly dispatcher = new Dispatcher({ readDefinition: () => undefined, unheardUntil: 0 });
-  private readonly running = new Map<EndpointLife, PlayedRun[]>();
+  private readonly dispatcher = new Dispatcher({ getDefinition: () => undefined, earlierLeasesEndAt: 0 });
+  private readonly running = new Map<EndpointIncarnation, PlayedRun[]>();
   private readonly troubles = new Map<string, Trouble>();
   private readonly objectives = new Map<string, number>();
   private readonly log = new DecisionLog({
     box: 'box-1',
     writeLine: (line) => this.lines.push(line),
-    readBacklogBytes: () => 0,
+    getBacklogBytes: () => 0,
     readNow: () => this.now,
     readWall: () => this.now + WALL_MS,
     linesPerSecond: BOUND,
   });
-  private readonly logger = this.log.createPartLogger('leader');
+  private readonly logger = this.log.createLogger('leader');
 
   constructor() {
     const capacity = { cpuMillis: 64_000, memoryMb: 64_000, accelerators: 0 };
     const wide = Array.from({ length: 20 }, (_, number) => createProfile(`i-${number}`, { capacity }));
     const narrow = ['n-1', 'n-2'].map((id) => createProfile(id, { service: NARROW }));
     for (const profile of [...wide, ...narrow]) {
-      this.dispatcher.handleEndpoint(profile);
-      const look = { endpoint: profile.life, running: [], ended: [], sentAt: 0 };
-      this.dispatcher.handleLook(look, 0, WALL_MS);
-      this.running.set(profile.life, []);
+      this.dispatcher.handleEndpointProfile(profile);
+      const look = { endpoint: profile.incarnation, running: [], ended: [], sentAt: 0 };
+      this.dispatcher.handleStatus(look, 0, WALL_MS);
+      this.running.set(profile.incarnation, []);
     }
   }
 
@@ -101,10 +101,10 @@
         this.sendJobs();
       }
       if (this.now % 100 === 0) {
-        this.dispatcher.applyTime(this.now);
+        this.dispatcher.handleTick(this.now);
       }
       this.dispatcher.placeWaiting(this.now, this.now + WALL_MS);
-      this.dispatcher.readEffects().forEach((effect) => this.applyEffect(effect));
+      this.dispatcher.takeEffects().forEach((effect) => this.applyEffect(effect));
     }
     this.log.stop();
   }
@@ -146,18 +146,18 @@
     } else if (effect.kind === 'stop') {
       this.stopRun(effect);
     } else if (effect.kind === 'tell') {
-      this.logger.info(effect.sentence, effect.fields);
+      this.logger.info(effect.message, effect.fields);
       const job = String(effect.fields['job']);
-      if (effect.sentence === 'Job ended.' && this.now > this.objectives.get(job)!) {
+      if (effect.message === 'Job ended.' && this.now > this.objectives.get(job)!) {
         this.late.add(job);
       }
     }
   }
 
   private startRun(effect: Extract<DispatchEffect, { kind: 'start' }>): void {
-    const { endpoint, order } = effect;
-    this.dispatcher.handleRecorded(effect, this.now);
-    this.dispatcher.handleStartAnswer(endpoint, order.task, order.run, { kind: 'done' }, this.now);
+    const { endpoint, command: order } = effect;
+    this.dispatcher.handleStartRecorded(effect, this.now);
+    this.dispatcher.handleStartResult(endpoint, order.task, order.run, { kind: 'done' }, this.now);
     const { workMs, how } = this.troubles.get(`${order.task}#${order.run}`) ?? {
       workMs: WORK_MS,
       how: 'done',
@@ -173,7 +173,7 @@
       return isStopped ? { ...one, endsAt: this.now + STOP_MS, how: 'stopped' } : one;
     });
     this.running.set(endpoint, runs);
-    this.dispatcher.handleStopAnswer(endpoint, task, run, { kind: 'done' }, this.now);
+    this.dispatcher.handleStopResult(endpoint, task, run, { kind: 'done' }, this.now);
   }
 
   private applyEnds(): void {
@@ -191,12 +191,12 @@
           load: 0,
         }));
         const look = { endpoint, running: rows, ended, sentAt: this.now };
-        this.dispatcher.handleLook(look, this.now, this.now + WALL_MS);
+        this.dispatcher.handleStatus(look, this.now, this.now + WALL_MS);
       }
     }
   }
 
-  private createEnd(task: TaskName, run: number, how: EndedRow['how']): EndedRow {
+  private createEnd(task: TaskName, run: number, how: EndedTaskStatus['how']): EndedTaskStatus {
     return { number: (this.endCount += 1), task, run, how, checkpoint: '' };
   }
 }
@@ -249,7 +249,7 @@
   it('leave the others their part: the log keeps to its bound, and the smallest share of jobs is told whole', () => {
     const seconds = (LOAD_MS + 4000) / 1000;
     expect(world.lines.length).toBeLessThan(BOUND * (4 + seconds) + seconds);
-    const chosen = [...world.expected.keys()].filter((job) => readStoryDepth(job) >= 4);
+    const chosen = [...world.expected.keys()].filter((job) => computeSamplingLevel(job) >= 4);
     expect(chosen.length).toBeGreaterThan(100);
     const paths = chosen.map((job) => readBestPath(accounts.get(job)!));
     expect(paths.flat().filter(({ cause }) => cause === 'unknown')).toEqual([]);
@@ -267,17 +267,17 @@
 const startInherited = (leaderAt: number, endsAt: number): Readonly<Record<string, unknown>> | undefined => {
   const definition = createJobDefinition(1, [createStep({ count: 1 })]);
   const progress = new JobProgress(definition);
-  const { life: endpoint } = createProfile('i-1');
+  const { incarnation: endpoint } = createProfile('i-1');
   progress.recordPlaced({ time: 0, step: 0, index: 0 }, 1, endpoint);
-  const dispatcher = new Dispatcher({ readDefinition: () => definition, unheardUntil: leaderAt + 100 });
-  dispatcher.handleEndpoint(createProfile('i-1'));
+  const dispatcher = new Dispatcher({ getDefinition: () => definition, earlierLeasesEndAt: leaderAt + 100 });
+  dispatcher.handleEndpointProfile(createProfile('i-1'));
   dispatcher.handleJob(definition, progress, leaderAt);
   const row = { number: 1, task: toId<TaskName>(`${definition.id}.0.0.0`), run: 1, checkpoint: '' };
   const look = { endpoint, running: [], ended: [{ ...row, how: 'done' as const }], sentAt: endsAt };
-  dispatcher.handleLook(look, endsAt, endsAt);
+  dispatcher.handleStatus(look, endsAt, endsAt);
   const tell = dispatcher
-    .readEffects()
-    .find((effect) => effect.kind === 'tell' && effect.sentence === 'Job ended late.');
+    .takeEffects()
+    .find((effect) => effect.kind === 'tell' && effect.message === 'Job ended late.');
   return tell?.kind === 'tell' ? tell.fields : undefined;
 };
 
@@ -342,7 +342,7 @@
       const end = { outcome: 'done', cause: 'listed', how: 'done', checkpoint: '' } as const;
       trace.recordRun(run, createProfile(`i-${index}`), end, 1000 + index);
     }
-    const account = trace.readAccount(definition, 'completed', 1499);
+    const account = trace.createAccount(definition, 'completed', 1499);
     expect(account.runs.size).toBe(48);
     const line = formatLateJob(account, 1);
     expect(line['runs']).toMatchObject([{ endpoint: 'i-499', outcome: 'done', how: 'done', ms: 1489 }]);
--- a/tests/leaderWatch.test.ts
+++ b/tests/leaderWatch.test.ts
@@ -12,7 +12,7 @@
   let watch: LeaderWatch;
 
   afterEach(() => {
-    watch.applyLeader(undefined);
+    watch.setLeader(undefined);
     server.close();
   });
 
@@ -33,7 +33,7 @@
       connections = count;
     });
     watch = new LeaderWatch({ handleEnded: () => undefined });
-    watch.applyLeader({ process: 'box-0#1', address });
+    watch.setLeader({ process: 'box-0#1', address });
     await new Promise((resolve) => setTimeout(resolve, WATCHED_MS));
     expect(connections).toBeGreaterThan(1);
     expect(connections).toBeLessThanOrEqual(MAX_CONNECTIONS);
--- a/tests/leadership.test.ts
+++ b/tests/leadership.test.ts
@@ -211,9 +211,9 @@
   it('ends a bounded time after the last sign of a leader, however late the next one is elected', () => {
     const leases = new LeaseHistory();
     leases.recordLeader(toRecord(1), 1000);
-    leases.recordSign(2000);
+    leases.recordActivity(2000);
     leases.recordLeader(toRecord(2), 9000);
-    expect(leases.readEarlierEndAt()).toBe(2000 + LEASE_BOUND_MS + UNCONFIRMED_MS);
+    expect(leases.getEarlierEndAt()).toBe(2000 + LEASE_BOUND_MS + UNCONFIRMED_MS);
   });
 
   it('ends with the lease itself where the leader has said that it stopped', () => {
@@ -221,12 +221,12 @@
     resigned.recordLeader(toRecord(1), 1000);
     resigned.recordLeader(toRecord(1, true), 5000);
     resigned.recordLeader(toRecord(2), 5500);
-    expect(resigned.readEarlierEndAt()).toBe(5000 + LEASE_BOUND_MS);
+    expect(resigned.getEarlierEndAt()).toBe(5000 + LEASE_BOUND_MS);
     const told = new LeaseHistory();
     told.recordLeader(toRecord(1), 1000);
     told.recordStopped(1, 5000);
     told.recordLeader(toRecord(2), 5500);
-    expect(told.readEarlierEndAt()).toBe(5000 + LEASE_BOUND_MS);
+    expect(told.getEarlierEndAt()).toBe(5000 + LEASE_BOUND_MS);
   });
 
   it('is not forgotten when a leader in between was short', () => {
@@ -235,7 +235,7 @@
     leases.recordLeader(toRecord(2), 3000);
     leases.recordLeader(toRecord(2, true), 3100);
     leases.recordLeader(toRecord(3), 3200);
-    expect(leases.readEarlierEndAt()).toBe(1000 + LEASE_BOUND_MS + UNCONFIRMED_MS);
+    expect(leases.getEarlierEndAt()).toBe(1000 + LEASE_BOUND_MS + UNCONFIRMED_MS);
   });
 
   it('counts a heartbeat that is read after the word of its leader, and not the word of another', () => {
@@ -245,6 +245,6 @@
     leases.recordLeader(toRecord(1), 1200);
     leases.recordStopped(7, 1300);
     leases.recordLeader(toRecord(2), 1400);
-    expect(leases.readEarlierEndAt()).toBe(1200 + LEASE_BOUND_MS + UNCONFIRMED_MS);
+    expect(leases.getEarlierEndAt()).toBe(1200 + LEASE_BOUND_MS + UNCONFIRMED_MS);
   });
 });
--- a/tests/ledger.test.ts
+++ b/tests/ledger.test.ts
@@ -4,7 +4,7 @@
 import { readAccounts } from '../packages/ledger/readAccounts';
 import { readCriticalPath } from '../packages/ledger/readCriticalPath';
 import { readToldDepth } from '../packages/ledger/readToldDepth';
-import { readStoryDepth } from '../packages/sight/readStoryDepth';
+import { computeSamplingLevel } from '../packages/logging/computeSamplingLevel';
 
 const START = Date.parse('2026-01-01T00:00:00.000Z');
 
@@ -236,7 +236,7 @@
     expect(lateQueues.map(({ sums }) => sums.readJobCount())).toEqual([1]);
     expect(lateQueues[0]!.sums.readMean('room')).toBe(700);
     expect(lateQueues[0]!.sums.readMean('accept')).toBe(15);
-    const chosen = ids.filter((id) => readStoryDepth(id) >= 1);
+    const chosen = ids.filter((id) => computeSamplingLevel(id) >= 1);
     expect(chosen).toEqual(['b', 'd', 'f']);
     expect(queues[0]!.sums.readJobCount()).toBe(chosen.length);
   });
--- a/tests/loadDigest.test.ts
+++ b/tests/loadDigest.test.ts
@@ -10,7 +10,7 @@
 import type { LoadDigest } from '../packages/load/LoadDigest';
 import { loadKeys } from '../packages/load/loadKeys';
 import type { LoadSnapshot } from '../packages/load/LoadSnapshot';
-import { LoadTeller } from '../packages/load/LoadTeller';
+import { LoadPublisher } from '../packages/load/LoadPublisher';
 import { LoadView } from '../packages/load/LoadView';
 import { parseDigest } from '../packages/load/parseDigest';
 import { StartRates } from '../packages/load/StartRates';
@@ -46,7 +46,7 @@
     sequence: 1,
     madeAtMs: 1000,
     snapshot: createSnapshot(3),
-    readStartsPerSecond: () => 100,
+    getStartsPerSecond: () => 100,
   }),
   ...fields,
 });
@@ -58,7 +58,7 @@
       sequence: 12_345,
       madeAtMs: 1_800_000_000_000,
       snapshot: createSnapshot(200),
-      readStartsPerSecond: () => 0.3333,
+      getStartsPerSecond: () => 0.3333,
     });
     expect(digest.queues.map(({ waitingTasks }) => waitingTasks).slice(0, 2)).toEqual([199_000, 198_000]);
     expect(digest.customers[0]!.waitingTasks).toBe(199_000);
@@ -67,8 +67,8 @@
 
   it('expects a newcomer to wait while those before it start, and nothing where the rate is not known', () => {
     const readWait = (rate: number | undefined): number | undefined =>
-      createDigest({ ...createLoad(), snapshot: createSnapshot(2), readStartsPerSecond: () => rate })
-        .queues[0]?.expectedWaitMs;
+      createDigest({ ...createLoad(), snapshot: createSnapshot(2), getStartsPerSecond: () => rate }).queues[0]
+        ?.expectedWaitMs;
     expect(readWait(200)).toBe(5000);
     expect(readWait(0)).toBe(60_000);
     expect(readWait(undefined)).toBe(0);
@@ -82,9 +82,9 @@
       [toName('none'), { ...half, weight: 0, held: toCpu(1_600_000) }],
     ]);
     const snapshot = { ...createSnapshot(1), customers, othersShare: 0.2 };
-    const rows = createDigest({ ...createLoad(), snapshot, readStartsPerSecond: () => 1 }).customers;
+    const rows = createDigest({ ...createLoad(), snapshot, getStartsPerSecond: () => 1 }).customers;
     expect(
-      rows.map(({ customer, dominantShare, owedShare }) => [customer, dominantShare, owedShare]),
+      rows.map(({ customer, dominantShare, fairShare }) => [customer, dominantShare, fairShare]),
     ).toEqual([
       ['large', 0.5, expect.closeTo(0.6)],
       ['small', 0, expect.closeTo(0.2)],
@@ -93,15 +93,15 @@
   });
 
   it('sums up what a leader has waiting and running', () => {
-    const dispatcher = new Dispatcher({ readDefinition: () => undefined, unheardUntil: 0 });
-    dispatcher.handleEndpoint(createProfile('i-1'));
-    const life = createProfile('i-1').life;
-    dispatcher.handleLook({ endpoint: life, running: [], ended: [], sentAt: 0 }, 0, 0);
+    const dispatcher = new Dispatcher({ getDefinition: () => undefined, earlierLeasesEndAt: 0 });
+    dispatcher.handleEndpointProfile(createProfile('i-1'));
+    const life = createProfile('i-1').incarnation;
+    dispatcher.handleStatus({ endpoint: life, running: [], ended: [], sentAt: 0 }, 0, 0);
     const owner = createCustomer('owner', {}, 2);
     const definition = { ...createJobDefinition(1, [createStep({ count: 6 })]), customer: owner };
     dispatcher.handleJob(definition, new JobProgress(definition), 0);
     dispatcher.placeWaiting(10, 10);
-    const load = dispatcher.readLoad(10);
+    const load = dispatcher.computeLoad(10);
     expect(load.queues).toEqual([
       { queue: 'jobs', waitingTasks: 2, waitingCpuMillis: 2000, runningCpuMillis: 4000 },
     ]);
@@ -160,22 +160,22 @@
     for (let now = 0; now < 6000; now += 10) {
       rates.recordStart('busy', now);
     }
-    expect(rates.readPerSecond('busy', 2000)).toBeUndefined();
-    expect(rates.readPerSecond('busy', 6000)).toBe(100);
-    expect(rates.readPerSecond('idle', 6000)).toBe(0);
+    expect(rates.computePerSecond('busy', 2000)).toBeUndefined();
+    expect(rates.computePerSecond('busy', 6000)).toBe(100);
+    expect(rates.computePerSecond('idle', 6000)).toBe(0);
     // Nothing starts while the log is out, and what waits will drain as fast as before.
-    expect(rates.readPerSecond('busy', 9500)).toBe(100);
-    expect(rates.readPerSecond('busy', 20_000)).toBe(0);
+    expect(rates.computePerSecond('busy', 9500)).toBe(100);
+    expect(rates.computePerSecond('busy', 20_000)).toBe(0);
   });
 });
 
 describe('a leader', () => {
   it('tells its load once a second while something waits, and once more when nothing does', () => {
-    const teller = new LoadTeller(7, 0);
+    const teller = new LoadPublisher(7, 0);
     const told: LoadDigest[] = [];
     for (let now = 0; now < 6000; now += 100) {
       const isWaiting = now >= 1000 && now < 3500;
-      const text = teller.createDue({ now, wallMs: now }, () => createSnapshot(isWaiting ? 2 : 1));
+      const text = teller.createDueDigest({ now, wallMs: now }, () => createSnapshot(isWaiting ? 2 : 1));
       if (text !== undefined) {
         told.push(parseDigest(text)!);
       }
@@ -203,33 +203,33 @@
       toRecord,
     );
     expect(view.foldRecords([{ key: 'state/1', value: 'running' }, ...records], 500, 4)).toBe(0);
-    expect(view.readLoad(moment)?.digest).toMatchObject({ epoch: 3, sequence: 2 });
+    expect(view.getLoad(moment)?.digest).toMatchObject({ epoch: 3, sequence: 2 });
     view.foldRecords([toRecord(createLoad({ epoch: 4 }))], 500, 4);
-    expect(view.readLoad(moment)?.digest).toMatchObject({ epoch: 4, sequence: 1 });
+    expect(view.getLoad(moment)?.digest).toMatchObject({ epoch: 4, sequence: 1 });
   });
 
   it('counts as none once it is old, by either clock', () => {
     const view = new LoadView();
-    expect(view.readLoad(moment)).toBeUndefined();
+    expect(view.getLoad(moment)).toBeUndefined();
     view.foldRecords([toRecord(createLoad())], 500, 4);
-    expect(view.readLoad(moment)?.ageMs).toBe(200);
-    expect(view.readLoad({ ...moment, now: 2501 })).toBeUndefined();
+    expect(view.getLoad(moment)?.ageMs).toBe(200);
+    expect(view.getLoad({ ...moment, now: 2501 })).toBeUndefined();
     // Read long after it was written, as by a box that has just started.
-    expect(view.readLoad({ ...moment, wallMs: 3001 })).toBeUndefined();
+    expect(view.getLoad({ ...moment, wallMs: 3001 })).toBeUndefined();
     // The leader's clock is ahead: it is as old as this box has had it.
-    expect(view.readLoad({ ...moment, now: 1500, wallMs: 0 })?.ageMs).toBe(1000);
+    expect(view.getLoad({ ...moment, now: 1500, wallMs: 0 })?.ageMs).toBe(1000);
   });
 
   it('is that of no leader which has been replaced, until the new one tells its own', () => {
     const view = new LoadView();
     view.foldRecords([toRecord(createLoad())], 500, 4);
-    expect(view.readLoad({ ...moment, epoch: 4 })).toBeUndefined();
+    expect(view.getLoad({ ...moment, epoch: 4 })).toBeUndefined();
     // The one before has not noticed yet.
     view.foldRecords([toRecord(createLoad({ sequence: 2 }))], 500, 4);
-    expect(view.readLoad({ ...moment, epoch: 4 })).toBeUndefined();
+    expect(view.getLoad({ ...moment, epoch: 4 })).toBeUndefined();
     view.foldRecords([toRecord(createLoad({ epoch: 4 }))], 500, 4);
     view.foldRecords([toRecord(createLoad({ sequence: 3 }))], 500, 4);
-    expect(view.readLoad({ ...moment, epoch: 4 })?.digest.epoch).toBe(4);
+    expect(view.getLoad({ ...moment, epoch: 4 })?.digest.epoch).toBe(4);
   });
 
   it('stays as it was where garbage comes in between, which is counted', () => {
@@ -239,6 +239,6 @@
     expect(view.foldRecords(garbage, 600, 4)).toBe(3);
     const unclaimed = toRecord(createLoad({ epoch: 5 }));
     expect(view.foldRecords([unclaimed], 600, 4)).toBe(1);
-    expect(view.readLoad(moment)?.digest.epoch).toBe(3);
+    expect(view.getLoad(moment)?.digest.epoch).toBe(3);
   });
 });
--- a/tests/loadDoor.test.ts
+++ b/tests/loadDoor.test.ts
@@ -2,9 +2,9 @@
 import { toId } from '../packages/common/toId';
 import type { CustomerName } from '../packages/customers/CustomerName';
 import type { JobId } from '../packages/jobs/JobId';
-import { chooseDoorAnswer } from '../packages/load/chooseDoorAnswer';
-import type { Door } from '../packages/load/Door';
-import type { DoorCaller } from '../packages/load/DoorCaller';
+import { chooseAdmission } from '../packages/load/chooseAdmission';
+import type { AdmissionMode } from '../packages/load/AdmissionMode';
+import type { AdmissionRequest } from '../packages/load/AdmissionRequest';
 import { formatDigest } from '../packages/load/formatDigest';
 import type { KnownLoad } from '../packages/load/KnownLoad';
 import type { LoadDigest } from '../packages/load/LoadDigest';
@@ -35,26 +35,26 @@
 
 const toKnown = (digest: LoadDigest): KnownLoad => ({ digest, ageMs: 100 });
 
-const createCaller = (number = 1, fields: Partial<DoorCaller> = {}): DoorCaller => {
+const createCaller = (number = 1, fields: Partial<AdmissionRequest> = {}): AdmissionRequest => {
   const { id, queue, steps } = createJobDefinition(number, [createStep()]);
   return { id, queue, steps, customer: undefined, dueInMs: 0, leftMs: 3000, ...fields };
 };
 
 describe('the door', () => {
   it('takes whatever it knows no load for', () => {
-    expect(chooseDoorAnswer(undefined, createCaller()).kind).toBe('unknown');
+    expect(chooseAdmission(undefined, createCaller()).kind).toBe('unknown');
     const other = createDigest(60_000, { queues: [] });
-    expect(chooseDoorAnswer(toKnown(other), createCaller()).kind).toBe('unknown');
+    expect(chooseAdmission(toKnown(other), createCaller()).kind).toBe('unknown');
   });
 
   it('refuses nothing while there is room for it, however long the queue is said to be', () => {
     const digest = createDigest(60_000, { freeCpuMillis: 2000 });
-    expect(chooseDoorAnswer(toKnown(digest), createCaller()).kind).toBe('room');
+    expect(chooseAdmission(toKnown(digest), createCaller()).kind).toBe('room');
   });
 
   it('takes late work as long as it is of use, and refuses what is not', () => {
-    const readKind = (waitMs: number, fields: Partial<DoorCaller> = {}): string =>
-      chooseDoorAnswer(toKnown(createDigest(waitMs)), createCaller(1, fields)).kind;
+    const readKind = (waitMs: number, fields: Partial<AdmissionRequest> = {}): string =>
+      chooseAdmission(toKnown(createDigest(waitMs)), createCaller(1, fields)).kind;
     expect(readKind(0)).toBe('bearable');
     expect(readKind(USEFUL_MS)).toBe('bearable');
     expect(readKind(USEFUL_MS + 1)).toBe('hopeless');
@@ -63,11 +63,11 @@
 
   it('takes the owners that hold least of what they are owed for longest', () => {
     const customers = [
-      { customer: toName('full'), waitingTasks: 50, dominantShare: 0.6, owedShare: 0.5 },
-      { customer: toName('half'), waitingTasks: 40, dominantShare: 0.1, owedShare: 0.2 },
+      { customer: toName('full'), waitingTasks: 50, dominantShare: 0.6, fairShare: 0.5 },
+      { customer: toName('half'), waitingTasks: 40, dominantShare: 0.1, fairShare: 0.2 },
     ];
     const readKind = (waitMs: number, name: string): string =>
-      chooseDoorAnswer(
+      chooseAdmission(
         toKnown(createDigest(waitMs, { customers })),
         createCaller(1, { customer: toName(name) }),
       ).kind;
@@ -87,7 +87,7 @@
           .toString(16)
           .padStart(6, '0')}`,
       );
-      const answer = chooseDoorAnswer(load, createCaller(1, { id, leftMs }));
+      const answer = chooseAdmission(load, createCaller(1, { id, leftMs }));
       return answer.kind === 'hopeless' ? answer.retryAfterMs : 0;
     };
     const times = Array.from({ length: 200 }, (_, number) => readRetryMs(number));
@@ -114,7 +114,7 @@
   private readonly view = new LoadView();
   private readonly metrics = new ServeMetrics();
 
-  constructor(door: Door = 'load') {
+  constructor(door: AdmissionMode = 'load') {
     const handleLine = (sentence: string, fields = {}): void => void this.lines.push({ sentence, fields });
     this.door = new LoadDoor({
       door,
--- a/tests/logFollower.test.ts
+++ b/tests/logFollower.test.ts
@@ -72,7 +72,7 @@
     const started = startFollower(readTimes);
     await startWait(20);
     expect(readTimes).toHaveLength(1);
-    started.startAgain(systemClock.readNow());
+    started.retryPending(systemClock.readNow());
     await startWait(AT_ONCE_MS);
     expect(readTimes).toHaveLength(2);
   });
@@ -82,7 +82,7 @@
     const earlier = systemClock.readNow();
     const started = startFollower(readTimes);
     await startWait(20);
-    started.startAgain(earlier);
+    started.retryPending(earlier);
     await startWait(AT_ONCE_MS);
     expect(readTimes).toHaveLength(1);
   });
--- a/tests/logWriter.test.ts
+++ b/tests/logWriter.test.ts
@@ -25,7 +25,7 @@
       client,
       topic: 'keyed.jobs',
       clock: systemClock,
-      gatherMs: 2,
+      lingerMs: 2,
       maxBytes: 1000,
       random: () => 0.5,
       probe: PROBE,
--- a/tests/makingRoom.test.ts
+++ b/tests/makingRoom.test.ts
@@ -1,9 +1,9 @@
 import { describe, expect, it } from 'vitest';
 import { toId } from '../packages/common/toId';
-import { AnswerTimeout } from '../packages/dispatch/endpoints/AnswerTimeout';
+import { ResponseTimeout } from '../packages/dispatch/endpoints/ResponseTimeout';
 import type { DispatchEffect } from '../packages/dispatch/DispatchEffect';
 import { Dispatcher } from '../packages/dispatch/Dispatcher';
-import type { EndpointLife } from '../packages/jobs/EndpointLife';
+import type { EndpointIncarnation } from '../packages/jobs/EndpointIncarnation';
 import type { JobDefinition } from '../packages/jobs/JobDefinition';
 import { JobProgress } from '../packages/jobs/JobProgress';
 import type { JobStep } from '../packages/jobs/JobStep';
@@ -49,16 +49,16 @@
 
 /** Two endpoints of eight accelerators each; what is started there is confirmed at once and shown by looks. */
 class SmallCell {
-  readonly dispatcher = new Dispatcher({ readDefinition: () => undefined, unheardUntil: 0 });
-  private readonly running = new Map<EndpointLife, StartEffect[]>();
+  readonly dispatcher = new Dispatcher({ getDefinition: () => undefined, earlierLeasesEndAt: 0 });
+  private readonly running = new Map<EndpointIncarnation, StartEffect[]>();
   private now = 0;
 
   constructor() {
     for (const name of ['i-0', 'i-1']) {
-      const id = toId<EndpointLife>(name);
+      const id = toId<EndpointIncarnation>(name);
       this.running.set(id, []);
       const capacity = { cpuMillis: 16_000, memoryMb: 10_000, accelerators: ACCELERATORS };
-      this.dispatcher.handleEndpoint(createProfile(id, { capacity }));
+      this.dispatcher.handleEndpointProfile(createProfile(id, { capacity }));
     }
     this.startLooks();
   }
@@ -70,16 +70,16 @@
   /** One round; gives what it asks for, and carries the starts out. */
   startRound({ isAnswered } = { isAnswered: true }): Round {
     this.now += 100;
-    this.dispatcher.applyTime(this.now);
+    this.dispatcher.handleTick(this.now);
     this.dispatcher.placeWaiting(this.now, this.now);
-    const effects = this.dispatcher.readEffects();
+    const effects = this.dispatcher.takeEffects();
     const starts = effects.filter((effect): effect is StartEffect => effect.kind === 'start');
     for (const start of starts) {
-      this.dispatcher.handleRecorded(start, this.now);
-      const { endpoint, order } = start;
-      this.dispatcher.readBook(endpoint)?.recordLease(this.now + LEASE_MS);
+      this.dispatcher.handleStartRecorded(start, this.now);
+      const { endpoint, command: order } = start;
+      this.dispatcher.getEndpointState(endpoint)?.recordLease(this.now + LEASE_MS);
       const answer = isAnswered ? ({ kind: 'done' } as const) : ({ kind: 'unanswered', detail: '' } as const);
-      this.dispatcher.handleStartAnswer(endpoint, order.task, order.run, answer, this.now);
+      this.dispatcher.handleStartResult(endpoint, order.task, order.run, answer, this.now);
       if (isAnswered) {
         this.running.get(endpoint)!.push(start);
       }
@@ -93,14 +93,14 @@
 
   /** Answers a question for advice: some endpoints may run the step. */
   recordAdvice({ step, endpoints }: Question, good: readonly string[]): void {
-    const tickets = new Map(good.map((id) => [toId<EndpointLife>(id), 'ticket']));
-    this.dispatcher.handleAdvice(step, endpoints, tickets, this.now);
+    const tickets = new Map(good.map((id) => [toId<EndpointIncarnation>(id), 'ticket']));
+    this.dispatcher.handleAdviceResponse(step, endpoints, tickets, this.now);
   }
 
   /** Ends what was to be stopped, as a look shows it. */
   recordStopped({ endpoint, task, run }: StopEffect): void {
     const runs = this.running.get(endpoint)!;
-    const kept = runs.filter(({ order }) => order.task !== task);
+    const kept = runs.filter(({ command: order }) => order.task !== task);
     this.running.set(endpoint, kept);
     const ended = [{ number: 1, task, run, how: 'stopped', checkpoint: 'saved' } as const];
     this.sendLook(endpoint, ended);
@@ -112,11 +112,18 @@
     [...this.running.keys()].forEach((endpoint) => this.sendLook(endpoint, []));
   }
 
-  private sendLook(endpoint: EndpointLife, ended: Parameters<Dispatcher['handleLook']>[0]['ended']): void {
-    const running = this.running
-      .get(endpoint)!
-      .map(({ order }) => ({ task: order.task, run: order.run, checkpoint: '', percent: 10, load: 0 }));
-    this.dispatcher.handleLook({ endpoint, running, ended, sentAt: this.now }, this.now, this.now);
+  private sendLook(
+    endpoint: EndpointIncarnation,
+    ended: Parameters<Dispatcher['handleStatus']>[0]['ended'],
+  ): void {
+    const running = this.running.get(endpoint)!.map(({ command: order }) => ({
+      task: order.task,
+      run: order.run,
+      checkpoint: '',
+      percent: 10,
+      load: 0,
+    }));
+    this.dispatcher.handleStatus({ endpoint, running, ended, sentAt: this.now }, this.now, this.now);
   }
 }
 
@@ -204,17 +211,17 @@
 
 describe('the time to wait for the answer to an order', () => {
   it('follows the answers, within bounds', () => {
-    const timeout = new AnswerTimeout();
-    expect(timeout.readTimeoutMs()).toBe(500);
+    const timeout = new ResponseTimeout();
+    expect(timeout.computeTimeoutMs()).toBe(500);
     for (let count = 0; count < 50; count += 1) {
       timeout.recordAnswer(3);
     }
-    expect(timeout.readTimeoutMs()).toBe(120);
+    expect(timeout.computeTimeoutMs()).toBe(120);
     for (let count = 0; count < 50; count += 1) {
       timeout.recordAnswer(count % 2 === 0 ? 100 : 140);
     }
-    expect(timeout.readTimeoutMs()).toBeGreaterThan(150);
-    expect(timeout.readTimeoutMs()).toBeLessThan(300);
+    expect(timeout.computeTimeoutMs()).toBeGreaterThan(150);
+    expect(timeout.computeTimeoutMs()).toBeLessThan(300);
   });
 });
 
--- a/tests/placementOrders.test.ts
+++ b/tests/placementOrders.test.ts
@@ -1,6 +1,6 @@
 import { describe, expect, it } from 'vitest';
 import { CustomerUsage } from '../packages/customers/CustomerUsage';
-import { ShareMeter } from '../packages/customers/ShareMeter';
+import { JobRateMeter } from '../packages/customers/JobRateMeter';
 import { LiveJob } from '../packages/dispatch/waiting/LiveJob';
 import type { PlacementOrder } from '../packages/dispatch/waiting/PlacementOrder';
 import { placementOrders } from '../packages/dispatch/waiting/placementOrders';
@@ -15,11 +15,11 @@
 describe('shares of customers', () => {
   const clinic = createCustomer('clinic', {}, 2);
 
-  const readBeyond = (meter: ShareMeter, times: readonly number[], customer = clinic): readonly boolean[] =>
+  const readBeyond = (meter: JobRateMeter, times: readonly number[], customer = clinic): readonly boolean[] =>
     times.map((atMs) => meter.recordJob(customer, atMs));
 
   it('cover what a customer sends at its rate, and a second of it at once', () => {
-    const meter = new ShareMeter();
+    const meter = new JobRateMeter();
     expect(readBeyond(meter, [0, 0, 0, 100, 500, 1000, 1100, 1500])).toEqual([
       false,
       false,
@@ -33,7 +33,7 @@
   });
 
   it('do not grow with what other customers send, and cover everything without a weight', () => {
-    const meter = new ShareMeter();
+    const meter = new JobRateMeter();
     const flood = createCustomer('builders', {}, 1);
     expect(readBeyond(meter, Array<number>(50).fill(0), flood).filter((isBeyond) => !isBeyond)).toHaveLength(
       1,
@@ -43,7 +43,7 @@
   });
 
   it('are not filled twice by boxes whose clocks are apart', () => {
-    const meter = new ShareMeter();
+    const meter = new JobRateMeter();
     expect(readBeyond(meter, [1000, 1000, 0, 900, 1000, 100, 1000])).toEqual([
       false,
       false,
@@ -64,9 +64,9 @@
     const readLeader = (known: typeof jobs): readonly boolean[] => {
       const replica = new JobReplica();
       known.forEach((job) => replica.recordDefinition(job));
-      const meter = new ShareMeter();
+      const meter = new JobRateMeter();
       return replica
-        .readDefinitionsInOrder()
+        .listDefinitionsInOrder()
         .map(({ customer, acceptedAtMs }) => meter.recordJob(customer!, acceptedAtMs));
     };
     expect(readLeader([...jobs].reverse())).toEqual(readLeader(jobs));
@@ -107,7 +107,7 @@
     ['usage', ['beyond', 'light', 'late', 'heavy', 'batch']],
     ['sharesThenUsage', ['light', 'late', 'heavy', 'beyond', 'batch']],
   ] satisfies readonly (readonly [PlacementOrder, readonly string[]])[])('by %s', (order, expected) => {
-    const sorted = placementOrders[order].toOrder(waiting, { wallMs: 100, usage, readCapacity });
+    const sorted = placementOrders[order].sortSteps(waiting, { wallMs: 100, usage, readCapacity });
     expect(sorted.map((step) => (step as (typeof waiting)[number]).name)).toEqual(expected);
   });
 });
--- a/tests/platformEndpoint.test.ts
+++ b/tests/platformEndpoint.test.ts
@@ -3,7 +3,7 @@
 import { afterEach, beforeEach, describe, expect, it } from 'vitest';
 import { toId } from '../packages/common/toId';
 import type { EndpointId } from '../packages/jobs/EndpointId';
-import { endpointLives } from '../packages/jobs/endpointLives';
+import { endpointIncarnations } from '../packages/jobs/endpointIncarnations';
 import type { TaskName } from '../packages/jobs/TaskName';
 import { PlatformEndpoint } from '../platform/PlatformEndpoint';
 
@@ -32,7 +32,7 @@
     endpoint = new PlatformEndpoint({
       address: `127.0.0.1:${port}`,
       id: ID,
-      life: endpointLives.toLife(ID, bornAtMs),
+      life: endpointIncarnations.toLife(ID, bornAtMs),
       readToken: () => token,
       readNow: () => now,
       clockMs: undefined,
@@ -62,9 +62,9 @@
     await new Promise((resolve) => server.close(resolve));
   });
 
-  const sendLook = async (body: unknown, status = 200): ReturnType<PlatformEndpoint['sendHold']> => {
+  const sendLook = async (body: unknown, status = 200): ReturnType<PlatformEndpoint['sendPoll']> => {
     answers.push({ status, body });
-    return endpoint.sendHold(LOOK);
+    return endpoint.sendPoll(LOOK);
   };
 
   const createList = (born: unknown): object => ({
--- a/tests/shrunkenRoom.test.ts
+++ b/tests/shrunkenRoom.test.ts
@@ -8,7 +8,7 @@
 import { toId } from '../packages/common/toId';
 import type { DispatchEffect } from '../packages/dispatch/DispatchEffect';
 import { Dispatcher } from '../packages/dispatch/Dispatcher';
-import type { EndpointLife } from '../packages/jobs/EndpointLife';
+import type { EndpointIncarnation } from '../packages/jobs/EndpointIncarnation';
 import type { JobDefinition } from '../packages/jobs/JobDefinition';
 import { JobProgress } from '../packages/jobs/JobProgress';
 import type { JobStep } from '../packages/jobs/JobStep';
@@ -18,7 +18,7 @@
 
 type StartEffect = Extract<DispatchEffect, { kind: 'start' }>;
 
-const ENDPOINT = toId<EndpointLife>('i-0');
+const ENDPOINT = toId<EndpointIncarnation>('i-0');
 const CORES = 4;
 
 const createJob = (number: number, count: number, fields: Partial<JobStep> = {}): JobDefinition =>
@@ -30,30 +30,30 @@
 
   beforeEach(() => {
     now = 0;
-    dispatcher = new Dispatcher({ readDefinition: () => undefined, unheardUntil: 0 });
+    dispatcher = new Dispatcher({ getDefinition: () => undefined, earlierLeasesEndAt: 0 });
     sendRoom(ENDPOINT, CORES);
     sendLook([]);
   });
 
-  const sendRoom = (id: EndpointLife, cores: number): void =>
-    dispatcher.handleEndpoint(
+  const sendRoom = (id: EndpointIncarnation, cores: number): void =>
+    dispatcher.handleEndpointProfile(
       createProfile(id, { capacity: { cpuMillis: cores * 1000, memoryMb: 10_000, accelerators: 0 } }),
     );
 
   const sendLook = (ended: readonly StartEffect[], id = ENDPOINT): void => {
-    const runs = [...(dispatcher.readBook(id)?.readRuns() ?? [])];
-    const gone = new Set(ended.map(({ order }) => order.task));
+    const runs = [...(dispatcher.getEndpointState(id)?.getRuns() ?? [])];
+    const gone = new Set(ended.map(({ command: order }) => order.task));
     const running = runs
       .filter(({ task, stage }) => stage === 'running' && !gone.has(task))
       .map(({ task, run }) => ({ task, run, checkpoint: '', percent: 10, load: 0 }));
-    const rows = ended.map(({ order }, index) => ({
+    const rows = ended.map(({ command: order }, index) => ({
       number: index + 1,
       task: order.task,
       run: order.run,
       how: 'done' as const,
       checkpoint: '',
     }));
-    dispatcher.handleLook({ endpoint: id, running, ended: rows, sentAt: now }, now, now);
+    dispatcher.handleStatus({ endpoint: id, running, ended: rows, sentAt: now }, now, now);
   };
 
   const sendJob = (definition: JobDefinition): void =>
@@ -61,14 +61,14 @@
 
   const readPlaced = (): readonly StartEffect[] => {
     dispatcher.placeWaiting(now, now);
-    return dispatcher.readEffects().filter((effect): effect is StartEffect => effect.kind === 'start');
+    return dispatcher.takeEffects().filter((effect): effect is StartEffect => effect.kind === 'start');
   };
 
   /** Lets the records of starts be durable; gives those that leave. */
   const sendStarts = (starts: readonly StartEffect[]): readonly StartEffect[] => {
-    const sent = starts.filter((effect) => dispatcher.handleRecorded(effect, now));
-    for (const { endpoint, order } of sent) {
-      dispatcher.handleStartAnswer(endpoint, order.task, order.run, { kind: 'done' }, now);
+    const sent = starts.filter((effect) => dispatcher.handleStartRecorded(effect, now));
+    for (const { endpoint, command: order } of sent) {
+      dispatcher.handleStartResult(endpoint, order.task, order.run, { kind: 'done' }, now);
     }
     return sent;
   };
@@ -79,7 +79,7 @@
     expect(placed).toHaveLength(CORES);
     sendRoom(ENDPOINT, 2);
     expect(sendStarts(placed)).toHaveLength(2);
-    expect(dispatcher.readBook(ENDPOINT)!.readFreeCpuMillis()).toBe(0);
+    expect(dispatcher.getEndpointState(ENDPOINT)!.getFreeCpuMillis()).toBe(0);
   });
 
   it('keeps what runs, and starts nothing until it fits', () => {
@@ -92,7 +92,7 @@
     expect(readPlaced()).toEqual([]);
     sendLook(sent.slice(2, 3));
     expect(sendStarts(readPlaced())).toHaveLength(1);
-    expect(dispatcher.readEffects().filter(({ kind }) => kind === 'stop')).toEqual([]);
+    expect(dispatcher.takeEffects().filter(({ kind }) => kind === 'stop')).toEqual([]);
   });
 
   it('counts what is being stopped until it has ended', () => {
@@ -119,14 +119,14 @@
     sendRoom(ENDPOINT, 3);
     const sent = sendStarts(placed);
     expect(sent).toHaveLength(3);
-    dispatcher.applyTime(now);
-    const stops = dispatcher.readEffects().filter((effect) => effect.kind === 'stop');
+    dispatcher.handleTick(now);
+    const stops = dispatcher.takeEffects().filter((effect) => effect.kind === 'stop');
     expect(stops).toHaveLength(3);
-    for (const { endpoint, order } of sent) {
-      dispatcher.handleStopAnswer(endpoint, order.task, order.run, { kind: 'done' }, now);
+    for (const { endpoint, command: order } of sent) {
+      dispatcher.handleStopResult(endpoint, order.task, order.run, { kind: 'done' }, now);
     }
     now += 10;
-    const other = toId<EndpointLife>('i-1');
+    const other = toId<EndpointIncarnation>('i-1');
     sendRoom(other, CORES);
     sendLook([], other);
     sendLook([]);
@@ -141,18 +141,18 @@
     for (let index = 0; index < CORES; index += 1) {
       progress.recordPlaced({ time: 0, step: 0, index }, 1, ENDPOINT);
     }
-    dispatcher = new Dispatcher({ readDefinition: () => before, unheardUntil: 0 });
+    dispatcher = new Dispatcher({ getDefinition: () => before, earlierLeasesEndAt: 0 });
     sendRoom(ENDPOINT, 2);
     dispatcher.handleJob(before, progress, now);
     sendJob(after);
-    const running = [...dispatcher.readBook(ENDPOINT)!.readRuns()].map(({ task, run }) => ({
+    const running = [...dispatcher.getEndpointState(ENDPOINT)!.getRuns()].map(({ task, run }) => ({
       task,
       run,
       checkpoint: '',
       percent: 10,
       load: 0,
     }));
-    dispatcher.handleLook({ endpoint: ENDPOINT, running, ended: [], sentAt: now }, now, now);
+    dispatcher.handleStatus({ endpoint: ENDPOINT, running, ended: [], sentAt: now }, now, now);
     expect(readPlaced()).toEqual([]);
   });
 });
--- a/tests/sight.test.ts
+++ b/tests/sight.test.ts
@@ -1,10 +1,10 @@
 import { describe, expect, it } from 'vitest';
 import { createRandom } from '../packages/common/createRandom';
-import { DecisionLog } from '../packages/sight/DecisionLog';
-import { LineGatherer } from '../packages/sight/LineGatherer';
-import { readLineClass } from '../packages/sight/readLineClass';
-import { readLineJob } from '../packages/sight/readLineJob';
-import { readStoryDepth } from '../packages/sight/readStoryDepth';
+import { DecisionLog } from '../packages/logging/DecisionLog';
+import { LineBatcher } from '../packages/logging/LineBatcher';
+import { getLineClass } from '../packages/logging/getLineClass';
+import { findLineJob } from '../packages/logging/findLineJob';
+import { computeSamplingLevel } from '../packages/logging/computeSamplingLevel';
 import { readJobStory } from '../packages/timeline/readJobStory';
 
 const BOUND = 400;
@@ -27,12 +27,12 @@
   readonly log = new DecisionLog({
     box: 'box-1',
     writeLine: (line) => this.written.push(JSON.parse(line) as WrittenLine),
-    readBacklogBytes: () => this.backlogBytes,
+    getBacklogBytes: () => this.backlogBytes,
     readNow: () => this.now,
     readWall: () => this.now,
     linesPerSecond: BOUND,
   });
-  readonly logger = this.log.createPartLogger('leader');
+  readonly logger = this.log.createLogger('leader');
 
   readMessages(): readonly string[] {
     return this.written.map(({ message }) => message);
@@ -97,7 +97,7 @@
 const readWholeJobs = (bench: LogBench, jobs: readonly string[]): readonly string[] => {
   const lengths = new Map<string, number>();
   for (const line of bench.written) {
-    const job = STORY.includes(line.message) ? readLineJob({ ...line }) : undefined;
+    const job = STORY.includes(line.message) ? findLineJob({ ...line }) : undefined;
     if (job !== undefined) {
       lengths.set(job, (lengths.get(job) ?? 0) + 1);
     }
@@ -151,22 +151,22 @@
 
 describe('the class of a line', () => {
   it('is by its level, its sentence and whether it names a job; sentences that no table names are part of a story', () => {
-    expect(readLineClass('error', 'Tasks placed.', { job: 'a' })).toBe('error');
-    expect(readLineClass('warn', 'Tasks placed.', { job: 'a' })).toBe('vital');
-    expect(readLineClass('info', 'Leader changed.', { epoch: 2 })).toBe('vital');
-    expect(readLineClass('info', 'Job ended late.', { job: 'a' })).toBe('vital');
-    expect(readLineClass('info', 'Run is moved.', { job: 'a' })).toBe('notable');
-    expect(readLineClass('info', 'Run is moved.', { rows: [] })).toBe('notable');
-    expect(readLineClass('info', 'Never heard of.', { job: 'a' })).toBe('story');
-    expect(readLineClass('info', 'Never heard of.', { step: 'a.0.1' })).toBe('story');
-    expect(readLineClass('info', 'Never heard of.', undefined)).toBe('vital');
+    expect(getLineClass('error', 'Tasks placed.', { job: 'a' })).toBe('error');
+    expect(getLineClass('warn', 'Tasks placed.', { job: 'a' })).toBe('vital');
+    expect(getLineClass('info', 'Leader changed.', { epoch: 2 })).toBe('vital');
+    expect(getLineClass('info', 'Job ended late.', { job: 'a' })).toBe('vital');
+    expect(getLineClass('info', 'Run is moved.', { job: 'a' })).toBe('notable');
+    expect(getLineClass('info', 'Run is moved.', { rows: [] })).toBe('notable');
+    expect(getLineClass('info', 'Never heard of.', { job: 'a' })).toBe('story');
+    expect(getLineClass('info', 'Never heard of.', { step: 'a.0.1' })).toBe('story');
+    expect(getLineClass('info', 'Never heard of.', undefined)).toBe('vital');
   });
 
   it('takes the job from its own field, a step or a task', () => {
-    expect(readLineJob({ job: 'a' })).toBe('a');
-    expect(readLineJob({ step: 'b.0.1' })).toBe('b');
-    expect(readLineJob({ task: 'c.0.1.7', run: 1 })).toBe('c');
-    expect(readLineJob({ endpoint: 'i-1', job: '' })).toBeUndefined();
+    expect(findLineJob({ job: 'a' })).toBe('a');
+    expect(findLineJob({ step: 'b.0.1' })).toBe('b');
+    expect(findLineJob({ task: 'c.0.1.7', run: 1 })).toBe('c');
+    expect(findLineJob({ endpoint: 'i-1', job: '' })).toBeUndefined();
   });
 });
 
@@ -182,7 +182,7 @@
 
   it('are one with a row for each of one moment, and a single one is like any other', () => {
     const bench = new LogBench();
-    const gatherer = new LineGatherer(bench.logger);
+    const gatherer = new LineBatcher(bench.logger);
     ['a', 'b', 'c'].forEach((job) => gatherer.recordLine('Run gives way.', toFields(job, 'x.0.0'), 0));
     gatherer.recordLine('Run gives way.', toFields('d', 'y.0.0'), 0);
     gatherer.recordLine('Job ended.', { job: 'a' }, 0);
@@ -196,7 +196,7 @@
 
   it('are written at once when there are many, all of them when the leader stops, and each job has its row', () => {
     const bench = new LogBench();
-    const gatherer = new LineGatherer(bench.logger);
+    const gatherer = new LineBatcher(bench.logger);
     const jobs = Array.from({ length: 100 }, (_, number) => `job-${number}`);
     jobs.forEach((job) => gatherer.recordLine('Run is moved.', { ...toFields(job, 'x'), reason: 'slow' }, 0));
     expect(bench.written).toHaveLength(2);
@@ -213,7 +213,7 @@
   it('halves the jobs with each depth, by the id alone, also for ids that count up', () => {
     const counted = Array.from({ length: 8192 }, (_, index) => index.toString(16).padStart(16, '0'));
     for (const ids of [createJobIds(8192), counted]) {
-      const depths = ids.map(readStoryDepth);
+      const depths = ids.map(computeSamplingLevel);
       for (const depth of [1, 2, 3, 4]) {
         const share = depths.filter((one) => one >= depth).length / ids.length;
         expect(share * 2 ** depth).toBeGreaterThan(0.8);
@@ -238,7 +238,7 @@
     const jobs = startLoad(bench, 300, 20);
     bench.now += 1000;
     bench.log.applyTime();
-    const chosen = jobs.filter((job) => readStoryDepth(job) >= 4);
+    const chosen = jobs.filter((job) => computeSamplingLevel(job) >= 4);
     expect(chosen.length).toBeGreaterThan(jobs.length / 20);
     expect(readWholeJobs(bench, chosen)).toEqual(chosen);
     expect(bench.readLines('Something is odd.')).toHaveLength(400);
@@ -293,7 +293,7 @@
 
   it('leaves room for graver lines beside a sudden flood, and for stories beside a flood of stops', () => {
     const bench = new LogBench();
-    const [job] = createJobIds(64).filter((one) => readStoryDepth(one) >= 5);
+    const [job] = createJobIds(64).filter((one) => computeSamplingLevel(one) >= 5);
     Array.from({ length: 5000 }).forEach(() => bench.logger.info('Tasks placed.', { job }));
     bench.logger.info('Run is moved.', { job });
     bench.logger.info('Job ended late.', { job });
--- a/tests/stops.test.ts
+++ b/tests/stops.test.ts
@@ -7,9 +7,9 @@
 import { isCutShort } from '../packages/dispatch/stops/isCutShort';
 import { isWorthStopping } from '../packages/dispatch/stops/isWorthStopping';
 import { measureRoomWait } from '../packages/dispatch/stops/measureRoomWait';
-import type { StopChoice } from '../packages/dispatch/stops/StopChoice';
-import { stopChoices } from '../packages/dispatch/stops/stopChoices';
-import type { EndpointLife } from '../packages/jobs/EndpointLife';
+import type { StopPolicyName } from '../packages/dispatch/stops/StopPolicyName';
+import { stopPolicies } from '../packages/dispatch/stops/stopPolicies';
+import type { EndpointIncarnation } from '../packages/jobs/EndpointIncarnation';
 import type { JobDefinition } from '../packages/jobs/JobDefinition';
 import { JobProgress } from '../packages/jobs/JobProgress';
 import type { JobStep } from '../packages/jobs/JobStep';
@@ -94,10 +94,10 @@
   it('count only the rest where a stop saves what was done', () => {
     const half = { pace: 45, usualPace: 15, slowPace: 30, percent: 50, stalledMs: 0, moveMs: 300 };
     for (const choice of ['ranked', 'priced'] as const) {
-      expect(stopChoices[choice].readMoveReason({ ...half, isSaving: false })).toBeUndefined();
+      expect(stopPolicies[choice].findMoveReason({ ...half, isSaving: false })).toBeUndefined();
     }
-    expect(stopChoices.ranked.readMoveReason({ ...half, isSaving: true })).toBeUndefined();
-    expect(stopChoices.priced.readMoveReason({ ...half, isSaving: true })).toBe('slow');
+    expect(stopPolicies.ranked.findMoveReason({ ...half, isSaving: true })).toBeUndefined();
+    expect(stopPolicies.priced.findMoveReason({ ...half, isSaving: true })).toBe('slow');
   });
 
   it('from an endpoint that leaves wait as long as a stop allows where work is saved, and are not made where it can end', () => {
@@ -113,7 +113,7 @@
   const USUAL_MS = 700;
 
   /** Urgent jobs of one task, so that no sibling tells what is usual. */
-  const startLoad = (stopChoice: StopChoice) => {
+  const startLoad = (stopChoice: StopPolicyName) => {
     const world = new StopWorld({
       stopChoice,
       endpoints: 4,
@@ -140,7 +140,7 @@
 
 describe('starts whose answers are late, since the leader is slow', () => {
   /** Urgent jobs on a fleet with room; the answers to all starts of two seconds come after the time limit. */
-  const startLoad = (stopChoice: StopChoice) => {
+  const startLoad = (stopChoice: StopPolicyName) => {
     const world = new StopWorld({
       stopChoice,
       endpoints: 10,
@@ -173,7 +173,7 @@
   const LOAD_MS = 24_000;
 
   /** Batch of 7 cores that saves its work fills the fleet; gangs of 8 times 18 cores come; a stop takes up to 0.9 s. */
-  const startLoad = (stopChoice: StopChoice) => {
+  const startLoad = (stopChoice: StopPolicyName) => {
     const random = createRandom(11);
     const world = new StopWorld({
       stopChoice,
@@ -231,19 +231,19 @@
   it('are one by one, with a pause that grows with each failure', () => {
     const streak = new FailureStreak();
     streak.recordEnd('failed', 100);
-    expect(streak.isBroken()).toBe(false);
+    expect(streak.isFailing()).toBe(false);
     streak.recordEnd('interrupted', 150);
     streak.recordEnd('failed', 200);
-    expect(streak.isBroken()).toBe(true);
+    expect(streak.isFailing()).toBe(true);
     expect(streak.readProbeAt()).toBe(450);
     streak.recordEnd('failed', 500);
     expect(streak.readProbeAt()).toBe(1000);
     streak.recordEnd('done', 600);
-    expect(streak.isBroken()).toBe(false);
+    expect(streak.isFailing()).toBe(false);
   });
 
   /** Batch that waits for room, while two of 16 endpoints fail all for eight seconds. */
-  const startLoad = (stopChoice: StopChoice, failing: number) => {
+  const startLoad = (stopChoice: StopPolicyName, failing: number) => {
     const world = new StopWorld({
       stopChoice,
       endpoints: 16,
@@ -256,7 +256,7 @@
       world.sendJob(createJob(number, BATCH, world.now, 8, { count: 20, estimatedMs: 1500 }));
     }
     world.applyTime(40_000);
-    const states = [...world.progress.values()].map((progress) => progress.readState());
+    const states = [...world.progress.values()].map((progress) => progress.getState());
     return {
       failures: world.failures,
       completed: states.filter((state) => state === 'completed').length,
@@ -279,7 +279,7 @@
 
 describe('endpoints that leave at short notice', () => {
   /** One of five endpoints leaves after 5.5 s, with tasks of 10 s on it that began a second before. */
-  const startLoad = (stopChoice: StopChoice, step: Partial<JobStep>, workMs: number, cores = 16) => {
+  const startLoad = (stopChoice: StopPolicyName, step: Partial<JobStep>, workMs: number, cores = 16) => {
     const world = new StopWorld({ stopChoice, endpoints: 5, readWorkMs: () => workMs, stopMs: () => 900 });
     world.applyTime(500);
     world.sendJob(createJob(1, BATCH, world.now, cores, { estimatedMs: workMs, ...step }));
@@ -320,43 +320,48 @@
 });
 
 describe('a start without an answer', () => {
-  const ENDPOINT = toId<EndpointLife>('i-0');
+  const ENDPOINT = toId<EndpointIncarnation>('i-0');
   const job = createJob(1, URGENT, 0, 2, { count: 1 });
   const task = toTaskName(job.id, { time: 0, step: 0, index: 0 });
   const running = [{ task, run: 1, checkpoint: '', percent: 40, load: 0 }];
 
   const createDoubt = (): Dispatcher => {
-    const dispatcher = new Dispatcher({ readDefinition: () => job, unheardUntil: 0, stopChoice: 'priced' });
+    const dispatcher = new Dispatcher({
+      getDefinition: () => job,
+      earlierLeasesEndAt: 0,
+      stopChoice: 'priced',
+    });
     const capacity = { cpuMillis: 2000, memoryMb: 4000, accelerators: 0 };
-    dispatcher.handleEndpoint(createProfile(ENDPOINT, { capacity }));
-    dispatcher.handleLook({ endpoint: ENDPOINT, running: [], ended: [], sentAt: 0 }, 0, 0);
+    dispatcher.handleEndpointProfile(createProfile(ENDPOINT, { capacity }));
+    dispatcher.handleStatus({ endpoint: ENDPOINT, running: [], ended: [], sentAt: 0 }, 0, 0);
     dispatcher.handleJob(job, new JobProgress(job), 0);
     dispatcher.placeWaiting(10, 10);
-    const start = dispatcher.readEffects().find((effect) => effect.kind === 'start');
-    expect(start?.kind === 'start' && dispatcher.handleRecorded(start, 20)).toBe(true);
-    dispatcher.readBook(ENDPOINT)!.recordLease(9000);
-    dispatcher.handleStartAnswer(ENDPOINT, task, 1, { kind: 'unanswered', detail: '' }, 140);
+    const start = dispatcher.takeEffects().find((effect) => effect.kind === 'start');
+    expect(start?.kind === 'start' && dispatcher.handleStartRecorded(start, 20)).toBe(true);
+    dispatcher.getEndpointState(ENDPOINT)!.recordLease(9000);
+    dispatcher.handleStartResult(ENDPOINT, task, 1, { kind: 'unanswered', detail: '' }, 140);
     return dispatcher;
   };
 
   const sendLook = (dispatcher: Dispatcher, rows: typeof running, sentAt: number, now: number): void =>
-    dispatcher.handleLook({ endpoint: ENDPOINT, running: rows, ended: [], sentAt }, now, now);
+    dispatcher.handleStatus({ endpoint: ENDPOINT, running: rows, ended: [], sentAt }, now, now);
 
   const readKinds = (dispatcher: Dispatcher): readonly string[] => {
-    const kinds = dispatcher.readEffects().map(({ kind }) => kind);
+    const kinds = dispatcher.takeEffects().map(({ kind }) => kind);
     return kinds.filter((kind) => ['look', 'stop', 'start'].includes(kind));
   };
 
-  const hasRoom = (dispatcher: Dispatcher): boolean => dispatcher.readBook(ENDPOINT)!.readRunCount() === 0;
+  const hasRoom = (dispatcher: Dispatcher): boolean =>
+    dispatcher.getEndpointState(ENDPOINT)!.countRuns() === 0;
 
   it('goes on when a look shows it', () => {
     const dispatcher = createDoubt();
     expect(readKinds(dispatcher)).toEqual(['look']);
     sendLook(dispatcher, running, 150, 160);
-    dispatcher.applyTime(600);
+    dispatcher.handleTick(600);
     dispatcher.placeWaiting(600, 600);
     expect(readKinds(dispatcher)).toEqual([]);
-    expect(dispatcher.readBook(ENDPOINT)!.readRun(task, 1)?.stage).toBe('running');
+    expect(dispatcher.getEndpointState(ENDPOINT)!.getRun(task, 1)?.stage).toBe('running');
   });
 
   it('is not judged by a look that was sent before', () => {
@@ -372,16 +377,16 @@
     readKinds(dispatcher);
     sendLook(dispatcher, [], 150, 160);
     expect(readKinds(dispatcher)).toEqual(['stop']);
-    dispatcher.handleStopAnswer(ENDPOINT, task, 1, { kind: 'unanswered', detail: '' }, 300);
+    dispatcher.handleStopResult(ENDPOINT, task, 1, { kind: 'unanswered', detail: '' }, 300);
     // The order was under way all the time, and began after the look.
     sendLook(dispatcher, running, 310, 320);
     expect(hasRoom(dispatcher)).toBe(false);
-    dispatcher.applyTime(400);
-    dispatcher.applyTime(700);
+    dispatcher.handleTick(400);
+    dispatcher.handleTick(700);
     expect(readKinds(dispatcher)).toEqual(['stop']);
     sendLook(dispatcher, [], 710, 720);
     expect(hasRoom(dispatcher)).toBe(false);
-    dispatcher.handleStopAnswer(ENDPOINT, task, 1, { kind: 'done' }, 730);
+    dispatcher.handleStopResult(ENDPOINT, task, 1, { kind: 'done' }, 730);
     sendLook(dispatcher, [], 740, 750);
     expect(hasRoom(dispatcher)).toBe(true);
     dispatcher.placeWaiting(760, 760);
@@ -390,10 +395,10 @@
 
   it('is over with the lease when nothing is heard any more', () => {
     const dispatcher = createDoubt();
-    dispatcher.handleSilence(ENDPOINT, 500);
-    dispatcher.applyTime(8900);
+    dispatcher.handleUnreachable(ENDPOINT, 500);
+    dispatcher.handleTick(8900);
     expect(hasRoom(dispatcher)).toBe(false);
-    dispatcher.applyTime(9001);
+    dispatcher.handleTick(9001);
     expect(hasRoom(dispatcher)).toBe(true);
   });
 });
--- a/tests/suspension.test.ts
+++ b/tests/suspension.test.ts
@@ -177,18 +177,18 @@
       logger: LOGGER,
       formatLeaderRecord: () => 'leader',
       handleFenced: stopUnused,
-      handleLogBack: () => undefined,
+      handleLogRecovered: () => undefined,
     });
-    const isRenewing = (): boolean => journal.isShownWithin(leaderTimings.unconfirmedMs);
+    const isRenewing = (): boolean => journal.isAcknowledgedWithin(leaderTimings.unconfirmedGraceMs);
     const startAppend = async (): Promise<void> => {
-      journal.applyTime(machine.readNow() + leaderTimings.heartbeatMs);
+      journal.handleTick(machine.readNow() + leaderTimings.heartbeatMs);
       while (answers.length === 0) {
         await new Promise((resolve) => setTimeout(resolve, 5));
       }
     };
     expect(isRenewing()).toBe(true);
     await startAppend();
-    machine.applySleep(leaderTimings.unconfirmedMs + 500);
+    machine.applySleep(leaderTimings.unconfirmedGraceMs + 500);
     expect(isRenewing()).toBe(false);
     answers.shift()!();
     await new Promise((resolve) => setTimeout(resolve, 5));
@@ -254,7 +254,7 @@
     startAnswer();
     await new Promise((resolve) => setTimeout(resolve, 5));
     expect(machine.readNow() - sentAt).toBeCloseTo(6000, -2);
-    expect(follower.readLastOkAt() - sentAt).toBeLessThanOrEqual(1000);
+    expect(follower.getLastSuccessAt() - sentAt).toBeLessThanOrEqual(1000);
     follower.stop();
   });
 });
--- a/tests/turnedDownStarts.test.ts
+++ b/tests/turnedDownStarts.test.ts
@@ -7,8 +7,8 @@
 import { toId } from '../packages/common/toId';
 import type { DispatchEffect } from '../packages/dispatch/DispatchEffect';
 import { Dispatcher } from '../packages/dispatch/Dispatcher';
-import type { OrderAnswer } from '../packages/dispatch/endpoints/OrderAnswer';
-import type { EndpointLife } from '../packages/jobs/EndpointLife';
+import type { CommandResult } from '../packages/dispatch/endpoints/CommandResult';
+import type { EndpointIncarnation } from '../packages/jobs/EndpointIncarnation';
 import { JobProgress } from '../packages/jobs/JobProgress';
 import { createJobDefinition } from './helpers/createJobDefinition';
 import { createProfile } from './helpers/createProfile';
@@ -18,37 +18,37 @@
 const PLAYED_MS = 10_000;
 /** Within 10 s: at once, then after 0.1, 0.2, 0.4, … s, and every 2 s. */
 const MAX_STARTS = 12;
-const ENDPOINTS = ['i-0', 'i-1', 'i-2'].map((id) => toId<EndpointLife>(id));
+const ENDPOINTS = ['i-0', 'i-1', 'i-2'].map((id) => toId<EndpointIncarnation>(id));
 
 /** Plays a job of one task on endpoints that give an answer until a time; gives the times of its starts. */
-const measureStarts = (answer: OrderAnswer, until: number): readonly number[] => {
-  const dispatcher = new Dispatcher({ readDefinition: () => undefined, unheardUntil: 0 });
-  ENDPOINTS.forEach((id) => dispatcher.handleEndpoint(createProfile(id)));
+const measureStarts = (answer: CommandResult, until: number): readonly number[] => {
+  const dispatcher = new Dispatcher({ getDefinition: () => undefined, earlierLeasesEndAt: 0 });
+  ENDPOINTS.forEach((id) => dispatcher.handleEndpointProfile(createProfile(id)));
   const job = createJobDefinition(1, [createStep({ count: 1 })]);
   dispatcher.handleJob(job, new JobProgress(job), 0);
   const starts: number[] = [];
   for (let now = 0; now < PLAYED_MS; now += STEP_MS) {
     for (const id of ENDPOINTS) {
-      const running = [...(dispatcher.readBook(id)?.readRuns() ?? [])]
+      const running = [...(dispatcher.getEndpointState(id)?.getRuns() ?? [])]
         .filter(({ stage }) => stage === 'running')
         .map(({ task, run }) => ({ task, run, checkpoint: '', percent: 1, load: 0 }));
-      dispatcher.handleLook({ endpoint: id, running, ended: [], sentAt: now }, now, now);
+      dispatcher.handleStatus({ endpoint: id, running, ended: [], sentAt: now }, now, now);
     }
-    dispatcher.applyTime(now);
+    dispatcher.handleTick(now);
     dispatcher.placeWaiting(now, now);
-    const effects: readonly DispatchEffect[] = dispatcher.readEffects();
+    const effects: readonly DispatchEffect[] = dispatcher.takeEffects();
     for (const effect of effects) {
-      if (effect.kind === 'start' && dispatcher.handleRecorded(effect, now)) {
+      if (effect.kind === 'start' && dispatcher.handleStartRecorded(effect, now)) {
         starts.push(now);
-        const given: OrderAnswer = now < until ? answer : { kind: 'done' };
-        dispatcher.handleStartAnswer(effect.endpoint, effect.order.task, effect.order.run, given, now);
+        const given: CommandResult = now < until ? answer : { kind: 'done' };
+        dispatcher.handleStartResult(effect.endpoint, effect.command.task, effect.command.run, given, now);
       }
     }
   }
   return starts;
 };
 
-const ANSWERS: readonly OrderAnswer[] = [
+const ANSWERS: readonly CommandResult[] = [
   { kind: 'rejected', reason: 'malformed' },
   { kind: 'rejected', reason: 'room' },
   { kind: 'rejected', reason: 'late' },
--- a/tests/waitTeller.test.ts
+++ b/tests/waitTeller.test.ts
@@ -9,24 +9,24 @@
 
 /** A service without an endpoint that is large enough, and one with. Gives the lines about waits, with their times. */
 const startWaiting = (cpuMillis: number, untilMs: number) => {
-  const dispatcher = new Dispatcher({ readDefinition: () => undefined, unheardUntil: 0 });
+  const dispatcher = new Dispatcher({ getDefinition: () => undefined, earlierLeasesEndAt: 0 });
   const profile = createProfile('i-1');
-  dispatcher.handleEndpoint(profile);
-  dispatcher.handleLook({ endpoint: profile.life, running: [], ended: [], sentAt: 0 }, 0, 0);
+  dispatcher.handleEndpointProfile(profile);
+  dispatcher.handleStatus({ endpoint: profile.incarnation, running: [], ended: [], sentAt: 0 }, 0, 0);
   const demand = { cpuMillis, memoryMb: 100, accelerators: 0 };
   const definition = createJobDefinition(1, [createStep({ count: 1, demand })]);
   dispatcher.handleJob(definition, new JobProgress(definition), 0);
   const told: (readonly [number, unknown])[] = [];
   for (let now = 0; now <= untilMs; now += TICK_MS) {
-    dispatcher.applyTime(now);
+    dispatcher.handleTick(now);
     dispatcher.placeWaiting(now, now);
-    for (const effect of dispatcher.readEffects()) {
-      if (effect.kind === 'tell' && effect.sentence === 'Step waits.') {
+    for (const effect of dispatcher.takeEffects()) {
+      if (effect.kind === 'tell' && effect.message === 'Step waits.') {
         told.push([now, effect.fields]);
       }
     }
   }
-  return { told, job: definition.id, left: dispatcher.readWaits(untilMs) };
+  return { told, job: definition.id, left: dispatcher.listWaits(untilMs) };
 };
 
 describe('a step that waits', () => {
