--- a/packages/dispatch/DispatchEffect.ts
+++ b/packages/dispatch/DispatchEffect.ts
@@ -6,38 +6,42 @@
 import type { StartCommand } from './endpoints/StartCommand';
 import type { WaitTimes } from './waiting/WaitTimes';
 
-/** What the dispatcher wants done. */
+/** A side effect that the dispatcher requests. */
 export type DispatchEffect =
-  /** Write the job's progress to the log; then call `Dispatcher.handleRecorded` with the starts that it carries. */
+  /** Write the job's progress to the log, then call `Dispatcher.handleStartRecorded` for each start in it. */
   | { readonly kind: 'record'; readonly job: JobId }
-  /** Send a start, once the record that carries it is durable. */
+  /** Send a start command once the job's progress is durable. */
   | {
       readonly kind: 'start';
       readonly job: JobId;
       readonly endpoint: EndpointIncarnation;
       readonly command: StartCommand;
-      /** What the task had waited for until it was placed. */
+      /** How long the task waited before its placement, by cause. */
       readonly waits: WaitTimes;
     }
+  /** Send a stop command. */
   | {
       readonly kind: 'stop';
       readonly endpoint: EndpointIncarnation;
       readonly task: TaskName;
       readonly run: number;
-      /** The stop was sent before and had no answer. */
+      /** An earlier stop command for the run had no response. */
       readonly isRepeated: boolean;
     }
-  /** Look at the endpoint at once, beside the look under way. */
+  /** Poll the endpoint at once, in addition to the poll under way. */
   | { readonly kind: 'look'; readonly endpoint: EndpointIncarnation }
+  /** Ask the advice service which of the endpoints may run the step. */
   | {
       readonly kind: 'advise';
       readonly step: string;
       readonly endpoints: readonly EndpointIncarnation[];
+      /** Expected time until the response, in milliseconds. */
       readonly expectedMs: number;
+      /** Takes a slot for long requests. */
       readonly isLong: boolean;
       readonly cause: AdviceRequestReason;
     }
-  /** Counts something for the metrics. */
+  /** Increase a counter of the metrics. */
   | { readonly kind: 'count'; readonly name: DispatchCounterName; readonly amount: number }
-  /** A line for the log. */
+  /** Write a log line. */
   | { readonly kind: 'tell'; readonly message: string; readonly fields: Readonly<Record<string, unknown>> };
--- a/packages/dispatch/DispatchPolicies.ts
+++ b/packages/dispatch/DispatchPolicies.ts
@@ -4,16 +4,16 @@
 import type { StopPolicyName } from './stops/StopPolicyName';
 import type { PlacementOrder } from './waiting/PlacementOrder';
 
-/** The leader's ways of deciding, each chosen from a table. */
+/** The leader's scheduling policies, each by its name. */
 export interface DispatchPolicies {
-  /** In which order the leader places what waits. */
+  /** Order in which waiting steps are placed. */
   readonly placementOrder: PlacementOrder;
-  /** How the speed of endpoints counts when they are chosen. */
+  /** How the speed of an endpoint affects its ranking. */
   readonly speedChoice: SpeedPolicyName;
-  /** Over which halls the tasks of a job go. */
+  /** How the tasks of a job are spread over halls. */
   readonly hallChoice: HallPolicyName;
-  /** When turns at the advice service are taken. */
+  /** When advice is requested. */
   readonly turnChoice: AdvicePolicyName;
-  /** What is stopped for others, or moved. */
+  /** Which runs are preempted or moved. */
   readonly stopChoice: StopPolicyName;
 }
--- a/packages/dispatch/Dispatcher.ts
+++ b/packages/dispatch/Dispatcher.ts
@@ -37,10 +37,10 @@
 import type { CandidateSelector } from './advice/CandidateSelector';
 import { AdviceMetrics } from './advice/AdviceMetrics';
 import { advicePolicies } from './advice/advicePolicies';
-import { GangWatch } from './runs/GangWatch';
+import { GangMonitor } from './runs/GangMonitor';
 import type { EndpointStatus } from './endpoints/EndpointStatus';
 import { StatusReconciler } from './endpoints/StatusReconciler';
-import { measureLoad } from './measureLoad';
+import { computeLoad } from './computeLoad';
 import { CapacityView } from './placing/CapacityView';
 import { RunTracker } from './runs/RunTracker';
 import { RunMover } from './runs/RunMover';
@@ -60,178 +60,178 @@
 import { LongWaitLogger } from './waiting/LongWaitLogger';
 
 interface DispatcherOptions extends Partial<DispatchPolicies> {
-  /** Definition of any job, also of one that has ended. */
+  /** Returns the definition of any job, including ended ones. */
   readonly getDefinition: (id: JobId) => JobDefinition | undefined;
-  /** Monotonic time until which an endpoint that has not been heard may run what earlier leaders placed there. */
+  /** Monotonic time at which leases granted by earlier leaders have expired on endpoints that are not yet synced. */
   readonly earlierLeasesEndAt: number;
-  /** Longest lease that an endpoint grants, in milliseconds. */
+  /** Longest lease that an endpoint accepts, in milliseconds. */
   readonly longestLeaseMs?: number;
-  /** The limit of a customer in the configuration in force; where there is none, that kept with the job counts. */
+  /** Returns a customer's limit in the current configuration; if undefined, the limit stored with the job applies. */
   readonly getLimit?: (customer: CustomerName) => TaskDemand | undefined;
 }
 
 type StartEffect = Extract<DispatchEffect, { kind: 'start' }>;
 
-/** Of platforms that name no other. */
+/** For platforms that set no maximum. */
 const DEFAULT_LONGEST_LEASE_MS = 10_000;
-const UNLIMITED_TURNS: AdviceSlots = { all: Infinity, long: Infinity };
+const UNLIMITED_SLOTS: AdviceSlots = { all: Infinity, long: Infinity };
 
 /**
- * The leader's decisions, with no clock and no socket: messages come in with the time, and what is to be done comes out by
- * `readEffects`. Room is taken when a run is chosen and freed only when its end is known.
+ * The leader's scheduler as a state machine without clock or I/O: events come in with the current time, and the side effects to
+ * carry out are returned by `takeEffects`. A run takes capacity from its placement until its end is certain.
  */
 export class Dispatcher {
-  private readonly books = new Map<EndpointIncarnation, EndpointState>();
+  private readonly endpoints = new Map<EndpointIncarnation, EndpointState>();
   private readonly jobs = new Map<JobId, LiveJob>();
-  /** What each customer has running; every book tells it of its runs. */
+  /** Resources in use by customer, updated by each endpoint's state. */
   private readonly usage = new CustomerUsage();
-  private readonly shares = new JobRateMeter();
+  private readonly jobRates = new JobRateMeter();
   private effects: DispatchEffect[] = [];
-  private readonly changed = new Set<JobId>();
-  private readonly order: (typeof placementOrders)[PlacementOrder];
+  private readonly changedJobs = new Set<JobId>();
+  private readonly placementOrder: (typeof placementOrders)[PlacementOrder];
   private readonly placer: StepPlacer;
-  private readonly ledger: RunTracker;
-  private readonly orders: RunCommands;
-  private readonly looks: StatusReconciler;
-  private readonly questions: AdviceRequester;
-  private readonly adviceHistory = new AdviceStats();
-  private readonly turnAccount: AdviceMetrics;
-  private readonly adviceCandidates: CandidateSelector;
+  private readonly runTracker: RunTracker;
+  private readonly commands: RunCommands;
+  private readonly reconciler: StatusReconciler;
+  private readonly adviceRequester: AdviceRequester;
+  private readonly adviceStats = new AdviceStats();
+  private readonly adviceMetrics: AdviceMetrics;
+  private readonly adviceSelector: CandidateSelector;
   private readonly mover: RunMover;
   private readonly preemptor: Preemptor;
-  private readonly trust: EndpointQuarantine;
+  private readonly quarantine: EndpointQuarantine;
   private readonly speeds = new EndpointSpeeds();
   private readonly learner: RunLearner;
   private readonly preference: EndpointPreference;
-  private readonly gangs: GangWatch;
-  private readonly waits: LongWaitLogger;
+  private readonly gangMonitor: GangMonitor;
+  private readonly longWaits: LongWaitLogger;
   private readonly crashes: CrashTracker;
-  private readonly lifeEnds: EndpointLossHandler;
-  /** True when something has happened since the last round that may let work start. */
-  private hasNews = false;
-  /** True when the last round only asked for tickets, so that the next one has to look at all that waits. */
-  private hasAskedAhead = false;
-  /** True when early questions are due: they go with time, not with each message. */
-  private hasTimePassed = false;
-  private readonly room: CapacityView;
+  private readonly lossHandler: EndpointLossHandler;
+  /** True when an event since the last round may allow a start. */
+  private isRoundDue = false;
+  /** True when the last round only requested advice, so that the next one has to run in any case. */
+  private hasRequestedAhead = false;
+  /** True when a tick has passed since the last early advice requests. */
+  private hasTicked = false;
+  private readonly capacity: CapacityView;
   private readonly reservations = new EndpointReservations();
 
   constructor(private readonly options: DispatcherOptions) {
     const sendEffect = (effect: DispatchEffect): void => void this.effects.push(effect);
-    const ways: DispatchPolicies = { ...defaultPolicies, ...options };
-    this.order = placementOrders[ways.placementOrder];
-    const stops = stopPolicies[ways.stopChoice];
-    const sinks = {
+    const policies: DispatchPolicies = { ...defaultPolicies, ...options };
+    this.placementOrder = placementOrders[policies.placementOrder];
+    const stops = stopPolicies[policies.stopChoice];
+    const callbacks = {
       handleFreed: () => {
-        this.hasNews = true;
+        this.isRoundDue = true;
       },
-      handleChanged: (job: JobId) => this.changed.add(job),
+      handleChanged: (job: JobId) => this.changedJobs.add(job),
       sendEffect,
     };
-    this.ledger = new RunTracker(this.books, this.jobs, sinks, stops.isMovingGangs);
+    this.runTracker = new RunTracker(this.endpoints, this.jobs, callbacks, stops.isMovingGangs);
     this.crashes = new CrashTracker({
       jobs: this.jobs,
-      ledger: this.ledger,
-      handleChanged: (job) => this.changed.add(job),
+      ledger: this.runTracker,
+      handleChanged: (job) => this.changedJobs.add(job),
     });
-    this.lifeEnds = new EndpointLossHandler({
-      books: this.books,
-      ledger: this.ledger,
+    this.lossHandler = new EndpointLossHandler({
+      books: this.endpoints,
+      ledger: this.runTracker,
       crashes: this.crashes,
       longestLeaseMs: options.longestLeaseMs ?? DEFAULT_LONGEST_LEASE_MS,
     });
     const { reservations } = this;
-    this.room = new CapacityView(this.books, reservations);
-    this.trust = new EndpointQuarantine(this.books, stops.isQuarantining);
+    this.capacity = new CapacityView(this.endpoints, reservations);
+    this.quarantine = new EndpointQuarantine(this.endpoints, stops.isQuarantining);
     this.preemptor = new Preemptor({
       jobs: this.jobs,
       reservations,
       room: stops.preemption,
-      handlePreempted: (book, run, step, price) => this.handlePreempted(book, run, step, price),
+      handlePreempted: (endpoint, run, step, estimate) => this.handlePreempted(endpoint, run, step, estimate),
     });
     const { preemptor } = this;
     const limits = new StepLimiter(this.usage, options.getLimit ?? (() => undefined));
     const kinds = new KindSpeeds();
     const { speeds } = this;
     const times = new RunTimes();
-    const { speedChoice, hallChoice } = ways;
+    const { speedChoice, hallChoice } = policies;
     const preference = new EndpointPreference({
       kinds,
       speeds,
       times,
-      room: this.room,
+      room: this.capacity,
       speedChoice,
       hallChoice,
     });
     this.preference = preference;
-    const { room, adviceHistory: history } = this;
-    const way = advicePolicies[ways.turnChoice];
-    const candidates = way.createSelector({ room, preemptor, history, preference });
-    this.adviceCandidates = candidates;
-    this.turnAccount = new AdviceMetrics((name, amount) => sendEffect({ kind: 'count', name, amount }));
-    this.questions = new AdviceRequester({
-      books: this.books,
+    const { capacity: room, adviceStats: history } = this;
+    const policy = advicePolicies[policies.turnChoice];
+    const selector = policy.createSelector({ room, preemptor, history, preference });
+    this.adviceSelector = selector;
+    this.adviceMetrics = new AdviceMetrics((name, amount) => sendEffect({ kind: 'count', name, amount }));
+    this.adviceRequester = new AdviceRequester({
+      books: this.endpoints,
       room,
       limits,
-      policy: way,
-      selector: candidates,
+      policy,
+      selector,
       stats: history,
-      metrics: this.turnAccount,
+      metrics: this.adviceMetrics,
       sendEffect,
     });
     this.placer = new StepPlacer({
-      room: this.room,
+      room: this.capacity,
       limits,
-      questions: this.questions,
+      questions: this.adviceRequester,
       preemptor,
       reservations,
       preference,
-      suspicion: new SuspectCosts(this.books, this.crashes),
-      trust: this.trust,
+      suspicion: new SuspectCosts(this.endpoints, this.crashes),
+      trust: this.quarantine,
       sendEffect,
     });
     this.mover = new RunMover({
-      books: this.books,
+      endpoints: this.endpoints,
       jobs: this.jobs,
       stops,
-      readRunTime: (queue, shape) => times.getEstimate(queue, shape),
+      estimateRunTime: (queue, shape) => times.getEstimate(queue, shape),
       handleMove: (candidate) => this.handleMove(candidate),
     });
     this.learner = new RunLearner({
-      books: this.books,
+      books: this.endpoints,
       jobs: this.jobs,
       kinds,
       speeds,
       times,
       speedChoice,
-      sendTell: (sentence, fields) => this.ledger.sendLogLine(sentence, fields),
+      sendTell: (message, fields) => this.runTracker.sendLogLine(message, fields),
     });
-    this.orders = new RunCommands({
-      books: this.books,
+    this.commands = new RunCommands({
+      endpoints: this.endpoints,
       jobs: this.jobs,
-      ledger: this.ledger,
-      handleGone: (life, now) => this.handleIncarnationEnd(life, now),
+      runTracker: this.runTracker,
+      handleIncarnationEnd: (incarnation, now) => this.handleIncarnationEnd(incarnation, now),
     });
-    this.looks = new StatusReconciler({
+    this.reconciler = new StatusReconciler({
       jobs: this.jobs,
-      ledger: this.ledger,
+      ledger: this.runTracker,
       learner: this.learner,
       crashes: this.crashes,
       readDefinition: options.getDefinition,
     });
-    this.waits = new LongWaitLogger(this.jobs, (sentence, fields) =>
-      this.ledger.sendLogLine(sentence, fields),
+    this.longWaits = new LongWaitLogger(this.jobs, (message, fields) =>
+      this.runTracker.sendLogLine(message, fields),
     );
-    this.gangs = new GangWatch(this.books, this.jobs, (book, run) =>
-      this.ledger.sendStop(book, run, 'gangBroken'),
+    this.gangMonitor = new GangMonitor(this.endpoints, this.jobs, (endpoint, run) =>
+      this.runTracker.sendStop(endpoint, run, 'gangBroken'),
     );
   }
 
-  /** Gives, once, everything to be done since the last call, records before the starts that need them. */
+  /** Returns and clears the pending effects; records come before the starts that depend on them. */
   takeEffects(): readonly DispatchEffect[] {
-    const records: DispatchEffect[] = [...this.changed].map((job) => ({ kind: 'record', job }));
+    const records: DispatchEffect[] = [...this.changedJobs].map((job) => ({ kind: 'record', job }));
     const effects = [...records, ...this.effects];
-    this.changed.clear();
+    this.changedJobs.clear();
     this.effects = [];
     return effects;
   }
@@ -252,7 +252,7 @@
     return this.speeds;
   }
 
-  /** Tasks that could start and wait, by customer. Looks at all open jobs. */
+  /** Counts the tasks that are ready and not placed, by customer. Iterates over all jobs. */
   countWaitingTasks(wallMs: number): ReadonlyMap<CustomerName, number> {
     const counts = new Map<CustomerName, number>();
     for (const job of this.jobs.values()) {
@@ -266,51 +266,57 @@
     return counts;
   }
 
-  /** Room of all usable endpoints together, taken or not. Looks at all books. */
-  readCapacity(): TaskDemand {
+  /** Computes the total capacity of all schedulable endpoints. Iterates over all endpoints. */
+  computeCapacity(): TaskDemand {
     let capacity = resourceMath.NOTHING;
-    for (const book of this.books.values()) {
-      if (book.isSchedulable()) {
-        capacity = resourceMath.toSum(capacity, book.getProfile().capacity);
+    for (const endpoint of this.endpoints.values()) {
+      if (endpoint.isSchedulable()) {
+        capacity = resourceMath.toSum(capacity, endpoint.getProfile().capacity);
       }
     }
     return capacity;
   }
 
-  /** What waits and runs. Looks at all jobs and runs. */
+  /** Computes a snapshot of waiting and running work. Iterates over all jobs and runs. */
   computeLoad(wallMs: number): LoadSnapshot {
-    const capacity = this.readCapacity();
-    return measureLoad({ books: this.books.values(), jobs: this.jobs, usage: this.usage, capacity, wallMs });
+    const capacity = this.computeCapacity();
+    return computeLoad({
+      endpoints: this.endpoints.values(),
+      jobs: this.jobs,
+      usage: this.usage,
+      capacity,
+      wallMs,
+    });
   }
 
-  getEndpointState(id: EndpointIncarnation): EndpointState | undefined {
-    return this.books.get(id);
+  getEndpointState(incarnation: EndpointIncarnation): EndpointState | undefined {
+    return this.endpoints.get(incarnation);
   }
 
   /**
-   * Takes a job in. Jobs come in the order of acceptance, also those that have ended, since they count against their customer's
-   * share. What its progress shows as placed may be running until its endpoint has been heard.
+   * Adds a job. Jobs have to come in the order of acceptance, including ended ones, since they count against their customer's
+   * share. Tasks that are placed according to the progress may be running until their endpoint is synced.
    */
   handleJob(definition: JobDefinition, progress: JobProgress, now: number): void {
     if (this.jobs.has(definition.id)) {
       return;
     }
     const { customer, acceptedAtMs } = definition;
-    const isBeyondShare = customer !== undefined && this.shares.recordJob(customer, acceptedAtMs);
+    const isOverShare = customer !== undefined && this.jobRates.recordJob(customer, acceptedAtMs);
     if (progress.isEnded()) {
       return;
     }
-    const job = new LiveJob(definition, progress, now, isBeyondShare);
+    const job = new LiveJob(definition, progress, now, isOverShare);
     this.jobs.set(definition.id, job);
-    this.room.recordQueue(definition.queue);
-    this.hasNews = true;
+    this.capacity.recordQueue(definition.queue);
+    this.isRoundDue = true;
     for (let time = 0; time < definition.times; time += 1) {
       for (const [step] of definition.steps.entries()) {
         for (const [index, task] of progress.listTasks(time, step).entries()) {
           const address = { time, step, index };
           this.crashes.applyRecoveredCrashes(job, address, now);
           if (task.phase === 'placed') {
-            this.recordInherited(job, address, task, now);
+            this.addRecoveredRun(job, address, task, now);
           }
         }
       }
@@ -323,275 +329,280 @@
       return;
     }
     job.isCancelled = true;
-    this.ledger.recordJobEnd(job, 'cancelled', wallMs);
+    this.runTracker.recordJobEnd(job, 'cancelled', wallMs);
   }
 
-  /** Takes in what an endpoint's record says, for a new endpoint or a changed one. */
+  /** Applies the profile of a new or changed endpoint. */
   handleEndpointProfile(profile: EndpointProfile): void {
-    this.hasNews = true;
-    const book = this.books.get(profile.incarnation);
-    if (book === undefined) {
-      this.books.set(
+    this.isRoundDue = true;
+    const endpoint = this.endpoints.get(profile.incarnation);
+    if (endpoint === undefined) {
+      this.endpoints.set(
         profile.incarnation,
         new EndpointState(profile, this.options.earlierLeasesEndAt, this.usage),
       );
       return;
     }
-    book.applyProfile(profile);
+    endpoint.applyProfile(profile);
   }
 
-  /** The endpoint's record has gone: nothing new goes there; what runs there is known only by its own word or its lease. */
-  handleEndpointDeregistered(id: EndpointIncarnation): void {
-    const book = this.books.get(id);
-    if (book !== undefined) {
-      book.recordDeregistration();
-      this.ledger.checkEmptyBook(book);
+  /**
+   * Marks an endpoint as deregistered, since its record was deleted. It gets no more starts; its runs go on until it reports their
+   * ends or its lease expires.
+   */
+  handleEndpointDeregistered(incarnation: EndpointIncarnation): void {
+    const endpoint = this.endpoints.get(incarnation);
+    if (endpoint !== undefined) {
+      endpoint.recordDeregistration();
+      this.runTracker.removeUnusedEndpoint(endpoint);
     }
   }
 
-  /** The other lives of a life's endpoint that have books. Looks at all books. */
-  listOtherIncarnations(life: EndpointIncarnation): readonly EndpointIncarnation[] {
-    const id = endpointIncarnations.readEndpoint(life);
-    return [...this.books.keys()].filter(
-      (other) => other !== life && endpointIncarnations.readEndpoint(other) === id,
+  /** Lists the known other incarnations of the same endpoint. Iterates over all endpoints. */
+  listOtherIncarnations(incarnation: EndpointIncarnation): readonly EndpointIncarnation[] {
+    const id = endpointIncarnations.readEndpoint(incarnation);
+    return [...this.endpoints.keys()].filter(
+      (other) => other !== incarnation && endpointIncarnations.readEndpoint(other) === id,
     );
   }
 
-  /** The life has left, and nothing of it matters any more. */
-  removeEndpointState(life: EndpointIncarnation): void {
-    this.books.delete(life);
+  /** Removes the state of an incarnation that no longer matters. */
+  removeEndpointState(incarnation: EndpointIncarnation): void {
+    this.endpoints.delete(incarnation);
   }
 
   /**
-   * A life is over, so that nothing that it has listed runs any more. What was sent to it and never listed may have reached the life after it,
-   * or reach it still: it goes into that life's books, and the first look there that shuts out earlier orders tells what became of it.
+   * Ends the runs that the ended incarnation has reported. A run that it never reported may have reached, or may yet reach, the
+   * `next` incarnation: it is transferred there, and the first poll of that incarnation that fences earlier commands shows whether
+   * it runs.
    */
-  handleIncarnationEnd(life: EndpointIncarnation, now: number, next?: EndpointIncarnation): void {
-    this.lifeEnds.handleIncarnationEnd(life, now, next);
+  handleIncarnationEnd(incarnation: EndpointIncarnation, now: number, next?: EndpointIncarnation): void {
+    this.lossHandler.handleIncarnationEnd(incarnation, now, next);
   }
 
-  /** True while a look at an endpoint that fell silent for good may still tell whether it crashed. */
-  isCrashUnconfirmed(id: EndpointIncarnation, now: number): boolean {
-    return this.crashes.isCrashUnconfirmed(id, now);
+  /** Returns true while a poll may still show whether an endpoint that was unreachable until its lease expired has crashed. */
+  isCrashUnconfirmed(incarnation: EndpointIncarnation, now: number): boolean {
+    return this.crashes.isCrashUnconfirmed(incarnation, now);
   }
 
-  /** The endpoint did not answer a look. */
-  handleUnreachable(id: EndpointIncarnation, now: number): void {
-    const book = this.books.get(id);
-    if (book === undefined) {
+  /** Marks an endpoint as unreachable, since it did not respond to a poll. */
+  handleUnreachable(incarnation: EndpointIncarnation, now: number): void {
+    const endpoint = this.endpoints.get(incarnation);
+    if (endpoint === undefined) {
       return;
     }
-    if (book.getUnreachableSince() === undefined) {
-      this.crashes.handleUnreachable(book, now);
+    if (endpoint.getUnreachableSince() === undefined) {
+      this.crashes.handleUnreachable(endpoint, now);
     }
-    book.recordUnreachable(now);
+    endpoint.recordUnreachable(now);
   }
 
-  /** The endpoint answered a look: what it does not list, and was asked for after the order was answered, does not run. */
-  handleStatus(answer: EndpointStatus, now: number, wallMs: number): void {
-    const book = this.books.get(answer.endpoint);
-    if (book === undefined) {
+  /** Applies the status that an endpoint returned to a poll. */
+  handleStatus(status: EndpointStatus, now: number, wallMs: number): void {
+    const endpoint = this.endpoints.get(status.endpoint);
+    if (endpoint === undefined) {
       return;
     }
-    // Most looks show nothing but that all goes on: then no round is worth its time.
-    this.hasNews ||= !book.isSchedulable();
-    this.looks.applyStatus(book, answer, now, wallMs);
+    // Most polls show no change, so they alone don't make a round due.
+    this.isRoundDue ||= !endpoint.isSchedulable();
+    this.reconciler.applyStatus(endpoint, status, now, wallMs);
   }
 
   handleStartResult(
-    id: EndpointIncarnation,
+    incarnation: EndpointIncarnation,
     task: TaskName,
     runNumber: number,
-    answer: CommandResult,
+    result: CommandResult,
     now: number,
   ): void {
-    this.orders.handleStartAnswer(id, task, runNumber, answer, now);
+    this.commands.handleStartResult(incarnation, task, runNumber, result, now);
   }
 
   handleStopResult(
-    id: EndpointIncarnation,
+    incarnation: EndpointIncarnation,
     task: TaskName,
     runNumber: number,
-    answer: CommandResult,
+    result: CommandResult,
     now: number,
   ): void {
-    this.orders.handleStopAnswer(id, task, runNumber, answer, now);
+    this.commands.handleStopResult(incarnation, task, runNumber, result, now);
   }
 
+  /** Applies the response to an advice request. Without `tickets` the request has failed. */
   handleAdviceResponse(
     step: string,
-    asked: readonly EndpointIncarnation[],
-    good: ReadonlyMap<EndpointIncarnation, string> | undefined,
+    requested: readonly EndpointIncarnation[],
+    tickets: ReadonlyMap<EndpointIncarnation, string> | undefined,
     now: number,
   ): void {
-    const [id, time, number] = step.split('.');
+    const [id, time, index] = step.split('.');
     const job = this.jobs.get(id as JobId);
-    this.adviceHistory.recordResponse(job?.definition.queue.name ?? '', asked, good?.size);
-    this.adviceCandidates.recordResponse(step, asked);
+    this.adviceStats.recordResponse(job?.definition.queue.name ?? '', requested, tickets?.size);
+    this.adviceSelector.recordResponse(step, requested);
     const validityMs = job?.definition.queue.advice?.validityMs ?? 0;
-    const book = job?.getAdvice(Number(time), Number(number));
-    const tookMs = book === undefined ? 0 : now - book.getRequestedAt();
-    if (good === undefined) {
-      this.turnAccount.recordFailure(tookMs);
+    const advice = job?.getAdvice(Number(time), Number(index));
+    const tookMs = advice === undefined ? 0 : now - advice.getRequestedAt();
+    if (tickets === undefined) {
+      this.adviceMetrics.recordFailure(tookMs);
     }
-    const source = good && this.turnAccount.recordResponse(tookMs, now + validityMs);
-    book?.recordResponse(asked, good, now, validityMs, source);
-    this.hasNews = true;
+    const source = tickets && this.adviceMetrics.recordResponse(tookMs, now + validityMs);
+    advice?.recordResponse(requested, tickets, now, validityMs, source);
+    this.isRoundDue = true;
   }
 
-  /** Tells whether a start whose record is durable should still be sent; if not, its room is free again. */
+  /** Returns whether to send a start whose record is durable; if not, its capacity is released. */
   handleStartRecorded(effect: StartEffect, now: number): boolean {
-    return this.orders.handleRecorded(effect, now);
+    return this.commands.handleStartRecorded(effect, now);
   }
 
-  /** A start could not be sent at all. */
+  /** Releases the capacity of a start that could not be sent. */
   handleStartUnsent(effect: StartEffect, now: number): void {
-    this.orders.handleUnsent(effect, now);
+    this.commands.handleStartUnsent(effect, now);
   }
 
-  /** Lets time pass: leases run out, stops are repeated, repetitions fall due. */
+  /** Runs periodic work: expires leases, retries stops, moves runs, removes ended jobs. */
   handleTick(now: number): void {
-    this.hasNews = true;
-    this.hasTimePassed = true;
-    for (const book of [...this.books.values()]) {
-      this.lifeEnds.checkLease(book, now);
-      this.ledger.sendStopsAgain(book, now);
+    this.isRoundDue = true;
+    this.hasTicked = true;
+    for (const endpoint of [...this.endpoints.values()]) {
+      this.lossHandler.checkLease(endpoint, now);
+      this.runTracker.retryStops(endpoint, now);
     }
     this.reservations.removeExpired(now);
-    this.turnAccount.handleTick(now);
+    this.adviceMetrics.handleTick(now);
     this.learner.handleTick(now);
-    this.mover.applyTime(now);
-    this.waits.logLongWaits(now);
-    this.gangs.checkAll();
-    this.applyRemovals();
+    this.mover.handleTick(now);
+    this.longWaits.logLongWaits(now);
+    this.gangMonitor.checkAll();
+    this.removeEndedJobs();
   }
 
-  /** Fields of a line about each step that waits. */
+  /** Returns the log fields of each step that waits. */
   listWaits(now: number): ReturnType<LongWaitLogger['listOpenWaits']> {
-    return this.waits.listOpenWaits(now);
+    return this.longWaits.listOpenWaits(now);
   }
 
-  /** Starts what can start, if anything has happened since the last call. */
-  placeWaiting(now: number, wallMs: number, turns = UNLIMITED_TURNS): void {
-    if (!this.hasNews && !this.hasAskedAhead) {
+  /** Runs a scheduling round: places waiting tasks, if an event since the last round may allow a start. */
+  placeWaiting(now: number, wallMs: number, slots = UNLIMITED_SLOTS): void {
+    if (!this.isRoundDue && !this.hasRequestedAhead) {
       return;
     }
-    this.hasAskedAhead = false;
-    for (const step of this.startRound(now, wallMs, turns)) {
+    this.hasRequestedAhead = false;
+    for (const step of this.startRound(now, wallMs, slots)) {
       if (this.placer.placeStep(step, now)) {
-        this.changed.add(step.job.definition.id);
+        this.changedJobs.add(step.job.definition.id);
       }
     }
-    if (this.hasTimePassed) {
-      this.hasTimePassed = false;
-      this.sendEarlyQuestions(now, wallMs);
+    if (this.hasTicked) {
+      this.hasTicked = false;
+      this.sendEarlyRequests(now, wallMs);
     }
   }
 
   /**
-   * Instead of `placeWaiting` while no start can be recorded: asks for the tickets that what waits would need, again when they
-   * run out, so that the log's return finds valid ones for what is placed first.
+   * Replaces `placeWaiting` while the log is unavailable and no start can be recorded: requests the tickets that the first steps to
+   * be placed will need, and renews expired ones.
    */
-  requestAdviceAhead(now: number, wallMs: number, turns = UNLIMITED_TURNS): void {
-    if (!this.hasNews) {
+  requestAdviceAhead(now: number, wallMs: number, slots = UNLIMITED_SLOTS): void {
+    if (!this.isRoundDue) {
       return;
     }
-    this.hasAskedAhead = true;
-    for (const step of this.startRound(now, wallMs, turns)) {
+    this.hasRequestedAhead = true;
+    for (const step of this.startRound(now, wallMs, slots)) {
       this.placer.requestAdviceAhead(step, now);
     }
     this.placer.releaseTentative();
   }
 
-  /** Gives back the room of starts that wait for their record; they are decided anew. */
+  /** Cancels the starts whose records are not durable yet, so that their tasks are placed again. */
   cancelUnrecordedStarts(now: number): void {
-    this.orders.revokeUnrecorded(now);
+    this.commands.cancelUnrecordedStarts(now);
   }
 
-  /** Begins a round; gives what waits, in the order of placement. */
-  private startRound(now: number, wallMs: number, turns: AdviceSlots): readonly WaitingStep[] {
+  /** Prepares a scheduling round and returns the waiting steps in placement order. */
+  private startRound(now: number, wallMs: number, slots: AdviceSlots): readonly WaitingStep[] {
     this.crashes.applyCrashLimits(now, wallMs);
-    this.hasNews = false;
-    this.room.clearCache();
+    this.isRoundDue = false;
+    this.capacity.clearCache();
     this.preemptor.setTime(now, wallMs);
-    this.trust.clearCache();
+    this.quarantine.clearCache();
     this.preference.setWallTime(wallMs);
-    this.questions.startRound(turns);
+    this.adviceRequester.startRound(slots);
     const waiting: WaitingStep[] = [];
     for (const job of this.jobs.values()) {
       if (!job.progress.isEnded()) {
         waiting.push(...job.getWaitingSteps(wallMs));
       }
     }
-    return this.order.sortSteps(waiting, {
+    return this.placementOrder.sortSteps(waiting, {
       wallMs,
       usage: this.usage,
-      readCapacity: () => this.readCapacity(),
+      readCapacity: () => this.computeCapacity(),
     });
   }
 
-  private sendEarlyQuestions(now: number, wallMs: number): void {
+  private sendEarlyRequests(now: number, wallMs: number): void {
     for (const job of this.jobs.values()) {
-      this.questions.sendEarlyRequests(job, now, wallMs);
+      this.adviceRequester.sendEarlyRequests(job, now, wallMs);
     }
   }
 
-  private handleMove({ book, run, reason, gainMs }: MoveCandidate): void {
-    const { incarnation: id } = book.getProfile();
-    this.jobs.get(run.job)?.recordFailureOn(run.address.time, run.address.step, id);
-    this.ledger.sendLogLine('Run is moved.', {
+  private handleMove({ book: endpoint, run, reason, gainMs }: MoveCandidate): void {
+    const { incarnation } = endpoint.getProfile();
+    this.jobs.get(run.job)?.recordFailureOn(run.address.time, run.address.step, incarnation);
+    this.runTracker.sendLogLine('Run is moved.', {
       job: run.job,
       task: run.task,
       run: run.run,
-      endpoint: id,
+      endpoint: incarnation,
       reason,
       percent: run.percent,
       gainMs: Math.round(gainMs),
     });
-    this.ledger.sendStop(book, run, reason);
+    this.runTracker.sendStop(endpoint, run, reason);
   }
 
   private handlePreempted(
-    book: EndpointState,
+    endpoint: EndpointState,
     run: PlacedRun,
     step: WaitingStep,
-    price: PreemptionEstimate,
+    estimate: PreemptionEstimate,
   ): void {
-    this.ledger.sendLogLine('Run gives way.', {
+    this.runTracker.sendLogLine('Run gives way.', {
       job: run.job,
       task: run.task,
       run: run.run,
-      endpoint: book.getProfile().incarnation,
+      endpoint: endpoint.getProfile().incarnation,
       percent: run.percent,
       priority: run.priority,
       for: toStepName(step),
-      ...price,
+      ...estimate,
     });
-    this.ledger.sendStop(book, run, 'gaveWay');
+    this.runTracker.sendStop(endpoint, run, 'gaveWay');
   }
 
-  private recordInherited(job: LiveJob, address: TaskAddress, task: TaskProgress, now: number): void {
+  private addRecoveredRun(job: LiveJob, address: TaskAddress, task: TaskProgress, now: number): void {
     const { definition } = job;
-    let book = this.books.get(task.endpoint);
-    if (book === undefined) {
-      // Its record is gone: it may be cut off, and still run this until its lease ends.
+    let endpoint = this.endpoints.get(task.endpoint);
+    if (endpoint === undefined) {
+      // The endpoint has no record, but may be partitioned and keep the run until its lease expires.
       const profile = createDeregisteredProfile(task.endpoint, definition.queue.service);
-      book = new EndpointState(profile, this.options.earlierLeasesEndAt, this.usage);
-      // Whether it left by plan is not known either: it may as well have crashed before this leader read the records.
-      book.recordDeregistration();
-      this.books.set(task.endpoint, book);
+      endpoint = new EndpointState(profile, this.options.earlierLeasesEndAt, this.usage);
+      // It may have left as planned or crashed before this leader read the records.
+      endpoint.recordDeregistration();
+      this.endpoints.set(task.endpoint, endpoint);
     }
     const run = createPlacedRun(definition, address, task.run, now, {
       isCrashSuspect: isCrashSuspect(task.crashes),
     });
     run.stage = 'unconfirmed';
     run.checkpoint = task.checkpoint;
-    book.addRun(run);
+    endpoint.addRun(run);
   }
 
-  private applyRemovals(): void {
+  private removeEndedJobs(): void {
     for (const [id, job] of this.jobs) {
-      if (job.progress.isEnded() && !this.changed.has(id)) {
+      if (job.progress.isEnded() && !this.changedJobs.has(id)) {
         this.jobs.delete(id);
       }
     }
--- a/packages/dispatch/LeaderDurationName.ts
+++ b/packages/dispatch/LeaderDurationName.ts
@@ -1,5 +1,10 @@
 import type { waitMetricNames } from './waiting/waitMetricNames';
 import type { WaitCause } from './waiting/WaitCause';
 
-/** Times that a leader measures: `startMs` is the answer to a start order, `roundMs` a round, the others are parts of the wait for a start. */
+/**
+ * Name of a duration that a leader measures for the metrics.
+ * - `startMs`: from sending a start command to its result.
+ * - `roundMs`: one scheduling round.
+ * - the rest: the wait for a start, by cause.
+ */
 export type LeaderDurationName = 'startMs' | 'roundMs' | (typeof waitMetricNames)[WaitCause];
--- a/packages/dispatch/measureLoad.ts
+++ b/packages/dispatch/computeLoad.ts
@@ -10,10 +10,10 @@
 import { computeWaitingDemand } from './waiting/computeWaitingDemand';
 
 interface LoadInput {
-  readonly books: Iterable<EndpointState>;
+  readonly endpoints: Iterable<EndpointState>;
   readonly jobs: ReadonlyMap<JobId, LiveJob>;
   readonly usage: CustomerUsage;
-  /** Room of all usable endpoints together, taken or not. */
+  /** Total capacity of all schedulable endpoints. */
   readonly capacity: TaskDemand;
   readonly wallMs: number;
 }
@@ -23,26 +23,26 @@
 };
 type CustomerRow = LoadSnapshot['customers'] extends ReadonlyMap<CustomerName, infer Row> ? Row : never;
 
-/** Sums up what waits and runs. Looks at all jobs and runs, so it is for once a second, not for each round. */
-export const measureLoad = ({ books, jobs, usage, capacity, wallMs }: LoadInput): LoadSnapshot => {
+/** Computes a snapshot of waiting and running work. Iterates over all jobs and runs, so it is too expensive for each round. */
+export const computeLoad = ({ endpoints, jobs, usage, capacity, wallMs }: LoadInput): LoadSnapshot => {
   const queues = new Map<string, QueueRow>();
   const customers = new Map<CustomerName, CustomerRow>();
   let freeCpuMillis = 0;
 
-  const readQueue = (queue: string): QueueRow => {
-    const known = queues.get(queue) ?? { queue, waitingTasks: 0, waitingCpuMillis: 0, runningCpuMillis: 0 };
-    queues.set(queue, known);
-    return known;
+  const getRow = (queue: string): QueueRow => {
+    const row = queues.get(queue) ?? { queue, waitingTasks: 0, waitingCpuMillis: 0, runningCpuMillis: 0 };
+    queues.set(queue, row);
+    return row;
   };
 
-  for (const book of books) {
-    if (book.isSchedulable()) {
-      freeCpuMillis += book.getFreeCpuMillis();
+  for (const endpoint of endpoints) {
+    if (endpoint.isSchedulable()) {
+      freeCpuMillis += endpoint.getFreeCpuMillis();
     }
-    for (const { job, demand } of book.getRuns()) {
+    for (const { job, demand } of endpoint.getRuns()) {
       const definition = jobs.get(job)?.definition;
       if (definition !== undefined) {
-        readQueue(definition.queue.name).runningCpuMillis += demand.cpuMillis;
+        getRow(definition.queue.name).runningCpuMillis += demand.cpuMillis;
       }
     }
   }
@@ -51,7 +51,7 @@
     const { customer, queue } = job.definition;
     for (const step of steps) {
       const demand = computeWaitingDemand(step);
-      const row = readQueue(queue.name);
+      const row = getRow(queue.name);
       row.waitingTasks += step.indexes.length;
       row.waitingCpuMillis += demand.cpuMillis;
       if (customer !== undefined) {
--- a/packages/dispatch/defaultPolicies.ts
+++ b/packages/dispatch/defaultPolicies.ts
@@ -1,6 +1,6 @@
 import type { DispatchPolicies } from './DispatchPolicies';
 
-/** The ways of deciding that hold unless others are chosen; docs/design/shifted-work.md has the figures for them. */
+/** Policies that apply unless others are configured. */
 export const defaultPolicies: DispatchPolicies = {
   placementOrder: 'shares',
   speedChoice: 'endpoints',
--- a/packages/dispatch/runs/GangWatch.ts
+++ b/packages/dispatch/runs/GangMonitor.ts
@@ -5,16 +5,16 @@
 import type { LiveJob } from '../waiting/LiveJob';
 import type { PlacedRun } from './PlacedRun';
 
-/** Keeps gangs whole. */
-export class GangWatch {
+/** Detects gangs that have lost some of their members. */
+export class GangMonitor {
   constructor(
-    private readonly books: ReadonlyMap<EndpointIncarnation, EndpointState>,
+    private readonly endpoints: ReadonlyMap<EndpointIncarnation, EndpointState>,
     private readonly jobs: ReadonlyMap<JobId, LiveJob>,
-    /** Called with each member that runs while another is lost. */
-    private readonly handleSplit: (book: EndpointState, run: PlacedRun) => void,
+    /** Called for each member that runs while another is lost. */
+    private readonly handleOrphanedMember: (endpoint: EndpointState, run: PlacedRun) => void,
   ) {}
 
-  /** A gang of which some members are lost cannot work: the others are stopped, and it starts again as a whole. */
+  /** Checks all gangs. One that lost members cannot work: its other members have to be stopped, so that it restarts as a whole. */
   checkAll(): void {
     for (const job of this.jobs.values()) {
       for (const [step, shape] of job.definition.steps.entries()) {
@@ -29,16 +29,16 @@
 
   private checkGang(job: LiveJob, time: number, step: number): void {
     const tasks = job.progress.listTasks(time, step);
-    const isSplit =
+    const isIncomplete =
       tasks.some((task) => task.phase === 'waiting') && tasks.some((task) => task.phase === 'placed');
-    if (!isSplit) {
+    if (!isIncomplete) {
       return;
     }
     for (const [index, task] of tasks.entries()) {
-      const book = this.books.get(task.endpoint);
-      const run = book?.getRun(toTaskName(job.definition.id, { time, step, index }), task.run);
-      if (task.phase === 'placed' && book !== undefined && run !== undefined) {
-        this.handleSplit(book, run);
+      const endpoint = this.endpoints.get(task.endpoint);
+      const run = endpoint?.getRun(toTaskName(job.definition.id, { time, step, index }), task.run);
+      if (task.phase === 'placed' && endpoint !== undefined && run !== undefined) {
+        this.handleOrphanedMember(endpoint, run);
       }
     }
   }
--- a/packages/dispatch/runs/PlacedRun.ts
+++ b/packages/dispatch/runs/PlacedRun.ts
@@ -8,64 +8,64 @@
 import type { WaitTimes } from '../waiting/WaitTimes';
 
 /**
- * Where a run stands.
- * - `recording`: chosen, not yet durable, no order sent.
- * - `ordered`: the order is on its way.
- * - `unconfirmed`: placed by an earlier leader; the endpoint has not been heard since.
- * - `running`: the endpoint has confirmed it.
- * - `stopping`: to be stopped, or its order had no answer and it must be proved not to run.
+ * Stage of a run.
+ * - `recording`: placed, but its record is not durable yet and no start command was sent.
+ * - `ordered`: the start command is under way.
+ * - `unconfirmed`: placed by an earlier leader, or transferred from an earlier incarnation, and not yet listed by a poll.
+ * - `running`: confirmed by the endpoint.
+ * - `stopping`: to be stopped, until the endpoint shows that it does not run.
  */
 type RunStage = 'recording' | 'ordered' | 'unconfirmed' | 'running' | 'stopping';
 
-/** One run that takes room on an endpoint. Owned and changed by its `EndpointBook` and the `Dispatcher`. */
+/** A run that takes capacity on an endpoint. Owned by its `EndpointState`, changed by the parts of the dispatcher. */
 export interface PlacedRun {
   readonly task: TaskName;
   readonly job: JobId;
   readonly address: TaskAddress;
   readonly run: number;
-  /** Room it takes; fillers take no processor time. */
+  /** Capacity it takes; fillers take no processor time. */
   readonly demand: TaskDemand;
-  /** Whose run it is; undefined for jobs of no customer. */
+  /** Owner of the job; undefined for jobs without a customer. */
   readonly customer: CustomerName | undefined;
-  /** What counts against the customer's limit: with fillers also the processor time that they ask for. */
+  /** Demand that counts against the customer's limit, including the processor time that fillers request. */
   readonly charge: TaskDemand;
   readonly isFiller: boolean;
-  /** A long-running task that serves users of its own. */
+  /** A long-running task that is no filler. */
   readonly isServing: boolean;
   readonly priority: number;
-  /** An endpoint has ended under its task, which may be what ended it. */
+  /** The task is suspected of having crashed an endpoint. */
   readonly isCrashSuspect: boolean;
-  /** False when it continues from a checkpoint. */
+  /** False when it resumes from a checkpoint. */
   readonly isFromStart: boolean;
   stage: RunStage;
-  /** A look has listed it, so that it has certainly begun on the life in whose books it stands. */
+  /** A poll has listed it, so it has certainly started on its current incarnation. */
   isListed: boolean;
-  /** The life that it was sent to, where it may have reached the next one; undefined once a look there has told. */
+  /** Incarnation that the start was sent to, if the next one may have received it; undefined once a poll has shown which. */
   transferredFrom: EndpointIncarnation | undefined;
-  /** What its task had waited for until the placement; undefined for one that an earlier leader placed. */
+  /** How long its task waited before the placement, by cause; undefined for one that an earlier leader placed. */
   waits: WaitTimes | undefined;
   /** Monotonic time of the placement. */
   placedAt: number;
-  /** Monotonic time at which its record was durable; `placedAt` before. */
+  /** Monotonic time at which its record became durable; `placedAt` until then. */
   recordedAt: number;
-  /** Monotonic time at which the endpoint's answer to the start came. */
+  /** Monotonic time at which the endpoint confirmed the start. */
   confirmedAt: number;
-  /** Monotonic time at which the time limit of its order passed without an answer; undefined otherwise. */
+  /** Monotonic time at which the start command timed out; undefined if it did not. */
   unansweredAt: number | undefined;
-  /** Monotonic time from which the next repetition of the stop counts; undefined before the first check. */
+  /** Monotonic time from which the delay of the next stop retry counts; undefined before the first check. */
   stopSentAt: number | undefined;
-  /** Why it is being stopped; undefined while it is not. */
+  /** Reason for the stop; undefined while it is not being stopped. */
   stopCause: StopCause | undefined;
-  /** The stop was sent again. */
+  /** The stop command was retried. */
   isStopRepeated: boolean;
-  /** Monotonic time at which the endpoint's answer to a stop came; undefined before. */
+  /** Monotonic time of the first response to a stop command; undefined until then. */
   stopAnsweredAt: number | undefined;
   percent: number;
-  /** Monotonic time of the newest look that listed it. */
+  /** Monotonic time of the newest poll that listed it; `placedAt` before the first. */
   seenAt: number;
-  /** Monotonic time at which `percent` last rose. */
+  /** Monotonic time at which `percent` last increased. */
   progressedAt: number;
   checkpoint: string;
-  /** Monotonic time at which `checkpoint` last changed; undefined while this run has kept none. */
+  /** Monotonic time at which `checkpoint` last changed; undefined if this run has written none. */
   checkpointedAt: number | undefined;
 }
--- a/packages/dispatch/runs/RunCommands.ts
+++ b/packages/dispatch/runs/RunCommands.ts
@@ -11,41 +11,40 @@
 
 type StartEffect = Extract<DispatchEffect, { kind: 'start' }>;
 
-interface RunOrdersOptions {
-  readonly books: ReadonlyMap<EndpointIncarnation, EndpointState>;
+interface RunCommandsOptions {
+  readonly endpoints: ReadonlyMap<EndpointIncarnation, EndpointState>;
   readonly jobs: ReadonlyMap<JobId, LiveJob>;
-  readonly ledger: RunTracker;
-  /** The endpoint's life is over. */
-  readonly handleGone: (id: EndpointIncarnation, now: number) => void;
+  readonly runTracker: RunTracker;
+  /** Called when a result shows that the incarnation has ended. */
+  readonly handleIncarnationEnd: (incarnation: EndpointIncarnation, now: number) => void;
 }
 
 const NOT_SENT: RunEnd = { outcome: 'interrupted', cause: 'notSent', checkpoint: '' };
 const NOT_DELIVERED: RunEnd = { outcome: 'interrupted', cause: 'notDelivered', checkpoint: '' };
-const TURNED_DOWN: RunEnd = { outcome: 'interrupted', cause: 'turnedDown', checkpoint: '' };
+const REJECTED: RunEnd = { outcome: 'interrupted', cause: 'turnedDown', checkpoint: '' };
 const UNHEALTHY: RunEnd = { outcome: 'interrupted', cause: 'unhealthy', checkpoint: '' };
 
-/** Orders on their way to endpoints: which starts may leave once they are recorded, and what the answers mean. */
+/** Decides which recorded starts are sent, and applies the results of start and stop commands. */
 export class RunCommands {
-  constructor(private readonly options: RunOrdersOptions) {}
+  constructor(private readonly options: RunCommandsOptions) {}
 
   /**
-   * Tells whether a start whose record is durable should still be sent; if not, its room is free again. Judged anew by what is known
-   * now, since the decision is some milliseconds old. A ticket that ran out
-   * while the record waited for the log is not sent: the endpoint would turn the start down.
+   * Returns whether to send a start whose record is durable; if not, its capacity is released. The job, the endpoint and the ticket
+   * are checked again, since they may have changed while the record was written.
    */
-  handleRecorded(effect: StartEffect, now: number): boolean {
-    const { jobs, ledger } = this.options;
-    const placed = this.readPlaced(effect.endpoint, effect.command.task, effect.command.run);
-    if (placed === undefined || placed.run.stage !== 'recording') {
+  handleStartRecorded(effect: StartEffect, now: number): boolean {
+    const { jobs, runTracker } = this.options;
+    const found = this.findRun(effect.endpoint, effect.command.task, effect.command.run);
+    if (found === undefined || found.run.stage !== 'recording') {
       return false;
     }
-    const { book, run } = placed;
+    const { endpoint, run } = found;
     const job = jobs.get(run.job);
-    // The room may have shrunk since the run was chosen: 4 starts left for a room of 2 when only the choice looked at it.
-    const isWanted =
-      job !== undefined && !job.progress.isEnded() && book.isSchedulable() && !book.isOvercommitted();
-    if (!isWanted || !this.hasTicket(job, run, effect, now)) {
-      ledger.recordRunEnd(book, run, NOT_SENT, now);
+    // The endpoint's capacity may have shrunk since the placement.
+    const isRunnable =
+      job !== undefined && !job.progress.isEnded() && endpoint.isSchedulable() && !endpoint.isOvercommitted();
+    if (!isRunnable || !this.isTicketValid(job, run, effect, now)) {
+      runTracker.recordRunEnd(endpoint, run, NOT_SENT, now);
       return false;
     }
     run.stage = 'ordered';
@@ -54,111 +53,116 @@
     return true;
   }
 
-  private hasTicket(
+  private isTicketValid(
     job: LiveJob,
     run: PlacedRun,
-    { endpoint, command: order }: StartEffect,
+    { endpoint, command }: StartEffect,
     now: number,
   ): boolean {
     const { time, step } = run.address;
-    return order.ticket === '' || job.getAdvice(time, step).hasSendableTicket(endpoint, now);
+    return command.ticket === '' || job.getAdvice(time, step).hasSendableTicket(endpoint, now);
   }
 
-  /** Gives back the room of all starts whose records are not durable yet; they are chosen anew. */
-  revokeUnrecorded(now: number): void {
-    for (const book of this.options.books.values()) {
-      for (const run of [...book.getRuns()]) {
+  /** Cancels all starts whose records are not durable yet, so that their tasks are placed again. */
+  cancelUnrecordedStarts(now: number): void {
+    for (const endpoint of this.options.endpoints.values()) {
+      for (const run of [...endpoint.getRuns()]) {
         if (run.stage === 'recording') {
-          this.options.ledger.recordRunEnd(book, run, NOT_SENT, now);
+          this.options.runTracker.recordRunEnd(endpoint, run, NOT_SENT, now);
         }
       }
     }
   }
 
-  /** A start could not be sent at all. */
-  handleUnsent(effect: StartEffect, now: number): void {
-    const placed = this.readPlaced(effect.endpoint, effect.command.task, effect.command.run);
-    if (placed !== undefined) {
-      this.options.ledger.recordRunEnd(placed.book, placed.run, NOT_SENT, now);
+  /** Releases the capacity of a start that could not be sent. */
+  handleStartUnsent(effect: StartEffect, now: number): void {
+    const found = this.findRun(effect.endpoint, effect.command.task, effect.command.run);
+    if (found !== undefined) {
+      this.options.runTracker.recordRunEnd(found.endpoint, found.run, NOT_SENT, now);
     }
   }
 
-  handleStartAnswer(
-    id: EndpointIncarnation,
+  handleStartResult(
+    incarnation: EndpointIncarnation,
     task: TaskName,
     runNumber: number,
-    answer: CommandResult,
+    result: CommandResult,
     now: number,
   ): void {
-    const placed = this.readPlaced(id, task, runNumber);
-    // A look or a stop may have overtaken the answer: then it tells nothing new.
-    if (placed !== undefined && placed.run.stage === 'ordered') {
-      this.applyStartAnswer(placed.book, placed.run, answer, now);
+    const found = this.findRun(incarnation, task, runNumber);
+    // A status or a stop may have been applied before the result, which is then outdated.
+    if (found !== undefined && found.run.stage === 'ordered') {
+      this.applyStartResult(found.endpoint, found.run, result, now);
     }
   }
 
-  handleStopAnswer(
-    id: EndpointIncarnation,
+  handleStopResult(
+    incarnation: EndpointIncarnation,
     task: TaskName,
     runNumber: number,
-    answer: CommandResult,
+    result: CommandResult,
     now: number,
   ): void {
-    const run = this.readPlaced(id, task, runNumber)?.run;
-    if (answer.kind === 'gone') {
-      this.options.handleGone(id, now);
-    } else if (run !== undefined && (answer.kind === 'done' || answer.kind === 'rejected')) {
+    const run = this.findRun(incarnation, task, runNumber)?.run;
+    if (result.kind === 'gone') {
+      this.options.handleIncarnationEnd(incarnation, now);
+    } else if (run !== undefined && (result.kind === 'done' || result.kind === 'rejected')) {
       run.stopAnsweredAt ??= now;
     }
   }
 
-  private readPlaced(
-    id: EndpointIncarnation,
+  private findRun(
+    incarnation: EndpointIncarnation,
     task: TaskName,
     runNumber: number,
-  ): { readonly book: EndpointState; readonly run: PlacedRun } | undefined {
-    const book = this.options.books.get(id);
-    const run = book?.getRun(task, runNumber);
-    return book === undefined || run === undefined ? undefined : { book, run };
+  ): { readonly endpoint: EndpointState; readonly run: PlacedRun } | undefined {
+    const endpoint = this.options.endpoints.get(incarnation);
+    const run = endpoint?.getRun(task, runNumber);
+    return endpoint === undefined || run === undefined ? undefined : { endpoint, run };
   }
 
-  private applyStartAnswer(book: EndpointState, run: PlacedRun, answer: CommandResult, now: number): void {
-    const { jobs, ledger, handleGone } = this.options;
-    const { incarnation: id } = book.getProfile();
-    switch (answer.kind) {
+  private applyStartResult(
+    endpoint: EndpointState,
+    run: PlacedRun,
+    result: CommandResult,
+    now: number,
+  ): void {
+    const { jobs, runTracker, handleIncarnationEnd } = this.options;
+    const { incarnation: incarnation } = endpoint.getProfile();
+    switch (result.kind) {
       case 'done':
         jobs.get(run.job)?.recordStartAccepted(run.address);
         run.stage = 'running';
         run.confirmedAt = now;
         return;
       case 'undelivered':
-        book.recordOutcome(true, now);
-        book.recordUnreachable(now);
-        // It never was there: its task need not wait for the endpoint, and is not charged with what becomes of it.
-        ledger.recordRunEnd(book, run, NOT_DELIVERED, now);
+        endpoint.recordOutcome(true, now);
+        endpoint.recordUnreachable(now);
+        // Nothing was sent, so the task can be placed again at once, and is not blamed for a crash of the endpoint.
+        runTracker.recordRunEnd(endpoint, run, NOT_DELIVERED, now);
         return;
       case 'unanswered':
-        book.recordOutcome(true, now);
-        // Nothing more goes there until a look is answered: on an endpoint that is cut off each start would wait for its lease.
-        book.recordUnreachable(now);
-        // It may work there, and only its answer be late: a look tells, where a stop would throw its work away.
+        endpoint.recordOutcome(true, now);
+        // No more starts until a poll succeeds: on a partitioned endpoint each one would wait for its lease to expire.
+        endpoint.recordUnreachable(now);
+        // The run may have started with only the response late. A poll shows that, while a stop would lose its work.
         run.unansweredAt = now;
-        ledger.sendLook(book);
+        runTracker.sendPoll(endpoint);
         return;
       case 'gone':
-        handleGone(id, now);
+        handleIncarnationEnd(incarnation, now);
         return;
       case 'rejected':
-        if (answer.reason === 'ticket') {
-          jobs.get(run.job)?.getAdvice(run.address.time, run.address.step).removeTicket(id);
+        if (result.reason === 'ticket') {
+          jobs.get(run.job)?.getAdvice(run.address.time, run.address.step).removeTicket(incarnation);
         }
         jobs.get(run.job)?.recordStartRejected(run.address, now);
-        ledger.recordRunEnd(book, run, TURNED_DOWN, now);
+        runTracker.recordRunEnd(endpoint, run, REJECTED, now);
         return;
       case 'unhealthy':
-        book.recordOutcome(true, now);
+        endpoint.recordOutcome(true, now);
         jobs.get(run.job)?.recordStartRejected(run.address, now);
-        ledger.recordRunEnd(book, run, UNHEALTHY, now);
+        runTracker.recordRunEnd(endpoint, run, UNHEALTHY, now);
         return;
     }
   }
--- a/packages/dispatch/runs/RunEnd.ts
+++ b/packages/dispatch/runs/RunEnd.ts
@@ -2,12 +2,12 @@
 import type { EndedTaskStatus } from '../endpoints/EndedTaskStatus';
 import type { RunEndCause } from './RunEndCause';
 
-/** How a run ended, as the leader takes it into its books. */
+/** The end of a run as the leader records it. */
 export interface RunEnd {
   readonly outcome: RunOutcome;
   readonly cause: RunEndCause;
-  /** The endpoint's own word; undefined where it gave none. */
+  /** Kind of end that the endpoint reported; undefined when it reported none. */
   readonly reportedEnd?: EndedTaskStatus['how'];
-  /** What the run left to go on from; empty where nothing newer is known than its books have. */
+  /** Checkpoint that the run left; empty when none newer than that of the `PlacedRun` is known. */
   readonly checkpoint: string;
 }
--- a/packages/dispatch/runs/RunEndCause.ts
+++ b/packages/dispatch/runs/RunEndCause.ts
@@ -1,13 +1,13 @@
 /**
- * What told the leader that a run has ended.
- * - `listed`: the endpoint gave the end itself.
- * - `notListed`: the endpoint was asked, and neither runs it nor gives an end of it.
- * - `lifeOver`: the endpoint's life is over, and all that ran there with it.
- * - `leaseOver`: the endpoint has been silent until after the last lease that was given there.
- * - `turnedDown`: the endpoint did not take the order.
- * - `unhealthy`: the endpoint said that it is not well, and did not take the order.
- * - `notDelivered`: no connection was made for the order.
- * - `notSent`: the order never left.
+ * How the leader learned that a run has ended.
+ * - `listed`: the endpoint reported the end.
+ * - `notListed`: a poll listed neither the run nor its end.
+ * - `lifeOver`: the endpoint's incarnation has ended.
+ * - `leaseOver`: the endpoint was unreachable until its lease expired.
+ * - `turnedDown`: the endpoint rejected the start command.
+ * - `unhealthy`: the endpoint rejected the start command because it is unhealthy.
+ * - `notDelivered`: no connection was made for the start command.
+ * - `notSent`: the start command was not sent.
  */
 export type RunEndCause =
   'listed' | 'notListed' | 'lifeOver' | 'leaseOver' | 'turnedDown' | 'unhealthy' | 'notDelivered' | 'notSent';
--- a/packages/dispatch/runs/RunMover.ts
+++ b/packages/dispatch/runs/RunMover.ts
@@ -12,121 +12,129 @@
 import type { StopPolicy } from '../stops/StopPolicy';
 
 interface RunMoverOptions {
-  readonly books: ReadonlyMap<EndpointIncarnation, EndpointState>;
+  readonly endpoints: ReadonlyMap<EndpointIncarnation, EndpointState>;
   readonly jobs: ReadonlyMap<JobId, LiveJob>;
   readonly stops: StopPolicy;
-  /** How long a task of a queue's step runs, as far as is known. */
-  readonly readRunTime: (queue: string, shape: JobStep) => RunTimeEstimate;
+  /** Estimates the run time of a task of a queue's step. */
+  readonly estimateRunTime: (queue: string, shape: JobStep) => RunTimeEstimate;
   readonly handleMove: (candidate: MoveCandidate) => void;
 }
 
-/** Moves of one task for being slow: beyond this its siblings are the odd ones. */
+/** A task that was moved this often as a straggler is not moved again. */
 const MAX_MOVES = 2;
-const MOVE_MS = 300;
-const KNOWN_AFTER_MS = 250;
-/** An estimate may be so far off; without siblings only what is far slower counts. */
+/** Time from the stop of a run until its successor makes progress, without advice. */
+const MOVE_OVERHEAD_MS = 300;
+/** Time for which a run must have been observed before its pace counts. */
+const MIN_OBSERVED_MS = 250;
+/** Factor by which a caller's estimate of the run time may be too low. */
 const ESTIMATE_SLACK = 3;
-/** By how much a run is slower than usual before it counts as slow: endpoints differ by up to two. */
+/** Pace above which a run counts as slow, as a multiple of the baseline; exceeds the usual spread of endpoints. */
 const SLOW_RATIO = 2.5;
-/** Without siblings, what takes so much longer than nine tenths of such tasks is slow. */
-const TAIL_RATIO = 1.3;
-const WHOLE = 100;
+/** Run time above which a run without siblings counts as slow, as a multiple of the 90th percentile. */
+const P90_RATIO = 1.3;
+const ALL_PERCENT = 100;
 
-const isSlowness = (cause: StopCause): boolean => cause === 'slow' || cause === 'stalled';
+const isStragglerCause = (cause: StopCause): boolean => cause === 'slow' || cause === 'stalled';
 
-/** Finds runs that would end sooner, or at all, on another endpoint. */
+/** Moves stragglers, and runs that would be cut off when their endpoint drains, to other endpoints. */
 export class RunMover {
   private readonly moveCounts = new Map<string, number>();
 
   constructor(private readonly options: RunMoverOptions) {}
 
-  /** Moves what should move: all that would be cut off, and of slow runs as many as may be on the move at once. */
-  applyTime(now: number): void {
+  /** Moves all runs that would be cut off, and as many stragglers as may be moved at once. */
+  handleTick(now: number): void {
     const candidates: MoveCandidate[] = [];
     const counts = { runs: 0, moving: 0 };
-    for (const book of this.options.books.values()) {
-      for (const run of [...book.getRuns()]) {
+    for (const endpoint of this.options.endpoints.values()) {
+      for (const run of [...endpoint.getRuns()]) {
         counts.runs += 1;
         counts.moving +=
-          run.stage === 'stopping' && run.stopCause !== undefined && isSlowness(run.stopCause) ? 1 : 0;
-        const candidate = run.stage === 'running' ? this.readCandidate(book, run, now) : undefined;
-        if (candidate !== undefined && this.hasOtherRoom(book, run, now)) {
+          run.stage === 'stopping' && run.stopCause !== undefined && isStragglerCause(run.stopCause) ? 1 : 0;
+        const candidate = run.stage === 'running' ? this.findCandidate(endpoint, run, now) : undefined;
+        if (candidate !== undefined && this.hasAlternative(endpoint, run, now)) {
           candidates.push(candidate);
         }
       }
     }
-    const mostMoving = counts.runs * this.options.stops.maxMovingShare;
-    const slow = candidates.filter(({ reason }) => isSlowness(reason));
-    const chosen = new Set(chooseMoves(slow, mostMoving, counts.moving));
+    const maxMoving = counts.runs * this.options.stops.maxMovingShare;
+    const stragglers = candidates.filter(({ reason }) => isStragglerCause(reason));
+    const chosen = new Set(chooseMoves(stragglers, maxMoving, counts.moving));
     candidates
-      .filter((candidate) => !isSlowness(candidate.reason) || chosen.has(candidate))
-      .forEach((candidate) => this.startMove(candidate));
+      .filter((candidate) => !isStragglerCause(candidate.reason) || chosen.has(candidate))
+      .forEach((candidate) => this.recordMove(candidate));
   }
 
-  private startMove(candidate: MoveCandidate): void {
+  private recordMove(candidate: MoveCandidate): void {
     const { run } = candidate;
     this.moveCounts.set(run.task, (this.moveCounts.get(run.task) ?? 0) + 1);
     this.options.handleMove(candidate);
   }
 
-  private readCandidate(book: EndpointState, run: PlacedRun, now: number): MoveCandidate | undefined {
-    const shape = this.readShape(run);
-    if (shape === undefined || book.getUnreachableSince() !== undefined) {
+  private findCandidate(endpoint: EndpointState, run: PlacedRun, now: number): MoveCandidate | undefined {
+    const shape = this.getStep(run);
+    if (shape === undefined || endpoint.getUnreachableSince() !== undefined) {
       return undefined;
     }
     const { priority } = run;
-    if (book.getProfile().isDraining && book.getProfile().remainingMs > 0) {
-      return this.isCutShort(book, run, shape, now)
-        ? { book, run, priority, reason: 'endpointLeaves', gainMs: 0 }
+    if (endpoint.getProfile().isDraining && endpoint.getProfile().remainingMs > 0) {
+      return this.isEvictionDue(endpoint, run, shape, now)
+        ? { book: endpoint, run, priority, reason: 'endpointLeaves', gainMs: 0 }
         : undefined;
     }
-    const isDone = (this.moveCounts.get(run.task) ?? 0) >= MAX_MOVES;
-    // What was seen last counts, not what time has passed since.
-    const seenMs = run.seenAt - run.confirmedAt;
-    // A run of a task under which an endpoint has ended is to show whether it does so again.
-    const hasCrashed = (this.readJob(run)?.progress.getTask(run.address)?.crashes.length ?? 0) > 0;
-    if (shape.isGang || isDone || hasCrashed || !this.isMeasurable(run) || seenMs < KNOWN_AFTER_MS) {
+    const isMoveLimitReached = (this.moveCounts.get(run.task) ?? 0) >= MAX_MOVES;
+    // Measured up to the newest poll, to which `percent` belongs.
+    const observedMs = run.seenAt - run.confirmedAt;
+    // A task that may have crashed an endpoint stays, to show whether it does so again.
+    const hasCrashed = (this.getJob(run)?.progress.getTask(run.address)?.crashes.length ?? 0) > 0;
+    if (
+      shape.isGang ||
+      isMoveLimitReached ||
+      hasCrashed ||
+      !this.isMeasurable(run) ||
+      observedMs < MIN_OBSERVED_MS
+    ) {
       return undefined;
     }
-    const usual = this.readUsual(run, shape);
-    if (usual.usualPace === 0) {
+    const baseline = this.computeBaseline(run, shape);
+    if (baseline.usualPace === 0) {
       return undefined;
     }
-    // Fields one by one: this stands in the path of each run at each tick, and a spread costs several times as much.
+    // No object spread, since this runs for each run at each tick.
     const input: SlowRunInput = {
-      usualPace: usual.usualPace,
-      slowPace: usual.slowPace,
-      pace: seenMs / Math.max(1, run.percent),
+      usualPace: baseline.usualPace,
+      slowPace: baseline.slowPace,
+      pace: observedMs / Math.max(1, run.percent),
       percent: run.percent,
       stalledMs: run.seenAt - run.progressedAt,
-      moveMs: MOVE_MS + (this.readJob(run)?.definition.queue.advice?.decisionMs ?? 0),
+      moveMs: MOVE_OVERHEAD_MS + (this.getJob(run)?.definition.queue.advice?.decisionMs ?? 0),
       isSaving: shape.isCheckpointing,
     };
     const reason = this.options.stops.findMoveReason(input);
-    const gainMs = input.pace * (WHOLE - input.percent) - input.usualPace * WHOLE - input.moveMs;
-    return reason === undefined ? undefined : { book, run, priority, reason, gainMs };
+    const gainMs = input.pace * (ALL_PERCENT - input.percent) - input.usualPace * ALL_PERCENT - input.moveMs;
+    return reason === undefined ? undefined : { book: endpoint, run, priority, reason, gainMs };
   }
 
-  /** The pace that is usual for a step, by its other tasks, else by what is known of such tasks, else by the caller's estimate. */
-  private readUsual(run: PlacedRun, shape: JobStep): Pick<SlowRunInput, 'usualPace' | 'slowPace'> {
-    const job = this.readJob(run);
+  /** Computes the baseline pace of a step from its other tasks, else from learned run times, else from the caller's estimate. */
+  private computeBaseline(run: PlacedRun, shape: JobStep): Pick<SlowRunInput, 'usualPace' | 'slowPace'> {
+    const job = this.getJob(run);
     const median = job?.getSpeeds(run.address.time, run.address.step).getMedian();
     if (median !== undefined) {
       return { usualPace: median, slowPace: SLOW_RATIO * median };
     }
-    const { stops, readRunTime } = this.options;
-    const isKnown = job !== undefined && stops.isUsingRunTimes;
-    const known = isKnown ? readRunTime(job.definition.queue.name, shape) : undefined;
-    if (known?.isLearnt === true) {
-      const slowMs = Math.max(SLOW_RATIO * known.medianMs, TAIL_RATIO * known.p90Ms);
-      return { usualPace: known.medianMs / WHOLE, slowPace: slowMs / WHOLE };
+    const { stops, estimateRunTime } = this.options;
+    const isEstimateUsed = job !== undefined && stops.isUsingRunTimes;
+    const estimate = isEstimateUsed ? estimateRunTime(job.definition.queue.name, shape) : undefined;
+    if (estimate?.isLearnt === true) {
+      const slowMs = Math.max(SLOW_RATIO * estimate.medianMs, P90_RATIO * estimate.p90Ms);
+      return { usualPace: estimate.medianMs / ALL_PERCENT, slowPace: slowMs / ALL_PERCENT };
     }
-    const usualPace = (shape.estimatedMs * ESTIMATE_SLACK) / WHOLE;
+    const usualPace = (shape.estimatedMs * ESTIMATE_SLACK) / ALL_PERCENT;
     return { usualPace, slowPace: SLOW_RATIO * usualPace };
   }
 
-  /** True when the endpoint leaves before the run can be done there. */
-  private isCutShort(book: EndpointState, run: PlacedRun, shape: JobStep, now: number): boolean {
+  /** Returns true when the endpoint will leave before the run can end there. */
+  private isEvictionDue(endpoint: EndpointState, run: PlacedRun, shape: JobStep, now: number): boolean {
     if (shape.isGang && !this.options.stops.isMovingGangs) {
       return false;
     }
@@ -134,21 +142,21 @@
       return true;
     }
     return this.options.stops.isEvictionDue({
-      leftMs: book.getDrainDeadline(now) - now,
-      remainingMs: this.readRemainingMs(run, shape),
+      leftMs: endpoint.getDrainDeadline(now) - now,
+      remainingMs: this.estimateRemainingMs(run, shape),
       isSaving: shape.isCheckpointing,
     });
   }
 
-  private readRemainingMs(run: PlacedRun, shape: JobStep): number {
-    const seenMs = run.seenAt - run.confirmedAt;
-    const pace = run.percent > 0 ? seenMs / run.percent : shape.estimatedMs / WHOLE;
-    return pace * (WHOLE - run.percent);
+  private estimateRemainingMs(run: PlacedRun, shape: JobStep): number {
+    const observedMs = run.seenAt - run.confirmedAt;
+    const pace = run.percent > 0 ? observedMs / run.percent : shape.estimatedMs / ALL_PERCENT;
+    return pace * (ALL_PERCENT - run.percent);
   }
 
-  private hasOtherRoom(book: EndpointState, run: PlacedRun, now: number): boolean {
-    const { service, id } = book.getProfile();
-    for (const other of this.options.books.values()) {
+  private hasAlternative(endpoint: EndpointState, run: PlacedRun, now: number): boolean {
+    const { service, id } = endpoint.getProfile();
+    for (const other of this.options.endpoints.values()) {
       const profile = other.getProfile();
       const isOther = profile.id !== id && profile.service === service;
       if (isOther && other.isSchedulable() && !other.isDegraded(now) && other.hasCapacityFor(run.demand)) {
@@ -158,16 +166,16 @@
     return false;
   }
 
-  /** Fillers work at what is left over, and a run from a checkpoint does not begin at nothing: their pace says nothing. */
+  /** Returns false for runs whose pace cannot be compared, such as fillers, which use spare time, and resumed runs. */
   private isMeasurable(run: PlacedRun): boolean {
-    return !run.isFiller && !run.isServing && run.isFromStart && this.readShape(run)?.isLongRunning === false;
+    return !run.isFiller && !run.isServing && run.isFromStart && this.getStep(run)?.isLongRunning === false;
   }
 
-  private readJob(run: PlacedRun): LiveJob | undefined {
+  private getJob(run: PlacedRun): LiveJob | undefined {
     return this.options.jobs.get(run.job);
   }
 
-  private readShape(run: PlacedRun): JobStep | undefined {
-    return this.readJob(run)?.definition.steps[run.address.step];
+  private getStep(run: PlacedRun): JobStep | undefined {
+    return this.getJob(run)?.definition.steps[run.address.step];
   }
 }
--- a/packages/dispatch/runs/RunTracker.ts
+++ b/packages/dispatch/runs/RunTracker.ts
@@ -15,54 +15,55 @@
 
 type JobEnding = 'completed' | 'failed' | 'cancelled';
 
-interface LedgerSinks {
-  /** Room has become free. */
+interface RunTrackerCallbacks {
+  /** Called when capacity has been released. */
   readonly handleFreed: () => void;
-  /** The progress of a job has changed and must be recorded. */
+  /** Called when the progress of a job has changed and must be recorded. */
   readonly handleChanged: (job: JobId) => void;
   readonly sendEffect: (effect: DispatchEffect) => void;
 }
 
-/** A stop without an answer is sent again after so long: beyond the usual time limit of one, and its task waits for it. */
+/** Delay of the first retry of a stop; longer than its usual timeout. */
 const FIRST_STOP_RETRY_MS = 200;
-/** Losses below this are only counted, in core-milliseconds. */
-const TOLD_CORE_MS = 1000;
-/** A run whose order had no answer is stopped after so long, unless a look has listed it before. */
+/** Smaller losses of work, in core-milliseconds, are counted but not logged. */
+const MIN_LOGGED_CORE_MS = 1000;
+/** A run whose start command timed out is stopped after this time, unless a poll lists it before. */
 const UNANSWERED_STOP_MS = 300;
-/** Between later ones, beyond the longer time limit that these have: the endpoint may be slow. */
+/** Delay of later retries, whose timeout is longer. */
 const STOP_RETRY_MS = 600;
 
-/** Ends of runs and of jobs: frees room, carries ends into progress, and stops what should not run. */
+/** Records the ends of runs and jobs in the endpoints' state and the jobs' progress, and sends stops. */
 export class RunTracker {
   constructor(
-    private readonly books: Map<EndpointIncarnation, EndpointState>,
+    private readonly endpoints: Map<EndpointIncarnation, EndpointState>,
     private readonly jobs: ReadonlyMap<JobId, LiveJob>,
-    private readonly sinks: LedgerSinks,
-    /** A gang goes on from the newest checkpoint of any member. */
-    private readonly isSavingGangs = false,
+    private readonly callbacks: RunTrackerCallbacks,
+    /** Gangs resume from the newest checkpoint of any member. */
+    private readonly isSharingGangCheckpoints = false,
   ) {}
 
-  /** Frees the room of a run and carries its end into the job's progress. */
-  recordRunEnd(book: EndpointState, run: PlacedRun, end: RunEnd, now: number): void {
+  /** Releases the capacity of a run and records its end in the job's progress. */
+  recordRunEnd(endpoint: EndpointState, run: PlacedRun, end: RunEnd, now: number): void {
     const { outcome, cause, checkpoint } = end;
-    book.removeRun(run);
-    this.sinks.handleFreed();
-    this.recordLoss(book, run, end, now);
+    endpoint.removeRun(run);
+    this.callbacks.handleFreed();
+    this.recordLostWork(endpoint, run, end, now);
     const job = this.jobs.get(run.job);
-    const kept = checkpoint === '' ? run.checkpoint : checkpoint;
-    const save = this.isSavingGangs && this.isOfGang(run) ? getGangCheckpoint(run, end, now) : undefined;
-    if (save !== undefined) {
-      job?.recordGangCheckpoint(run.address.time, run.address.step, save);
+    const newestCheckpoint = checkpoint === '' ? run.checkpoint : checkpoint;
+    const gangCheckpoint =
+      this.isSharingGangCheckpoints && this.isGangMember(run) ? getGangCheckpoint(run, end, now) : undefined;
+    if (gangCheckpoint !== undefined) {
+      job?.recordGangCheckpoint(run.address.time, run.address.step, gangCheckpoint);
     }
-    if (job?.progress.recordEnd(run.address, run.run, outcome, kept) === true) {
+    if (job?.progress.recordEnd(run.address, run.run, outcome, newestCheckpoint) === true) {
       job.changedAt = now;
-      job.trace.recordRun(run, book.getProfile(), end, now);
-      this.sinks.handleChanged(run.job);
+      job.trace.recordRun(run, endpoint.getProfile(), end, now);
+      this.callbacks.handleChanged(run.job);
       this.sendLogLine('Run ended.', {
         job: run.job,
         task: run.task,
         run: run.run,
-        endpoint: book.getProfile().incarnation,
+        endpoint: endpoint.getProfile().incarnation,
         outcome,
         cause,
         how: end.reportedEnd,
@@ -74,29 +75,29 @@
         unheardMs: Math.round(now - run.seenAt),
       });
     }
-    this.checkEmptyBook(book);
+    this.removeUnusedEndpoint(endpoint);
   }
 
-  private isOfGang(run: PlacedRun): boolean {
+  private isGangMember(run: PlacedRun): boolean {
     return this.jobs.get(run.job)?.definition.steps[run.address.step]?.isGang === true;
   }
 
-  /** Counts the work that a run lost, and tells of it where it is some. */
-  private recordLoss(book: EndpointState, run: PlacedRun, end: RunEnd, now: number): void {
-    const lostBy = getLossCause(run, end);
-    if (lostBy === undefined) {
+  /** Counts the work that a run lost, and logs a larger loss. */
+  private recordLostWork(endpoint: EndpointState, run: PlacedRun, end: RunEnd, now: number): void {
+    const lossCause = getLossCause(run, end);
+    if (lossCause === undefined) {
       return;
     }
     const lostCoreMs = computeLostWork(run, end, now);
-    this.sendCount(`runsLostBy.${lostBy}`);
-    this.sendCount(`coreMsLostBy.${lostBy}`, lostCoreMs);
-    if (lostCoreMs >= TOLD_CORE_MS) {
+    this.sendCount(`runsLostBy.${lossCause}`);
+    this.sendCount(`coreMsLostBy.${lossCause}`, lostCoreMs);
+    if (lostCoreMs >= MIN_LOGGED_CORE_MS) {
       this.sendLogLine('Work is lost.', {
         job: run.job,
         task: run.task,
         run: run.run,
-        endpoint: book.getProfile().incarnation,
-        by: lostBy,
+        endpoint: endpoint.getProfile().incarnation,
+        by: lossCause,
         coreMs: lostCoreMs,
         percent: run.percent,
         checkpointAgeMs: run.checkpointedAt === undefined ? undefined : Math.round(now - run.checkpointedAt),
@@ -105,44 +106,44 @@
   }
 
   /**
-   * Takes a run that was sent to a life which is over into the books of the next one. What was to be stopped is stopped there too; of the rest the
-   * next look tells whether it is there.
+   * Transfers a run from an ended incarnation to the next one, which may have received its start. A run that was being stopped is
+   * stopped there too; for any other the next poll shows whether it runs.
    */
   recordTransfer(from: EndpointState, to: EndpointState, run: PlacedRun): void {
     from.removeRun(run);
     run.transferredFrom = from.getProfile().incarnation;
     to.addRun(run);
-    const { incarnation: life } = to.getProfile();
-    this.jobs.get(run.job)?.progress.recordTransfer(run.address, run.run, life);
-    this.sinks.handleChanged(run.job);
+    const { incarnation } = to.getProfile();
+    this.jobs.get(run.job)?.progress.recordTransfer(run.address, run.run, incarnation);
+    this.callbacks.handleChanged(run.job);
     this.sendLogLine('Run may have reached the next life.', {
       job: run.job,
       task: run.task,
       run: run.run,
-      endpoint: life,
+      endpoint: incarnation,
       before: run.transferredFrom,
       stage: run.stage,
     });
     if (run.stage === 'stopping') {
       run.stopAnsweredAt = undefined;
-      this.sendStopOrder(to, run);
+      this.sendStopCommand(to, run);
     } else {
       run.stage = 'unconfirmed';
     }
   }
 
-  /** Ends the job when this end completes it, or was one failure too many. */
+  /** Ends the job when the end of this run completes it or uses up its attempts. */
   checkJobEnd(
     job: LiveJob,
     run: PlacedRun,
     outcome: RunOutcome,
-    endpoint: EndpointIncarnation,
+    incarnation: EndpointIncarnation,
     wallMs: number,
   ): void {
     const { time, step, index } = run.address;
     const shape = job.definition.steps[step]!;
     if (outcome === 'failed') {
-      job.recordFailureOn(time, step, endpoint);
+      job.recordFailureOn(time, step, incarnation);
       const failures = job.countFailures(time, step, index);
       if (!shape.isLongRunning && failures >= job.definition.queue.attempts) {
         this.recordJobEnd(job, 'failed', wallMs);
@@ -156,25 +157,27 @@
     }
   }
 
+  /** Ends a job and stops its runs. Does nothing if it has ended. */
   recordJobEnd(job: LiveJob, ending: JobEnding, wallMs: number): void {
     if (job.progress.isEnded()) {
       return;
     }
     job.progress.recordJobEnd(ending, wallMs);
-    this.sinks.handleChanged(job.definition.id);
+    this.callbacks.handleChanged(job.definition.id);
     this.sendLogLine('Job ended.', { job: job.definition.id, queue: job.definition.queue.name, ending });
-    this.checkLate(job, ending, wallMs);
-    for (const book of this.books.values()) {
-      for (const run of [...book.getRuns()]) {
+    this.logLateJob(job, ending, wallMs);
+    for (const endpoint of this.endpoints.values()) {
+      for (const run of [...endpoint.getRuns()]) {
         if (run.job === job.definition.id) {
-          this.sendStop(book, run, 'jobEnded');
+          this.sendStop(endpoint, run, 'jobEnded');
         }
       }
     }
   }
 
-  sendStop(book: EndpointState, run: PlacedRun, cause: StopCause): void {
-    // While the record is on its way no order has left; `handleRecorded` frees the room.
+  /** Sends a stop, unless the run is being stopped or its start was not sent yet. */
+  sendStop(endpoint: EndpointState, run: PlacedRun, cause: StopCause): void {
+    // No start command was sent before the record is durable; `handleStartRecorded` then releases the capacity.
     if (run.stage === 'stopping' || run.stage === 'recording') {
       return;
     }
@@ -183,14 +186,14 @@
     run.stopAnsweredAt = undefined;
     run.stopSentAt = undefined;
     run.isStopRepeated = false;
-    this.sendStopOrder(book, run);
+    this.sendStopCommand(endpoint, run);
   }
 
-  /** Repeats stops that had no answer, and stops what no look has shown since its order had none. */
-  sendStopsAgain(book: EndpointState, now: number): void {
-    for (const run of book.getRuns()) {
+  /** Retries stops without a response, and stops runs whose start timed out and that no poll has listed since. */
+  retryStops(endpoint: EndpointState, now: number): void {
+    for (const run of endpoint.getRuns()) {
       if (run.stage === 'ordered' && now - (run.unansweredAt ?? now) >= UNANSWERED_STOP_MS) {
-        this.sendStop(book, run, 'unanswered');
+        this.sendStop(endpoint, run, 'unanswered');
         continue;
       }
       if (run.stage !== 'stopping' || run.stopAnsweredAt !== undefined) {
@@ -201,18 +204,18 @@
       if (now - run.stopSentAt >= retryMs) {
         run.stopSentAt = now;
         run.isStopRepeated = true;
-        this.sendStopOrder(book, run);
+        this.sendStopCommand(endpoint, run);
       }
     }
   }
 
-  /** Has the endpoint looked at now: something that it must show is waited for. */
-  sendLook(book: EndpointState): void {
-    this.sinks.sendEffect({ kind: 'look', endpoint: book.getProfile().incarnation });
+  /** Requests a poll at once. */
+  sendPoll(endpoint: EndpointState): void {
+    this.callbacks.sendEffect({ kind: 'look', endpoint: endpoint.getProfile().incarnation });
   }
 
-  /** The one line that tells why a caller was served late or not at all; it stays in the log whatever the load. */
-  private checkLate(job: LiveJob, ending: JobEnding, wallMs: number): void {
+  /** Logs why a job failed or missed its objective. */
+  private logLateJob(job: LiveJob, ending: JobEnding, wallMs: number): void {
     const { definition, trace } = job;
     const lateMs = wallMs - job.getObjectiveAtMs(definition.times - 1);
     if (ending === 'failed' || (ending === 'completed' && lateMs > 0)) {
@@ -221,28 +224,29 @@
     }
   }
 
-  private sendStopOrder(book: EndpointState, run: PlacedRun): void {
+  private sendStopCommand(endpoint: EndpointState, run: PlacedRun): void {
     const { task, run: number, isStopRepeated: isRepeated } = run;
-    this.sinks.sendEffect({
+    this.callbacks.sendEffect({
       kind: 'stop',
-      endpoint: book.getProfile().incarnation,
+      endpoint: endpoint.getProfile().incarnation,
       task,
       run: number,
       isRepeated,
     });
   }
 
-  checkEmptyBook(book: EndpointState): void {
-    if (book.getProfile().address === '' && book.countRuns() === 0) {
-      this.books.delete(book.getProfile().incarnation);
+  /** Removes the state of an endpoint without an address once it has no runs. */
+  removeUnusedEndpoint(endpoint: EndpointState): void {
+    if (endpoint.getProfile().address === '' && endpoint.countRuns() === 0) {
+      this.endpoints.delete(endpoint.getProfile().incarnation);
     }
   }
 
   sendCount(name: DispatchCounterName, amount = 1): void {
-    this.sinks.sendEffect({ kind: 'count', name, amount });
+    this.callbacks.sendEffect({ kind: 'count', name, amount });
   }
 
-  sendLogLine(sentence: string, fields: Readonly<Record<string, unknown>>): void {
-    this.sinks.sendEffect({ kind: 'tell', message: sentence, fields });
+  sendLogLine(message: string, fields: Readonly<Record<string, unknown>>): void {
+    this.callbacks.sendEffect({ kind: 'tell', message: message, fields });
   }
 }
--- a/packages/dispatch/runs/createOrphanRun.ts
+++ b/packages/dispatch/runs/createOrphanRun.ts
@@ -4,12 +4,12 @@
 import type { PlacedRun } from './PlacedRun';
 import type { RunningTaskStatus } from '../endpoints/RunningTaskStatus';
 
-/** Creates the book entry of a run whose job is not known: its room is not known either, but it is stopped at once. */
-export const createOrphanRun = (row: RunningTaskStatus, now: number): PlacedRun => ({
-  task: row.task,
+/** Creates the state of a run whose job is unknown. Its demand is unknown too, and counts as zero until the run is stopped. */
+export const createOrphanRun = (status: RunningTaskStatus, now: number): PlacedRun => ({
+  task: status.task,
   job: toId<JobId>(''),
   address: { time: 0, step: 0, index: 0 },
-  run: row.run,
+  run: status.run,
   demand: resourceMath.NOTHING,
   customer: undefined,
   charge: resourceMath.NOTHING,
@@ -30,9 +30,9 @@
   stopCause: undefined,
   isStopRepeated: false,
   stopAnsweredAt: undefined,
-  percent: row.percent,
+  percent: status.percent,
   seenAt: now,
   progressedAt: now,
-  checkpoint: row.checkpoint,
+  checkpoint: status.checkpoint,
   checkpointedAt: undefined,
 });
--- a/packages/dispatch/runs/createPlacedRun.ts
+++ b/packages/dispatch/runs/createPlacedRun.ts
@@ -5,12 +5,12 @@
 import type { PlacedRun } from './PlacedRun';
 
 interface RunHistory {
-  /** The run begins at nothing, not at a checkpoint. */
+  /** The run resumes from no checkpoint. */
   readonly isFromStart?: boolean;
   readonly isCrashSuspect?: boolean;
 }
 
-/** Creates the book entry of a run that is about to be placed. */
+/** Creates the state of a run that is about to be placed. */
 export const createPlacedRun = (
   definition: JobDefinition,
   address: TaskAddress,
--- a/packages/dispatch/runs/estimateRemainingMs.ts
+++ b/packages/dispatch/runs/estimateRemainingMs.ts
@@ -1,14 +1,14 @@
 import type { PlacedRun } from './PlacedRun';
 
-/** Percent below which a run's speed is not known. */
-const KNOWN_SPEED_PERCENT = 5;
+/** Below this progress the speed of a run is not known. */
+const MIN_SPEED_PERCENT = 5;
 
-/** Estimated time until a run ends: by its speed so far, before that by the estimate for the whole of it. */
+/** Estimates the time until a run ends in milliseconds, from its speed so far, or from `estimatedMs` for the whole run. */
 export const estimateRemainingMs = (run: PlacedRun, estimatedMs: number, now: number): number => {
   const ageMs = now - run.placedAt;
-  if (run.percent < KNOWN_SPEED_PERCENT) {
+  if (run.percent < MIN_SPEED_PERCENT) {
     return Math.max(0, estimatedMs - ageMs);
   }
-  const wholeMs = ((run.progressedAt - run.placedAt) * 100) / run.percent;
-  return Math.max(0, wholeMs - ageMs);
+  const totalMs = ((run.progressedAt - run.placedAt) * 100) / run.percent;
+  return Math.max(0, totalMs - ageMs);
 };
--- a/packages/dispatch/runs/findStragglerReason.ts
+++ b/packages/dispatch/runs/findStragglerReason.ts
@@ -1,34 +1,35 @@
 interface StragglerInput {
-  /** Milliseconds for one percent, of this run and usual for its step. */
+  /** Milliseconds for one percent: of this run, and the baseline of its step. */
   readonly pace: number;
   readonly usualPace: number;
   readonly percent: number;
-  /** Time since the run's percent last rose, in milliseconds. */
+  /** Time since `percent` last increased, in milliseconds. */
   readonly stalledMs: number;
-  /** Time that a move takes before the new run works, in milliseconds. */
+  /** Time that a move takes until the new run makes progress, in milliseconds. */
   readonly moveMs: number;
-  /** Only a run with a pace beyond this is slow; by default far beyond the usual one. */
+  /** A run is slow only if its pace exceeds this; by default a multiple of `usualPace`. */
   readonly slowPace?: number;
-  /** Percent that are to be done elsewhere; by default all. */
+  /** Percent of the work that the new run has to do; by default all. */
   readonly restartPercent?: number;
 }
 
+/** Default of `slowPace`, as a multiple of `usualPace`. */
 const SLOW_RATIO = 2.5;
-/** A move must save at least this share of the time that a fresh run takes. */
-const GAIN_SHARE = 1.3;
-const STALL_MS = 900;
-/** A run that has not moved in the usual time for so many percent stands still. */
+/** Remaining time at which a move pays off, as a multiple of the time that a new run takes. */
+const MIN_GAIN_RATIO = 1.3;
+const MIN_STALL_MS = 900;
+/** A run is stalled when it makes no progress in the baseline time for this many percent. */
 const STALL_PERCENT = 25;
-const WHOLE = 100;
+const ALL_PERCENT = 100;
 
-/** Tells whether a run would end sooner if it were stopped and started elsewhere, and why. */
+/** Returns why a run would end sooner on another endpoint, or undefined when it would not. */
 export const findStragglerReason = (input: StragglerInput): 'stalled' | 'slow' | undefined => {
-  if (input.stalledMs > Math.max(STALL_MS, STALL_PERCENT * input.usualPace)) {
+  if (input.stalledMs > Math.max(MIN_STALL_MS, STALL_PERCENT * input.usualPace)) {
     return 'stalled';
   }
-  const remainingMs = input.pace * (WHOLE - input.percent);
-  const { usualPace, slowPace = SLOW_RATIO * usualPace, restartPercent: freshPercent = WHOLE } = input;
-  const freshMs = usualPace * freshPercent + input.moveMs;
+  const remainingMs = input.pace * (ALL_PERCENT - input.percent);
+  const { usualPace, slowPace = SLOW_RATIO * usualPace, restartPercent = ALL_PERCENT } = input;
+  const restartMs = usualPace * restartPercent + input.moveMs;
   const isSlow = input.pace > slowPace;
-  return isSlow && remainingMs > GAIN_SHARE * freshMs ? 'slow' : undefined;
+  return isSlow && remainingMs > MIN_GAIN_RATIO * restartMs ? 'slow' : undefined;
 };
