--- a/packages/dispatch/LeaderController.ts
+++ b/packages/dispatch/LeaderController.ts
@@ -27,7 +27,7 @@
 import { LeaderJournal } from './LeaderJournal';
 import type { LeaderDurationName } from './LeaderDurationName';
 import { LineBatcher } from '../logging/LineBatcher';
-import { ProgressInheritance } from './ProgressInheritance';
+import { ProgressRecovery } from './ProgressRecovery';
 import { RoundThrottle } from './placing/RoundThrottle';
 import { SlowRoundLogger } from './placing/SlowRoundLogger';
 
@@ -35,7 +35,7 @@
   readonly epoch: number;
   /** Monotonic time at which the claim was sent that made this process lead. */
   readonly claimedAt: number;
-  /** Monotonic time by which all that earlier leaders leased has ended, on endpoints that were not heard since. */
+  /** Monotonic time at which leases granted by earlier leaders have expired on endpoints that are not yet synced. */
   readonly earlierLeasesEndAt: number;
   readonly client: LogClient;
   /** Topic of the states of jobs and of the leader's record, which every box follows. */
@@ -45,29 +45,29 @@
   readonly endpointsTopic: string;
   readonly maxAppendBytes: number;
   readonly replica: JobReplica;
-  /** Reads the jobs' topic on; true once everything written before the call is in the replica. */
+  /** Reads the jobs' topic; resolves to true once the replica has all records written before the call, and to false on failure. */
   readonly updateReplica: () => Promise<boolean>;
   readonly clock: MachineClock;
   readonly random: Random;
   readonly logger: Logger;
   readonly policies: DispatchPolicies;
-  /** Takes each digest of the load that the other boxes are told of; without it none is made. */
+  /** Called with each published load digest; without it no load is published. */
   readonly handleLoadDigest?: (digest: string) => void;
-  /** The limit of a customer in the configuration in force. */
+  /** Returns a customer's limit in the current configuration. */
   readonly getLimit: (customer: CustomerName) => TaskDemand | undefined;
-  /** On failure says what is wrong with the record. */
+  /** Parses an endpoint's record; fails with what is wrong with it. */
   readonly parseEndpoint: (id: string, text: string) => Result<EndpointProfile, string>;
-  readonly createEndpointClient: (profile: EndpointProfile, readToken: () => number) => EndpointClient;
-  /** True for a service that the configuration in force names. */
+  readonly createEndpointClient: (profile: EndpointProfile, getToken: () => number) => EndpointClient;
+  /** Returns true for a service that the current configuration uses. */
   readonly isServiceRouted: (service: ServiceName) => boolean;
-  /** Longest lease that an endpoint grants, in milliseconds. */
+  /** Longest lease that an endpoint accepts, in milliseconds. */
   readonly longestLeaseMs: number;
   readonly listChannels: AdviceBalancerOptions['listChannels'];
   readonly formatLeaderRecord: (isResigned: boolean) => string;
-  /** A newer leader has been seen: this duty gives no more orders. */
+  /** Called when a newer leader is seen; this one has stopped. */
   readonly handleLeadershipLost: (detail: string) => void;
-  /** The log has answered, after it had not, a call that was sent at a monotonic time. */
-  readonly handleLogRecovered: (answeredSentAt: number) => void;
+  /** Called when the log has recovered from an outage, with the monotonic time at which the first successful call was sent. */
+  readonly handleLogRecovered: (sentAt: number) => void;
   readonly recordCount: (
     name:
       | 'starts'
@@ -85,40 +85,35 @@
 }
 
 const TICK_MS = 100;
-/**
- * Age of the newest answered write, from its sending, beyond which the log may have gone out: one is sent every 400 ms at the latest, looked
- * at every 100 ms, and counts as failed after 350 ms.
- */
-const SHOWN_MS = leaderTimings.heartbeatMs + TICK_MS + appendRules.initialTimeoutMs;
-/**
- * Once the log has taken no progress for so long, nothing more is placed, and what waits for its record gives its room back. Beyond
- * the first time limit of an append and a repetition, so that a log that is merely slow (up to 0.7 s an append) is waited for.
- */
-const HOLD_STARTS_MS = 1000;
-/** The work of the leader: joins the dispatcher with the log, the endpoints and the advice service. */
+/** Age, since it was sent, of the newest acknowledged write above which the log may be unavailable. */
+const MAX_AGE_MS = leaderTimings.heartbeatMs + TICK_MS + appendRules.initialTimeoutMs;
+/** Duration of a log outage after which starts are held. Longer than an append with one retry, so that a slow log does not cause it. */
+const HOLD_STARTS_AFTER_MS = 1000;
+
+/** Runs everything that the leader does: connects the dispatcher with the log, the endpoints and the advice service. */
 export class LeaderController {
   private readonly dispatcher: Dispatcher;
   private readonly journal: LeaderJournal;
-  private readonly inheritance: ProgressInheritance;
+  private readonly recovery: ProgressRecovery;
   private readonly endpoints: EndpointSessions;
-  private readonly lines: LineBatcher;
-  private readonly desk: AdviceBalancer;
-  private readonly load: LoadPublisher;
-  private readonly orders: CommandSender;
-  /** Services of the jobs that were taken in: their endpoints are needed also where the configuration has dropped them. */
+  private readonly batcher: LineBatcher;
+  private readonly adviceBalancer: AdviceBalancer;
+  private readonly loadPublisher: LoadPublisher;
+  private readonly commands: CommandSender;
+  /** Services of all known jobs, whose endpoints are needed even when the configuration no longer names them. */
   private readonly services = new Set<ServiceName>();
   private hasReadJobs = false;
   private hasTakenOver = false;
   private isHoldingStarts = false;
   private isStopped = false;
-  private readonly rounds: RoundThrottle;
-  private readonly roundWatch: SlowRoundLogger;
+  private readonly roundThrottle: RoundThrottle;
+  private readonly slowRoundLogger: SlowRoundLogger;
   private timer: NodeJS.Timeout | undefined;
 
   constructor(private readonly options: LeaderControllerOptions) {
     const { clock, client, epoch, replica } = options;
-    this.lines = new LineBatcher(options.logger);
-    this.load = new LoadPublisher(epoch, clock.readNow());
+    this.batcher = new LineBatcher(options.logger);
+    this.loadPublisher = new LoadPublisher(epoch, clock.readNow());
     this.dispatcher = new Dispatcher({
       ...options.policies,
       earlierLeasesEndAt: options.earlierLeasesEndAt,
@@ -126,22 +121,22 @@
       getDefinition: (id) => replica.getDefinition(id),
       getLimit: options.getLimit,
     });
-    this.rounds = new RoundThrottle({ clock, handleRound: () => this.applyRound() });
-    this.roundWatch = new SlowRoundLogger({
+    this.roundThrottle = new RoundThrottle({ clock, handleRound: () => this.runRound() });
+    this.slowRoundLogger = new SlowRoundLogger({
       logger: options.logger,
       readJobCount: () => this.dispatcher.countJobs(),
       recordTime: options.recordTime,
     });
     this.journal = new LeaderJournal({
       ...options,
-      handleFenced: (detail) => this.handleDeposed(`the log refused a write: ${detail}`),
+      handleFenced: (detail) => this.handleLeadershipLost(`the log rejected a write: ${detail}`),
     });
-    this.inheritance = new ProgressInheritance({
+    this.recovery = new ProgressRecovery({
       client,
       topic: options.progressTopic,
       epoch,
       handleUnreadable: (job) => options.logger.error('Progress of a job cannot be read.', { job }),
-      handleFenced: (detail) => this.handleDeposed(`the log refused a write: ${detail}`),
+      handleFenced: (detail) => this.handleLeadershipLost(`the log rejected a write: ${detail}`),
     });
     this.endpoints = new EndpointSessions({
       epoch,
@@ -154,88 +149,88 @@
       parseEndpoint: options.parseEndpoint,
       createEndpointClient: options.createEndpointClient,
       isServiceUsed: (service) => options.isServiceRouted(service) || this.services.has(service),
-      isRenewing: () => this.isRenewing(),
-      handleLooked: (newEndCount) => this.handleLooked(newEndCount),
-      startFlush: () => this.journal.startFlush(),
+      isRenewing: () => this.canGrantLeases(),
+      handleLooked: (newEndCount) => this.handlePolled(newEndCount),
+      startFlush: () => this.journal.waitForFlush(),
       recordCount: (name) => options.recordCount(name),
       handleChanged: () => {
-        this.startTakeOver();
+        this.takeOver();
         this.queueRound();
       },
-      handleFenced: (detail) => this.handleDeposed(detail),
+      handleFenced: (detail) => this.handleLeadershipLost(detail),
       handleLogBack: options.handleLogRecovered,
     });
-    this.orders = new CommandSender({
+    this.commands = new CommandSender({
       ...options,
       dispatcher: this.dispatcher,
       endpoints: this.endpoints,
-      lines: this.lines,
+      lines: this.batcher,
       isStopped: () => this.isStopped,
-      isRenewing: () => this.isRenewing(),
+      isRenewing: () => this.canGrantLeases(),
       handleStarted: (job) => this.recordStart(job),
       handleChanged: () => this.queueRound(),
-      handleDeposed: (detail) => this.handleDeposed(detail),
+      handleDeposed: (detail) => this.handleLeadershipLost(detail),
     });
-    this.desk = adviceBalancers[options.policies.turnChoice]({
+    this.adviceBalancer = adviceBalancers[options.policies.turnChoice]({
       clock,
       listChannels: options.listChannels,
-      handleResponse: (question, answer, tookMs) => {
+      handleResponse: (request, response, tookMs) => {
         options.logger.info('Advice answered.', {
-          step: question.step,
-          cause: question.cause,
-          asked: question.endpoints.length,
-          allowed: answer?.size ?? 'no answer',
+          step: request.step,
+          cause: request.cause,
+          asked: request.endpoints.length,
+          allowed: response?.size ?? 'no answer',
           tookMs,
-          expectedMs: Math.round(question.expectedMs),
+          expectedMs: Math.round(request.expectedMs),
         });
-        this.dispatcher.handleAdviceResponse(question.step, question.endpoints, answer, clock.readNow());
+        this.dispatcher.handleAdviceResponse(request.step, request.endpoints, response, clock.readNow());
         this.queueRound();
       },
     });
   }
 
   /**
-   * Begins: heartbeats at once; orders once the endpoints' records and all jobs have been read, since the end of a run is
-   * understood, and acknowledged, only with its job at hand.
+   * Starts heartbeats at once, and scheduling once the endpoints' records and all jobs have been read, since the end of a run can be
+   * applied and acknowledged only if its job is known.
    */
   start(): void {
     this.endpoints.start();
-    void this.startReadingJobs();
-    this.timer = setInterval(() => this.applyTime(), TICK_MS);
+    void this.readJobs();
+    this.timer = setInterval(() => this.handleTick(), TICK_MS);
   }
 
-  /** Stops at once, with no more orders. */
+  /** Stops at once, without further commands. */
   stop(): void {
     if (!this.isStopped) {
-      this.writeWaits();
+      this.logWaits();
     }
     this.isStopped = true;
     clearInterval(this.timer);
-    this.inheritance.stop();
+    this.recovery.stop();
     this.journal.stop();
     this.endpoints.stop();
-    this.desk.stop();
+    this.adviceBalancer.stop();
   }
 
-  /** Stops by plan: no more orders, then the word that another may lead. */
+  /** Stops commands, flushes the journal, writes that another box may lead, then stops. */
   async stopGracefully(): Promise<void> {
     this.hasTakenOver = false;
     clearInterval(this.timer);
     this.endpoints.stop();
-    this.desk.stop();
-    // Without the log the word cannot be written: the next leader is told directly, or sees this process end.
+    this.adviceBalancer.stop();
+    // While the log is unavailable, the next leader is notified directly or notices that this process has ended.
     if (this.getLogOutageMs() === 0) {
-      await this.journal.startResigning();
+      await this.journal.writeResignation();
     }
     this.stop();
   }
 
-  /** A job was accepted, by any box. */
+  /** Adds a job that any box has accepted. */
   handleJob(definition: JobDefinition): void {
     if (this.hasTakenOver) {
       const { id, queue, steps } = definition;
       this.options.logger.info('Job taken in.', { job: id, queue: queue.name, steps: steps.length });
-      this.applyJob(definition);
+      this.addJob(definition);
       this.queueRound();
     }
   }
@@ -245,61 +240,61 @@
     this.queueRound();
   }
 
-  /** How long the log has not taken this leader's writes, in milliseconds. */
+  /** Returns how long this leader's writes to the log have failed, in milliseconds; 0 while they succeed. */
   getLogOutageMs(): number {
-    return this.journal.readFailingMs();
+    return this.journal.getLogOutageMs();
   }
 
-  /** True while the newest write that the log has answered is as young as the heartbeat lets it be. */
+  /** Returns true while the log acknowledges heartbeats in time. */
   isHeartbeatFresh(): boolean {
-    return !this.isStopped && this.getLogOutageMs() === 0 && this.journal.isAcknowledgedWithin(SHOWN_MS);
+    return !this.isStopped && this.getLogOutageMs() === 0 && this.journal.isAcknowledgedWithin(MAX_AGE_MS);
   }
 
-  /** The log has answered this box: calls that wait for an answer since it went out are made again. */
-  retryPending(answeredSentAt: number): void {
-    this.journal.startAgain();
-    this.endpoints.retryPending(answeredSentAt);
+  /** Retries calls to the log that are pending since its outage. `sentAt` is when the call that it has answered was sent. */
+  retryPending(sentAt: number): void {
+    this.journal.retryPending();
+    this.endpoints.retryPending(sentAt);
   }
 
   getDispatcher(): Dispatcher {
     return this.dispatcher;
   }
 
-  /** True once jobs and endpoints of earlier leaders have been taken in. */
+  /** Returns true once the jobs and endpoints of earlier leaders have been taken over. */
   isActive(): boolean {
     return this.hasTakenOver && !this.isStopped;
   }
 
-  /** Tells what is known of the waits that go on: it goes with this leader. */
-  private writeWaits(): void {
+  /** Logs the open waits, which the next leader does not know. */
+  private logWaits(): void {
     const now = this.options.clock.readNow();
     for (const fields of this.dispatcher.listWaits(now)) {
-      this.lines.recordLine('Step waits.', fields, now);
+      this.batcher.recordLine('Step waits.', fields, now);
     }
-    this.lines.stop();
+    this.batcher.stop();
   }
 
-  private async startReadingJobs(): Promise<void> {
-    // Jobs are read after earlier leaders have been shut out: each job that one of them began is then among them.
-    await this.inheritance.start();
+  private async readJobs(): Promise<void> {
+    // Jobs are read after earlier leaders were fenced, so that they include every job that one of those has started.
+    await this.recovery.run();
     while (!this.isStopped && !this.hasReadJobs) {
       this.hasReadJobs = await this.options.updateReplica();
       if (!this.hasReadJobs) {
         await startDelay(TICK_MS);
       }
     }
-    this.startTakeOver();
+    this.takeOver();
   }
 
-  /** Takes in what earlier leaders left, then begins to look at the endpoints. */
-  private startTakeOver(): void {
+  /** Takes over the jobs of earlier leaders, then starts to poll the endpoints, once all records have been read. */
+  private takeOver(): void {
     if (this.hasTakenOver || this.isStopped || !this.endpoints.hasReadAll() || !this.hasReadJobs) {
       return;
     }
     const { replica, clock, logger, epoch } = this.options;
     this.hasTakenOver = true;
     for (const definition of replica.listDefinitionsInOrder()) {
-      this.applyJob(definition);
+      this.addJob(definition);
       if (replica.isCancelled(definition.id)) {
         this.dispatcher.handleCancel(definition.id, clock.readWall());
       }
@@ -312,9 +307,9 @@
     });
   }
 
-  /** Takes a job in as earlier leaders left it, and writes its state where they did not come to it. */
-  private applyJob(definition: JobDefinition): void {
-    const progress = this.inheritance.readProgress(definition);
+  /** Adds a job with the progress that earlier leaders have written, and writes its state if it differs from the written one. */
+  private addJob(definition: JobDefinition): void {
+    const progress = this.recovery.takeProgress(definition);
     this.services.add(definition.queue.service);
     this.dispatcher.handleJob(definition, progress, this.options.clock.readNow());
     if (progress.getState() !== 'queued') {
@@ -322,24 +317,24 @@
     }
   }
 
-  /** Queues the records of what a look has shown. */
-  private handleLooked(newEndCount: number): void {
+  /** Queues the records that follow from a poll. */
+  private handlePolled(newEndCount: number): void {
     this.options.recordCount('ends', newEndCount);
     this.sendEffects();
     this.queueRound();
   }
 
-  private handleDeposed(detail: string): void {
+  private handleLeadershipLost(detail: string): void {
     if (!this.isStopped) {
       this.stop();
       this.options.handleLeadershipLost(detail);
     }
   }
 
-  private applyTime(): void {
+  private handleTick(): void {
     const now = this.options.clock.readNow();
     this.journal.handleTick(now);
-    this.lines.applyTime(now);
+    this.batcher.applyTime(now);
     if (this.hasTakenOver) {
       this.endpoints.startPendingSessions();
       this.dispatcher.handleTick(now);
@@ -349,63 +344,65 @@
   }
 
   private queueLoad(now: number): void {
-    const { clock, handleLoadDigest: handleLoad, recordCount } = this.options;
-    if (handleLoad === undefined) {
+    const { clock, handleLoadDigest, recordCount } = this.options;
+    if (handleLoadDigest === undefined) {
       return;
     }
     const wallMs = clock.readWall();
-    const digest = this.load.createDueDigest({ now, wallMs }, () => this.dispatcher.computeLoad(wallMs));
+    const digest = this.loadPublisher.createDueDigest({ now, wallMs }, () =>
+      this.dispatcher.computeLoad(wallMs),
+    );
     if (digest !== undefined) {
       recordCount('digests');
       this.journal.queueLoad(digest);
-      handleLoad(digest);
+      handleLoadDigest(digest);
     }
   }
 
-  /** True while this leader may give leases; the next one waits until the last of them has ended. */
-  private isRenewing(): boolean {
+  /** Returns true while this leader may grant leases; the next leader waits until the last of them has expired. */
+  private canGrantLeases(): boolean {
     return this.journal.isAcknowledgedWithin(leaderTimings.unconfirmedGraceMs);
   }
 
   private queueRound(): void {
     if (!this.isStopped) {
-      this.rounds.queueRound();
+      this.roundThrottle.queueRound();
     }
   }
 
-  private applyRound(): void {
+  private runRound(): void {
     if (!this.isActive()) {
       return;
     }
     const { clock } = this.options;
     const now = clock.readNow();
     this.checkHold(now);
-    const turns = this.desk.getFreeSlots();
+    const slots = this.adviceBalancer.getFreeSlots();
     if (this.isHoldingStarts) {
-      this.dispatcher.requestAdviceAhead(now, clock.readWall(), turns);
+      this.dispatcher.requestAdviceAhead(now, clock.readWall(), slots);
     } else {
-      this.dispatcher.placeWaiting(now, clock.readWall(), turns);
+      this.dispatcher.placeWaiting(now, clock.readWall(), slots);
     }
     this.sendEffects();
-    this.roundWatch.recordRound(clock.readNow() - now, now);
+    this.slowRoundLogger.recordRound(clock.readNow() - now, now);
   }
 
-  /** Starts are held while they could not be recorded: they would keep room, and leave with tickets that have run out. */
+  /** Holds starts while they cannot be recorded, since they would take capacity and be sent with expired tickets. */
   private checkHold(now: number): void {
-    const failingMs = this.journal.readProgressFailingMs();
-    const isHolding = failingMs > HOLD_STARTS_MS;
+    const outageMs = this.journal.getProgressOutageMs();
+    const isHolding = outageMs > HOLD_STARTS_AFTER_MS;
     if (isHolding === this.isHoldingStarts) {
       return;
     }
     this.isHoldingStarts = isHolding;
-    const sentence = isHolding ? 'Starts are held: the log takes no progress.' : 'Starts go on.';
-    this.options.logger.info(sentence, { failingMs: Math.round(failingMs) });
+    const message = isHolding ? 'Holding starts: progress cannot be written to the log.' : 'Resuming starts.';
+    this.options.logger.info(message, { failingMs: Math.round(outageMs) });
     if (isHolding) {
       this.dispatcher.cancelUnrecordedStarts(now);
     }
   }
 
-  /** Carries out what the dispatcher wants. */
+  /** Carries out the dispatcher's pending effects. */
   private sendEffects(): void {
     for (const effect of this.dispatcher.takeEffects()) {
       this.sendEffect(effect);
@@ -418,23 +415,23 @@
         this.queueProgress(effect.job);
         return;
       case 'start':
-        this.queueProgress(effect.job, () => void this.orders.sendStart(effect));
+        this.queueProgress(effect.job, () => void this.commands.sendStart(effect));
         return;
       case 'stop':
-        void this.orders.sendStop(effect);
+        void this.commands.sendStop(effect);
         return;
       case 'look':
         void this.endpoints.getSession(effect.endpoint)?.sendExtraPoll();
         return;
       case 'advise':
         this.options.recordCount('questions');
-        void this.desk.sendRequest(effect);
+        void this.adviceBalancer.sendRequest(effect);
         return;
       case 'count':
         this.options.recordCount(effect.name, effect.amount);
         return;
       case 'tell':
-        this.lines.recordLine(effect.message, effect.fields, this.options.clock.readNow());
+        this.batcher.recordLine(effect.message, effect.fields, this.options.clock.readNow());
         return;
     }
   }
@@ -449,7 +446,7 @@
   private recordStart(job: JobId): void {
     const queue = this.dispatcher.getJob(job)?.definition.queue.name;
     if (queue !== undefined && this.options.handleLoadDigest !== undefined) {
-      this.load.recordStart(queue, this.options.clock.readNow());
+      this.loadPublisher.recordStart(queue, this.options.clock.readNow());
     }
   }
 }
--- a/packages/dispatch/LeaderJournal.ts
+++ b/packages/dispatch/LeaderJournal.ts
@@ -27,51 +27,51 @@
   readonly clock: MachineClock;
   readonly logger: Logger;
   readonly formatLeaderRecord: (isResigned: boolean) => string;
-  /** A newer leader has been seen. */
+  /** Called when the log rejects a write since a newer leader has written. */
   readonly handleFenced: (detail: string) => void;
-  /** The log has answered, after it had not, a call that was sent at a monotonic time. */
-  readonly handleLogRecovered: (answeredSentAt: number) => void;
+  /** Called when the log has recovered from an outage, with the monotonic time at which the first successful append was sent. */
+  readonly handleLogRecovered: (sentAt: number) => void;
 }
 
-/** Changes gathered for one append: a start waits so much longer, a small part of any objective, and the log gets fewer calls. */
-const GATHER_MS = 8;
+/** Time for which changes are gathered into one append. */
+const LINGER_MS = 8;
 const RESIGN_TIMEOUT_MS = 600;
 
-/** Everything that a leader writes to the log: progress first, then the states that follow from it, and signs of itself. */
+/** Writes a leader's records to the log: job progress, then the job states that follow from it, heartbeats and load digests. */
 export class LeaderJournal {
-  /** Nothing starts, and no end is acknowledged, before it is durable here. */
+  /** Starts are sent, and ends acknowledged, only once they are durable here. */
   private readonly progressWriter: ExclusiveWriter;
   private readonly stateWriter: ExclusiveWriter;
-  /** When the newest answered write to the topic that the other boxes follow was sent. */
-  private shownAt: number;
+  /** Monotonic time at which the newest acknowledged write to the states topic was sent. */
+  private acknowledgedSentAt: number;
 
   constructor(private readonly options: LeaderJournalOptions) {
-    this.shownAt = options.claimedAt;
+    this.acknowledgedSentAt = options.claimedAt;
     this.progressWriter = this.createWriter(options.progressTopic, () => undefined);
     this.stateWriter = this.createWriter(options.statesTopic, (sentAt) => {
-      this.shownAt = Math.max(this.shownAt, sentAt);
+      this.acknowledgedSentAt = Math.max(this.acknowledgedSentAt, sentAt);
     });
   }
 
   /**
-   * True while so little time has certainly passed since the newest write was sent that the other boxes can have read. The next leader counts
-   * from what it has read how long leases may last, so nothing else may lengthen them; nor may a suspension of this machine.
+   * Returns true while less than `limitMs` has certainly passed, including time in which the machine was suspended, since the newest
+   * acknowledged write was sent. The next leader computes from that write, which it has read, how long leases may last.
    */
   isAcknowledgedWithin(limitMs: number): boolean {
-    return this.options.clock.readLongestSince(this.shownAt) < limitMs;
+    return this.options.clock.readLongestSince(this.acknowledgedSentAt) < limitMs;
   }
 
-  /** How long the log has not taken writes, in milliseconds. */
-  readFailingMs(): number {
+  /** Returns how long writes have failed, in milliseconds; 0 while they succeed. */
+  getLogOutageMs(): number {
     return Math.max(this.progressWriter.getOutageMs(), this.stateWriter.getOutageMs());
   }
 
-  /** How long the log has not taken progress, without which nothing starts, in milliseconds. */
-  readProgressFailingMs(): number {
+  /** Returns how long writes of job progress have failed, in milliseconds; 0 while they succeed. */
+  getProgressOutageMs(): number {
     return this.progressWriter.getOutageMs();
   }
 
-  /** Writes the progress of a job as it is when the append is made, then its state. */
+  /** Queues a write of a job's progress, formatted when the append is sent, then of its state. */
   queueProgress(definition: JobDefinition, progress: JobProgress, handleWritten?: () => void): void {
     let writtenState: JobState | undefined;
     const formatValue = (): string => {
@@ -79,7 +79,7 @@
       return formatProgress(definition, progress);
     };
     this.progressWriter.queueWrite(jobKeys.toProgressKey(definition.id), formatValue, () => {
-      // Of several changes in one append only the last was formatted; the others are part of it.
+      // Several changes in one append are formatted once, with the last.
       if (writtenState !== undefined) {
         this.queueState(definition.id, writtenState);
       }
@@ -87,7 +87,7 @@
     });
   }
 
-  /** Writes the state of a job whose progress is durable, unless it stands there. */
+  /** Queues a write of the state of a job whose progress is durable, unless it is written already. */
   queueState(id: JobId, state: JobState): void {
     const { replica } = this.options;
     if (replica.getWrittenState(id) !== state) {
@@ -100,31 +100,31 @@
   }
 
   /** Resolves once all progress queued so far is durable. */
-  startFlush(): Promise<void> {
+  waitForFlush(): Promise<void> {
     return new Promise((resolve) => this.progressWriter.queueBarrier(resolve));
   }
 
-  /** Shows the other boxes that this leader is there, when nothing else has of late. */
+  /** Queues a heartbeat when no other write was acknowledged recently. */
   handleTick(now: number): void {
-    if (now - this.shownAt >= leaderTimings.heartbeatMs) {
+    if (now - this.acknowledgedSentAt >= leaderTimings.heartbeatMs) {
       this.stateWriter.queueWrite(leaderKeys.recordKey, () => this.options.formatLeaderRecord(false));
     }
   }
 
-  /** Tells the other boxes of the load. */
+  /** Queues a write of the load digest. */
   queueLoad(digest: string): void {
     this.stateWriter.queueWrite(loadKeys.digestKey, () => digest);
   }
 
-  /** Writes what is queued, then the word that another may lead. */
-  async startResigning(): Promise<void> {
+  /** Flushes queued progress, then writes that another box may lead. Resolves after a time limit if the log is unavailable. */
+  async writeResignation(): Promise<void> {
     await this.progressWriter.waitForFlush(RESIGN_TIMEOUT_MS);
     this.stateWriter.queueWrite(leaderKeys.recordKey, () => this.options.formatLeaderRecord(true));
     await this.stateWriter.waitForFlush(RESIGN_TIMEOUT_MS);
   }
 
-  /** The log is known to answer again: appends that wait for an answer since it went out are made once more. */
-  startAgain(): void {
+  /** Retries appends that are pending since the log's outage. */
+  retryPending(): void {
     this.progressWriter.retryPending();
     this.stateWriter.retryPending();
   }
@@ -151,13 +151,13 @@
       producer: leaderKeys.producer,
       epoch,
       lastSequence: leaderKeys.claimSequence,
-      lingerMs: GATHER_MS,
+      lingerMs: LINGER_MS,
       maxBytes: maxAppendBytes,
       handleFenced,
       handleConfirmed,
       handleConnection: (isConnected, detail, sentAt) => {
-        const sentence = isConnected ? 'The log takes writes again.' : 'The log takes no writes.';
-        logger.info(sentence, { topic, detail });
+        const message = isConnected ? 'Writes to the log succeed again.' : 'Writes to the log fail.';
+        logger.info(message, { topic, detail });
         if (isConnected) {
           handleLogBack(sentAt);
         }
--- a/packages/dispatch/ProgressInheritance.ts
+++ b/packages/dispatch/ProgressRecovery.ts
@@ -8,14 +8,14 @@
 import type { LogClient } from '../store/LogClient';
 import { NewestReader } from '../store/NewestReader';
 
-interface ProgressInheritanceOptions {
+interface ProgressRecoveryOptions {
   readonly client: LogClient;
   /** Topic of the progress of jobs. */
   readonly topic: string;
   readonly epoch: number;
-  /** A record is there and cannot be read: the job goes on as if none of its tasks had begun. */
+  /** Called when a job's record cannot be parsed; the job is treated as not started. */
   readonly handleUnreadable: (job: JobId) => void;
-  /** A newer leader has shut this one out. */
+  /** Called when a newer leader has fenced this one. */
   readonly handleFenced: (detail: string) => void;
 }
 
@@ -23,22 +23,22 @@
 const RETRY_DELAY_MS = 60;
 
 /**
- * What earlier leaders have written of the progress of jobs. Only a leader needs it, so only a new leader reads it: if every box
- * followed this topic, its bytes would grow with the boxes and fill the links of small ones.
+ * Recovers the job progress that earlier leaders have written. Only a new leader reads this topic, so that its traffic does not grow
+ * with the number of boxes.
  */
-export class ProgressInheritance {
+export class ProgressRecovery {
   private readonly texts = new Map<JobId, string>();
   private readonly reader: NewestReader;
   private isStopped = false;
 
-  constructor(private readonly options: ProgressInheritanceOptions) {
+  constructor(private readonly options: ProgressRecoveryOptions) {
     this.reader = new NewestReader(options.client, options.topic);
   }
 
-  /** Shuts earlier leaders out of the topic, then reads it whole. Resolves once that is done, or stopped. */
-  async start(): Promise<void> {
-    await this.startUntilDone(() => this.sendFence());
-    await this.startUntilDone(() => this.readOn());
+  /** Fences earlier leaders, then reads the whole topic, with retries. Resolves once that is done or stopped. */
+  async run(): Promise<void> {
+    await this.runUntilDone(() => this.sendFence());
+    await this.runUntilDone(() => this.readRemainingPages());
   }
 
   stop(): void {
@@ -46,8 +46,8 @@
     this.texts.clear();
   }
 
-  /** The newest progress written of a job; that of an untouched job when there is none. */
-  readProgress(definition: JobDefinition): JobProgress {
+  /** Removes and returns the newest progress of a job; that of a new job if none was written. */
+  takeProgress(definition: JobDefinition): JobProgress {
     const text = this.texts.get(definition.id);
     this.texts.delete(definition.id);
     const parsed = text === undefined ? undefined : parseProgress(definition, text);
@@ -57,26 +57,26 @@
     return parsed ?? new JobProgress(definition);
   }
 
-  private async startUntilDone(attempt: () => Promise<boolean>): Promise<void> {
+  private async runUntilDone(attempt: () => Promise<boolean>): Promise<void> {
     while (!this.isStopped && !(await attempt())) {
       await startDelay(RETRY_DELAY_MS);
     }
   }
 
-  /** An append without records sets the epoch of the topic's writer. */
+  /** Fences earlier leaders by an append without records, which sets the topic's epoch. Returns false on failure. */
   private async sendFence(): Promise<boolean> {
     const { client, topic, epoch, handleFenced } = this.options;
     const writer = { producer: leaderKeys.producer, epoch, sequence: leaderKeys.claimSequence };
-    const answer = await client.append({ topic, writes: [], writer, timeoutMs: CALL_TIMEOUT_MS });
-    if (!answer.ok && answer.error.kind === 'fenced') {
+    const response = await client.append({ topic, writes: [], writer, timeoutMs: CALL_TIMEOUT_MS });
+    if (!response.ok && response.error.kind === 'fenced') {
       this.stop();
-      handleFenced(answer.error.detail);
+      handleFenced(response.error.detail);
     }
-    return answer.ok;
+    return response.ok;
   }
 
-  /** Reads pages until one fails; true once all have been read. */
-  private async readOn(): Promise<boolean> {
+  /** Reads pages until one fails; resolves to true once all have been read. */
+  private async readRemainingPages(): Promise<boolean> {
     while (!this.isStopped) {
       const page = await this.reader.readPage(CALL_TIMEOUT_MS);
       if (!page.ok) {
--- a/packages/dispatch/runs/RunTracker.ts
+++ b/packages/dispatch/runs/RunTracker.ts
@@ -177,7 +177,7 @@
 
   /** Sends a stop, unless the run is being stopped or its start was not sent yet. */
   sendStop(endpoint: EndpointState, run: PlacedRun, cause: StopCause): void {
-    // No start command was sent before the record is durable; `handleStartRecorded` then releases the capacity.
+    // While the record is being written no start command has been sent; `handleStartRecorded` drops it if its job has ended.
     if (run.stage === 'stopping' || run.stage === 'recording') {
       return;
     }
@@ -247,6 +247,6 @@
   }
 
   sendLogLine(message: string, fields: Readonly<Record<string, unknown>>): void {
-    this.callbacks.sendEffect({ kind: 'tell', message: message, fields });
+    this.callbacks.sendEffect({ kind: 'tell', message, fields });
   }
 }
