--- a/tests/dispatch.test.ts
+++ b/tests/dispatch.test.ts
@@ -25,9 +25,9 @@
 
 const CPUS = 4000;
 const LEASE_MS = 4000;
-/** In customers' worlds: half of what the three endpoints hold. */
+/** Limit of each customer: half of the capacity of the three endpoints. */
 const LIMIT = { cpuMillis: 6000, memoryMb: 0, accelerators: 0 };
-/** Worlds to try; more by hand, with other seeds. */
+/** Number of simulations per test. */
 const RUNS = Number(process.env['STAIRLINE_WORLDS'] ?? 60);
 const SEED = Number(process.env['STAIRLINE_WORLD_SEED'] ?? 20261202);
 
@@ -39,22 +39,22 @@
   | 'noLeaseWait'
   | 'ackBeforeRecord'
   | 'noFence'
-  /** What earlier leaders placed is not counted against a customer's limit. */
+  /** Runs placed by earlier leaders do not count against a customer's limit. */
   | 'usageNotInherited'
-  /** A run counts as gone as soon as it is told to stop. */
+  /** A run counts as ended as soon as its stop is sent. */
   | 'stopCountsAsEnd';
 
-interface ModelRun {
+interface SimulatedRun {
   readonly task: TaskName;
   readonly run: number;
   readonly endsAt: number;
   readonly how: EndedTaskStatus['how'];
 }
 
-/** An endpoint that guards nothing: it runs what it is told, obeys the highest token, and lists ends until acknowledged. */
-interface ModelEndpoint {
+/** An endpoint without checks of its own: runs what it is sent, obeys the highest token, and reports ends until acknowledged. */
+interface SimulatedEndpoint {
   readonly profile: EndpointProfile;
-  readonly runs: Map<TaskName, ModelRun>;
+  readonly runs: Map<TaskName, SimulatedRun>;
   readonly rejected: Map<TaskName, number>;
   ends: EndedTaskStatus[];
   endCount: number;
@@ -62,29 +62,29 @@
   lastSeen: number;
   token: number;
   leasedUntil: number;
-  isCut: boolean;
-  lookAt: number;
+  isPartitioned: boolean;
+  nextPollAt: number;
 }
 
-interface LateCall {
+interface DelayedCall {
   readonly at: number;
   readonly token: number;
   readonly call: () => void;
 }
 
 /**
- * A cell on virtual time: one leader after another drives model endpoints, with orders that get no answer and are carried out
- * late, endpoints that are cut off, and leaders that end at any moment, before or after their records are durable.
+ * A simulated cluster on virtual time: successive leaders drive simulated endpoints, with commands that time out and are carried out
+ * late, network partitions, and leaders that end at any moment, before or after their records are durable.
  */
-class World {
+class DispatcherSimulation {
   private readonly random: Random;
   private now = 0;
   private epoch = 0;
   private dispatcher!: Dispatcher;
-  private readonly endpoints: ModelEndpoint[] = [];
+  private readonly endpoints: SimulatedEndpoint[] = [];
   private readonly definitions = new Map<JobId, JobDefinition>();
   private readonly log = new Map<JobId, string>();
-  private late: LateCall[] = [];
+  private delayed: DelayedCall[] = [];
   private readonly doneRuns = new Map<TaskName, number>();
   private readonly startsAfterDone: { readonly task: TaskName; readonly doneRun: number }[] = [];
   readonly problems: string[] = [];
@@ -92,9 +92,9 @@
   constructor(
     seed: number,
     private readonly mutation: Mutation = 'none',
-    /** Jobs differ in priority, so that gangs make others give way. */
+    /** Jobs differ in priority, so that gangs preempt others. */
     private readonly hasPriorities = false,
-    /** Jobs belong to two customers, each of which may have half of all processors. */
+    /** Jobs belong to two customers, each limited to half of the processors. */
     private readonly hasCustomers = false,
   ) {
     this.random = createRandom(seed);
@@ -109,41 +109,41 @@
         lastSeen: 0,
         token: 0,
         leasedUntil: Infinity,
-        isCut: false,
-        lookAt: 0,
+        isPartitioned: false,
+        nextPollAt: 0,
       });
     }
     this.startLeader();
   }
 
-  /** Runs the world for so many steps of 25 ms; the second part is calm, so that all work can end. */
-  start(troubledSteps: number, calmSteps: number): void {
-    for (let step = 0; step < troubledSteps + calmSteps; step += 1) {
+  /** Runs the given numbers of steps of 25 ms, with faults and then without, so that all work can end. */
+  run(faultySteps: number, calmSteps: number): void {
+    for (let step = 0; step < faultySteps + calmSteps; step += 1) {
       this.now += 25;
-      const isTroubled = step < troubledSteps;
-      if (isTroubled) {
-        this.applyTrouble();
+      const hasFaults = step < faultySteps;
+      if (hasFaults) {
+        this.applyFault();
       } else {
         this.endpoints.forEach((endpoint) => {
-          endpoint.isCut = false;
+          endpoint.isPartitioned = false;
         });
       }
-      this.applyLate();
-      this.endpoints.forEach((endpoint) => this.applyEndpoint(endpoint));
-      this.endpoints.forEach((endpoint) => this.handleLook(endpoint, isTroubled));
+      this.runDelayedCalls();
+      this.endpoints.forEach((endpoint) => this.runEndpoint(endpoint));
+      this.endpoints.forEach((endpoint) => this.requestStatus(endpoint, hasFaults));
       this.dispatcher.handleTick(this.now);
       this.dispatcher.placeWaiting(this.now, this.now);
-      this.applyEffects(isTroubled);
+      this.applyEffects(hasFaults);
     }
   }
 
-  readUnfinished(): readonly JobId[] {
+  listUnfinished(): readonly JobId[] {
     return [...this.definitions.values()]
       .filter((definition) => !this.readProgress(definition).isEnded())
       .map(({ id }) => id);
   }
 
-  private applyTrouble(): void {
+  private applyFault(): void {
     const pick = this.random();
     if (pick < 0.1 && this.definitions.size < 25) {
       const steps = [
@@ -160,11 +160,11 @@
       this.startLeader();
     } else if (pick < 0.15) {
       const endpoint = this.endpoints[Math.floor(this.random() * this.endpoints.length)]!;
-      endpoint.isCut = !endpoint.isCut;
+      endpoint.isPartitioned = !endpoint.isPartitioned;
     }
   }
 
-  /** Another leader takes over with what is durable; orders of the one before may still be on their way. */
+  /** Starts another leader with what is durable; commands of the one before may still be under way. */
   private startLeader(): void {
     this.epoch += 1;
     const waitMs = this.mutation === 'noLeaseWait' ? 0 : LEASE_MS + 1000;
@@ -177,11 +177,11 @@
       this.dispatcher.handleJob(definition, this.readProgress(definition), this.now);
     }
     if (this.mutation === 'usageNotInherited') {
-      this.readBookedRuns().forEach((run) => this.dispatcher.getUsage().recordRunEnd(run));
+      this.listPlacedRuns().forEach((run) => this.dispatcher.getUsage().recordRunEnd(run));
     }
     this.endpoints.forEach((endpoint) => {
       endpoint.lastSeen = 0;
-      endpoint.lookAt = this.now;
+      endpoint.nextPollAt = this.now;
     });
   }
 
@@ -190,7 +190,7 @@
     return text === undefined ? new JobProgress(definition) : parseProgress(definition, text)!;
   }
 
-  private applyEffects(isTroubled: boolean): void {
+  private applyEffects(hasFaults: boolean): void {
     const effects = this.dispatcher.takeEffects();
     const starts: Extract<DispatchEffect, { kind: 'start' }>[] = [];
     for (const effect of effects) {
@@ -203,34 +203,34 @@
         starts.push(effect);
       } else if (effect.kind === 'stop') {
         this.applyStopMutation(effect);
-        this.sendStop(effect, isTroubled);
+        this.sendStop(effect, hasFaults);
       }
     }
-    starts.forEach((effect) => this.sendStart(effect, isTroubled));
+    starts.forEach((effect) => this.sendStart(effect, hasFaults));
     this.checkUsage();
   }
 
-  private readBookedRuns(): readonly PlacedRun[] {
+  private listPlacedRuns(): readonly PlacedRun[] {
     return this.endpoints.flatMap(({ profile }) => [
       ...(this.dispatcher.getEndpointState(profile.incarnation)?.getRuns() ?? []),
     ]);
   }
 
   private applyStopMutation({ endpoint, task, run }: Extract<DispatchEffect, { kind: 'stop' }>): void {
-    const booked = this.dispatcher.getEndpointState(endpoint)?.getRun(task, run);
-    if (this.mutation === 'stopCountsAsEnd' && booked !== undefined) {
-      this.dispatcher.getUsage().recordRunEnd(booked);
+    const placed = this.dispatcher.getEndpointState(endpoint)?.getRun(task, run);
+    if (this.mutation === 'stopCountsAsEnd' && placed !== undefined) {
+      this.dispatcher.getUsage().recordRunEnd(placed);
     }
   }
 
-  /** What the dispatcher counts for each customer must be what its books hold. */
+  /** Checks that each customer's usage matches the placed runs. */
   private checkUsage(): void {
     if (!this.hasCustomers || this.mutation !== 'none') {
       return;
     }
-    const booked = new CustomerUsage();
-    this.readBookedRuns().forEach((run) => booked.recordRun(run));
-    const [counted, expected] = [this.dispatcher.getUsage(), booked].map((usage) =>
+    const placed = new CustomerUsage();
+    this.listPlacedRuns().forEach((run) => placed.recordRun(run));
+    const [counted, expected] = [this.dispatcher.getUsage(), placed].map((usage) =>
       JSON.stringify([...usage.getAll()].sort()),
     );
     if (counted !== expected) {
@@ -238,19 +238,19 @@
     }
   }
 
-  /** What runs of a customer, wherever it does, must be within its limit. */
+  /** Checks that the running tasks of a customer are within its limit. */
   private checkLimit(task: TaskName): void {
-    const readOwner = (name: string): string | undefined =>
+    const getOwner = (name: string): string | undefined =>
       this.definitions.get(name.split('.')[0] as JobId)?.customer?.name;
-    const owner = readOwner(task);
+    const owner = getOwner(task);
     const running = this.endpoints.flatMap(({ runs }) => [...runs.keys()]);
-    const count = running.filter((other) => readOwner(other) === owner).length;
+    const count = running.filter((other) => getOwner(other) === owner).length;
     if (owner !== undefined && count * 1000 > LIMIT.cpuMillis) {
       this.problems.push(`${owner} has ${count} tasks running`);
     }
   }
 
-  private sendStart(effect: Extract<DispatchEffect, { kind: 'start' }>, isTroubled: boolean): void {
+  private sendStart(effect: Extract<DispatchEffect, { kind: 'start' }>, hasFaults: boolean): void {
     const endpoint = this.endpoints.find(({ profile }) => profile.incarnation === effect.endpoint)!;
     if (!this.dispatcher.handleStartRecorded(effect, this.now)) {
       return;
@@ -260,10 +260,10 @@
     const leasedUntil = this.now + LEASE_MS;
     this.dispatcher.getEndpointState(effect.endpoint)?.recordLease(leasedUntil + 100);
     const call = (): void => this.startRun(endpoint, task, run, leasedUntil);
-    const isLost = endpoint.isCut || (isTroubled && this.random() < 0.15);
+    const isLost = endpoint.isPartitioned || (hasFaults && this.random() < 0.15);
     if (isLost) {
       if (this.random() < 0.6) {
-        this.late.push({ at: this.now + 200 + this.random() * 6000, token, call });
+        this.delayed.push({ at: this.now + 200 + this.random() * 6000, token, call });
       }
       this.dispatcher.handleStartResult(
         effect.endpoint,
@@ -278,32 +278,32 @@
     this.dispatcher.handleStartResult(effect.endpoint, task, run, { kind: 'done' }, this.now);
   }
 
-  private sendStop(effect: Extract<DispatchEffect, { kind: 'stop' }>, isTroubled: boolean): void {
+  private sendStop(effect: Extract<DispatchEffect, { kind: 'stop' }>, hasFaults: boolean): void {
     const endpoint = this.endpoints.find(({ profile }) => profile.incarnation === effect.endpoint);
-    if (endpoint === undefined || endpoint.isCut || (isTroubled && this.random() < 0.15)) {
+    if (endpoint === undefined || endpoint.isPartitioned || (hasFaults && this.random() < 0.15)) {
       return;
     }
-    this.applyStop(endpoint, effect.task, effect.run);
+    this.stopRun(endpoint, effect.task, effect.run);
     this.dispatcher.handleStopResult(effect.endpoint, effect.task, effect.run, { kind: 'done' }, this.now);
   }
 
-  private applyLate(): void {
-    const due = this.late.filter(({ at }) => at <= this.now);
-    this.late = this.late.filter(({ at }) => at > this.now);
+  private runDelayedCalls(): void {
+    const due = this.delayed.filter(({ at }) => at <= this.now);
+    this.delayed = this.delayed.filter(({ at }) => at > this.now);
     for (const { token, call } of due) {
-      const isObeyed = (endpoint: ModelEndpoint): boolean =>
+      const isTokenCurrent = (endpoint: SimulatedEndpoint): boolean =>
         this.mutation === 'noFence' || token >= endpoint.token;
-      this.isTaken = isObeyed;
+      this.canExecute = isTokenCurrent;
       call();
-      this.isTaken = () => true;
+      this.canExecute = () => true;
     }
   }
 
-  private isTaken: (endpoint: ModelEndpoint) => boolean = () => true;
+  private canExecute: (endpoint: SimulatedEndpoint) => boolean = () => true;
 
-  private startRun(endpoint: ModelEndpoint, task: TaskName, run: number, leasedUntil: number): void {
+  private startRun(endpoint: SimulatedEndpoint, task: TaskName, run: number, leasedUntil: number): void {
     const isRejected = (endpoint.rejected.get(task) ?? 0) >= run;
-    if (!this.isTaken(endpoint) || isRejected || leasedUntil <= this.now || endpoint.runs.has(task)) {
+    if (!this.canExecute(endpoint) || isRejected || leasedUntil <= this.now || endpoint.runs.has(task)) {
       return;
     }
     const others = this.endpoints.filter((other) => other.runs.has(task));
@@ -324,14 +324,14 @@
     this.checkLimit(task);
   }
 
-  private applyStop(endpoint: ModelEndpoint, task: TaskName, run: number): void {
+  private stopRun(endpoint: SimulatedEndpoint, task: TaskName, run: number): void {
     endpoint.rejected.set(task, Math.max(endpoint.rejected.get(task) ?? 0, run));
     if (endpoint.runs.get(task)?.run === run) {
       this.recordEnd(endpoint, task, 'stopped');
     }
   }
 
-  private applyEndpoint(endpoint: ModelEndpoint): void {
+  private runEndpoint(endpoint: SimulatedEndpoint): void {
     for (const run of [...endpoint.runs.values()]) {
       if (run.endsAt <= this.now) {
         this.recordEnd(endpoint, run.task, run.how);
@@ -343,7 +343,7 @@
     }
   }
 
-  private recordEnd(endpoint: ModelEndpoint, task: TaskName, how: EndedTaskStatus['how']): void {
+  private recordEnd(endpoint: SimulatedEndpoint, task: TaskName, how: EndedTaskStatus['how']): void {
     const run = endpoint.runs.get(task)!;
     endpoint.runs.delete(task);
     endpoint.rejected.set(task, Math.max(endpoint.rejected.get(task) ?? 0, run.run));
@@ -354,19 +354,19 @@
     }
   }
 
-  private handleLook(endpoint: ModelEndpoint, isTroubled: boolean): void {
+  private requestStatus(endpoint: SimulatedEndpoint, hasFaults: boolean): void {
     const { incarnation: id } = endpoint.profile;
-    if (endpoint.lookAt > this.now) {
+    if (endpoint.nextPollAt > this.now) {
       return;
     }
     const book = this.dispatcher.getEndpointState(id)!;
-    endpoint.lookAt = this.now + 50;
-    if (endpoint.isCut || (isTroubled && this.random() < 0.05)) {
+    endpoint.nextPollAt = this.now + 50;
+    if (endpoint.isPartitioned || (hasFaults && this.random() < 0.05)) {
       this.dispatcher.handleUnreachable(id, this.now);
       return;
     }
     endpoint.token = Math.max(endpoint.token, this.epoch);
-    this.applyNoted(endpoint);
+    this.removeAcknowledged(endpoint);
     if (book.isSynced() && book.getUnreachableSince() === undefined) {
       endpoint.leasedUntil = this.now + LEASE_MS;
       book.recordLease(this.now + LEASE_MS + 100);
@@ -375,70 +375,72 @@
       task,
       run,
       checkpoint: '',
-      // With priorities few runs are about to end, so that most may be made to give way.
+      // With priorities, progress is low, so that most runs may be preempted.
       percent: this.hasPriorities ? 20 : 50,
       load: 0,
     }));
     const ended = [...endpoint.ends];
-    const answer = { endpoint: id, running, ended, sentAt: this.now };
+    const status = { endpoint: id, running, ended, sentAt: this.now };
     if (this.mutation === 'ackBeforeRecord') {
       endpoint.lastSeen = endpoint.endCount;
-      this.applyNoted(endpoint);
+      this.removeAcknowledged(endpoint);
       if (this.random() < 0.05) {
         this.startLeader();
         return;
       }
     }
-    this.dispatcher.handleStatus(answer, this.now, this.now);
-    this.applyEffects(isTroubled);
+    this.dispatcher.handleStatus(status, this.now, this.now);
+    this.applyEffects(hasFaults);
     endpoint.lastSeen = ended.reduce((highest, { number }) => Math.max(highest, number), endpoint.lastSeen);
   }
 
-  /** Ends up to the acknowledged number are forgotten; those that were acknowledged within their lease count. */
-  private applyNoted(endpoint: ModelEndpoint): void {
+  /** Removes acknowledged ends, and records those that were acknowledged within their lease. */
+  private removeAcknowledged(endpoint: SimulatedEndpoint): void {
     for (const end of endpoint.ends) {
-      const isNoted = end.number <= endpoint.lastSeen && end.number > endpoint.lapsedUpTo;
-      if (isNoted && end.how === 'done') {
-        this.notedRuns.add(`${end.task}#${end.run}`);
+      const isAcknowledged = end.number <= endpoint.lastSeen && end.number > endpoint.lapsedUpTo;
+      if (isAcknowledged && end.how === 'done') {
+        this.acknowledgedRuns.add(`${end.task}#${end.run}`);
       }
     }
     endpoint.ends = endpoint.ends.filter(({ number }) => number > endpoint.lastSeen);
   }
 
-  private readonly notedRuns = new Set<string>();
+  private readonly acknowledgedRuns = new Set<string>();
 
-  /** Starts that came after an end that was, or later became, known. */
-  readDoubledWork(): readonly string[] {
+  /** Lists starts of tasks that were done, if that end was acknowledged, even later. */
+  listRepeatedRuns(): readonly string[] {
     return this.startsAfterDone
-      .filter(({ task, doneRun }) => this.notedRuns.has(`${task}#${doneRun}`))
+      .filter(({ task, doneRun }) => this.acknowledgedRuns.has(`${task}#${doneRun}`))
       .map(({ task, doneRun }) => `${task} after run ${doneRun} was done`);
   }
 }
 
-const readBroken = (
+/** Runs a simulation and returns the problems found. */
+const runSimulation = (
   seed: number,
-  mutation?: ConstructorParameters<typeof World>[1],
+  mutation?: ConstructorParameters<typeof DispatcherSimulation>[1],
   hasPriorities?: boolean,
   hasCustomers?: boolean,
 ): readonly string[] => {
-  const world = new World(seed, mutation, hasPriorities, hasCustomers);
-  world.start(1200, 900);
-  const unfinished = world.readUnfinished().map((id) => `${id} is not finished`);
-  return [...world.problems, ...world.readDoubledWork(), ...unfinished];
+  const simulation = new DispatcherSimulation(seed, mutation, hasPriorities, hasCustomers);
+  simulation.run(1200, 900);
+  const unfinished = simulation.listUnfinished().map((id) => `${id} is not finished`);
+  return [...simulation.problems, ...simulation.listRepeatedRuns(), ...unfinished];
 };
 
-const hasBrokenSeed = (mutation: Mutation, hasCustomers = false): boolean =>
+/** Returns true when one of 40 seeds finds a problem. */
+const hasFailingSeed = (mutation: Mutation, hasCustomers = false): boolean =>
   Array.from({ length: 40 }, (_, seed) => seed).some(
-    (seed) => readBroken(seed, mutation, hasCustomers, hasCustomers).length > 0,
+    (seed) => runSimulation(seed, mutation, hasCustomers, hasCustomers).length > 0,
   );
 
 describe('the dispatcher', () => {
   it(
-    'overfills nothing, runs nothing twice and finishes every job, whatever orders, endpoints and leaders do',
+    'overcommits no endpoint, runs no task twice and finishes every job despite lost commands, partitions and leader changes',
     () => {
       fc.assert(
         fc.property(fc.integer({ min: 0, max: 1_000_000 }), (seed) => {
-          expect(readBroken(seed)).toEqual([]);
+          expect(runSimulation(seed)).toEqual([]);
         }),
         { numRuns: RUNS, seed: SEED },
       );
@@ -447,11 +449,11 @@
   );
 
   it(
-    'keeps to that while gangs make less urgent work give way',
+    'keeps the same guarantees while gangs preempt work of lower priority',
     () => {
       fc.assert(
         fc.property(fc.integer({ min: 0, max: 1_000_000 }), (seed) => {
-          expect(readBroken(seed, 'none', true)).toEqual([]);
+          expect(runSimulation(seed, 'none', true)).toEqual([]);
         }),
         { numRuns: RUNS, seed: SEED },
       );
@@ -460,11 +462,11 @@
   );
 
   it(
-    'keeps customers to their limits at any moment, and counts what their runs take',
+    'keeps customers within their limits at any time, and tracks their usage',
     () => {
       fc.assert(
         fc.property(fc.integer({ min: 0, max: 1_000_000 }), fc.boolean(), (seed, hasPriorities) => {
-          expect(readBroken(seed, 'none', hasPriorities, true)).toEqual([]);
+          expect(runSimulation(seed, 'none', hasPriorities, true)).toEqual([]);
         }),
         { numRuns: RUNS, seed: SEED },
       );
@@ -473,24 +475,24 @@
   );
 
   it.each(['usageNotInherited', 'stopCountsAsEnd'] as const)(
-    'is caught when a customer is counted wrongly: %s',
+    'detects wrong accounting of customers: %s',
     (mutation) => {
-      expect(hasBrokenSeed(mutation, true)).toBe(true);
+      expect(hasFailingSeed(mutation, true)).toBe(true);
     },
   );
 
-  it('finishes a gang of which one member was done and the ends of others were lost (seed that once failed)', () => {
-    expect(readBroken(475780)).toEqual([]);
+  it('finishes a gang of which one member is done and the ends of others were lost', () => {
+    expect(runSimulation(475780)).toEqual([]);
   });
 
   it.each(['noLeaseWait', 'ackBeforeRecord', 'noFence'] as const)(
-    'is caught when the rules are made wrong: %s',
+    'detects a broken protocol: %s',
     (mutation) => {
-      expect(hasBrokenSeed(mutation)).toBe(true);
+      expect(hasFailingSeed(mutation)).toBe(true);
     },
   );
 
-  it('keeps progress through the log: what is read back is what was written', () => {
+  it('parses progress as it was formatted', () => {
     const definition = createJob(1, [createStep({ count: 3 })]);
     const progress = new JobProgress(definition);
     const endpoint = toId<EndpointIncarnation>('i-0');
@@ -507,9 +509,9 @@
   });
 });
 
-describe('endpoints that leave', () => {
-  /** A long-running task at work on the first of two endpoints. */
-  const createAtWork = () => {
+describe('an endpoint that leaves', () => {
+  /** Creates a dispatcher with a long-running task that runs on the first of two endpoints. */
+  const createRunningTask = () => {
     const dispatcher = new Dispatcher({ getDefinition: () => undefined, earlierLeasesEndAt: 0 });
     const [first, second] = [createProfile('i-0'), createProfile('i-1')];
     const definition = createJob(1, [createStep({ count: 1, isLongRunning: true, missAllowed: 1 })]);
@@ -528,35 +530,35 @@
     return { dispatcher, first, second };
   };
 
-  const readStops = (dispatcher: Dispatcher) =>
+  const takeStops = (dispatcher: Dispatcher) =>
     dispatcher.takeEffects().filter((effect) => effect.kind === 'stop');
 
-  it('keep what they run when only their record is gone, and get nothing new', () => {
-    const { dispatcher, first } = createAtWork();
+  it('keeps its runs when only its record is removed, and gets no more starts', () => {
+    const { dispatcher, first } = createRunningTask();
     dispatcher.handleEndpointDeregistered(first.incarnation);
     dispatcher.handleTick(1000);
-    expect(readStops(dispatcher)).toEqual([]);
+    expect(takeStops(dispatcher)).toEqual([]);
     expect(dispatcher.getEndpointState(first.incarnation)?.isSchedulable()).toBe(false);
   });
 
-  it('have long-running work moved ahead when they say that they drain', () => {
-    const { dispatcher, first } = createAtWork();
+  it('has long-running tasks moved away when it drains', () => {
+    const { dispatcher, first } = createRunningTask();
     dispatcher.handleEndpointProfile({ ...first, isDraining: true, remainingMs: 2000 });
     dispatcher.handleTick(1000);
-    expect(readStops(dispatcher)).toHaveLength(1);
+    expect(takeStops(dispatcher)).toHaveLength(1);
   });
 });
 
 describe('stragglers', () => {
-  const usual = { pace: 8, usualPace: 8, percent: 50, stalledMs: 0, moveMs: 300 };
+  const baseline = { pace: 8, usualPace: 8, percent: 50, stalledMs: 0, moveMs: 300 };
 
-  it('leaves runs alone that work as fast as their siblings, and slow ones that are nearly done', () => {
-    expect(findStragglerReason(usual)).toBeUndefined();
-    expect(findStragglerReason({ ...usual, pace: 40, percent: 95 })).toBeUndefined();
+  it('include no run as fast as its siblings, and no slow one that is nearly done', () => {
+    expect(findStragglerReason(baseline)).toBeUndefined();
+    expect(findStragglerReason({ ...baseline, pace: 40, percent: 95 })).toBeUndefined();
   });
 
-  it('moves a run that is several times slower, or that stands still', () => {
-    expect(findStragglerReason({ ...usual, pace: 52, percent: 8 })).toBe('slow');
-    expect(findStragglerReason({ ...usual, stalledMs: 1000 })).toBe('stalled');
+  it('include runs that are several times slower, and stalled ones', () => {
+    expect(findStragglerReason({ ...baseline, pace: 52, percent: 8 })).toBe('slow');
+    expect(findStragglerReason({ ...baseline, stalledMs: 1000 })).toBe('stalled');
   });
 });
--- a/tests/helpers/LifeWorld.ts
+++ b/tests/helpers/IncarnationSimulation.ts
@@ -19,95 +19,98 @@
 import { MemoryLog } from './MemoryLog';
 import { SimulatedIncarnation } from './SimulatedIncarnation';
 
-/** What is wrong on purpose, to show that the checks catch it. */
-export type LifeMutation =
+/** A deliberate fault in the protocol, which the checks have to detect. */
+export type ProtocolMutation =
   | 'none'
-  /** The endpoint does not tell which life answers. */
+  /** Endpoints do not report which incarnation responds. */
   | 'livesNotTold'
-  /** The token at an endpoint does not rise with its lives. */
+  /** Fencing tokens do not increase with the incarnations of an endpoint. */
   | 'noFence';
 
-interface LifeWorldOptions {
+interface IncarnationSimulationOptions {
   readonly seed: number;
   readonly endpoints: number;
-  /** Tasks that one endpoint has room for. */
-  readonly room: number;
-  /** Share of the orders that have no answer: lost on the way, done without an answer, or done late. */
-  readonly lostOrders?: number;
-  readonly mutation?: LifeMutation;
+  /** Tasks that fit on one endpoint. */
+  readonly capacity: number;
+  /** Share of commands without a response: lost, carried out without a response, or carried out late. */
+  readonly lostCommands?: number;
+  readonly mutation?: ProtocolMutation;
 }
 
-/** How an endpoint comes back. */
-interface ReturnWay {
+/** How an endpoint restarts. */
+interface RestartOptions {
   readonly downMs: number;
-  /** Refuses connections while it is down, rather than saying nothing. */
+  /** Refuses connections while it is down; otherwise they time out. */
   readonly isRefusing: boolean;
-  /** The record of the new life comes so much later than its start. */
+  /** Delay of the new incarnation's record after its start. */
   readonly recordAfterMs: number;
 }
 
 interface Machine {
   readonly id: EndpointId;
   readonly address: string;
-  life: SimulatedIncarnation | undefined;
-  name: EndpointIncarnation;
+  process: SimulatedIncarnation | undefined;
+  incarnation: EndpointIncarnation;
   isRefusing: boolean;
-  isCut: boolean;
+  isPartitioned: boolean;
 }
 
-type Delivery<Answer> = (life: SimulatedIncarnation, name: EndpointIncarnation) => Promise<Answer> | Answer;
+type Delivery<Response> = (
+  process: SimulatedIncarnation,
+  incarnation: EndpointIncarnation,
+) => Promise<Response> | Response;
 
 const ENDPOINTS_TOPIC = 'endpoints';
 const STATES_TOPIC = 'states';
 const PROGRESS_TOPIC = 'progress';
 const MAX_APPEND_BYTES = 1_000_000;
 const LATENCY_MS = 2;
-const LATE_MS = 1500;
-const LEASES_OVER_MS = 4400;
-/** A leader that was replaced learns it with its next write. */
-const REPLACED_MS = 700;
+const MAX_DELAY_MS = 1500;
+const LEASES_EXPIRE_MS = 4400;
+/** Time until a replaced leader is fenced by its next write. */
+const DETECTION_MS = 700;
 const CORE_MILLIS = 1000;
 const TASK_MEMORY_MB = 100;
 
 /**
- * A cell on virtual time (fake timers of the test): leaders as the product has them, on a log in memory, and endpoints that start again under
- * their ids at any moment, with records that are late, orders without an answer, tasks that end their endpoints, and leaders that are replaced.
+ * A simulated cluster on virtual time (the test's fake timers): real leaders on a log in memory, and endpoints that restart under
+ * their ids at any time, with late records, lost commands, tasks that crash their endpoints, and leader changes.
  */
-export class LifeWorld {
+export class IncarnationSimulation {
   readonly witness: RunWitness;
   readonly log: MemoryLog;
   private readonly random: Random;
   private readonly machines: Machine[] = [];
   private readonly definitions = new Map<JobId, JobDefinition>();
   private readonly replicas: JobReplica[] = [];
-  private duty!: LeaderController;
+  private leader!: LeaderController;
   private epoch = 0;
-  private births = 1_700_000_000_000;
-  /** Sentences of the leaders' log, with their fields. */
+  private startTime = 1_700_000_000_000;
+  /** Log lines of the leaders. */
   readonly lines: { readonly at: number; readonly message: string; readonly fields: unknown }[] = [];
   readonly counts = new Map<string, number>();
 
-  constructor(private readonly options: LifeWorldOptions) {
+  constructor(private readonly options: IncarnationSimulationOptions) {
     this.random = createRandom(options.seed);
     this.log = new MemoryLog(this.random);
-    this.witness = new RunWitness(options.room);
+    this.witness = new RunWitness(options.capacity);
     for (let index = 0; index < options.endpoints; index += 1) {
       const id = toId<EndpointId>(`i-${index}`);
       const machine: Machine = {
         id,
         address: `machine-${index}:80`,
-        life: undefined,
-        name: toId<EndpointIncarnation>(id),
+        process: undefined,
+        incarnation: toId<EndpointIncarnation>(id),
         isRefusing: true,
-        isCut: false,
+        isPartitioned: false,
       };
       this.machines.push(machine);
-      this.startLife(machine, 0);
+      this.startIncarnation(machine, 0);
     }
     this.startLeader();
   }
 
-  /** Another leader takes over; the one before goes on until the log or an endpoint turns it away. */
+  /** Starts another leader; the one before goes on until the log or an endpoint fences it. */
   startLeader(): void {
     this.epoch += 1;
     const { epoch } = this;
@@ -121,10 +124,10 @@
     };
     const record = (message: string, fields?: object): void =>
       void this.lines.push({ at: Math.round(performance.now()), message, fields });
-    this.duty = new LeaderController({
+    this.leader = new LeaderController({
       epoch,
       claimedAt: performance.now(),
-      earlierLeasesEndAt: epoch === 1 ? 0 : performance.now() + REPLACED_MS + LEASES_OVER_MS,
+      earlierLeasesEndAt: epoch === 1 ? 0 : performance.now() + DETECTION_MS + LEASES_EXPIRE_MS,
       client: this.log,
       statesTopic: STATES_TOPIC,
       progressTopic: PROGRESS_TOPIC,
@@ -144,7 +147,7 @@
       },
       getLimit: () => undefined,
       parseEndpoint: (_id, text) => ({ ok: true, value: JSON.parse(text) as EndpointProfile }),
-      createEndpointClient: (profile, readToken) => this.createClient(profile, readToken, epoch),
+      createEndpointClient: (profile, getToken) => this.createClient(profile, getToken, epoch),
       isServiceRouted: () => true,
       longestLeaseMs: 10_000,
       listChannels: () => [],
@@ -154,163 +157,169 @@
       recordCount: (name, amount = 1) => this.counts.set(name, (this.counts.get(name) ?? 0) + amount),
       recordTime: () => undefined,
     });
-    this.duty.start();
+    this.leader.start();
   }
 
-  /** Ends the present leader at once, as a kill does, and begins the next. */
+  /** Stops the current leader at once, as a kill does, and starts the next. */
   startLeaderAfterKill(): void {
-    this.duty.stop();
+    this.leader.stop();
     this.startLeader();
   }
 
   stop(): void {
-    this.duty.stop();
-    this.machines.forEach(({ life }) => life?.stop());
+    this.leader.stop();
+    this.machines.forEach(({ process }) => process?.stop());
   }
 
   handleJob(definition: JobDefinition): void {
     this.definitions.set(definition.id, definition);
     this.replicas[this.replicas.length - 1]!.recordDefinition(definition);
-    this.duty.handleJob(definition);
+    this.leader.handleJob(definition);
   }
 
-  readState(id: JobId): JobState {
-    return this.duty.getDispatcher().getJob(id)?.progress.getState() ?? this.readWrittenState(id);
+  getState(id: JobId): JobState {
+    return this.leader.getDispatcher().getJob(id)?.progress.getState() ?? this.getWrittenState(id);
   }
 
-  /** Ends the life of an endpoint; another one under its id comes later. */
-  async startAgain(index: number, { downMs, isRefusing, recordAfterMs }: ReturnWay): Promise<void> {
+  /** Stops the current incarnation of an endpoint, and starts another after `downMs`. */
+  async runRestart(index: number, { downMs, isRefusing, recordAfterMs }: RestartOptions): Promise<void> {
     const machine = this.machines[index % this.machines.length]!;
-    if (machine.life === undefined) {
+    if (machine.process === undefined) {
       return;
     }
-    machine.life.stop();
-    machine.life = undefined;
+    machine.process.stop();
+    machine.process = undefined;
     machine.isRefusing = isRefusing;
     await startDelay(downMs);
-    this.startLife(machine, recordAfterMs);
+    this.startIncarnation(machine, recordAfterMs);
   }
 
-  /** Cuts an endpoint off, or mends that; it runs on meanwhile. */
-  applyCut(index: number, isCut: boolean): void {
-    this.machines[index % this.machines.length]!.isCut = isCut;
+  /** Starts or ends a network partition of an endpoint, which goes on running. */
+  setPartitioned(index: number, isPartitioned: boolean): void {
+    this.machines[index % this.machines.length]!.isPartitioned = isPartitioned;
   }
 
-  private readWrittenState(id: JobId): JobState {
+  private getWrittenState(id: JobId): JobState {
     return this.replicas[this.replicas.length - 1]!.getWrittenState(id);
   }
 
-  private startLife(machine: Machine, recordAfterMs: number): void {
-    this.births += 1 + Math.floor(this.random() * 1000);
-    const name = endpointIncarnations.toLife(machine.id, this.births);
-    machine.name = name;
-    machine.life = new SimulatedIncarnation({
-      life: name,
+  private startIncarnation(machine: Machine, recordAfterMs: number): void {
+    this.startTime += 1 + Math.floor(this.random() * 1000);
+    const incarnation = endpointIncarnations.toLife(machine.id, this.startTime);
+    machine.incarnation = incarnation;
+    machine.process = new SimulatedIncarnation({
+      life: incarnation,
       witness: this.witness,
       handleCrash: () =>
-        void this.startAgain(this.machines.indexOf(machine), {
+        void this.runRestart(this.machines.indexOf(machine), {
           downMs: 1000,
           isRefusing: true,
           recordAfterMs: 0,
         }),
     });
-    void startDelay(recordAfterMs).then(() => this.writeRecord(machine, name));
+    void startDelay(recordAfterMs).then(() => this.writeRecord(machine, incarnation));
   }
 
-  private writeRecord(machine: Machine, life: EndpointIncarnation): void {
-    const { room } = this.options;
-    const capacity = { cpuMillis: room * CORE_MILLIS, memoryMb: room * TASK_MEMORY_MB, accelerators: 0 };
-    const profile = createProfile(machine.id, { incarnation: life, address: machine.address, capacity });
+  private writeRecord(machine: Machine, incarnation: EndpointIncarnation): void {
+    const { capacity: maxTasks } = this.options;
+    const capacity = {
+      cpuMillis: maxTasks * CORE_MILLIS,
+      memoryMb: maxTasks * TASK_MEMORY_MB,
+      accelerators: 0,
+    };
+    const profile = createProfile(machine.id, { incarnation, address: machine.address, capacity });
     this.log.writeRecord(ENDPOINTS_TOPIC, machine.id, JSON.stringify(profile));
   }
 
-  private createClient(profile: EndpointProfile, readToken: () => number, epoch: number): EndpointClient {
+  private createClient(profile: EndpointProfile, getToken: () => number, epoch: number): EndpointClient {
     const machine = this.machines.find(({ id }) => id === profile.id)!;
     const { mutation = 'none' } = this.options;
-    const readCallToken = mutation === 'noFence' ? () => epoch * 1_000_000 : readToken;
+    const getCallToken = mutation === 'noFence' ? () => epoch * 1_000_000 : getToken;
     let clockOffsetMs: number | undefined;
     const toExpiry = (leaseMs: number): number => performance.now() + (clockOffsetMs ?? 0) + leaseMs;
     return {
       sendStart: async ({ task, run, spec }, leaseMs, timeoutMs) => {
-        const [token, expiresMs] = [readCallToken(), toExpiry(leaseMs)];
-        return this.sendOrder(machine, timeoutMs, (life) => {
-          const result = life.handleStart(task, run, spec, expiresMs, token);
+        const [token, expiresMs] = [getCallToken(), toExpiry(leaseMs)];
+        return this.sendCommand(machine, timeoutMs, (process) => {
+          const result = process.handleStart(task, run, spec, expiresMs, token);
           return result === 'done' ? { kind: 'done' } : { kind: 'rejected', reason: result };
         });
       },
       sendStop: async (task, run, timeoutMs) => {
-        const token = readCallToken();
-        return this.sendOrder(machine, timeoutMs, (life) => {
-          if (!life.checkToken(token)) {
+        const token = getCallToken();
+        return this.sendCommand(machine, timeoutMs, (process) => {
+          if (!process.checkToken(token)) {
             return { kind: 'rejected', reason: 'fence' };
           }
-          life.handleStop(task, run);
+          process.handleStop(task, run);
           return { kind: 'done' };
         });
       },
       sendPoll: async ({ lastSeen, leaseMs, waitMs, timeoutMs }) => {
-        const token = readCallToken();
+        const token = getCallToken();
         const expiresMs =
           leaseMs === undefined || clockOffsetMs === undefined ? undefined : toExpiry(leaseMs);
-        const answer = await this.startDelivery<PollResult>(machine, timeoutMs, async (life, name) => {
-          if (!life.checkToken(token)) {
+        const response = await this.sendCall<PollResult>(machine, timeoutMs, async (process, incarnation) => {
+          if (!process.checkToken(token)) {
             return { kind: 'fenced' };
           }
-          life.handlePoll(lastSeen, expiresMs);
-          await life.waitForEnd(waitMs);
-          if (mutation !== 'livesNotTold' && name !== profile.incarnation) {
-            return { kind: 'otherLife', life: name };
+          process.handlePoll(lastSeen, expiresMs);
+          await process.waitForEnd(waitMs);
+          if (mutation !== 'livesNotTold' && incarnation !== profile.incarnation) {
+            return { kind: 'otherLife', life: incarnation };
           }
-          clockOffsetMs = life.getClock() - performance.now();
-          return { kind: 'held', ...life.getStatus() };
+          clockOffsetMs = process.getClock() - performance.now();
+          return { kind: 'held', ...process.getStatus() };
         });
-        return 'detail' in answer ? { kind: 'unanswered', detail: answer.detail } : answer;
+        return 'detail' in response ? { kind: 'unanswered', detail: response.detail } : response;
       },
       stop: () => Promise.resolve(),
     };
   }
 
-  /** An order may be lost, done without an answer, or done late by the life that took it. */
-  private async sendOrder(
+  /** Sends a command, which may be lost, carried out without a response, or carried out late. */
+  private async sendCommand(
     machine: Machine,
     timeoutMs: number,
     deliver: Delivery<CommandResult>,
   ): Promise<CommandResult> {
-    const { lostOrders = 0 } = this.options;
-    if (this.random() >= lostOrders) {
-      return this.startDelivery(machine, timeoutMs, deliver);
+    const { lostCommands = 0 } = this.options;
+    if (this.random() >= lostCommands) {
+      return this.sendCall(machine, timeoutMs, deliver);
     }
-    const { life, name } = machine;
+    const { process, incarnation } = machine;
     const pick = this.random();
     if (pick < 0.3) {
-      void this.startDelivery(machine, timeoutMs, deliver);
+      void this.sendCall(machine, timeoutMs, deliver);
     } else if (pick < 0.6) {
-      // On its way for as long as it is waited for: whichever life is there then takes it.
-      void startDelay(this.random() * timeoutMs).then(() => this.startDelivery(machine, timeoutMs, deliver));
+      // Delayed within the timeout, and received by whichever incarnation runs then.
+      void startDelay(this.random() * timeoutMs).then(() => this.sendCall(machine, timeoutMs, deliver));
     } else if (pick < 0.9) {
-      void startDelay(this.random() * LATE_MS).then(() => life?.isOver === false && deliver(life, name));
+      void startDelay(this.random() * MAX_DELAY_MS).then(
+        () => process?.isOver === false && deliver(process, incarnation),
+      );
     }
     await startDelay(timeoutMs);
     return { kind: 'unanswered', detail: 'lost' };
   }
 
-  /** Brings a call to the life that is there, and its answer back; the connection ends with the life. */
-  private async startDelivery<Answer>(
+  /** Delivers a call to the current incarnation and returns its response; the connection ends with the incarnation. */
+  private async sendCall<Response>(
     machine: Machine,
     timeoutMs: number,
-    deliver: Delivery<Answer>,
-  ): Promise<Answer | Extract<CommandResult, { kind: 'unanswered' | 'undelivered' }>> {
+    deliver: Delivery<Response>,
+  ): Promise<Response | Extract<CommandResult, { kind: 'unanswered' | 'undelivered' }>> {
     await startDelay(LATENCY_MS);
-    const { life, name } = machine;
-    if (life === undefined && machine.isRefusing && !machine.isCut) {
+    const { process, incarnation } = machine;
+    if (process === undefined && machine.isRefusing && !machine.isPartitioned) {
       return { kind: 'undelivered', detail: 'refused' };
     }
-    if (life === undefined || machine.isCut) {
+    if (process === undefined || machine.isPartitioned) {
       await startDelay(timeoutMs);
       return { kind: 'unanswered', detail: 'no answer' };
     }
-    const answer = await deliver(life, name);
+    const response = await deliver(process, incarnation);
     await startDelay(LATENCY_MS);
-    return life.isOver || machine.isCut ? { kind: 'unanswered', detail: 'reset' } : answer;
+    return process.isOver || machine.isPartitioned ? { kind: 'unanswered', detail: 'reset' } : response;
   }
 }
--- a/tests/lives.test.ts
+++ b/tests/lives.test.ts
@@ -3,23 +3,23 @@
 import type { JobDefinition } from '../packages/jobs/JobDefinition';
 import { createJobDefinition } from './helpers/createJobDefinition';
 import { createStep } from './helpers/createStep';
-import { type LifeMutation, LifeWorld } from './helpers/LifeWorld';
+import { IncarnationSimulation, type ProtocolMutation } from './helpers/IncarnationSimulation';
 
-/** Worlds to try; more by hand, with other seeds. */
-const WORLDS = Number(process.env['STAIRLINE_LIFE_WORLDS'] ?? 10);
+/** Number of simulations, each with its own seed. */
+const SIMULATIONS = Number(process.env['STAIRLINE_LIFE_WORLDS'] ?? 10);
 const FIRST_SEED = Number(process.env['STAIRLINE_LIFE_SEED'] ?? 1);
-const MUTATED_WORLDS = 30;
+const MUTATED_SIMULATIONS = 30;
 const ENDPOINTS = 5;
-const ROOM = 4;
+const CAPACITY = 4;
 const STEP_MS = 20;
-const TROUBLED_MS = 20_000;
+const FAULTY_MS = 20_000;
 const CALM_MS = 25_000;
 const JOB_EVERY_MS = 200;
-const TROUBLE_EVERY_MS = 300;
-/** Starts of a task that its users bear once three endpoints have ended under it. */
-const MAX_LATE_STARTS = 2;
-/** A task under which so many endpoints have ended may be given up. */
-const MIN_LOSSES = 2;
+const FAULT_EVERY_MS = 300;
+/** Allowed starts of a task after three endpoints have crashed under it. */
+const MAX_EXTRA_STARTS = 2;
+/** A job may fail once this many endpoints have ended under one of its tasks. */
+const MIN_CRASHES = 2;
 
 const createJob = (number: number, spec: string, count: number): JobDefinition => ({
   ...createJobDefinition(number, [createStep({ count }), createStep({ count: 2, dependsOn: [0] })], {
@@ -28,11 +28,13 @@
   spec,
 });
 
-/** Most endpoints that ended under one task of a job. */
-const readMostLost = (world: LifeWorld, { id, steps }: JobDefinition): number =>
+/** Computes the highest number of endpoints that ended under one task of a job. */
+const computeMaxLosses = (simulation: IncarnationSimulation, { id, steps }: JobDefinition): number =>
   Math.max(
     ...steps.flatMap(({ count }, step) =>
-      Array.from({ length: count }, (_, index) => world.witness.readLostCount(`${id}.0.${step}.${index}`)),
+      Array.from({ length: count }, (_, index) =>
+        simulation.witness.readLostCount(`${id}.0.${step}.${index}`),
+      ),
     ),
   );
 
@@ -42,31 +44,37 @@
   readonly livesBegun: number;
 }
 
-/** One world of 20 s with trouble and 25 s without. */
-const startWorld = async (seed: number, mutation: LifeMutation = 'none'): Promise<Outcome> => {
+/** Runs a simulation of 20 s with faults and 25 s without. */
+const runSimulation = async (seed: number, mutation: ProtocolMutation = 'none'): Promise<Outcome> => {
   const random = createRandom(seed * 7919);
-  const world = new LifeWorld({ seed, endpoints: ENDPOINTS, room: ROOM, lostOrders: 0.08, mutation });
+  const simulation = new IncarnationSimulation({
+    seed,
+    endpoints: ENDPOINTS,
+    capacity: CAPACITY,
+    lostCommands: 0.08,
+    mutation,
+  });
   const jobs: JobDefinition[] = [];
   const crashing: JobDefinition[] = [];
-  const handleTrouble = (): void => {
+  const applyFault = (): void => {
     const pick = random();
     const index = Math.floor(random() * ENDPOINTS);
     if (pick < 0.45) {
       const downMs = random() < 0.5 ? 0 : random() * 3000;
       const recordAfterMs = random() < 0.5 ? 0 : random() * 3000;
-      void world.startAgain(index, { downMs, isRefusing: random() < 0.5, recordAfterMs });
+      void simulation.runRestart(index, { downMs, isRefusing: random() < 0.5, recordAfterMs });
     } else if (pick < 0.55) {
-      world.startLeaderAfterKill();
+      simulation.startLeaderAfterKill();
     } else if (pick < 0.6) {
-      world.startLeader();
+      simulation.startLeader();
     } else if (pick < 0.65) {
-      world.applyCut(index, true);
-      setTimeout(() => world.applyCut(index, false), random() * 6000);
+      simulation.setPartitioned(index, true);
+      setTimeout(() => simulation.setPartitioned(index, false), random() * 6000);
     }
   };
-  for (let now = 0; now < TROUBLED_MS + CALM_MS; now += STEP_MS) {
+  for (let now = 0; now < FAULTY_MS + CALM_MS; now += STEP_MS) {
     await vi.advanceTimersByTimeAsync(STEP_MS);
-    if (now < TROUBLED_MS && now % JOB_EVERY_MS === 0) {
+    if (now < FAULTY_MS && now % JOB_EVERY_MS === 0) {
       const isCrashing = random() < 0.04;
       const job = createJob(
         jobs.length + 1,
@@ -77,38 +85,38 @@
       if (isCrashing) {
         crashing.push(job);
       }
-      world.handleJob(job);
+      simulation.handleJob(job);
     }
-    if (now < TROUBLED_MS && now % TROUBLE_EVERY_MS === 0) {
-      handleTrouble();
+    if (now < FAULTY_MS && now % FAULT_EVERY_MS === 0) {
+      applyFault();
     }
   }
-  const problems = [...world.witness.readProblems()];
+  const problems = [...simulation.witness.readProblems()];
   for (const job of jobs) {
-    const state = world.readState(job.id);
+    const state = simulation.getState(job.id);
     const expected = crashing.includes(job) ? 'failed' : 'completed';
-    const isRightlyGivenUp = state === 'failed' && readMostLost(world, job) >= MIN_LOSSES;
-    if (state !== expected && !isRightlyGivenUp) {
+    const isOverCrashLimit = state === 'failed' && computeMaxLosses(simulation, job) >= MIN_CRASHES;
+    if (state !== expected && !isOverCrashLimit) {
       problems.push(`${job.id} is ${state}, not ${expected}`);
     }
   }
   for (const { id } of crashing) {
     for (let index = 0; index < 3; index += 1) {
-      const starts = world.witness.readStartsAfterLosses(`${id}.0.0.${index}`);
-      if (starts > MAX_LATE_STARTS) {
+      const starts = simulation.witness.readStartsAfterLosses(`${id}.0.0.${index}`);
+      if (starts > MAX_EXTRA_STARTS) {
         problems.push(`${id}.0.0.${index} was started ${starts} times more`);
       }
     }
   }
-  world.stop();
+  simulation.stop();
   return {
     problems,
-    starts: world.witness.readTotalStarts(),
-    livesBegun: world.counts.get('livesBegun') ?? 0,
+    starts: simulation.witness.readTotalStarts(),
+    livesBegun: simulation.counts.get('livesBegun') ?? 0,
   };
 };
 
-describe('endpoints that start again under their ids, on virtual time', () => {
+describe('endpoints that restart under their ids, on virtual time', () => {
   beforeEach(() => {
     vi.useFakeTimers({
       toFake: [
@@ -127,23 +135,20 @@
     vi.useRealTimers();
   });
 
-  it('run nothing twice, end every job and start no harmful task too often, whatever happens beside', async () => {
-    for (let seed = FIRST_SEED; seed < FIRST_SEED + WORLDS; seed += 1) {
-      const { problems, starts, livesBegun } = await startWorld(seed);
+  it('run no task twice, end every job and limit the starts of crashing tasks, despite other faults', async () => {
+    for (let seed = FIRST_SEED; seed < FIRST_SEED + SIMULATIONS; seed += 1) {
+      const { problems, starts, livesBegun } = await runSimulation(seed);
       expect({ seed, problems }).toEqual({ seed, problems: [] });
       expect(starts).toBeGreaterThan(300);
       expect(livesBegun).toBeGreaterThan(5);
     }
   });
 
-  it.each(['livesNotTold', 'noFence'] as const)(
-    'is caught when the rules are made wrong: %s',
-    async (mutation) => {
-      let hasProblems = false;
-      for (let seed = 1; seed <= MUTATED_WORLDS && !hasProblems; seed += 1) {
-        hasProblems = (await startWorld(seed, mutation)).problems.length > 0;
-      }
-      expect(hasProblems).toBe(true);
-    },
-  );
+  it.each(['livesNotTold', 'noFence'] as const)('detects a broken protocol: %s', async (mutation) => {
+    let hasProblems = false;
+    for (let seed = 1; seed <= MUTATED_SIMULATIONS && !hasProblems; seed += 1) {
+      hasProblems = (await runSimulation(seed, mutation)).problems.length > 0;
+    }
+    expect(hasProblems).toBe(true);
+  });
 });
