--- a/packages/dispatch/Dispatcher.ts
+++ b/packages/dispatch/Dispatcher.ts
@@ -397,13 +397,16 @@
     endpoint.recordUnreachable(now);
   }
 
-  /** Applies the status that an endpoint returned to a poll. */
+  /**
+   * Applies the status that an endpoint returned to a poll. A run that was confirmed before the poll was sent has ended if the status
+   * does not list it.
+   */
   handleStatus(status: EndpointStatus, now: number, wallMs: number): void {
     const endpoint = this.endpoints.get(status.endpoint);
     if (endpoint === undefined) {
       return;
     }
-    // Most polls show no change, so they alone don't make a round due.
+    // Most polls show no change, so a poll alone does not make a round due.
     this.isRoundDue ||= !endpoint.isSchedulable();
     this.reconciler.applyStatus(endpoint, status, now, wallMs);
   }
--- a/packages/dispatch/LeaderController.ts
+++ b/packages/dispatch/LeaderController.ts
@@ -57,11 +57,13 @@
   readonly getLimit: (customer: CustomerName) => TaskDemand | undefined;
   /** Parses an endpoint's record; fails with what is wrong with it. */
   readonly parseEndpoint: (id: string, text: string) => Result<EndpointProfile, string>;
+  /** Creates a client of an endpoint; `getToken` returns the current fencing token. */
   readonly createEndpointClient: (profile: EndpointProfile, getToken: () => number) => EndpointClient;
   /** Returns true for a service that the current configuration uses. */
   readonly isServiceRouted: (service: ServiceName) => boolean;
   /** Longest lease that an endpoint accepts, in milliseconds. */
   readonly longestLeaseMs: number;
+  /** Lists the boxes that can send advice requests. */
   readonly listChannels: AdviceBalancerOptions['listChannels'];
   readonly formatLeaderRecord: (isResigned: boolean) => string;
   /** Called when a newer leader is seen; this one has stopped. */
--- a/packages/dispatch/LeaderJournal.ts
+++ b/packages/dispatch/LeaderJournal.ts
@@ -135,15 +135,7 @@
   }
 
   private createWriter(topic: string, handleConfirmed: (sentAt: number) => void): ExclusiveWriter {
-    const {
-      client,
-      clock,
-      epoch,
-      logger,
-      maxAppendBytes,
-      handleFenced,
-      handleLogRecovered: handleLogBack,
-    } = this.options;
+    const { client, clock, epoch, logger, maxAppendBytes, handleFenced, handleLogRecovered } = this.options;
     return new ExclusiveWriter({
       client,
       topic,
@@ -159,7 +151,7 @@
         const message = isConnected ? 'Writes to the log succeed again.' : 'Writes to the log fail.';
         logger.info(message, { topic, detail });
         if (isConnected) {
-          handleLogBack(sentAt);
+          handleLogRecovered(sentAt);
         }
       },
     });
--- a/packages/dispatch/runs/GangMonitor.ts
+++ b/packages/dispatch/runs/GangMonitor.ts
@@ -11,7 +11,7 @@
     private readonly endpoints: ReadonlyMap<EndpointIncarnation, EndpointState>,
     private readonly jobs: ReadonlyMap<JobId, LiveJob>,
     /** Called for each member that runs while another is lost. */
-    private readonly handleOrphanedMember: (endpoint: EndpointState, run: PlacedRun) => void,
+    private readonly handleRemainingMember: (endpoint: EndpointState, run: PlacedRun) => void,
   ) {}
 
   /** Checks all gangs. One that lost members cannot work: its other members have to be stopped, so that it restarts as a whole. */
@@ -38,7 +38,7 @@
       const endpoint = this.endpoints.get(task.endpoint);
       const run = endpoint?.getRun(toTaskName(job.definition.id, { time, step, index }), task.run);
       if (task.phase === 'placed' && endpoint !== undefined && run !== undefined) {
-        this.handleOrphanedMember(endpoint, run);
+        this.handleRemainingMember(endpoint, run);
       }
     }
   }
--- a/packages/dispatch/runs/RunMover.ts
+++ b/packages/dispatch/runs/RunMover.ts
@@ -100,7 +100,7 @@
     if (baseline.usualPace === 0) {
       return undefined;
     }
-    // No object spread, since this runs for each run at each tick.
+    // No object spread, which is slow: this is called for each run on each tick.
     const input: SlowRunInput = {
       usualPace: baseline.usualPace,
       slowPace: baseline.slowPace,
