--- a/packages/dispatch/placing/CapacityView.ts
+++ b/packages/dispatch/placing/CapacityView.ts
@@ -9,56 +9,53 @@
 import type { EndpointReservations } from './EndpointReservations';
 import type { WaitingStep } from '../waiting/WaitingStep';
 
-/** Share of a service's processors that only the most urgent queues seen there may take. */
+/** Share of a service's processor capacity that is reserved for its most urgent queue. */
 const RESERVED_SHARE = 0.08;
-/** A task that asks for so much of a usual endpoint finds room by chance only rarely once room is short. */
+/** Share of a mean endpoint above which a task counts as large. */
 const LARGE_SHARE = 0.25;
-/** Room is short for a step when what it might use holds fewer than so many times its tasks: others choose at the same time. */
-const AMPLE_ROOM_FACTOR = 2;
-/** Digits of a job's id that choose its hall. */
+/** Capacity is ample when this many times the step's tasks fit into it. */
+const AMPLE_CAPACITY_FACTOR = 2;
+/** Hexadecimal digits at the end of a job's id that determine its home hall. */
 const ID_DIGITS = 6;
 
-/** What the books say of room for a step. Changes no books; what it has worked out holds for one round of placement. */
+/** Eligible endpoints and free capacity for waiting steps. Caches its results for one round of placement. */
 export class CapacityView {
-  /** Usable endpoints, by service and required label. */
-  private readonly eligible = new Map<string, readonly EndpointState[]>();
-  /** How many usable endpoints each hall has, by service and required label; halls by name. */
+  /** Schedulable endpoints by service and required label. */
+  private readonly schedulable = new Map<string, readonly EndpointState[]>();
+  /** Number of schedulable endpoints in each hall, sorted by hall, by service and required label. */
   private readonly hallCounts = new Map<string, readonly (readonly [hall: string, count: number])[]>();
-  /** Mean capacity of the usable endpoints, by service and required label. */
+  /** Mean capacity of the schedulable endpoints by service and required label. */
   private readonly meanCapacity = new Map<string, TaskDemand>();
-  /** Demands for which no endpoint had room, by service and required label. Within a round room only shrinks. */
+  /** Demands that fit on no endpoint, by service and required label. Free capacity only shrinks within a round. */
   private readonly unmet = new Map<string, TaskDemand[]>();
-  /** The most urgent priority of the jobs seen, by service. */
+  /** Most urgent priority seen so far, by service. */
   private readonly mostUrgent = new Map<ServiceName, number>();
 
   constructor(
-    private readonly books: ReadonlyMap<EndpointIncarnation, EndpointState>,
+    private readonly endpoints: ReadonlyMap<EndpointIncarnation, EndpointState>,
     private readonly reservations: EndpointReservations,
   ) {}
 
-  /** Notes that a queue uses a service. */
+  /** Records the priority of a queue that uses a service. */
   recordQueue({ service, priority }: JobQueue): void {
     this.mostUrgent.set(service, Math.min(priority, this.mostUrgent.get(service) ?? Infinity));
   }
 
-  /** True when no more urgent queue has been seen that uses the same service. */
+  /** Returns whether no queue of a higher priority has used the same service so far. */
   isMostUrgent({ service, priority }: JobQueue): boolean {
     return priority <= (this.mostUrgent.get(service) ?? priority);
   }
 
-  /**
-   * True for steps that would find room by chance only rarely: gangs and tasks that take much of an endpoint, while there is little
-   * room on endpoints that may run them.
-   */
+  /** Returns whether the step is a gang or has large tasks while little capacity is free on the endpoints that may run them. */
   isCapacityScarce(step: WaitingStep, eligible: readonly EndpointState[]): boolean {
-    return this.isLarge(step) && !this.hasAmpleRoom(step, eligible);
+    return this.isLarge(step) && !this.hasAmpleCapacity(step, eligible);
   }
 
   private isLarge({ job, shape }: WaitingStep): boolean {
     if (shape.isGang) {
       return true;
     }
-    const capacity = this.readMeanCapacity(job.definition.queue.service, shape.requiredLabel);
+    const capacity = this.computeMeanCapacity(job.definition.queue.service, shape.requiredLabel);
     const { cpuMillis, memoryMb, accelerators } = toReservedDemand(shape);
     return (
       cpuMillis > capacity.cpuMillis * LARGE_SHARE ||
@@ -67,79 +64,81 @@
     );
   }
 
-  private hasAmpleRoom(
+  private hasAmpleCapacity(
     { job, time, step, shape, indexes }: WaitingStep,
     eligible: readonly EndpointState[],
   ): boolean {
     const advice = job.getAdvice(time, step);
-    const ample = indexes.length * AMPLE_ROOM_FACTOR;
+    const ampleCount = indexes.length * AMPLE_CAPACITY_FACTOR;
     let count = 0;
-    for (const book of eligible) {
-      count += advice.isRefused(book.getProfile().incarnation)
+    for (const endpoint of eligible) {
+      count += advice.isRefused(endpoint.getProfile().incarnation)
         ? 0
-        : this.countFittingTasks(book.getFreeCapacity(), shape);
-      if (count >= ample) {
+        : this.countFittingTasks(endpoint.getFreeCapacity(), shape);
+      if (count >= ampleCount) {
         return true;
       }
     }
     return false;
   }
 
-  /** Tasks of a step that fit some room on one endpoint. */
-  countFittingTasks(room: TaskDemand, shape: JobStep): number {
+  /** Returns how many tasks of a step fit into the free capacity of one endpoint. */
+  countFittingTasks(free: TaskDemand, shape: JobStep): number {
     const demand = toReservedDemand(shape);
     const toCount = (whole: number, part: number): number =>
       part === 0 ? Infinity : Math.max(0, Math.floor(whole / part));
     return Math.min(
       shape.maxPerEndpoint === 0 ? Infinity : shape.maxPerEndpoint,
-      toCount(room.cpuMillis, demand.cpuMillis),
-      toCount(room.memoryMb, demand.memoryMb),
-      toCount(room.accelerators, demand.accelerators),
+      toCount(free.cpuMillis, demand.cpuMillis),
+      toCount(free.memoryMb, demand.memoryMb),
+      toCount(free.accelerators, demand.accelerators),
     );
   }
 
-  /** Forgets what was worked out before. */
+  /** Clears the results of the last round. */
   clearCache(): void {
-    this.eligible.clear();
+    this.schedulable.clear();
     this.hallCounts.clear();
     this.meanCapacity.clear();
     this.unmet.clear();
   }
 
-  /** Usable endpoints of the step's service with the label that it needs, but those kept for others. */
+  /** Returns the schedulable endpoints with the step's service and label that aren't reserved for other steps. */
   listEligible(step: WaitingStep): readonly EndpointState[] {
     const { job, shape } = step;
-    const usable = this.readUsable(job.definition.queue.service, shape.requiredLabel);
+    const schedulable = this.listSchedulable(job.definition.queue.service, shape.requiredLabel);
     return this.reservations.isEmpty()
-      ? usable
-      : usable.filter((book) => !this.reservations.isKeptFrom(step, book.getProfile().incarnation));
+      ? schedulable
+      : schedulable.filter(
+          (endpoint) => !this.reservations.isReservedForOther(step, endpoint.getProfile().incarnation),
+        );
   }
 
-  /** True when some endpoint has room for one task of the step. */
-  hasAnyRoom({ job, shape }: WaitingStep, eligible: readonly EndpointState[]): boolean {
+  /** Returns whether one task of the step fits on any eligible endpoint. */
+  hasAnyCapacity({ job, shape }: WaitingStep, eligible: readonly EndpointState[]): boolean {
     const demand = toReservedDemand(shape);
     const key = this.toKey(job.definition.queue.service, shape.requiredLabel);
     const unmet = this.unmet.get(key) ?? [];
     if (unmet.some((smaller) => resourceMath.isWithin(smaller, demand))) {
       return false;
     }
-    if (eligible.some((book) => book.hasCapacityFor(demand))) {
+    if (eligible.some((endpoint) => endpoint.hasCapacityFor(demand))) {
       return true;
     }
-    // While room is kept for one step, what another finds says nothing of a third.
+    // With reservations, the eligible endpoints depend on the step, so the result is valid for this one only.
     if (this.reservations.isEmpty()) {
       this.unmet.set(key, [...unmet, demand]);
     }
     return false;
   }
 
-  /** True when the endpoint holds as many tasks of the step as it may. */
-  hasMaxTasks({ job, time, step, shape }: WaitingStep, book: EndpointState): boolean {
+  /** Returns whether the endpoint runs as many tasks of the step as `maxPerEndpoint` allows. */
+  hasMaxTasks({ job, time, step, shape }: WaitingStep, endpoint: EndpointState): boolean {
     if (shape.maxPerEndpoint === 0) {
       return false;
     }
     let count = 0;
-    for (const run of book.getRuns()) {
+    for (const run of endpoint.getRuns()) {
       const { address } = run;
       if (run.job === job.definition.id && address.time === time && address.step === step) {
         count += 1;
@@ -148,34 +147,34 @@
     return count >= shape.maxPerEndpoint;
   }
 
-  /** Processor time that this step may take before it touches what is kept for the most urgent. */
-  readReserveLeft(step: WaitingStep): number {
+  /** Returns the free processor capacity beyond the reserve, in thousandths of a core; Infinity for the most urgent queue. */
+  computeUnreservedCpuMillis(step: WaitingStep): number {
     const { queue } = step.job.definition;
     if (this.isMostUrgent(queue)) {
       return Infinity;
     }
     let free = 0;
     let capacity = 0;
-    for (const book of this.readUsable(queue.service, '')) {
-      free += book.getFreeCpuMillis();
-      capacity += book.getProfile().capacity.cpuMillis;
+    for (const endpoint of this.listSchedulable(queue.service, '')) {
+      free += endpoint.getFreeCpuMillis();
+      capacity += endpoint.getProfile().capacity.cpuMillis;
     }
     return free - capacity * RESERVED_SHARE;
   }
 
-  /** True when one task of the step touches nothing of what is kept for the most urgent. */
+  /** Returns whether one task of the step fits without using the reserve. */
   isWithinReserve(step: WaitingStep): boolean {
     const { shape } = step;
-    return shape.isFiller || toReservedDemand(shape).cpuMillis <= this.readReserveLeft(step);
+    return shape.isFiller || toReservedDemand(shape).cpuMillis <= this.computeUnreservedCpuMillis(step);
   }
 
   /**
-   * The hall into which the tasks of a job go first: by the job's id, in proportion to the usable endpoints. It stays the same while
-   * halls keep their sizes, for every leader; jobs go elsewhere once a hall is silent.
+   * Returns the preferred hall of a job; '' when no endpoint is schedulable. It is chosen by the job's id, in proportion to the
+   * schedulable endpoints of the halls, and so is the same for every leader while these don't change.
    */
-  readHomeHall({ job, shape }: WaitingStep): string {
+  chooseHomeHall({ job, shape }: WaitingStep): string {
     const { id, queue } = job.definition;
-    const halls = this.readHallCounts(queue.service, shape.requiredLabel);
+    const halls = this.countByHall(queue.service, shape.requiredLabel);
     const total = halls.reduce((sum, [, count]) => sum + count, 0);
     let left = (parseInt(id.slice(-ID_DIGITS), 16) / 16 ** ID_DIGITS) * total;
     for (const [hall, count] of halls) {
@@ -187,7 +186,7 @@
     return '';
   }
 
-  private readHallCounts(
+  private countByHall(
     service: ServiceName,
     label: string,
   ): readonly (readonly [hall: string, count: number])[] {
@@ -197,8 +196,8 @@
       return known;
     }
     const counts = new Map<string, number>();
-    for (const book of this.readUsable(service, label)) {
-      const { hall } = book.getProfile();
+    for (const endpoint of this.listSchedulable(service, label)) {
+      const { hall } = endpoint.getProfile();
       counts.set(hall, (counts.get(hall) ?? 0) + 1);
     }
     const sorted = [...counts].sort(([left], [right]) => (left < right ? -1 : 1));
@@ -206,18 +205,18 @@
     return sorted;
   }
 
-  private readMeanCapacity(service: ServiceName, label: string): TaskDemand {
+  private computeMeanCapacity(service: ServiceName, label: string): TaskDemand {
     const key = this.toKey(service, label);
     const known = this.meanCapacity.get(key);
     if (known !== undefined) {
       return known;
     }
-    const books = this.readUsable(service, label);
-    const sum = books.reduce(
-      (total, book) => resourceMath.toSum(total, book.getProfile().capacity),
+    const schedulable = this.listSchedulable(service, label);
+    const sum = schedulable.reduce(
+      (total, endpoint) => resourceMath.toSum(total, endpoint.getProfile().capacity),
       resourceMath.NOTHING,
     );
-    const count = Math.max(1, books.length);
+    const count = Math.max(1, schedulable.length);
     const mean = {
       cpuMillis: sum.cpuMillis / count,
       memoryMb: sum.memoryMb / count,
@@ -227,19 +226,19 @@
     return mean;
   }
 
-  private readUsable(service: ServiceName, label: string): readonly EndpointState[] {
+  private listSchedulable(service: ServiceName, label: string): readonly EndpointState[] {
     const key = this.toKey(service, label);
-    const known = this.eligible.get(key);
+    const known = this.schedulable.get(key);
     if (known !== undefined) {
       return known;
     }
-    const books = [...this.books.values()].filter((book) => {
-      const profile = book.getProfile();
+    const schedulable = [...this.endpoints.values()].filter((endpoint) => {
+      const profile = endpoint.getProfile();
       const hasLabel = label === '' || profile.labels.includes(label);
-      return profile.service === service && hasLabel && book.isSchedulable();
+      return profile.service === service && hasLabel && endpoint.isSchedulable();
     });
-    this.eligible.set(key, books);
-    return books;
+    this.schedulable.set(key, schedulable);
+    return schedulable;
   }
 
   private toKey(service: ServiceName, label: string): string {
--- a/packages/dispatch/placing/EndpointPreference.ts
+++ b/packages/dispatch/placing/EndpointPreference.ts
@@ -11,31 +11,32 @@
   readonly hallChoice: HallPolicyName;
 }
 
-/** Says which endpoints a step should rather have, for their speed and their hall. */
+/** Costs of endpoints for a step by their speed and their hall. */
 export class EndpointPreference {
   private wallMs = 0;
 
   constructor(private readonly options: EndpointPreferenceOptions) {}
 
-  /** Begins a round of placement: objectives are compared with its time. */
+  /** Sets the wall clock time of the round, against which objectives are compared. */
   setWallTime(wallMs: number): void {
     this.wallMs = wallMs;
   }
 
   /**
-   * Gives the cost for a step of the endpoints that it may have, lower is better. It is 0 for steps that run on: they have no end
-   * that would come sooner, and are spread.
+   * Returns the cost function of a step over the endpoints that may run it; lower is better. Long-running steps and fillers cost
+   * the same everywhere, since a faster endpoint brings them no earlier end.
    */
   createCostFunction(
     step: WaitingStep,
     endpoints: readonly EndpointState[],
-  ): (book: EndpointState) => number {
+  ): (endpoint: EndpointState) => number {
     if (step.shape.isLongRunning || step.shape.isFiller) {
       return () => 0;
     }
-    const { room, speedChoice, hallChoice } = this.options;
-    const readSpeedCost = speedPolicies[speedChoice](step, this.options, endpoints, this.wallMs);
-    const homeHall = room.readHomeHall(step);
-    return (book) => readSpeedCost(book) + hallPolicies[hallChoice](book.getProfile().hall === homeHall);
+    const { room: capacity, speedChoice, hallChoice } = this.options;
+    const computeSpeedCost = speedPolicies[speedChoice](step, this.options, endpoints, this.wallMs);
+    const homeHall = capacity.chooseHomeHall(step);
+    return (endpoint) =>
+      computeSpeedCost(endpoint) + hallPolicies[hallChoice](endpoint.getProfile().hall === homeHall);
   }
 }
--- a/packages/dispatch/placing/EndpointReservations.ts
+++ b/packages/dispatch/placing/EndpointReservations.ts
@@ -3,14 +3,14 @@
 import type { WaitingStep } from '../waiting/WaitingStep';
 
 interface Reservation {
-  /** `JOB.TIME.STEP` for which room is kept. */
+  /** `JOB.TIME.STEP` of the step that the endpoint is reserved for. */
   readonly holder: string;
   readonly priority: number;
-  /** Monotonic time at which it lapses. */
+  /** Monotonic time at which it expires. */
   readonly until: number;
 }
 
-/** Endpoints on which room is being made for one step: what is no more urgent keeps off until it has been used, or time is over. */
+/** Endpoints reserved for a step that preempts runs there. Work of the same or a lower priority isn't placed on them meanwhile. */
 export class EndpointReservations {
   private readonly reservations = new Map<EndpointIncarnation, Reservation>();
 
@@ -18,14 +18,14 @@
     return this.reservations.size === 0;
   }
 
-  /** Keeps an endpoint for a step. */
-  recordReservation(endpoint: EndpointIncarnation, step: WaitingStep, until: number): void {
+  /** Reserves an endpoint for a step. Replaces an earlier reservation. */
+  setReservation(endpoint: EndpointIncarnation, step: WaitingStep, until: number): void {
     const { priority } = step.job.definition.queue;
     this.reservations.set(endpoint, { holder: toStepName(step), priority, until });
   }
 
-  /** Gives up all that is kept for a step. */
-  revokeFor(step: WaitingStep): void {
+  /** Releases all reservations of a step. */
+  releaseReservations(step: WaitingStep): void {
     const holder = toStepName(step);
     for (const [endpoint, reservation] of this.reservations) {
       if (reservation.holder === holder) {
@@ -34,14 +34,14 @@
     }
   }
 
-  /** True when room is being made for the step. */
-  hasFor(step: WaitingStep): boolean {
+  /** Returns whether any endpoint is reserved for the step. */
+  hasReservation(step: WaitingStep): boolean {
     const holder = toStepName(step);
     return [...this.reservations.values()].some((reservation) => reservation.holder === holder);
   }
 
-  /** True when the endpoint is kept for another step that is at least as urgent. */
-  isKeptFrom(step: WaitingStep, endpoint: EndpointIncarnation): boolean {
+  /** Returns whether the endpoint is reserved for another step of the same or a higher priority. */
+  isReservedForOther(step: WaitingStep, endpoint: EndpointIncarnation): boolean {
     const reservation = this.reservations.get(endpoint);
     return (
       reservation !== undefined &&
@@ -50,7 +50,7 @@
     );
   }
 
-  /** Drops what has lapsed. */
+  /** Removes expired reservations. */
   removeExpired(now: number): void {
     for (const [endpoint, { until }] of this.reservations) {
       if (now >= until) {
--- a/packages/dispatch/placing/HallPolicyName.ts
+++ b/packages/dispatch/placing/HallPolicyName.ts
@@ -1,6 +1,6 @@
 /**
- * Over which halls the tasks of a job go.
- * - `spread`: over all, as room is found.
- * - `together`: into one hall first, another for each job, so that a hall that is cut off strikes one job in so many halls.
+ * Policy for the halls of a job's tasks.
+ * - `spread`: no preference.
+ * - `together`: prefers the job's home hall, so that the loss of a hall affects only the jobs at home there.
  */
 export type HallPolicyName = 'spread' | 'together';
--- a/packages/dispatch/placing/KindSpeeds.ts
+++ b/packages/dispatch/placing/KindSpeeds.ts
@@ -1,45 +1,45 @@
-/** How long runs take on the endpoints of one label, compared with their siblings elsewhere. */
+/** Slowdown of the endpoints with one label. */
 interface LabelSpeed {
-  /** Runs compared. */
-  count: number;
-  /** Mean of the ratios; the newest run counts with one part in `count`, at least in `MEMORY_RUNS`. */
-  ratio: number;
+  /** Number of runs recorded. */
+  runs: number;
+  /** Mean slowdown of the runs; exponentially weighted once there are more than `WINDOW_RUNS`. */
+  slowdown: number;
 }
 
-/** Fewer runs than this tell nothing: half a second's ends of 245 endpoints. */
+/** Minimum number of runs from which a slowdown is used. */
 const MIN_RUNS = 100;
-/** So many of the newest runs count, so that a label's speed may change. */
-const MEMORY_RUNS = 2000;
-/** A single run counts at most so much: sick endpoints must not make a kind slow. */
-const MAX_RATIO = 3;
+/** Length of the moving average, in runs. */
+const WINDOW_RUNS = 2000;
+/** Upper limit for the slowdown of one run, so that a few faulty endpoints don't make their kind look slow. */
+const MAX_SLOWDOWN = 3;
 
 /**
- * Learns which kinds of endpoints are slower than others, from the labels that endpoints show. An endpoint's kind is the label with
- * most runs: kinds are shared more widely than racks.
+ * Learns the slowdown of each kind of endpoint by label. The kind of an endpoint is its label with the most runs, since a kind is
+ * shared by more endpoints than a rack.
  */
 export class KindSpeeds {
   private readonly speeds = new Map<string, LabelSpeed>();
 
-  /** Takes in how much longer a run took than is usual for its step, on an endpoint with these labels. */
-  recordRun(labels: readonly string[], ratio: number): void {
-    const counted = Math.min(MAX_RATIO, ratio);
+  /** Records the slowdown of one run, by the baseline of its step, on an endpoint with these labels. */
+  recordRun(labels: readonly string[], slowdown: number): void {
+    const limited = Math.min(MAX_SLOWDOWN, slowdown);
     for (const label of labels) {
-      const speed = this.speeds.get(label) ?? { count: 0, ratio: 1 };
-      speed.count += 1;
-      speed.ratio += (counted - speed.ratio) / Math.min(speed.count, MEMORY_RUNS);
+      const speed = this.speeds.get(label) ?? { runs: 0, slowdown: 1 };
+      speed.runs += 1;
+      speed.slowdown += (limited - speed.slowdown) / Math.min(speed.runs, WINDOW_RUNS);
       this.speeds.set(label, speed);
     }
   }
 
-  /** How much longer runs take on such endpoints than elsewhere; 1 while not known. */
+  /** Returns the slowdown of endpoints with these labels; 1 while too few runs are known. */
   getSlowdown(labels: readonly string[]): number {
     let kind: LabelSpeed | undefined;
     for (const label of labels) {
       const speed = this.speeds.get(label);
-      if (speed !== undefined && speed.count > (kind?.count ?? 0)) {
+      if (speed !== undefined && speed.runs > (kind?.runs ?? 0)) {
         kind = speed;
       }
     }
-    return kind === undefined || kind.count < MIN_RUNS ? 1 : kind.ratio;
+    return kind === undefined || kind.runs < MIN_RUNS ? 1 : kind.slowdown;
   }
 }
--- a/packages/dispatch/placing/Preemptor.ts
+++ b/packages/dispatch/placing/Preemptor.ts
@@ -2,10 +2,10 @@
 import type { TaskDemand } from '../../jobs/TaskDemand';
 import { resourceMath } from '../../jobs/resourceMath';
 import type { EndpointState } from '../endpoints/EndpointState';
-import { measureOutlook } from '../stops/measureOutlook';
-import { measureRoomWait } from '../stops/measureRoomWait';
-import { measureStopCost } from '../stops/measureStopCost';
-import type { RoomRule } from '../stops/RoomRule';
+import { estimateRemainingByPaceMs } from '../stops/estimateRemainingByPaceMs';
+import { estimateCapacityWaitMs } from '../stops/estimateCapacityWaitMs';
+import { computeStopCost } from '../stops/computeStopCost';
+import type { PreemptionRules } from '../stops/PreemptionRules';
 import type { PreemptionEstimate } from '../stops/PreemptionEstimate';
 import type { LiveJob } from '../waiting/LiveJob';
 import type { PlacedRun } from '../runs/PlacedRun';
@@ -15,63 +15,68 @@
 interface PreemptorOptions {
   readonly jobs: ReadonlyMap<JobId, LiveJob>;
   readonly reservations: EndpointReservations;
-  readonly room: RoomRule;
+  readonly room: PreemptionRules;
   readonly handlePreempted: (
-    book: EndpointState,
+    endpoint: EndpointState,
     run: PlacedRun,
     step: WaitingStep,
-    price: PreemptionEstimate,
+    estimate: PreemptionEstimate,
   ) => void;
 }
 
-/** What is to happen on one endpoint. */
-interface Plan {
-  /** Room left once the victims have gone and the members chosen so far are there. */
-  readonly left: TaskDemand;
+/** Preemptions on one endpoint, and the tasks that they let start. */
+interface PreemptionPlan {
+  /** Free capacity after the victims have ended and the tasks have started. */
+  readonly free: TaskDemand;
   readonly victims: readonly PlacedRun[];
-  /** What the stops count, by the rule. */
+  /** Sum of the victims' costs by the preemption rules. */
   readonly cost: number;
-  /** Tasks that find room. */
+  /** Number of tasks that can start. */
   readonly count: number;
 }
 
-/** A task is stopped for others at most so often, so that nobody is stopped over and over. */
+/** Preemptions of one task, at most. */
 const MAX_PREEMPTIONS = 2;
-/** A run that ends by itself so soon is waited for: a stop and a new start would cost more. */
-const ENDS_SOON_MS = 700;
-/** Whether stops are worth their work is weighed again after so long: the answer changes with the ends of runs. */
-const RECHECK_MS = 200;
-const WHOLE = 100;
+/** Runs that are expected to end sooner aren't preempted: a stop and a restart would take longer. */
+const MIN_REMAINING_MS = 700;
+/** Interval after which a preemption that wasn't worthwhile is considered again. */
+const RECHECK_INTERVAL_MS = 200;
+const MAX_PERCENT = 100;
 
 /**
- * Makes room for a step by stopping less urgent work that keeps checkpoints: it loses no work but the time of its restart.
- * Stops only what makes a task, or a whole gang, able to start.
+ * Preempts less urgent runs that keep checkpoints so that a step can start. Runs are stopped only where this lets a task, or the
+ * whole gang, start.
  */
 export class Preemptor {
-  /** Wall clock less monotonic time, in milliseconds. */
+  /** Wall clock time minus monotonic time, in milliseconds. */
   private wallOffsetMs = 0;
 
   constructor(private readonly options: PreemptorOptions) {}
 
-  /** Begins a round of placement. */
+  /** Sets the monotonic and the wall clock time of the round. */
   setTime(now: number, wallMs: number): void {
     this.wallOffsetMs = wallMs - now;
   }
 
-  /** True when stopping less urgent work would make room on the endpoint for one task of the step. */
-  hasRoomAfterPreemption(step: WaitingStep, book: EndpointState, demand: TaskDemand, now: number): boolean {
-    return this.createPlan(step, book, demand, undefined, now) !== undefined;
+  /** Returns whether one task of the step would fit on the endpoint after preemption of less urgent runs. */
+  hasRoomAfterPreemption(
+    step: WaitingStep,
+    endpoint: EndpointState,
+    demand: TaskDemand,
+    now: number,
+  ): boolean {
+    return this.createPlan(step, endpoint, demand, undefined, now) !== undefined;
   }
 
-  /** A ticket must hold for so many milliseconds that room can be made meanwhile. */
-  readTicketMs(): number {
-    return this.options.room.ticketMs;
+  /** Returns how long a ticket must stay valid for a preemption to complete, in milliseconds. */
+  getMinTicketMs(): number {
+    return this.options.room.minTicketMs;
   }
 
-  /** Begins to make room for the waiting tasks of a step on some endpoints, unless it already does. */
-  startMakingRoom(step: WaitingStep, allowed: readonly EndpointState[], now: number): void {
+  /** Starts to preempt runs on the allowed endpoints, unless a preemption for the step is under way or not worthwhile. */
+  startPreemption(step: WaitingStep, allowed: readonly EndpointState[], now: number): void {
     const { reservations, handlePreempted } = this.options;
-    if (reservations.hasFor(step) || now < step.job.readRoomRetryAt(step.time, step.step)) {
+    if (reservations.hasReservation(step) || now < step.job.getPreemptionRetryAt(step.time, step.step)) {
       return;
     }
     const plans = this.createPlans(step, allowed, now);
@@ -79,69 +84,73 @@
     if (victimCount === 0) {
       return;
     }
-    const price = this.measurePrice(step, allowed, plans, now);
-    if (!this.options.room.isWorthStopping(price)) {
-      step.job.recordRoomPause(step.time, step.step, now + RECHECK_MS);
+    const estimate = this.estimatePreemption(step, allowed, plans, now);
+    if (!this.options.room.isWorthwhile(estimate)) {
+      step.job.recordPreemptionBackoff(step.time, step.step, now + RECHECK_INTERVAL_MS);
       return;
     }
-    step.job.recordRoomMade(step.time, step.step, now, this.options.room.retryMs);
-    for (const [book, { victims }] of plans) {
-      reservations.recordReservation(book.getProfile().incarnation, step, now + this.options.room.keepMs);
+    step.job.recordPreemptionAttempt(step.time, step.step, now, this.options.room.initialRetryMs);
+    for (const [endpoint, { victims }] of plans) {
+      reservations.setReservation(
+        endpoint.getProfile().incarnation,
+        step,
+        now + this.options.room.reservationMs,
+      );
       for (const run of victims) {
-        this.options.jobs.get(run.job)?.recordPreempted(run.task);
-        handlePreempted(book, run, step, price);
+        this.options.jobs.get(run.job)?.recordPreemption(run.task);
+        handlePreempted(endpoint, run, step, estimate);
       }
     }
   }
 
-  private measurePrice(
+  private estimatePreemption(
     step: WaitingStep,
     allowed: readonly EndpointState[],
-    plans: ReadonlyMap<EndpointState, Plan>,
+    plans: ReadonlyMap<EndpointState, PreemptionPlan>,
     now: number,
   ): PreemptionEstimate {
     const { demand, estimatedMs, isGang, maxPerEndpoint } = step.shape;
     const startCount = [...plans.values()].reduce((sum, { count }) => sum + count, 0);
     const lostCoreMs = [...plans.values()]
       .flatMap(({ victims }) => victims)
-      .reduce((sum, run) => sum + measureStopCost(this.toStoppable(run, now)), 0);
-    const endpoints = allowed.map((book) => ({
-      free: book.getFreeCapacity(),
-      holders: [...book.getRuns()].map((run) => ({
+      .reduce((sum, run) => sum + computeStopCost(this.toVictim(run, now)), 0);
+    const endpoints = allowed.map((endpoint) => ({
+      free: endpoint.getFreeCapacity(),
+      holders: [...endpoint.getRuns()].map((run) => ({
         demand: run.demand,
-        remainingMs: this.readRemainingMs(run, now),
+        remainingMs: this.estimateRemainingMs(run, now),
       })),
     }));
     return {
       lostCoreMs,
-      roomWaitMs: measureRoomWait(
+      roomWaitMs: estimateCapacityWaitMs(
         endpoints,
         demand,
         isGang ? step.indexes.length : startCount,
         maxPerEndpoint,
       ),
-      waitedMs: this.readWaitedMs(step, now),
+      waitedMs: this.computeWaitedMs(step, now),
       slackMs: step.objectiveAtMs - (now + this.wallOffsetMs) - estimatedMs,
       allowedMs: step.objectiveAtMs - step.job.definition.acceptedAtMs,
       waitingCpuMillis: startCount * demand.cpuMillis,
     };
   }
 
-  private readWaitedMs({ job, time, step }: WaitingStep, now: number): number {
-    return Object.values(job.readWait(time, step).readTimes(now)).reduce((sum, ms) => sum + ms, 0);
+  private computeWaitedMs({ job, time, step }: WaitingStep, now: number): number {
+    return Object.values(job.getWait(time, step).getTimes(now)).reduce((sum, ms) => sum + ms, 0);
   }
 
-  private readRemainingMs(run: PlacedRun, now: number): number {
+  private estimateRemainingMs(run: PlacedRun, now: number): number {
     const job = this.options.jobs.get(run.job);
     const shape = job?.definition.steps[run.address.step];
     if (job === undefined || shape === undefined || shape.isLongRunning) {
       return Infinity;
     }
     const median = job.getSpeeds(run.address.time, run.address.step).getMedian();
-    return measureOutlook(run, median ?? shape.estimatedMs / WHOLE, now);
+    return estimateRemainingByPaceMs(run, median ?? shape.estimatedMs / MAX_PERCENT, now);
   }
 
-  private toStoppable(run: PlacedRun, now: number): Parameters<RoomRule['measureCost']>[0] {
+  private toVictim(run: PlacedRun, now: number): Parameters<PreemptionRules['computeCost']>[0] {
     const shape = this.options.jobs.get(run.job)?.definition.steps[run.address.step];
     return {
       cpuMillis: run.demand.cpuMillis,
@@ -150,20 +159,20 @@
     };
   }
 
-  /** One plan an endpoint, for as many tasks as find room; none for a gang that would not be whole. */
+  /** Returns a plan for each endpoint used, for as many tasks as possible; none for a gang that couldn't start as a whole. */
   private createPlans(
     step: WaitingStep,
     allowed: readonly EndpointState[],
     now: number,
-  ): ReadonlyMap<EndpointState, Plan> {
-    const plans = new Map<EndpointState, Plan>();
+  ): ReadonlyMap<EndpointState, PreemptionPlan> {
+    const plans = new Map<EndpointState, PreemptionPlan>();
     for (let count = 0; count < step.indexes.length; count += 1) {
       let best: EndpointState | undefined;
-      let bestPlan: Plan | undefined;
-      for (const book of allowed) {
-        const plan = this.createPlan(step, book, step.shape.demand, plans.get(book), now);
+      let bestPlan: PreemptionPlan | undefined;
+      for (const endpoint of allowed) {
+        const plan = this.createPlan(step, endpoint, step.shape.demand, plans.get(endpoint), now);
         if (plan !== undefined && (bestPlan === undefined || plan.cost < bestPlan.cost)) {
-          best = book;
+          best = endpoint;
           bestPlan = plan;
         }
       }
@@ -175,19 +184,19 @@
     return plans;
   }
 
-  /** Extends the plan of an endpoint by one task; undefined when it has no room even then. */
+  /** Returns the plan of an endpoint extended by one task; undefined when the task doesn't fit even after preemption. */
   private createPlan(
     step: WaitingStep,
-    book: EndpointState,
+    endpoint: EndpointState,
     demand: TaskDemand,
-    before: Plan | undefined,
+    before: PreemptionPlan | undefined,
     now: number,
-  ): Plan | undefined {
-    let free = before?.left ?? book.getFreeCapacity();
+  ): PreemptionPlan | undefined {
+    let free = before?.free ?? endpoint.getFreeCapacity();
     const earlier = before?.victims ?? [];
     let added: PlacedRun[] = [];
     if (!resourceMath.isWithin(demand, free)) {
-      for (const run of this.readCandidates(step, book, now)) {
+      for (const run of this.listCandidates(step, endpoint, now)) {
         if (!earlier.includes(run)) {
           added.push(run);
           free = resourceMath.toSum(free, run.demand);
@@ -200,58 +209,58 @@
     if (!resourceMath.isWithin(demand, free)) {
       return undefined;
     }
-    if (this.options.room.isTrimming) {
-      ({ added, free } = this.toTrimmed(added, free, demand));
+    if (this.options.room.isMinimizingVictims) {
+      ({ added, free } = this.computeNeeded(added, free, demand));
     }
     const victims = [...earlier, ...added];
     const cost = added.reduce(
-      (sum, run) => sum + this.options.room.measureCost(this.toStoppable(run, now)),
+      (sum, run) => sum + this.options.room.computeCost(this.toVictim(run, now)),
       before?.cost ?? 0,
     );
     const count = (before?.count ?? 0) + 1;
-    return { left: resourceMath.toDifference(free, demand), victims, cost, count };
+    return { free: resourceMath.toDifference(free, demand), victims, cost, count };
   }
 
-  /** Leaves out runs that need not go since others, chosen after them, free enough. */
-  private toTrimmed(
+  /** Returns the victims without those that turn out unnecessary, since later ones free enough capacity. */
+  private computeNeeded(
     victims: readonly PlacedRun[],
     free: TaskDemand,
     demand: TaskDemand,
   ): { readonly added: PlacedRun[]; readonly free: TaskDemand } {
     const added = [...victims];
-    let left = free;
+    let remaining = free;
     for (const run of victims) {
-      const without = resourceMath.toDifference(left, run.demand);
+      const without = resourceMath.toDifference(remaining, run.demand);
       if (resourceMath.isWithin(demand, without)) {
         added.splice(added.indexOf(run), 1);
-        left = without;
+        remaining = without;
       }
     }
-    return { added, free: left };
+    return { added, free: remaining };
   }
 
-  /** Runs that may be stopped for the step: the least urgent first, and of these those that have done least. */
-  private readCandidates(step: WaitingStep, book: EndpointState, now: number): readonly PlacedRun[] {
+  /** Returns the runs that may be preempted for the step, lowest priority first, then least progress first. */
+  private listCandidates(step: WaitingStep, endpoint: EndpointState, now: number): readonly PlacedRun[] {
     const { priority } = step.job.definition.queue;
-    return [...book.getRuns()]
-      .filter((run) => run.priority > priority && this.isStoppable(run, now))
-      .sort((left, right) => right.priority - left.priority || left.percent - right.percent);
+    return [...endpoint.getRuns()]
+      .filter((run) => run.priority > priority && this.isPreemptible(run, now))
+      .sort((free, right) => right.priority - free.priority || free.percent - right.percent);
   }
 
-  private isStoppable(run: PlacedRun, now: number): boolean {
+  private isPreemptible(run: PlacedRun, now: number): boolean {
     const job = this.options.jobs.get(run.job);
     const shape = job?.definition.steps[run.address.step];
     if (job === undefined || shape === undefined || run.stage !== 'running' || !shape.isCheckpointing) {
       return false;
     }
-    const isWhole = shape.isGang || shape.isLongRunning || shape.isFiller;
-    const preemptions = job.readPreemptions(run.task);
-    const hasWorked = preemptions === 0 || now - run.confirmedAt >= this.options.room.minWorkMs;
-    return !isWhole && preemptions < MAX_PREEMPTIONS && hasWorked && !this.isEndingSoon(run, now);
+    const isExcluded = shape.isGang || shape.isLongRunning || shape.isFiller;
+    const preemptions = job.countPreemptions(run.task);
+    const hasProgressed = preemptions === 0 || now - run.confirmedAt >= this.options.room.minWorkMs;
+    return !isExcluded && preemptions < MAX_PREEMPTIONS && hasProgressed && !this.isEndingSoon(run, now);
   }
 
   private isEndingSoon(run: PlacedRun, now: number): boolean {
     const workedMs = now - run.confirmedAt;
-    return run.percent > 0 && (workedMs * (WHOLE - run.percent)) / run.percent < ENDS_SOON_MS;
+    return run.percent > 0 && (workedMs * (MAX_PERCENT - run.percent)) / run.percent < MIN_REMAINING_MS;
   }
 }
--- a/packages/dispatch/placing/RankingRule.ts
+++ b/packages/dispatch/placing/RankingRule.ts
@@ -1,8 +1,8 @@
 import type { EndpointState } from '../endpoints/EndpointState';
 import type { WaitingStep } from '../waiting/WaitingStep';
 
-/** What differs between kinds of steps when an endpoint is chosen. */
+/** Ranking of endpoints for one kind of step. */
 export interface RankingRule {
-  /** Lower is better. Only endpoints with room are asked about. */
-  readonly measureFit: (step: WaitingStep, book: EndpointState, now: number) => number;
+  /** Returns the cost of an endpoint that has enough free capacity; lower is better. */
+  readonly computeCost: (step: WaitingStep, endpoint: EndpointState, now: number) => number;
 }
--- a/packages/dispatch/placing/RoundThrottle.ts
+++ b/packages/dispatch/placing/RoundThrottle.ts
@@ -1,46 +1,45 @@
 import type { Clock } from '../../common/Clock';
 
-interface RoundPacerOptions {
+interface RoundThrottleOptions {
   readonly clock: Clock;
-  /** One round of placement. */
+  /** Runs one round of placement. */
   readonly handleRound: () => void;
 }
 
-/** After a round, so many times its length passes before the next: rounds leave most of the process to heartbeats and calls. */
-const REST_RATIO = 2;
-/** Shorter rests are not worth a timer. */
-const MIN_REST_MS = 2;
+/** Idle time after a round, as a multiple of its duration. It leaves the process time for heartbeats and calls. */
+const IDLE_RATIO = 2;
+/** Shorter delays are skipped. */
+const MIN_DELAY_MS = 2;
 
 /**
- * Joins the wishes for a round of placement: all that come in one turn, and all that come while the process rests from the round
- * before, share one. A round takes longer the more work waits; without the rest, a backlog would keep a leader from its
- * heartbeats, and the one who replaced it too.
+ * Throttles rounds of placement: requests in one turn of the event loop, or in the idle time after a round, share one. With a
+ * long backlog, rounds without idle time would starve the leader's heartbeats.
  */
 export class RoundThrottle {
   private isQueued = false;
-  private restsUntil = -Infinity;
+  private idleUntil = -Infinity;
 
-  constructor(private readonly options: RoundPacerOptions) {}
+  constructor(private readonly options: RoundThrottleOptions) {}
 
   queueRound(): void {
     if (this.isQueued) {
       return;
     }
     this.isQueued = true;
-    const restMs = this.restsUntil - this.options.clock.readNow();
-    if (restMs < MIN_REST_MS) {
-      setImmediate(() => this.applyRound());
+    const delayMs = this.idleUntil - this.options.clock.readNow();
+    if (delayMs < MIN_DELAY_MS) {
+      setImmediate(() => this.runRound());
     } else {
-      setTimeout(() => this.applyRound(), restMs);
+      setTimeout(() => this.runRound(), delayMs);
     }
   }
 
-  private applyRound(): void {
+  private runRound(): void {
     const { clock, handleRound } = this.options;
     this.isQueued = false;
     const startedAt = clock.readNow();
     handleRound();
     const endedAt = clock.readNow();
-    this.restsUntil = endedAt + (endedAt - startedAt) * REST_RATIO;
+    this.idleUntil = endedAt + (endedAt - startedAt) * IDLE_RATIO;
   }
 }
--- a/packages/dispatch/placing/SlowRoundLogger.ts
+++ b/packages/dispatch/placing/SlowRoundLogger.ts
@@ -1,40 +1,40 @@
 import type { Logger } from '../../common/Logger';
 
-interface RoundWatchOptions {
+interface SlowRoundLoggerOptions {
   readonly logger: Logger;
   readonly readJobCount: () => number;
   readonly recordTime: (name: 'roundMs', valueMs: number) => void;
 }
 
-/** Rounds that hold the process up for longer are worth a line. */
-const LONG_ROUND_MS = 10;
-/** Most one such line in so long, with the number of rounds that it stands for. */
-const LINE_MS = 1000;
+/** Duration above which a round is logged. */
+const SLOW_ROUND_MS = 10;
+/** Minimum interval between two lines. */
+const LOG_INTERVAL_MS = 1000;
 
-/** Tells of rounds of placement that took long. */
+/** Logs slow rounds of placement, at most one line an interval with the number of slow rounds since the last line. */
 export class SlowRoundLogger {
   private count = 0;
   private longestMs = 0;
-  private toldAt = -Infinity;
+  private loggedAt = -Infinity;
 
-  constructor(private readonly options: RoundWatchOptions) {}
+  constructor(private readonly options: SlowRoundLoggerOptions) {}
 
-  /** Notes how long the round took that began at `now`. */
-  recordRound(tookMs: number, now: number): void {
+  /** Records the duration of the round that began at the monotonic time `now`. */
+  recordRound(durationMs: number, now: number): void {
     const { logger, readJobCount, recordTime } = this.options;
-    recordTime('roundMs', tookMs);
-    if (tookMs <= LONG_ROUND_MS) {
+    recordTime('roundMs', durationMs);
+    if (durationMs <= SLOW_ROUND_MS) {
       return;
     }
     this.count += 1;
-    this.longestMs = Math.max(this.longestMs, tookMs);
-    if (now - this.toldAt < LINE_MS) {
+    this.longestMs = Math.max(this.longestMs, durationMs);
+    if (now - this.loggedAt < LOG_INTERVAL_MS) {
       return;
     }
     const longestMs = Math.round(this.longestMs);
-    logger.info('Rounds took long.', { rounds: this.count, longestMs, jobs: readJobCount() });
+    logger.info('Placement rounds were slow.', { rounds: this.count, longestMs, jobs: readJobCount() });
     this.count = 0;
     this.longestMs = 0;
-    this.toldAt = now;
+    this.loggedAt = now;
   }
 }
--- a/packages/dispatch/placing/SpeedPolicyName.ts
+++ b/packages/dispatch/placing/SpeedPolicyName.ts
@@ -1,7 +1,7 @@
 /**
- * How the speed of endpoints counts when one is chosen.
- * - `blind`: not at all.
- * - `kinds`: that of its kind; the most urgent work goes to fast kinds first, all other work to slow kinds first.
- * - `endpoints`: its own, by the expected end of the work there against the objective.
+ * Policy for the speed of endpoints in placement.
+ * - `blind`: ignores speed.
+ * - `kinds`: prefers fast kinds of endpoints for the most urgent queue, slow kinds for all others.
+ * - `endpoints`: compares the expected completion time on each endpoint with the objective.
  */
 export type SpeedPolicyName = 'blind' | 'kinds' | 'endpoints';
--- a/packages/dispatch/placing/SpeedSources.ts
+++ b/packages/dispatch/placing/SpeedSources.ts
@@ -3,7 +3,7 @@
 import type { KindSpeeds } from './KindSpeeds';
 import type { CapacityView } from './CapacityView';
 
-/** What the ways of counting speeds look at. */
+/** Inputs of the speed policies. */
 export interface SpeedSources {
   readonly kinds: KindSpeeds;
   readonly speeds: EndpointSpeeds;
--- a/packages/dispatch/placing/StepLimiter.ts
+++ b/packages/dispatch/placing/StepLimiter.ts
@@ -5,36 +5,36 @@
 import type { TaskDemand } from '../../jobs/TaskDemand';
 import type { WaitingStep } from '../waiting/WaitingStep';
 
-/** How much of a step its customer's limit lets start. Changes nothing; a question costs the same however much runs. */
+/** Cuts steps down to the tasks that their customer's limit lets start. */
 export class StepLimiter {
   constructor(
     private readonly usage: CustomerUsage,
-    /** The limit in force; undefined while no configuration is known, or it does not know the customer. */
-    private readonly readLimit: (customer: CustomerName) => TaskDemand | undefined,
+    /** Returns the configured limit; undefined while no configuration is known, or when it doesn't have the customer. */
+    private readonly getLimit: (customer: CustomerName) => TaskDemand | undefined,
   ) {}
 
   /**
-   * The part of a step that may start beside everything that may be running now; undefined when that is nothing. A gang may start
-   * whole or not at all; a step that is wider than the limit runs in waves.
+   * Returns the part of a step that may start beside all runs that may be active; undefined for none. A gang starts as a whole or
+   * not at all; a step that is wider than the limit runs in waves.
    */
   computeStartable(step: WaitingStep): WaitingStep | undefined {
     const { customer } = step.job.definition;
-    return customer === undefined ? step : this.toPart(step, this.usage.getUsed(customer.name));
+    return customer === undefined ? step : this.computePart(step, this.usage.getUsed(customer.name));
   }
 
-  /** The part of a step that may ever run at once. What runs now may have ended by the time at which the step is ready. */
+  /** Returns the largest part of a step that may run at once when nothing else of the customer does; undefined for none. */
   computeMaxStartable(step: WaitingStep): WaitingStep | undefined {
-    return this.toPart(step, resourceMath.NOTHING);
+    return this.computePart(step, resourceMath.NOTHING);
   }
 
-  private toPart(step: WaitingStep, taken: TaskDemand): WaitingStep | undefined {
+  private computePart(step: WaitingStep, used: TaskDemand): WaitingStep | undefined {
     const { customer } = step.job.definition;
     if (customer === undefined) {
       return step;
     }
     const { indexes, shape } = step;
-    const limit = this.readLimit(customer.name) ?? customer.limit;
-    const count = customerLimits.measureFitCount(limit, taken, shape.demand);
+    const limit = this.getLimit(customer.name) ?? customer.limit;
+    const count = customerLimits.measureFitCount(limit, used, shape.demand);
     if (count >= indexes.length) {
       return step;
     }
--- a/packages/dispatch/placing/StepPlacer.ts
+++ b/packages/dispatch/placing/StepPlacer.ts
@@ -20,21 +20,21 @@
 import { toStepName } from '../waiting/toStepName';
 import type { WaitingStep } from '../waiting/WaitingStep';
 
-interface Choice {
-  readonly book: EndpointState;
+interface Placement {
+  readonly endpoint: EndpointState;
   readonly run: PlacedRun;
   readonly ticket: string;
 }
 
-/** A task that may begin now. */
-interface Beginner {
+/** A task that may start now. */
+interface StartableTask {
   readonly address: TaskAddress;
   readonly task: TaskProgress;
-  /** It may have ended an endpoint. */
+  /** It may have crashed an endpoint. */
   readonly isSuspect: boolean;
 }
 
-type PlacerEffect = Extract<DispatchEffect, { kind: 'start' | 'tell' }>;
+type PlacementEffect = Extract<DispatchEffect, { kind: 'start' | 'tell' }>;
 
 interface StepPlacerOptions {
   readonly room: CapacityView;
@@ -45,23 +45,23 @@
   readonly preference: EndpointPreference;
   readonly suspicion: SuspectCosts;
   readonly trust: EndpointQuarantine;
-  readonly sendEffect: (effect: PlacerEffect) => void;
+  readonly sendEffect: (effect: PlacementEffect) => void;
 }
 
-/** Chooses endpoints for waiting tasks and books them; asks for advice where a queue needs it. */
+/** Places waiting tasks on endpoints, and requests advice for queues that need it. */
 export class StepPlacer {
-  private readonly room: CapacityView;
-  /** Booked only to work out what to ask ahead. */
-  private readonly booked: Choice[] = [];
+  private readonly capacity: CapacityView;
+  /** Placements that hold capacity only while advice is requested ahead. */
+  private readonly tentative: Placement[] = [];
 
   constructor(private readonly options: StepPlacerOptions) {
-    this.room = options.room;
+    this.capacity = options.room;
   }
 
-  /** Places what can be placed of a step; returns whether anything was. */
-  placeStep(whole: WaitingStep, now: number): boolean {
-    const wait = whole.job.readWait(whole.time, whole.step);
-    const due = this.readDue(whole, now);
+  /** Places as many tasks of a step as possible. Returns whether any was placed. */
+  placeStep(waitingStep: WaitingStep, now: number): boolean {
+    const wait = waitingStep.job.getWait(waitingStep.time, waitingStep.step);
+    const due = this.computeDueStep(waitingStep, now);
     if (due === undefined) {
       wait.recordCause('pause', now);
       return false;
@@ -71,77 +71,77 @@
       wait.recordCause('limit', now);
       return false;
     }
-    const eligible = this.room.listEligible(step);
-    const isShortOfRoom = this.room.isCapacityScarce(step, eligible);
-    if (!isShortOfRoom && !this.room.hasAnyRoom(step, eligible)) {
+    const eligible = this.capacity.listEligible(step);
+    const isScarce = this.capacity.isCapacityScarce(step, eligible);
+    if (!isScarce && !this.capacity.hasAnyCapacity(step, eligible)) {
       wait.recordCause('room', now);
       return false;
     }
-    const choices = this.chooseEndpoints(step, eligible, now);
-    const missing = step.indexes.length - choices.length;
+    const placements = this.choosePlacements(step, eligible, now);
+    const missing = step.indexes.length - placements.length;
     const cause = missing === 0 ? 'room' : this.options.questions.requestAdvice(step, eligible, missing, now);
-    if (isShortOfRoom && choices.length === 0) {
-      this.startMakingRoom(step, eligible, now);
+    if (isScarce && placements.length === 0) {
+      this.startPreemption(step, eligible, now);
     }
-    if (choices.length > 0) {
-      this.placeChoices(step, choices, now);
-      step.job.recordPlaced(step.time, step.step, now, choices.length < whole.indexes.length);
+    if (placements.length > 0) {
+      this.placeTasks(step, placements, now);
+      step.job.recordPlacement(step.time, step.step, now, placements.length < waitingStep.indexes.length);
     }
-    if (choices.length < whole.indexes.length) {
-      step.job.readWait(step.time, step.step).recordCause(missing > 0 ? cause : 'limit', now);
+    if (placements.length < waitingStep.indexes.length) {
+      step.job.getWait(step.time, step.step).recordCause(missing > 0 ? cause : 'limit', now);
     }
-    return choices.length > 0;
+    return placements.length > 0;
   }
 
   /**
-   * Asks for the tickets that the step lacks for starting later, and that will have run out once an answer could be there. Books
-   * what it would take until `revokeBooked`, so that less urgent steps are asked about for the room that is left.
+   * Requests tickets that the step will lack by the time a response could arrive. What it would use is held until
+   * `releaseTentative`, so that requests for less urgent steps are about the remaining capacity.
    */
-  requestAdviceAhead(whole: WaitingStep, now: number): void {
-    const due = this.readDue(whole, now);
+  requestAdviceAhead(waitingStep: WaitingStep, now: number): void {
+    const due = this.computeDueStep(waitingStep, now);
     const step = due === undefined ? undefined : this.options.limits.computeStartable(due);
     if (step === undefined) {
       return;
     }
-    const eligible = this.room.listEligible(step);
-    if (!this.room.hasAnyRoom(step, eligible)) {
+    const eligible = this.capacity.listEligible(step);
+    if (!this.capacity.hasAnyCapacity(step, eligible)) {
       return;
     }
-    const { questions } = this.options;
-    const neededUntil = now + questions.estimateResponseMs(step);
-    const choices = this.chooseEndpoints(step, eligible, neededUntil);
-    this.booked.push(...choices);
-    if (choices.length < step.indexes.length) {
-      questions.requestAdvice(step, eligible, step.indexes.length - choices.length, now, neededUntil);
+    const { questions: advice } = this.options;
+    const neededUntil = now + advice.estimateResponseMs(step);
+    const placements = this.choosePlacements(step, eligible, neededUntil);
+    this.tentative.push(...placements);
+    if (placements.length < step.indexes.length) {
+      advice.requestAdvice(step, eligible, step.indexes.length - placements.length, now, neededUntil);
     }
   }
 
-  /** Gives back what was booked for questions asked ahead. */
+  /** Releases the capacity held by `requestAdviceAhead`. */
   releaseTentative(): void {
-    this.booked.splice(0).forEach((choice) => this.revokeChoice(choice));
+    this.tentative.splice(0).forEach((placement) => this.releasePlacement(placement));
   }
 
-  /** The tasks of a step that need not pause; undefined when there is none, or when a gang would not be whole. */
-  private readDue(whole: WaitingStep, now: number): WaitingStep | undefined {
-    const { job, time, step } = whole;
-    const indexes = whole.indexes.filter((index) => !job.isPaused({ time, step, index }, now));
-    if (indexes.length === whole.indexes.length) {
-      return whole;
+  /** Returns the step without the tasks in backoff; undefined when none is left, or when a gang wouldn't be complete. */
+  private computeDueStep(waitingStep: WaitingStep, now: number): WaitingStep | undefined {
+    const { job, time, step } = waitingStep;
+    const indexes = waitingStep.indexes.filter((index) => !job.isBackingOff({ time, step, index }, now));
+    if (indexes.length === waitingStep.indexes.length) {
+      return waitingStep;
     }
-    return indexes.length === 0 || whole.shape.isGang ? undefined : { ...whole, indexes };
+    return indexes.length === 0 || waitingStep.shape.isGang ? undefined : { ...waitingStep, indexes };
   }
 
-  private startMakingRoom(step: WaitingStep, eligible: readonly EndpointState[], now: number): void {
-    const { preemptor, trust } = this.options;
+  private startPreemption(step: WaitingStep, eligible: readonly EndpointState[], now: number): void {
+    const { preemptor, trust: quarantine } = this.options;
     const candidate = { isGang: step.shape.isGang, failures: 0 };
-    const allowed = this.readAllowed(step, eligible, now + preemptor.readTicketMs()).filter((book) =>
-      trust.isOpenFor(candidate, book, now),
+    const allowed = this.listAllowed(step, eligible, now + preemptor.getMinTicketMs()).filter((endpoint) =>
+      quarantine.canAccept(candidate, endpoint, now),
     );
-    preemptor.startMakingRoom(step, allowed, now);
+    preemptor.startPreemption(step, allowed, now);
   }
 
-  /** Endpoints for which no ticket is needed, or one holds until a time. */
-  private readAllowed(
+  /** Returns the endpoints that have a ticket valid until a time, or all when the queue needs none. */
+  private listAllowed(
     step: WaitingStep,
     eligible: readonly EndpointState[],
     until: number,
@@ -149,32 +149,38 @@
     if (step.job.definition.queue.advice === undefined) {
       return eligible;
     }
-    const advice = this.readAdviceBook(step);
-    return eligible.filter((book) => advice.getTicket(book.getProfile().incarnation, until) !== undefined);
+    const advice = this.getAdvice(step);
+    return eligible.filter(
+      (endpoint) => advice.getTicket(endpoint.getProfile().incarnation, until) !== undefined,
+    );
   }
 
-  /** Books an endpoint for each task that finds one; for a gang for all or none. */
-  private chooseEndpoints(step: WaitingStep, eligible: readonly EndpointState[], now: number): Choice[] {
-    const choices = this.chooseSeparately(step, eligible, now);
-    if (step.shape.isGang && choices.length < step.indexes.length) {
-      choices.forEach((choice) => this.revokeChoice(choice));
+  /** Chooses endpoints for as many tasks as possible and takes their capacity; for all members of a gang or none. */
+  private choosePlacements(step: WaitingStep, eligible: readonly EndpointState[], now: number): Placement[] {
+    const placements = this.chooseTaskPlacements(step, eligible, now);
+    if (step.shape.isGang && placements.length < step.indexes.length) {
+      placements.forEach((placement) => this.releasePlacement(placement));
       return [];
     }
-    return choices;
+    return placements;
   }
 
-  private chooseSeparately(step: WaitingStep, eligible: readonly EndpointState[], now: number): Choice[] {
-    const choices: Choice[] = [];
-    const advice = step.job.definition.queue.advice === undefined ? undefined : this.readAdviceBook(step);
-    const allowed = this.readAllowed(step, eligible, now);
+  private chooseTaskPlacements(
+    step: WaitingStep,
+    eligible: readonly EndpointState[],
+    now: number,
+  ): Placement[] {
+    const placements: Placement[] = [];
+    const advice = step.job.definition.queue.advice === undefined ? undefined : this.getAdvice(step);
+    const allowed = this.listAllowed(step, eligible, now);
     if (allowed.length === 0) {
-      return choices;
+      return placements;
     }
-    let reserveLeft = this.room.readReserveLeft(step);
-    const runNumber = this.readNextRun(step);
-    const readCost = this.options.preference.createCostFunction(step, allowed);
-    for (const { address, task, isSuspect } of this.readBeginners(step)) {
-      if (step.shape.demand.cpuMillis > reserveLeft && !step.shape.isFiller) {
+    let unreservedCpuMillis = this.capacity.computeUnreservedCpuMillis(step);
+    const runNumber = this.computeNextRun(step);
+    const computePreferenceCost = this.options.preference.createCostFunction(step, allowed);
+    for (const { address, task, isSuspect } of this.listStartableTasks(step)) {
+      if (step.shape.demand.cpuMillis > unreservedCpuMillis && !step.shape.isFiller) {
         break;
       }
       const candidate = {
@@ -183,12 +189,12 @@
         isGang: step.shape.isGang,
         failures: task.failures,
       };
-      const book = this.chooseEndpoint(step, allowed, candidate, readCost, now);
-      if (book === undefined && task.crashes.length > 0) {
-        // Its siblings need not wait until another task under suspicion is proven.
+      const endpoint = this.chooseEndpoint(step, allowed, candidate, computePreferenceCost, now);
+      if (endpoint === undefined && task.crashes.length > 0) {
+        // Only this task has to avoid starting suspects; its siblings may find an endpoint.
         continue;
       }
-      if (book === undefined) {
+      if (endpoint === undefined) {
         break;
       }
       const nextRun = step.shape.isGang ? runNumber : task.run + 1;
@@ -197,91 +203,95 @@
         isFromStart,
         isCrashSuspect: isSuspect,
       });
-      book.addRun(run);
-      reserveLeft -= step.shape.demand.cpuMillis;
-      choices.push({ book, run, ticket: advice?.getTicket(book.getProfile().incarnation, now) ?? '' });
+      endpoint.addRun(run);
+      unreservedCpuMillis -= step.shape.demand.cpuMillis;
+      placements.push({
+        endpoint,
+        run,
+        ticket: advice?.getTicket(endpoint.getProfile().incarnation, now) ?? '',
+      });
     }
-    return choices;
+    return placements;
   }
 
-  /** Tasks of a step that may begin now: of those under suspicion one at a time, but members of a gang together. */
-  private readBeginners(step: WaitingStep): readonly Beginner[] {
-    const beginners = step.indexes.flatMap((index): readonly Beginner[] => {
+  /** Returns the tasks of a step that may start now: at most one crash suspect, but all members of a gang. */
+  private listStartableTasks(step: WaitingStep): readonly StartableTask[] {
+    const startable = step.indexes.flatMap((index): readonly StartableTask[] => {
       const address = { time: step.time, step: step.step, index };
       const task = step.job.progress.getTask(address);
       return task === undefined ? [] : [{ address, task, isSuspect: isCrashSuspect(task.crashes) }];
     });
-    const firstSuspect = beginners.find(({ isSuspect }) => isSuspect);
+    const firstSuspect = startable.find(({ isSuspect }) => isSuspect);
     if (firstSuspect === undefined || step.shape.isGang) {
-      return beginners;
+      return startable;
     }
-    const mayBegin = this.options.suspicion.hasSiblingOnProbation(step) ? undefined : firstSuspect;
-    return beginners.filter((beginner) => !beginner.isSuspect || beginner === mayBegin);
+    const nextSuspect = this.options.suspicion.hasStartingSibling(step) ? undefined : firstSuspect;
+    return startable.filter((startableTask) => !startableTask.isSuspect || startableTask === nextSuspect);
   }
 
   private chooseEndpoint(
     step: WaitingStep,
     allowed: readonly EndpointState[],
-    candidate: Parameters<SuspectCosts['measureCost']>[1] & Parameters<EndpointQuarantine['isOpenFor']>[0],
-    readCost: (book: EndpointState) => number,
+    candidate: Parameters<SuspectCosts['computeCost']>[1] & Parameters<EndpointQuarantine['canAccept']>[0],
+    computePreferenceCost: (endpoint: EndpointState) => number,
     now: number,
   ): EndpointState | undefined {
     const { shape } = step;
     const demand = toReservedDemand(shape);
-    const rules = rankingRules[shape.isFiller ? 'filler' : shape.isLongRunning ? 'serving' : 'batch'];
+    const rule = rankingRules[shape.isFiller ? 'filler' : shape.isLongRunning ? 'serving' : 'batch'];
     let best: EndpointState | undefined;
-    let bestFit = Infinity;
-    for (const book of allowed) {
-      if (!book.hasCapacityFor(demand) || this.room.hasMaxTasks(step, book)) {
+    let bestCost = Infinity;
+    for (const endpoint of allowed) {
+      if (!endpoint.hasCapacityFor(demand) || this.capacity.hasMaxTasks(step, endpoint)) {
         continue;
       }
-      if (!this.options.trust.isOpenFor(candidate, book, now)) {
+      if (!this.options.trust.canAccept(candidate, endpoint, now)) {
         continue;
       }
-      const suspicion = this.options.suspicion.measureCost(step, candidate, book, now);
-      const fit = rules.measureFit(step, book, now) + readCost(book) + suspicion;
-      if (fit < bestFit) {
-        bestFit = fit;
-        best = book;
+      const suspectCost = this.options.suspicion.computeCost(step, candidate, endpoint, now);
+      const cost = rule.computeCost(step, endpoint, now) + computePreferenceCost(endpoint) + suspectCost;
+      if (cost < bestCost) {
+        bestCost = cost;
+        best = endpoint;
       }
     }
     return best;
   }
 
-  /** Members of a gang share one run number, above all that were used. */
-  private readNextRun({ job, time, step }: WaitingStep): number {
+  /** Returns the run number for all members of a gang: one above the highest used. */
+  private computeNextRun({ job, time, step }: WaitingStep): number {
     return 1 + Math.max(0, ...job.progress.listTasks(time, step).map((task) => task.run));
   }
 
-  private readAdviceBook({ job, time, step }: WaitingStep): ReturnType<LiveJob['getAdvice']> {
+  private getAdvice({ job, time, step }: WaitingStep): ReturnType<LiveJob['getAdvice']> {
     return job.getAdvice(time, step);
   }
 
-  private revokeChoice({ book, run }: Choice): void {
-    book.removeRun(run);
+  private releasePlacement({ endpoint, run }: Placement): void {
+    endpoint.removeRun(run);
   }
 
-  private placeChoices(step: WaitingStep, choices: readonly Choice[], now: number): void {
+  private placeTasks(step: WaitingStep, placements: readonly Placement[], now: number): void {
     const { job, shape } = step;
     const { progress, definition } = job;
-    const gangCheckpoint = shape.isGang ? this.readGangCheckpoint(step) : '';
-    const waits = job.readWait(step.time, step.step).readTimes(now);
-    this.options.reservations.revokeFor(step);
-    const rows = choices.map(({ book, run, ticket }) => {
+    const gangCheckpoint = shape.isGang ? this.getGangCheckpoint(step) : '';
+    const waits = job.getWait(step.time, step.step).getTimes(now);
+    this.options.reservations.releaseReservations(step);
+    const placed = placements.map(({ endpoint: state, run, ticket }) => {
       const { address, task } = run;
-      const endpoint = book.getProfile().incarnation;
+      const endpoint = state.getProfile().incarnation;
       const checkpoint = shape.isGang ? gangCheckpoint : progress.getTask(address)!.checkpoint;
       progress.recordPlaced(address, run.run, endpoint);
       run.waits = waits;
-      const order = { task, run: run.run, spec: definition.spec, checkpoint, ticket };
+      const command = { task, run: run.run, spec: definition.spec, checkpoint, ticket };
       this.options.questions.recordTicketUse(step, endpoint);
-      this.options.sendEffect({ kind: 'start', job: definition.id, endpoint, command: order, waits });
+      this.options.sendEffect({ kind: 'start', job: definition.id, endpoint, command, waits });
       return {
         task,
         run: run.run,
         endpoint,
-        freeCpuMillis: book.getFreeCapacity().cpuMillis,
-        failureRate: Number(book.computeFailureRate(now).toFixed(2)),
+        freeCpuMillis: state.getFreeCapacity().cpuMillis,
+        failureRate: Number(state.computeFailureRate(now).toFixed(2)),
       };
     });
     this.options.sendEffect({
@@ -292,13 +302,13 @@
         step: toStepName(step),
         queue: definition.queue.name,
         waits: toRoundedTimes(waits),
-        placed: rows,
+        placed,
       },
     });
   }
 
-  /** The saved text of any member is good for all, and all must carry the same one. */
-  private readGangCheckpoint({ job, time, step }: WaitingStep): string {
+  /** Returns the checkpoint that all members of a gang start from; '' for none. The checkpoint of any member is valid for all. */
+  private getGangCheckpoint({ job, time, step }: WaitingStep): string {
     const saved = job.progress.listTasks(time, step).find((task) => task.checkpoint !== '');
     return job.getGangCheckpoint(time, step) ?? saved?.checkpoint ?? '';
   }
--- a/packages/dispatch/placing/SuspectCosts.ts
+++ b/packages/dispatch/placing/SuspectCosts.ts
@@ -8,36 +8,36 @@
 import type { PlacedRun } from '../runs/PlacedRun';
 import type { WaitingStep } from '../waiting/WaitingStep';
 
-/** Beside a run that has just begun the next crash tells little, and beside one that serves it does most harm. */
-const BEGUN_NEIGHBOUR_COST = 2000;
-const CRASHED_LATELY_COST = 1500;
+/** Cost of a neighbour in its startup, beside which a crash couldn't be attributed. */
+const STARTING_NEIGHBOUR_COST = 2000;
+const RECENT_CRASH_COST = 1500;
 const SERVING_NEIGHBOUR_COST = 300;
 const NEIGHBOUR_COST = 30;
-/** For sound tasks: an endpoint on which a task under suspicion has just begun is taken when there is no other. */
+/** Cost for a healthy task of an endpoint with a suspect in its startup. */
 const SUSPECT_NEIGHBOUR_COST = 1500;
 
-/** A task that may be started. */
+/** A task to be placed. */
 interface Candidate {
   readonly isSuspect: boolean;
-  /** Endpoints that have ended under it. */
+  /** Number of endpoints that crashed while they ran it. */
   readonly crashes: number;
 }
 
 /**
- * Keeps tasks under suspicion apart, so that the next crash tells which of them ended the endpoint, and takes little with it. Each begins
- * where no other one is about to show what it does, for at most as long as it takes to be proven.
+ * Placement costs that keep crash suspects apart, so that a crash can be attributed to one of them and affects few other runs. No two
+ * suspects are in their startup on one endpoint, except members of one gang.
  */
 export class SuspectCosts {
   constructor(
-    private readonly books: ReadonlyMap<EndpointIncarnation, EndpointState>,
+    private readonly endpoints: ReadonlyMap<EndpointIncarnation, EndpointState>,
     private readonly crashes: CrashTracker,
   ) {}
 
   /**
-   * True while a sibling under suspicion has just begun: tasks of one step are likely to behave alike, so each waits for what the one before
-   * it shows. A step of 20 harmful tasks cost 5 endpoints of 33, and 42 where all began at once (tests/crashes, virtual time).
+   * Returns whether another suspect task of the step is in its startup. Suspects of one step are started one after the other, since
+   * they are likely to behave alike; members of a gang start together.
    */
-  hasSiblingOnProbation({ job, time, step, shape }: WaitingStep): boolean {
+  hasStartingSibling({ job, time, step, shape }: WaitingStep): boolean {
     if (shape.isGang) {
       return false;
     }
@@ -46,54 +46,53 @@
         return false;
       }
       const name = toTaskName(job.definition.id, { time, step, index });
-      const run = this.books.get(task.endpoint)?.getRun(name, task.run);
+      const run = this.endpoints.get(task.endpoint)?.getRun(name, task.run);
       return run !== undefined && !isPastStartup(run);
     });
   }
 
   /**
-   * Cost of an endpoint for a task of a step under which `crashes` endpoints have ended; Infinity where it must not begin now. A task that has
-   * lost some already waits for its neighbour to be proven, 0.3 s: sound jobs beside harmful tasks would lose endpoint after endpoint to their
-   * neighbours, and be given up.
+   * Returns the cost of an endpoint for a task; Infinity where it must not start now. A healthy task that has been in several crashes
+   * isn't started beside a starting suspect either, so that its neighbours' crashes don't bring it over the crash limit.
    */
-  measureCost(
+  computeCost(
     step: WaitingStep,
     { isSuspect, crashes }: Candidate,
-    book: EndpointState,
+    endpoint: EndpointState,
     now: number,
   ): number {
-    const hasOthers = this.hasOthersOnProbation(step, book);
+    const hasOtherSuspects = this.hasOtherStartingSuspects(step, endpoint);
     if (!isSuspect) {
       const neighbourCost = crashes >= crashLimits.protectedAfterCrashes ? Infinity : SUSPECT_NEIGHBOUR_COST;
-      return hasOthers ? neighbourCost : 0;
+      return hasOtherSuspects ? neighbourCost : 0;
     }
-    if (hasOthers) {
+    if (hasOtherSuspects) {
       return Infinity;
     }
-    const isCrashed = this.crashes.hasCrashedRecently(book.getProfile().address, now);
-    let cost = isCrashed ? CRASHED_LATELY_COST : 0;
-    for (const run of book.getRuns()) {
-      cost += this.measureNeighbour(step, run);
+    const hasCrashed = this.crashes.hasCrashedRecently(endpoint.getProfile().address, now);
+    let cost = hasCrashed ? RECENT_CRASH_COST : 0;
+    for (const run of endpoint.getRuns()) {
+      cost += this.computeNeighbourCost(step, run);
     }
     return cost;
   }
 
-  private measureNeighbour(step: WaitingStep, run: PlacedRun): number {
-    const begunCost = isPastStartup(run) || this.isOfGang(step, run) ? 0 : BEGUN_NEIGHBOUR_COST;
-    return begunCost + (run.isServing ? SERVING_NEIGHBOUR_COST : NEIGHBOUR_COST);
+  private computeNeighbourCost(step: WaitingStep, run: PlacedRun): number {
+    const startupCost = isPastStartup(run) || this.isSameGang(step, run) ? 0 : STARTING_NEIGHBOUR_COST;
+    return startupCost + (run.isServing ? SERVING_NEIGHBOUR_COST : NEIGHBOUR_COST);
   }
 
-  private hasOthersOnProbation(step: WaitingStep, book: EndpointState): boolean {
-    for (const run of book.getStartingSuspects()) {
-      if (!this.isOfGang(step, run)) {
+  private hasOtherStartingSuspects(step: WaitingStep, endpoint: EndpointState): boolean {
+    for (const run of endpoint.getStartingSuspects()) {
+      if (!this.isSameGang(step, run)) {
         return true;
       }
     }
     return false;
   }
 
-  /** Members of a gang start together, and are charged as one. */
-  private isOfGang(step: WaitingStep, { job, address }: PlacedRun): boolean {
+  /** Returns whether the run is a member of the gang to be placed; its members start together and share the blame for a crash. */
+  private isSameGang(step: WaitingStep, { job, address }: PlacedRun): boolean {
     const isSameStep =
       job === step.job.definition.id && address.time === step.time && address.step === step.step;
     return step.shape.isGang && isSameStep;
--- a/packages/dispatch/placing/hallPolicies.ts
+++ b/packages/dispatch/placing/hallPolicies.ts
@@ -1,9 +1,9 @@
 import type { HallPolicyName } from './HallPolicyName';
 
-/** Outweighs packing (at most 1), not a kind that is slower by a fifth (4). */
+/** Outweighs packing, which costs at most 1, but not a slowdown of a fifth, which costs 4. */
 const OTHER_HALL_COST = 3;
 
-/** Cost of an endpoint by whether it is in the job's home hall. */
+/** Costs of an endpoint inside and outside of the job's home hall, by policy. */
 export const hallPolicies: Readonly<Record<HallPolicyName, (isHome: boolean) => number>> = {
   spread: () => 0,
   together: (isHome) => (isHome ? 0 : OTHER_HALL_COST),
--- a/packages/dispatch/placing/rankingRules.ts
+++ b/packages/dispatch/placing/rankingRules.ts
@@ -2,26 +2,30 @@
 import type { RankingRule } from './RankingRule';
 import type { WaitingStep } from '../waiting/WaitingStep';
 
-/** Costs outweigh each other in this order; within one the tightest fit wins. */
+/** Costs in descending order of weight; the free share, 0 to 1, decides between equal ones. */
 const FAILED_HERE_COST = 1000;
-const DOUBTFUL_COST = 500;
+const DEGRADED_COST = 500;
 const OTHER_RACK_COST = 100;
 const SERVING_NEIGHBOUR_COST = 50;
 
-const measureTrust = ({ job, time, step }: WaitingStep, book: EndpointState, now: number): number => {
-  const failedHere = job.hasFailedOn(time, step, book.getProfile().incarnation) ? FAILED_HERE_COST : 0;
-  return failedHere + (book.isDegraded(now) ? DOUBTFUL_COST : 0);
+const computeFailureCost = (
+  { job, time, step }: WaitingStep,
+  endpoint: EndpointState,
+  now: number,
+): number => {
+  const failedHere = job.hasFailureOn(time, step, endpoint.getProfile().incarnation) ? FAILED_HERE_COST : 0;
+  return failedHere + (endpoint.isDegraded(now) ? DEGRADED_COST : 0);
 };
 
-const measureDataDistance = ({ shape }: WaitingStep, book: EndpointState): number =>
-  shape.dataRack !== '' && !book.getProfile().labels.includes(shape.dataRack) ? OTHER_RACK_COST : 0;
+const computeDataCost = ({ shape }: WaitingStep, endpoint: EndpointState): number =>
+  shape.dataRack !== '' && !endpoint.getProfile().labels.includes(shape.dataRack) ? OTHER_RACK_COST : 0;
 
 const toShare = (free: number, whole: number): number => (whole === 0 ? 1 : free / whole);
 
-/** Free share of the scarcest resource, 0 to 1, so that tasks that need little are packed beside each other. */
-const measureFreeShare = (book: EndpointState): number => {
-  const { capacity } = book.getProfile();
-  const free = book.getFreeCapacity();
+/** Returns the free share of an endpoint's scarcest resource, 0 to 1. */
+const computeFreeShare = (endpoint: EndpointState): number => {
+  const { capacity } = endpoint.getProfile();
+  const free = endpoint.getFreeCapacity();
   return Math.min(
     toShare(free.cpuMillis, capacity.cpuMillis),
     toShare(free.memoryMb, capacity.memoryMb),
@@ -29,29 +33,31 @@
   );
 };
 
-const measureShared = (step: WaitingStep, book: EndpointState, now: number): number =>
-  measureTrust(step, book, now) + measureDataDistance(step, book);
+const computeCommonCost = (step: WaitingStep, endpoint: EndpointState, now: number): number =>
+  computeFailureCost(step, endpoint, now) + computeDataCost(step, endpoint);
 
-const measureServing = (book: EndpointState): number => {
+const countServing = (endpoint: EndpointState): number => {
   let count = 0;
-  for (const run of book.getRuns()) {
+  for (const run of endpoint.getRuns()) {
     count += run.isServing ? 1 : 0;
   }
   return count;
 };
 
-/** Kinds of steps, and how endpoints are ranked for each. */
+/** Ranking rules by kind of step. */
 export const rankingRules: Readonly<Record<'batch' | 'serving' | 'filler', RankingRule>> = {
   batch: {
-    measureFit: (step, book, now) => measureShared(step, book, now) + measureFreeShare(book),
+    computeCost: (step, endpoint, now) => computeCommonCost(step, endpoint, now) + computeFreeShare(endpoint),
   },
-  // Replicas are spread, so that one failure takes few of them.
+  // Spreads replicas, so that the loss of an endpoint affects few of them.
   serving: {
-    measureFit: (step, book, now) => measureShared(step, book, now) - measureFreeShare(book),
+    computeCost: (step, endpoint, now) => computeCommonCost(step, endpoint, now) - computeFreeShare(endpoint),
   },
-  // Fillers disturb serving tasks, so they go where none are, and where most is left unused.
+  // Keeps fillers away from serving tasks, which they slow down, and prefers the least used endpoints.
   filler: {
-    measureFit: (step, book, now) =>
-      measureShared(step, book, now) + SERVING_NEIGHBOUR_COST * measureServing(book) - measureFreeShare(book),
+    computeCost: (step, endpoint, now) =>
+      computeCommonCost(step, endpoint, now) +
+      SERVING_NEIGHBOUR_COST * countServing(endpoint) -
+      computeFreeShare(endpoint),
   },
 };
--- a/packages/dispatch/placing/speedPolicies.ts
+++ b/packages/dispatch/placing/speedPolicies.ts
@@ -4,30 +4,30 @@
 import type { SpeedPolicyName } from './SpeedPolicyName';
 import type { SpeedSources } from './SpeedSources';
 
-type CostOf = (book: EndpointState) => number;
-type CreateCostOf = (
+type CostFunction = (endpoint: EndpointState) => number;
+type CreateCostFunction = (
   step: WaitingStep,
   sources: SpeedSources,
   endpoints: readonly EndpointState[],
   wallMs: number,
-) => CostOf;
+) => CostFunction;
 
-/** Cost of a kind on which runs take twice as long: a tenth of that outweighs packing (at most 1), and no rack with the data (100). */
-const SPEED_COST = 20;
-/** Kinds that differ by less are taken for the same: so much is chance. */
-const RATIO_STEP = 0.1;
+/** Cost of a slowdown of 2. A tenth of it outweighs packing, which costs at most 1; all of it doesn't outweigh another rack, 100. */
+const SLOWDOWN_COST = 20;
+/** Slowdowns are rounded to multiples of this, so that random differences don't count. */
+const SLOWDOWN_STEP = 0.1;
 
-const createKindCost: CreateCostOf = (step, { kinds, room }) => {
-  const isMostUrgent = room.isMostUrgent(step.job.definition.queue);
-  return (book) => {
-    const ratio = kinds.getSlowdown(book.getProfile().labels);
-    const cost = SPEED_COST * RATIO_STEP * Math.round((ratio - 1) / RATIO_STEP);
+const createKindCost: CreateCostFunction = (step, { kinds, room: capacity }) => {
+  const isMostUrgent = capacity.isMostUrgent(step.job.definition.queue);
+  return (endpoint) => {
+    const slowdown = kinds.getSlowdown(endpoint.getProfile().labels);
+    const cost = SLOWDOWN_COST * SLOWDOWN_STEP * Math.round((slowdown - 1) / SLOWDOWN_STEP);
     return isMostUrgent ? cost : -cost;
   };
 };
 
-/** Ways of counting speeds: each gives the costs for a step of the endpoints that it may have, at a wall clock time. */
-export const speedPolicies: Readonly<Record<SpeedPolicyName, CreateCostOf>> = {
+/** Cost functions of a step over the endpoints that may run it, at a wall clock time, by policy. */
+export const speedPolicies: Readonly<Record<SpeedPolicyName, CreateCostFunction>> = {
   blind: () => () => 0,
   kinds: createKindCost,
   endpoints: createCompletionTimeCost,
--- a/packages/dispatch/stops/EndpointQuarantine.ts
+++ b/packages/dispatch/stops/EndpointQuarantine.ts
@@ -2,63 +2,62 @@
 import type { ServiceName } from '../../jobs/ServiceName';
 import type { EndpointState } from '../endpoints/EndpointState';
 
-/** A task that is to be placed. */
+/** A task to be placed. */
 interface Candidate {
   readonly isGang: boolean;
-  /** Runs of it that have failed. */
+  /** Number of its failed runs. */
   readonly failures: number;
 }
 
-/** Where more than this share of a service's endpoints fail all they start, the work is at fault, and all stay open. */
-const MAX_CLOSED_SHARE = 0.25;
+/** When more than this share of a service's endpoints fail, the work is assumed to be at fault and none is quarantined. */
+const MAX_QUARANTINED_SHARE = 0.25;
 
 /**
- * Keeps work off endpoints that fail all that they start. Such an endpoint always has room, since it ends at once what comes; while room is short
- * elsewhere, everything would go there and use up its attempts. A single run at a time, of a task that has all its attempts, shows when it
- * works again.
+ * Quarantines endpoints that fail every run, as a circuit breaker does. Such an endpoint always has free capacity, so that it would
+ * attract waiting tasks and use up their attempts. After a backoff it gets one run at a time as a probe, of a task without failures.
  */
 export class EndpointQuarantine {
-  /** Services with too many such endpoints, for the round. */
-  private readonly excused = new Map<ServiceName, boolean>();
+  /** Services of which no endpoint is quarantined, cached for the round. */
+  private readonly exempt = new Map<ServiceName, boolean>();
 
   constructor(
-    private readonly books: ReadonlyMap<EndpointIncarnation, EndpointState>,
-    /** False to trust all alike. */
-    private readonly isClosing: boolean,
+    private readonly endpoints: ReadonlyMap<EndpointIncarnation, EndpointState>,
+    /** False to quarantine none. */
+    private readonly isEnabled: boolean,
   ) {}
 
-  /** Forgets what was worked out before. */
+  /** Clears the results of the last round. */
   clearCache(): void {
-    this.excused.clear();
+    this.exempt.clear();
   }
 
-  /** True when a task may go to the endpoint, as far as its failures matter. */
-  isOpenFor(candidate: Candidate, book: EndpointState, now: number): boolean {
-    const streak = book.getFailureStreak();
-    if (!this.isClosing || !streak.isFailing() || this.isExcused(book.getProfile().service)) {
+  /** Returns whether a task may be placed on the endpoint, by the failures of both. */
+  canAccept(candidate: Candidate, endpoint: EndpointState, now: number): boolean {
+    const streak = endpoint.getFailureStreak();
+    if (!this.isEnabled || !streak.isFailing() || this.isExempt(endpoint.getProfile().service)) {
       return true;
     }
-    const mayProbe = !candidate.isGang && candidate.failures === 0 && now >= streak.readProbeAt();
-    return mayProbe && !this.isProbed(book);
+    const canProbe = !candidate.isGang && candidate.failures === 0 && now >= streak.getProbeAt();
+    return canProbe && !this.isProbing(endpoint);
   }
 
-  /** True while a run that was placed after the newest failure has not ended. */
-  private isProbed(book: EndpointState): boolean {
-    const failedAt = book.getFailureStreak().readFailedAt();
-    return [...book.getRuns()].some((run) => run.placedAt >= failedAt);
+  /** Returns whether a run that was placed after the newest failure is still active. */
+  private isProbing(endpoint: EndpointState): boolean {
+    const failedAt = endpoint.getFailureStreak().getFailedAt();
+    return [...endpoint.getRuns()].some((run) => run.placedAt >= failedAt);
   }
 
-  private isExcused(service: ServiceName): boolean {
-    const known = this.excused.get(service);
+  private isExempt(service: ServiceName): boolean {
+    const known = this.exempt.get(service);
     if (known !== undefined) {
       return known;
     }
-    const usable = [...this.books.values()].filter(
-      (book) => book.isSchedulable() && book.getProfile().service === service,
+    const schedulable = [...this.endpoints.values()].filter(
+      (endpoint) => endpoint.isSchedulable() && endpoint.getProfile().service === service,
     );
-    const broken = usable.filter((book) => book.getFailureStreak().isFailing());
-    const isExcused = broken.length > usable.length * MAX_CLOSED_SHARE;
-    this.excused.set(service, isExcused);
+    const failing = schedulable.filter((endpoint) => endpoint.getFailureStreak().isFailing());
+    const isExcused = failing.length > schedulable.length * MAX_QUARANTINED_SHARE;
+    this.exempt.set(service, isExcused);
     return isExcused;
   }
 }
--- a/packages/dispatch/stops/FailureStreak.ts
+++ b/packages/dispatch/stops/FailureStreak.ts
@@ -1,17 +1,17 @@
 import type { RunOutcome } from '../../jobs/RunOutcome';
 
-/** One failure may be the task's own; so many in a row with nothing done between are the endpoint's. */
+/** Consecutive failures from which the endpoint, and not the task, is considered at fault. */
 const MIN_FAILURES = 2;
-/** Pause after that many, doubled with each one more: a fault of some seconds is found over soon. */
-const PAUSE_MS = 250;
-const MAX_PAUSE_MS = 2000;
+/** Backoff before the first probe, doubled with each further failure. */
+const INITIAL_BACKOFF_MS = 250;
+const MAX_BACKOFF_MS = 2000;
 
-/** Whether an endpoint fails all that it starts. */
+/** Consecutive failures of runs on an endpoint. */
 export class FailureStreak {
   private failures = 0;
   private failedAt = -Infinity;
 
-  /** Records how a run ended; one that was interrupted tells nothing. */
+  /** Records how a run ended. Interrupted runs don't count. */
   recordEnd(outcome: RunOutcome, now: number): void {
     if (outcome === 'done') {
       this.failures = 0;
@@ -25,13 +25,13 @@
     return this.failures >= MIN_FAILURES;
   }
 
-  /** Monotonic time from which a single run may show whether the endpoint works again. */
-  readProbeAt(): number {
-    return this.failedAt + Math.min(MAX_PAUSE_MS, PAUSE_MS * 2 ** (this.failures - MIN_FAILURES));
+  /** Returns the monotonic time from which a single run may probe whether the endpoint has recovered. */
+  getProbeAt(): number {
+    return this.failedAt + Math.min(MAX_BACKOFF_MS, INITIAL_BACKOFF_MS * 2 ** (this.failures - MIN_FAILURES));
   }
 
-  /** Monotonic time of the newest failure. */
-  readFailedAt(): number {
+  /** Returns the monotonic time of the newest failure; -Infinity for none. */
+  getFailedAt(): number {
     return this.failedAt;
   }
 }
--- a/packages/dispatch/stops/GangCheckpoint.ts
+++ b/packages/dispatch/stops/GangCheckpoint.ts
@@ -1,7 +1,7 @@
-/** The newest checkpoint that members of a gang have left. */
+/** Newest checkpoint left by a member of a gang. */
 export interface GangCheckpoint {
   readonly checkpoint: string;
   readonly run: number;
-  /** Monotonic time up to which its work is in it. */
+  /** Monotonic time up to which work is saved in it. */
   readonly savedAt: number;
 }
--- a/packages/dispatch/stops/LossCause.ts
+++ b/packages/dispatch/stops/LossCause.ts
@@ -1,4 +1,4 @@
 import type { lossCauses } from './lossCauses';
 
-/** What a run lost its work by. */
+/** Cause of a lost run. */
 export type LossCause = (typeof lossCauses)[number];
--- a/packages/dispatch/stops/LossCounterName.ts
+++ b/packages/dispatch/stops/LossCounterName.ts
@@ -1,4 +1,4 @@
 import type { LossCause } from './LossCause';
 
-/** Counts of lost runs, and of the core-milliseconds of work that they lost, by cause. */
+/** Names of the counters of lost runs, and of their lost core-milliseconds, by cause. */
 export type LossCounterName = `runsLostBy.${LossCause}` | `coreMsLostBy.${LossCause}`;
--- a/packages/dispatch/stops/MoveReason.ts
+++ b/packages/dispatch/stops/MoveReason.ts
@@ -1,4 +1,4 @@
 import type { StopCause } from './StopCause';
 
-/** Why a run would end sooner, or at all, elsewhere. */
+/** Reason to move a run to another endpoint. */
 export type MoveReason = Extract<StopCause, 'slow' | 'stalled' | 'endpointLeaves'>;
--- a/packages/dispatch/stops/PreemptionEstimate.ts
+++ b/packages/dispatch/stops/PreemptionEstimate.ts
@@ -1,15 +1,15 @@
-/** What stopping runs for a waiting step loses, and what it gains. */
+/** Estimated loss and gain of a preemption for a waiting step. */
 export interface PreemptionEstimate {
-  /** Core-milliseconds that the stopped runs lose: work in no checkpoint, and their restart. */
+  /** Work that the victims lose, in core-milliseconds: since their last checkpoint, and their restart. */
   readonly lostCoreMs: number;
-  /** Time until known ends would make the room that the stops make, in milliseconds. */
+  /** Time until runs that end by themselves would free the same capacity, in milliseconds. */
   readonly roomWaitMs: number;
-  /** Time for which the step has waited, in milliseconds. */
+  /** Time that the step has waited, in milliseconds. */
   readonly waitedMs: number;
-  /** Time that the step may still wait and be in time, in milliseconds. */
+  /** Time that the step may still wait and meet its objective, in milliseconds; negative when it is late. */
   readonly slackMs: number;
   /** Time from the job's acceptance to its objective, in milliseconds. */
   readonly allowedMs: number;
-  /** Thousandths of a core that start sooner. */
+  /** Demand that starts earlier, in thousandths of a core. */
   readonly waitingCpuMillis: number;
 }
--- a/packages/dispatch/stops/SlowRunInput.ts
+++ b/packages/dispatch/stops/SlowRunInput.ts
@@ -1,15 +1,16 @@
-/** What is known of a run that may be slow. */
+/** Progress and pace of a run that may be a straggler. A pace is in milliseconds for one percent. */
 export interface SlowRunInput {
-  /** Milliseconds for one percent, of this run and of a new one as far as is known. */
+  /** Pace of this run. */
   readonly pace: number;
+  /** Baseline pace, expected of a new run. */
   readonly usualPace: number;
-  /** A run with a pace beyond this is slow for certain, and not by the usual spread. */
+  /** Pace above which a run is slow beyond the normal variance. */
   readonly slowPace: number;
   readonly percent: number;
-  /** Time since the run's percent last rose, in milliseconds. */
+  /** Time since the run last progressed, in milliseconds. */
   readonly stalledMs: number;
-  /** Time that a move takes before the new run works, in milliseconds. */
+  /** Time from a move until the new run works, in milliseconds. */
   readonly moveMs: number;
-  /** A stop saves what the run has done, so that the new one goes on from there. */
+  /** The run saves its work when it is stopped, and the new one resumes from there. */
   readonly isSaving: boolean;
 }
--- a/packages/dispatch/stops/StopCause.ts
+++ b/packages/dispatch/stops/StopCause.ts
@@ -1,12 +1,12 @@
 /**
- * Why the leader stops a run.
- * - `jobEnded`: its job was cancelled, or failed.
- * - `slow`, `stalled`: a new run elsewhere would end sooner.
- * - `endpointLeaves`: its endpoint is about to leave, and it would not end before.
- * - `gaveWay`: more urgent work takes its room.
+ * Reason why the leader stops a run.
+ * - `jobEnded`: its job was cancelled or has failed.
+ * - `slow`, `stalled`: it is a straggler, and a new run elsewhere is expected to end earlier.
+ * - `endpointLeaves`: its endpoint is draining, and the run isn't expected to end before the deadline.
+ * - `gaveWay`: it is preempted by more urgent work.
  * - `gangBroken`: another member of its gang is lost.
- * - `notWanted`: an endpoint lists it, and this leader has not placed it.
- * - `unanswered`: its start had no answer, so that it must be proved not to run.
+ * - `notWanted`: it is an orphan run, listed by an endpoint but not placed by this leader.
+ * - `unanswered`: its start command had no response, so it may or may not be running.
  */
 export type StopCause =
   'jobEnded' | 'slow' | 'stalled' | 'endpointLeaves' | 'gaveWay' | 'gangBroken' | 'notWanted' | 'unanswered';
--- a/packages/dispatch/stops/StopPolicy.ts
+++ b/packages/dispatch/stops/StopPolicy.ts
@@ -1,21 +1,21 @@
-import type { LeaveInput } from './LeaveInput';
+import type { EvictionInput } from './EvictionInput';
 import type { SlowRunInput } from './SlowRunInput';
 import type { MoveReason } from './MoveReason';
-import type { RoomRule } from './RoomRule';
+import type { PreemptionRules } from './PreemptionRules';
 
-/** The rules of one way of choosing what is stopped. */
+/** Rules for the stops of runs. */
 export interface StopPolicy {
-  /** True when a run, or a gang, is to be stopped now since its endpoint leaves before it can be done there. */
-  readonly isEvictionDue: (input: LeaveInput) => boolean;
-  /** Whether a run would end sooner if it were stopped and started elsewhere, and why. */
+  /** Returns whether a run, or a gang, is to be evicted now from a draining endpoint. */
+  readonly isEvictionDue: (input: EvictionInput) => boolean;
+  /** Returns why a run is a straggler that should be moved; undefined when it isn't. */
   readonly findMoveReason: (input: SlowRunInput) => Exclude<MoveReason, 'endpointLeaves'> | undefined;
-  readonly preemption: RoomRule;
-  /** Gangs on endpoints that leave are stopped, and go on from the newest checkpoint of any member. */
+  readonly preemption: PreemptionRules;
+  /** Gangs on draining endpoints are evicted, and resume from the newest checkpoint of any member. */
   readonly isMovingGangs: boolean;
-  /** Tasks without siblings are compared with the run times that the leader has learnt. */
+  /** Runs without siblings are compared with the learnt run times. */
   readonly isUsingRunTimes: boolean;
-  /** Share of all runs that may be on the move at once for being slow. */
+  /** Maximum share of all runs that are moved at the same time as stragglers. */
   readonly maxMovingShare: number;
-  /** Endpoints that fail all they start take one run at a time. */
+  /** Endpoints that fail every run are quarantined. */
   readonly isQuarantining: boolean;
 }
--- a/packages/dispatch/stops/StopPolicyName.ts
+++ b/packages/dispatch/stops/StopPolicyName.ts
@@ -1,6 +1,6 @@
 /**
- * How it is decided what is stopped.
- * - `ranked`: the least urgent work gives way, whatever it loses; runs that are far slower than their siblings are moved.
- * - `priced`: a stop must gain more than it loses.
+ * Policy for the stops of runs.
+ * - `ranked`: preempts the least urgent runs whatever they lose, and moves runs that are far slower than their siblings.
+ * - `priced`: stops runs only where this gains more than it loses.
  */
 export type StopPolicyName = 'ranked' | 'priced';
--- a/packages/dispatch/stops/chooseMoves.ts
+++ b/packages/dispatch/stops/chooseMoves.ts
@@ -1,21 +1,21 @@
-/** What matters of a move. */
+/** Priority and gain of a move. */
 interface Move {
   readonly priority: number;
-  /** Time that it is expected to save, in milliseconds. */
+  /** Time that it is expected to gain, in milliseconds. */
   readonly gainMs: number;
 }
 
-/** A small fleet may move so many at once all the same. */
+/** Lower bound of the limit, for small clusters. */
 const MIN_MOVING = 4;
 
-/** Chooses which moves to make now: the most urgent first, of these those that gain most; the rest may follow when these are done. */
+/** Returns the moves to make now, by priority, then by gain, up to the limit less the moves under way. */
 export const chooseMoves = <Candidate extends Move>(
   candidates: readonly Candidate[],
-  mostMoving: number,
+  maxMoving: number,
   movingCount: number,
 ): readonly Candidate[] => {
-  const bound = Math.max(MIN_MOVING, Math.floor(mostMoving));
+  const limit = Math.max(MIN_MOVING, Math.floor(maxMoving));
   return [...candidates]
     .sort((left, right) => left.priority - right.priority || right.gainMs - left.gainMs)
-    .slice(0, Math.max(0, bound - movingCount));
+    .slice(0, Math.max(0, limit - movingCount));
 };
--- a/packages/dispatch/stops/computeLostWork.ts
+++ b/packages/dispatch/stops/computeLostWork.ts
@@ -3,7 +3,7 @@
 
 const MILLIS = 1000;
 
-/** Core-milliseconds of work that ended with a run and are in no checkpoint. */
+/** Returns the work of an ended run that is in no checkpoint, in core-milliseconds. */
 export const computeLostWork = (
   run: PlacedRun,
   { reportedEnd: how, checkpoint }: RunEnd,
--- /dev/null
+++ b/packages/dispatch/stops/computeStopCost.ts
@@ -0,0 +1,9 @@
+import type { PreemptionRules } from './PreemptionRules';
+
+/** Expected duration of a stop, the wait for the next round, and the restart from a checkpoint. */
+const RESTART_MS = 500;
+const MILLIS = 1000;
+
+/** Returns the work that a stop loses, in core-milliseconds. */
+export const computeStopCost: PreemptionRules['computeCost'] = ({ cpuMillis, workedMs, isSaving }) =>
+  ((RESTART_MS + (isSaving ? 0 : workedMs)) * cpuMillis) / MILLIS;
--- /dev/null
+++ b/packages/dispatch/stops/estimateCapacityWaitMs.ts
@@ -0,0 +1,48 @@
+import { resourceMath } from '../../jobs/resourceMath';
+import type { TaskDemand } from '../../jobs/TaskDemand';
+import type { CapacityHolder } from './CapacityHolder';
+
+/** An endpoint that may run tasks of the step. */
+interface OccupiedEndpoint {
+  readonly free: TaskDemand;
+  readonly holders: readonly CapacityHolder[];
+}
+
+/** Returns the time until each further task fits on an endpoint as its runs end, in milliseconds. */
+const computeFitTimes = (
+  { free, holders }: OccupiedEndpoint,
+  demand: TaskDemand,
+  maxPerEndpoint: number,
+): readonly number[] => {
+  const times: number[] = [];
+  let remaining = free;
+  let waitMs = 0;
+  const recordFits = (): void => {
+    while (times.length < maxPerEndpoint && resourceMath.isWithin(demand, remaining)) {
+      remaining = resourceMath.toDifference(remaining, demand);
+      times.push(waitMs);
+    }
+  };
+  recordFits();
+  for (const holder of [...holders].sort((left, right) => left.remainingMs - right.remainingMs)) {
+    remaining = resourceMath.toSum(remaining, holder.demand);
+    waitMs = holder.remainingMs;
+    recordFits();
+  }
+  return times;
+};
+
+/**
+ * Returns the estimated time until `count` tasks fit on the endpoints as runs end by themselves, in milliseconds; Infinity when they
+ * never do. A `mostPerEndpoint` of 0 means no limit.
+ */
+export const estimateCapacityWaitMs = (
+  endpoints: readonly OccupiedEndpoint[],
+  demand: TaskDemand,
+  count: number,
+  mostPerEndpoint: number,
+): number => {
+  const maxPerEndpoint = mostPerEndpoint === 0 ? count : mostPerEndpoint;
+  const times = endpoints.flatMap((endpoint) => computeFitTimes(endpoint, demand, maxPerEndpoint));
+  return times.sort((left, right) => left - right)[count - 1] ?? Infinity;
+};
--- a/packages/dispatch/stops/getGangCheckpoint.ts
+++ b/packages/dispatch/stops/getGangCheckpoint.ts
@@ -3,19 +3,19 @@
 import type { GangCheckpoint } from './GangCheckpoint';
 
 /**
- * What an ended member leaves to its gang; undefined for nothing. Members work in step, so the one that was saved last has most; one that was
- * stopped is saved at its end, one that was broken some time before.
+ * Returns the checkpoint that an ended member leaves to its gang; undefined for none. A stopped member saves its work at its end,
+ * others did so some time before.
  */
 export const getGangCheckpoint = (
   run: PlacedRun,
   { reportedEnd: how, checkpoint }: RunEnd,
   now: number,
 ): GangCheckpoint | undefined => {
-  const kept = checkpoint === '' ? run.checkpoint : checkpoint;
-  if (kept === '') {
+  const newest = checkpoint === '' ? run.checkpoint : checkpoint;
+  if (newest === '') {
     return undefined;
   }
   const isNewer = checkpoint !== '' && checkpoint !== run.checkpoint;
   const knownAt = isNewer ? run.seenAt : (run.checkpointedAt ?? run.confirmedAt);
-  return { checkpoint: kept, run: run.run, savedAt: how === 'stopped' ? now : knownAt };
+  return { checkpoint: newest, run: run.run, savedAt: how === 'stopped' ? now : knownAt };
 };
--- a/packages/dispatch/stops/getLossCause.ts
+++ b/packages/dispatch/stops/getLossCause.ts
@@ -3,8 +3,8 @@
 import type { RunEnd } from '../runs/RunEnd';
 import type { LossCause } from './LossCause';
 
-/** Ends that an endpoint tells and the leader has not asked for. */
-const UNASKED: Readonly<Record<EndedTaskStatus['how'], LossCause | undefined>> = {
+/** Loss causes of ends that an endpoint reports without a stop by this leader. */
+const UNREQUESTED_CAUSES: Readonly<Record<EndedTaskStatus['how'], LossCause | undefined>> = {
   done: undefined,
   failed: undefined,
   stopped: 'notWanted',
@@ -13,7 +13,7 @@
   lapsed: 'lapsed',
 };
 
-/** What an interrupted run was lost by; undefined for one that ended by itself, or never began. */
+/** Returns the cause by which an interrupted run was lost; undefined for one that ended by itself, or never began. */
 export const getLossCause = (
   run: PlacedRun,
   { outcome, cause, reportedEnd: how }: RunEnd,
@@ -25,7 +25,7 @@
     return run.stopCause;
   }
   if (how !== undefined) {
-    return UNASKED[how];
+    return UNREQUESTED_CAUSES[how];
   }
   return cause === 'lifeOver' || cause === 'leaseOver' ? 'endpointLost' : undefined;
 };
--- a/packages/dispatch/stops/lossCauses.ts
+++ b/packages/dispatch/stops/lossCauses.ts
@@ -1,6 +1,6 @@
 import type { StopCause } from './StopCause';
 
-const STOPS = {
+const STOP_CAUSES = {
   jobEnded: true,
   slow: true,
   stalled: true,
@@ -12,13 +12,13 @@
 } as const satisfies Readonly<Record<StopCause, true>>;
 
 /**
- * What runs lose work by: the leader's own stops, and beside them
- * - `alone`: its gang was not complete in time.
- * - `lapsed`: its lease ran out.
- * - `endpointLost`: its endpoint ended, or fell silent for good.
+ * Causes of lost runs: those of the leader's stops, and
+ * - `alone`: its gang wasn't complete in time.
+ * - `lapsed`: its lease expired.
+ * - `endpointLost`: its endpoint ended, or was unreachable until its lease had expired.
  */
 export const lossCauses = [
-  ...(Object.keys(STOPS) as StopCause[]),
+  ...(Object.keys(STOP_CAUSES) as StopCause[]),
   'alone',
   'lapsed',
   'endpointLost',
--- a/packages/dispatch/stops/stopPolicies.ts
+++ b/packages/dispatch/stops/stopPolicies.ts
@@ -1,39 +1,39 @@
-import { isCutShort } from './isCutShort';
-import { isWorthStopping } from './isWorthStopping';
-import { measureStopCost } from './measureStopCost';
+import { isEvictionDue } from './isEvictionDue';
+import { isPreemptionWorthwhile } from './isPreemptionWorthwhile';
+import { computeStopCost } from './computeStopCost';
 import { findStragglerReason } from '../runs/findStragglerReason';
 import type { StopPolicyName } from './StopPolicyName';
 import type { StopPolicy } from './StopPolicy';
 
-const WHOLE = 100;
-/** A leaving endpoint is left so long before its time is over, in milliseconds. */
+const MAX_PERCENT = 100;
+/** Time before the drain deadline at which runs that save their work are evicted. */
 const LEAVE_MARGIN_MS = 700;
-/** A stop may take 900 ms by the platform's bounds, and one that is lost is repeated after 200 ms. */
-const SAFE_LEAVE_MARGIN_MS = 1300;
-/** A stop takes up to 900 ms by the platform's bounds; then come the look that shows its end, and a round. */
-const LONGEST_STOP_MS = 1200;
-/** Tickets must hold for so long that a usual stop, a look and a round pass; a gang seldom has so many that hold for the longest stop. */
-const TICKET_MS = 600;
-/** Beyond the time for which room is kept. */
-const RETRY_MS = 3000;
-/** Where more than this share of all runs seems slow, the whole fleet is, and moves gain nothing. */
-const MOVING_SHARE = 0.05;
-/** Less than this done since a stop, and the next one would undo what the restart cost. */
+/** The same with time for the longest stop that the platform allows, and a repeated command. */
+const LONG_LEAVE_MARGIN_MS = 1300;
+/** Longest time for a stop, the poll that shows its end, and a round of placement. */
+const MAX_STOP_MS = 1200;
+/** Usual time for a stop, a poll and a round. Few tickets are valid for the longest stop, and a gang needs many. */
+const MIN_TICKET_MS = 600;
+/** Longer than a reservation. */
+const INITIAL_RETRY_MS = 3000;
+/** When more runs than this share seem slow, the whole cluster is likely slow and moves gain little. */
+const MAX_MOVING_SHARE = 0.05;
+/** Keeps the next preemption of a task from outweighing the cost of its restart. */
 const MIN_WORK_MS = 1000;
 
-/** The ways of choosing what is stopped. */
+/** Stop policies by name. */
 export const stopPolicies: Readonly<Record<StopPolicyName, StopPolicy>> = {
   ranked: {
-    isEvictionDue: (input) => isCutShort(input, LEAVE_MARGIN_MS),
+    isEvictionDue: (input) => isEvictionDue(input, LEAVE_MARGIN_MS),
     findMoveReason: (input) => findStragglerReason(input),
     preemption: {
-      measureCost: () => 1,
-      isWorthStopping: () => true,
-      isTrimming: false,
+      computeCost: () => 1,
+      isWorthwhile: () => true,
+      isMinimizingVictims: false,
       minWorkMs: 0,
-      keepMs: 1200,
-      ticketMs: TICKET_MS,
-      retryMs: 0,
+      reservationMs: 1200,
+      minTicketMs: MIN_TICKET_MS,
+      initialRetryMs: 0,
     },
     isMovingGangs: false,
     isUsingRunTimes: false,
@@ -41,21 +41,24 @@
     isQuarantining: false,
   },
   priced: {
-    isEvictionDue: (input) => isCutShort(input, SAFE_LEAVE_MARGIN_MS),
+    isEvictionDue: (input) => isEvictionDue(input, LONG_LEAVE_MARGIN_MS),
     findMoveReason: (input) =>
-      findStragglerReason({ ...input, restartPercent: input.isSaving ? WHOLE - input.percent : WHOLE }),
+      findStragglerReason({
+        ...input,
+        restartPercent: input.isSaving ? MAX_PERCENT - input.percent : MAX_PERCENT,
+      }),
     preemption: {
-      measureCost: measureStopCost,
-      isWorthStopping,
-      isTrimming: true,
+      computeCost: computeStopCost,
+      isWorthwhile: isPreemptionWorthwhile,
+      isMinimizingVictims: true,
       minWorkMs: MIN_WORK_MS,
-      keepMs: 2 * LONGEST_STOP_MS,
-      ticketMs: TICKET_MS,
-      retryMs: RETRY_MS,
+      reservationMs: 2 * MAX_STOP_MS,
+      minTicketMs: MIN_TICKET_MS,
+      initialRetryMs: INITIAL_RETRY_MS,
     },
     isMovingGangs: true,
     isUsingRunTimes: true,
-    maxMovingShare: MOVING_SHARE,
+    maxMovingShare: MAX_MOVING_SHARE,
     isQuarantining: true,
   },
 };
--- a/packages/dispatch/waiting/LiveJob.ts
+++ b/packages/dispatch/waiting/LiveJob.ts
@@ -12,223 +12,220 @@
 import type { GangCheckpoint } from '../stops/GangCheckpoint';
 import { StepSpeeds } from './StepSpeeds';
 import { StepWait } from './StepWait';
-import { readWaitingSteps } from './readWaitingSteps';
+import { listWaitingSteps } from './listWaitingSteps';
 import type { WaitingStep } from './WaitingStep';
 
-/** What the leader has learnt of one step. */
-interface StepMemory {
+/** State of one step that the leader keeps in memory. */
+interface StepState {
   readonly advice: StepAdvice;
   readonly speeds: StepSpeeds;
   readonly times: StepRunTimes;
   /** Endpoints on which runs of the step failed. */
   readonly failedOn: Set<EndpointIncarnation>;
-  /** What its gang goes on from; undefined while nothing is known, or it is no gang. */
-  gangSave: GangCheckpoint | undefined;
-  /** Room was made for the step so often without a start since, and may be made again at that monotonic time. */
-  roomMade: { readonly count: number; readonly retryAt: number };
-  /** Undefined while no task of the step was seen waiting since the last was placed. */
+  /** Undefined for no gang, and while no checkpoint is known. */
+  gangCheckpoint: GangCheckpoint | undefined;
+  /** Preemptions for the step since its last start, and the monotonic time from which the next is allowed. */
+  preemptionAttempts: { readonly count: number; readonly retryAt: number };
+  /** Undefined while no task is known to wait since the last placement. */
   wait: StepWait | undefined;
 }
 
-const NO_ROOM_MADE = { count: 0, retryAt: -Infinity };
+const NO_ATTEMPTS = { count: 0, retryAt: -Infinity };
 
-/** What waits, and for how long that holds. */
-interface KnownWaiting {
+/** Cached waiting steps, and the version of the progress and the time for which they are valid. */
+interface CachedWaiting {
   readonly steps: readonly WaitingStep[];
   readonly version: number;
-  /** Wall clock times between which no repetition falls due. */
+  /** Start of the wall clock time in which no repetition falls due. */
   readonly fromMs: number;
   readonly untilMs: number;
 }
 
-/**
- * Pause after the second start of a task that was not taken, doubled with each one more: a task that no
- * endpoint takes would else be sent in every round. A job that has nothing running for 3 s counts as lost, hence the longest.
- */
-const TURNED_DOWN_PAUSE_MS = 100;
-const MAX_TURNED_DOWN_PAUSE_MS = 2000;
+/** Backoff after the second rejected start of a task, doubled with each further one. */
+const INITIAL_BACKOFF_MS = 100;
+const MAX_BACKOFF_MS = 2000;
 
-/** A job that has not ended, as the leader works on it. */
+/** State that the leader keeps of a job that hasn't ended. */
 export class LiveJob {
-  /** By `TIME.STEP`. */
-  private readonly stepMemories = new Map<string, StepMemory>();
-  /** Longest chain of estimated work from each step's start to the end. */
-  private readonly remainingMs: readonly number[];
-  private readonly chainMs: number;
-  private waiting: KnownWaiting | undefined;
+  /** Keyed by `TIME.STEP`. */
+  private readonly stepStates = new Map<string, StepState>();
+  /** Critical path from the start of each step to the end of the job. */
+  private readonly criticalPathsMs: readonly number[];
+  private readonly criticalPathMs: number;
+  private cachedWaiting: CachedWaiting | undefined;
   private readonly preemptions = new Map<TaskName, number>();
-  /** Starts of tasks that endpoints did not take, since one was taken. */
-  private readonly turnDowns = new Map<TaskName, number>();
-  /** Monotonic times before which tasks are not started. */
-  private readonly pauses = new Map<TaskName, number>();
+  /** Consecutive rejected starts by task. */
+  private readonly rejections = new Map<TaskName, number>();
+  /** Monotonic times before which tasks aren't started. */
+  private readonly retryAt = new Map<TaskName, number>();
   isCancelled = false;
-  /** Where its time went, for the line about it if it ends late. */
+  /** Breakdown of its time, logged if it ends late. */
   readonly trace: JobTrace;
 
   constructor(
     readonly definition: JobDefinition,
     readonly progress: JobProgress,
-    /** Monotonic time at which a task may last have become able to start: the job was taken in, or a run ended. */
+    /** Monotonic time of the last event that may let a task start: the job's acceptance by this leader, or the end of a run. */
     public changedAt: number,
-    /** The customer had sent more than it is owed when it sent this job. */
+    /** The customer was over its share when the job was accepted. */
     readonly isOverShare = false,
   ) {
     this.trace = new JobTrace(changedAt);
-    this.remainingMs = computeCriticalPaths(definition.steps);
-    this.chainMs = Math.max(0, ...this.remainingMs);
+    this.criticalPathsMs = computeCriticalPaths(definition.steps);
+    this.criticalPathMs = Math.max(0, ...this.criticalPathsMs);
   }
 
-  /** Wall clock time at which repetition `time` may start. */
+  /** Returns the wall clock time at which repetition `time` may start. */
   getDueAtMs(time: number): number {
     return this.definition.firstRunMs + time * this.definition.intervalMs;
   }
 
-  /** Wall clock time by which repetition `time` should be complete. */
+  /** Returns the wall clock time by which repetition `time` should be complete. */
   getObjectiveAtMs(time: number): number {
     const { queue, acceptedAtMs } = this.definition;
     const startsAt = Math.max(acceptedAtMs, this.getDueAtMs(time));
-    return startsAt + queue.targetLatencyMs + queue.stretch * this.chainMs;
+    return startsAt + queue.targetLatencyMs + queue.stretch * this.criticalPathMs;
   }
 
-  /** Longest chain of estimated work from the start of a step to the job's end, in milliseconds. */
+  /** Returns the critical path from the start of a step to the end of the job, in milliseconds. */
   getCriticalPathMs(step: number): number {
-    return this.remainingMs[step] ?? 0;
+    return this.criticalPathsMs[step] ?? 0;
   }
 
-  /** Longest chain of estimated work after a step, in milliseconds. */
+  /** Returns the critical path after a step, in milliseconds. */
   getCriticalPathAfterMs(step: number): number {
     const shape = this.definition.steps[step];
     const ownMs = shape === undefined ? 0 : computeStepWork(shape);
     return this.getCriticalPathMs(step) - ownMs;
   }
 
-  /** Steps with tasks to start at a wall clock time. Worked out anew only when something has changed. */
+  /** Returns the steps with tasks that may start at a wall clock time. Cached until the progress changes or a repetition falls due. */
   getWaitingSteps(wallMs: number): readonly WaitingStep[] {
     const version = this.progress.getVersion();
-    const known = this.waiting;
-    if (known?.version === version && wallMs >= known.fromMs && wallMs < known.untilMs) {
-      return known.steps;
+    const cached = this.cachedWaiting;
+    if (cached?.version === version && wallMs >= cached.fromMs && wallMs < cached.untilMs) {
+      return cached.steps;
     }
-    const steps = readWaitingSteps(this, wallMs);
-    this.waiting = { steps, version, fromMs: wallMs, untilMs: this.readNextDueAtMs(wallMs) };
+    const steps = listWaitingSteps(this, wallMs);
+    this.cachedWaiting = { steps, version, fromMs: wallMs, untilMs: this.getNextDueAtMs(wallMs) };
     return steps;
   }
 
   getAdvice(time: number, step: number): StepAdvice {
-    return this.readStepMemory(time, step).advice;
+    return this.getStepState(time, step).advice;
   }
 
   getSpeeds(time: number, step: number): StepSpeeds {
-    return this.readStepMemory(time, step).speeds;
+    return this.getStepState(time, step).speeds;
   }
 
   getTimes(time: number, step: number): StepRunTimes {
-    return this.readStepMemory(time, step).times;
+    return this.getStepState(time, step).times;
   }
 
-  /** The wait of a step's tasks, from the job's newest change on if there is none yet. */
-  readWait(time: number, step: number): StepWait {
-    const memory = this.readStepMemory(time, step);
-    memory.wait ??= new StepWait(this.changedAt);
-    return memory.wait;
+  /** Returns the wait of a step's tasks. Creates one that begins at `changedAt` when there is none. */
+  getWait(time: number, step: number): StepWait {
+    const state = this.getStepState(time, step);
+    state.wait ??= new StepWait(this.changedAt);
+    return state.wait;
   }
 
-  /** The waits that go on, by the step's `TIME.STEP`. */
-  readWaits(): readonly (readonly [string, StepWait])[] {
-    return [...this.stepMemories].flatMap(([name, { wait }]) => (wait === undefined ? [] : [[name, wait]]));
+  /** Returns the open waits with the `TIME.STEP` of their steps. */
+  listWaits(): readonly (readonly [string, StepWait])[] {
+    return [...this.stepStates].flatMap(([name, { wait }]) => (wait === undefined ? [] : [[name, wait]]));
   }
 
-  /** Tasks of the step have been placed: what waits from now on waits anew. */
-  recordPlaced(time: number, step: number, now: number, hasMore: boolean): void {
-    this.readStepMemory(time, step).roomMade = NO_ROOM_MADE;
-    this.readStepMemory(time, step).wait = hasMore ? new StepWait(now) : undefined;
+  /** Records that tasks of a step have been placed. The wait of its remaining tasks begins anew. */
+  recordPlacement(time: number, step: number, now: number, hasMore: boolean): void {
+    this.getStepState(time, step).preemptionAttempts = NO_ATTEMPTS;
+    this.getStepState(time, step).wait = hasMore ? new StepWait(now) : undefined;
   }
 
-  /** The newest checkpoint that members of a step's gang have left; undefined when none is known. */
+  /** Returns the newest checkpoint left by a member of a step's gang; undefined when none is known. */
   getGangCheckpoint(time: number, step: number): string | undefined {
-    return this.readStepMemory(time, step).gangSave?.checkpoint;
+    return this.getStepState(time, step).gangCheckpoint?.checkpoint;
   }
 
-  /** A member of a gang has ended and left a checkpoint. */
-  recordGangCheckpoint(time: number, step: number, save: GangCheckpoint): void {
-    const memory = this.readStepMemory(time, step);
-    const known = memory.gangSave;
+  /** Records the checkpoint left by an ended member of a gang, if it is newer than the known one. */
+  recordGangCheckpoint(time: number, step: number, saved: GangCheckpoint): void {
+    const state = this.getStepState(time, step);
+    const known = state.gangCheckpoint;
     if (
       known === undefined ||
-      save.run > known.run ||
-      (save.run === known.run && save.savedAt > known.savedAt)
+      saved.run > known.run ||
+      (saved.run === known.run && saved.savedAt > known.savedAt)
     ) {
-      memory.gangSave = save;
+      state.gangCheckpoint = saved;
     }
   }
 
-  /** Monotonic time from which room may be made for a step by stops. */
-  readRoomRetryAt(time: number, step: number): number {
-    return this.readStepMemory(time, step).roomMade.retryAt;
+  /** Returns the monotonic time from which runs may be preempted for a step. */
+  getPreemptionRetryAt(time: number, step: number): number {
+    return this.getStepState(time, step).preemptionAttempts.retryAt;
   }
 
-  /** Others are stopped to make room for a step; if it does not start, the next time is later, and ever more so. */
-  recordRoomMade(time: number, step: number, now: number, retryMs: number): void {
-    const memory = this.readStepMemory(time, step);
-    const { count } = memory.roomMade;
-    memory.roomMade = { count: count + 1, retryAt: now + retryMs * 2 ** count };
+  /** Records a preemption for a step. The next one is delayed, exponentially while the step doesn't start. */
+  recordPreemptionAttempt(time: number, step: number, now: number, retryMs: number): void {
+    const state = this.getStepState(time, step);
+    const { count } = state.preemptionAttempts;
+    state.preemptionAttempts = { count: count + 1, retryAt: now + retryMs * 2 ** count };
   }
 
-  /** No room is made for a step by stops before a monotonic time. */
-  recordRoomPause(time: number, step: number, until: number): void {
-    const memory = this.readStepMemory(time, step);
-    memory.roomMade = { ...memory.roomMade, retryAt: until };
+  /** Rules out preemption for a step until a monotonic time. */
+  recordPreemptionBackoff(time: number, step: number, until: number): void {
+    const state = this.getStepState(time, step);
+    state.preemptionAttempts = { ...state.preemptionAttempts, retryAt: until };
   }
 
-  hasFailedOn(time: number, step: number, endpoint: EndpointIncarnation): boolean {
-    return this.readStepMemory(time, step).failedOn.has(endpoint);
+  hasFailureOn(time: number, step: number, endpoint: EndpointIncarnation): boolean {
+    return this.getStepState(time, step).failedOn.has(endpoint);
   }
 
   recordFailureOn(time: number, step: number, endpoint: EndpointIncarnation): void {
-    this.readStepMemory(time, step).failedOn.add(endpoint);
+    this.getStepState(time, step).failedOn.add(endpoint);
   }
 
-  /** How often the task was stopped for more urgent work. */
-  readPreemptions(task: TaskName): number {
+  /** Returns how often the task was preempted. */
+  countPreemptions(task: TaskName): number {
     return this.preemptions.get(task) ?? 0;
   }
 
-  recordPreempted(task: TaskName): void {
-    this.preemptions.set(task, this.readPreemptions(task) + 1);
+  recordPreemption(task: TaskName): void {
+    this.preemptions.set(task, this.countPreemptions(task) + 1);
   }
 
-  /** A task is not started before a monotonic time. */
+  /** Delays the next start of a task until a monotonic time. */
   recordBackoff(address: TaskAddress, until: number): void {
     const task = toTaskName(this.definition.id, address);
-    this.pauses.set(task, Math.max(until, this.pauses.get(task) ?? until));
+    this.retryAt.set(task, Math.max(until, this.retryAt.get(task) ?? until));
   }
 
-  /** An endpoint did not take a start of the task: the next one follows at once, later ones ever more rarely. */
+  /** Records that an endpoint rejected a start of the task. The first retry is immediate, later ones back off exponentially. */
   recordStartRejected(address: TaskAddress, now: number): void {
     const task = toTaskName(this.definition.id, address);
-    const count = (this.turnDowns.get(task) ?? 0) + 1;
-    this.turnDowns.set(task, count);
+    const count = (this.rejections.get(task) ?? 0) + 1;
+    this.rejections.set(task, count);
     if (count > 1) {
-      const pauseMs = Math.min(MAX_TURNED_DOWN_PAUSE_MS, TURNED_DOWN_PAUSE_MS * 2 ** (count - 2));
-      this.recordBackoff(address, now + pauseMs);
+      const backoffMs = Math.min(MAX_BACKOFF_MS, INITIAL_BACKOFF_MS * 2 ** (count - 2));
+      this.recordBackoff(address, now + backoffMs);
     }
   }
 
-  /** An endpoint took a start of the task. */
+  /** Records that an endpoint accepted a start of the task. */
   recordStartAccepted(address: TaskAddress): void {
-    if (this.turnDowns.size > 0) {
-      this.turnDowns.delete(toTaskName(this.definition.id, address));
+    if (this.rejections.size > 0) {
+      this.rejections.delete(toTaskName(this.definition.id, address));
     }
   }
 
-  /** True while the task waits after it ended an endpoint, or was turned down by several. */
-  isPaused(address: TaskAddress, now: number): boolean {
-    return this.pauses.size > 0 && now < (this.pauses.get(toTaskName(this.definition.id, address)) ?? now);
+  /** Returns whether the next start of the task is delayed, after a crash or rejected starts. */
+  isBackingOff(address: TaskAddress, now: number): boolean {
+    return this.retryAt.size > 0 && now < (this.retryAt.get(toTaskName(this.definition.id, address)) ?? now);
   }
 
-  private readStepMemory(time: number, step: number): StepMemory {
+  private getStepState(time: number, step: number): StepState {
     const key = `${time}.${step}`;
-    const known = this.stepMemories.get(key);
+    const known = this.stepStates.get(key);
     if (known !== undefined) {
       return known;
     }
@@ -237,15 +234,15 @@
       speeds: new StepSpeeds(),
       times: new StepRunTimes(),
       failedOn: new Set<EndpointIncarnation>(),
-      gangSave: undefined,
-      roomMade: NO_ROOM_MADE,
+      gangCheckpoint: undefined,
+      preemptionAttempts: NO_ATTEMPTS,
       wait: undefined,
     };
-    this.stepMemories.set(key, created);
+    this.stepStates.set(key, created);
     return created;
   }
 
-  private readNextDueAtMs(wallMs: number): number {
+  private getNextDueAtMs(wallMs: number): number {
     for (let time = 0; time < this.definition.times; time += 1) {
       const dueAtMs = this.getDueAtMs(time);
       if (dueAtMs > wallMs) {
@@ -255,7 +252,7 @@
     return Infinity;
   }
 
-  /** Failed runs that count against the attempts of a task, or of its gang. */
+  /** Returns the number of failed runs that count against the attempts of a task, or of its gang. */
   countFailures(time: number, step: number, index: number): number {
     const tasks = this.progress.listTasks(time, step);
     if (this.definition.steps[step]?.isGang === true) {
--- a/packages/dispatch/waiting/LongWaitLogger.ts
+++ b/packages/dispatch/waiting/LongWaitLogger.ts
@@ -5,14 +5,18 @@
 import { toRoundedTimes } from './toRoundedTimes';
 import type { WaitTimes } from './WaitTimes';
 
-/** A shorter wait is told with the placement alone. */
-const FIRST_TOLD_MS = 1000;
-/** Between looks at all that waits. */
-const LOOK_MS = 500;
+/** Shorter waits are logged with the placement only. */
+const MIN_LOGGED_MS = 1000;
+/** Interval between two checks of all waits. */
+const CHECK_INTERVAL_MS = 500;
 
-const measureTotal = (times: WaitTimes): number => Object.values(times).reduce((sum, ms) => sum + ms, 0);
+const computeTotalMs = (times: WaitTimes): number => Object.values(times).reduce((sum, ms) => sum + ms, 0);
 
-const toFields = ({ definition: { id, queue } }: LiveJob, step: string, times: WaitTimes): LineFields => ({
+const createFields = (
+  { definition: { id, queue } }: LiveJob,
+  step: string,
+  times: WaitTimes,
+): LineFields => ({
   job: id,
   step: `${id}.${step}`,
   queue: queue.name,
@@ -20,45 +24,45 @@
 });
 
 /**
- * Tells why steps wait while they do so, each time the wait has doubled: once they are placed the line of it tells, but a leader may go before
- * that, and what it knew of the wait goes with it.
+ * Logs why steps wait, each time the wait has doubled. The line of the placement has the whole wait, but a leader that ends before
+ * would leave no record of it.
  */
 export class LongWaitLogger {
-  private lookedAt = -Infinity;
-  /** How long each had waited when it was last told, in milliseconds. */
-  private readonly told = new WeakMap<StepWait, number>();
+  private checkedAt = -Infinity;
+  /** Duration of each wait when it was last logged, in milliseconds. */
+  private readonly loggedWaitMs = new WeakMap<StepWait, number>();
 
   constructor(
     private readonly jobs: ReadonlyMap<JobId, LiveJob>,
-    private readonly sendTell: (sentence: string, fields: LineFields) => void,
+    private readonly sendLog: (sentence: string, fields: LineFields) => void,
   ) {}
 
   logLongWaits(now: number): void {
-    if (now - this.lookedAt < LOOK_MS) {
+    if (now - this.checkedAt < CHECK_INTERVAL_MS) {
       return;
     }
-    this.lookedAt = now;
+    this.checkedAt = now;
     for (const job of this.jobs.values()) {
       if (!job.progress.isEnded()) {
-        this.checkJob(job, now);
+        this.logJobWaits(job, now);
       }
     }
   }
 
-  /** Fields of a line about each wait that goes on: this leader goes, and the next one knows nothing of them. */
+  /** Returns the log fields of each open wait, for the end of this leader's epoch. */
   listOpenWaits(now: number): readonly LineFields[] {
     return [...this.jobs.values()]
       .filter(({ progress }) => !progress.isEnded())
-      .flatMap((job) => job.readWaits().map(([name, wait]) => toFields(job, name, wait.readTimes(now))));
+      .flatMap((job) => job.listWaits().map(([name, wait]) => createFields(job, name, wait.getTimes(now))));
   }
 
-  private checkJob(job: LiveJob, now: number): void {
-    for (const [name, wait] of job.readWaits()) {
-      const times = wait.readTimes(now);
-      const totalMs = measureTotal(times);
-      if (totalMs >= Math.max(FIRST_TOLD_MS, 2 * (this.told.get(wait) ?? 0))) {
-        this.told.set(wait, totalMs);
-        this.sendTell('Step waits.', toFields(job, name, times));
+  private logJobWaits(job: LiveJob, now: number): void {
+    for (const [name, wait] of job.listWaits()) {
+      const times = wait.getTimes(now);
+      const totalMs = computeTotalMs(times);
+      if (totalMs >= Math.max(MIN_LOGGED_MS, 2 * (this.loggedWaitMs.get(wait) ?? 0))) {
+        this.loggedWaitMs.set(wait, totalMs);
+        this.sendLog('Step waits.', createFields(job, name, times));
       }
     }
   }
--- a/packages/dispatch/waiting/PlacementOrder.ts
+++ b/packages/dispatch/waiting/PlacementOrder.ts
@@ -1,10 +1,10 @@
 /**
- * In which order waiting steps of one priority are placed.
- * - `objective`: those that can still meet their objective first, the earliest objective first.
- * - `shares`: the same, but what is beyond its customer's share comes last.
- * - `usage`: customers that have least running for their weight first, then by objective.
- * - `sharesThenUsage`: what is beyond its share last, the others by usage.
- * - `held`: what can still be in time first, then late work that is still of use; within these what a customer has running and waiting within
- *   its share, then by slack. What is past its use goes first in part of the time.
+ * Order in which waiting steps of one priority are placed.
+ * - `objective`: steps whose objective hasn't passed first, then by objective.
+ * - `shares`: as `objective`, but jobs over their customer's share last.
+ * - `usage`: customers with the lowest usage by weight first, then as `objective`.
+ * - `sharesThenUsage`: jobs over their customer's share last, then as `usage`.
+ * - `held`: steps that can meet their objective first, then late ones that are still useful, then expired ones; within these, steps
+ *   over their customer's fair share of the capacity last, then by latest start time. Expired steps go first in some time slices.
  */
 export type PlacementOrder = 'objective' | 'shares' | 'usage' | 'sharesThenUsage' | 'held';
--- a/packages/dispatch/waiting/OrderInput.ts
+++ b/packages/dispatch/waiting/PlacementOrderInput.ts
@@ -2,14 +2,15 @@
 import type { TaskDemand } from '../../jobs/TaskDemand';
 import type { WaitingStep } from './WaitingStep';
 
-/** What the order of placement goes by, besides the waiting steps. */
-export interface OrderInput {
+/** Input of a placement order, besides the waiting steps. */
+export interface PlacementOrderInput {
   readonly wallMs: number;
   readonly usage: CustomerUsage;
-  /** Room of all usable endpoints together, taken or not. */
+  /** Returns the total capacity of all schedulable endpoints. */
   readonly readCapacity: () => TaskDemand;
   /**
-   * Time from the start of a step to the end of its job that is certain, in milliseconds; a small part of the callers' estimates when left out.
+   * Returns a lower bound of the time from the start of a step to the end of its job, in milliseconds. The default is a share of the
+   * callers' estimates.
    */
   readonly readRemainingMs?: (step: WaitingStep) => number;
 }
--- a/packages/dispatch/waiting/StepSpeeds.ts
+++ b/packages/dispatch/waiting/StepSpeeds.ts
@@ -1,27 +1,27 @@
 import { readQuantile } from '../../common/readQuantile';
 import { toSorted } from '../../common/toSorted';
 
-/** Fewer runs than this say nothing about what is usual for a step. */
+/** Minimum number of tasks from which a median is computed. */
 const MIN_SAMPLES = 3;
 
-/** How fast the runs of one step work, in milliseconds for one percent, to tell slow ones from their siblings. */
+/** Paces of the tasks of one step, in milliseconds for one percent, by which stragglers are found. */
 export class StepSpeeds {
   private readonly paces = new Map<number, number>();
-  /** Paces as they would be on a usual endpoint. */
-  private readonly corrected = new Map<number, number>();
-  /** Both kept until the next pace comes in, since they are read for each run of the step. */
+  /** Paces normalized to a baseline endpoint. */
+  private readonly normalized = new Map<number, number>();
+  /** Cached until the next pace is recorded. */
   private median: number | undefined;
-  private correctedMedian: number | undefined;
+  private normalizedMedian: number | undefined;
 
-  /** Records the newest pace of a task; that of a stalled one grows. */
-  recordPace(index: number, msPerPercent: number, corrected = msPerPercent): void {
+  /** Records the newest pace of a task, and the pace normalized to a baseline endpoint. */
+  recordPace(index: number, msPerPercent: number, normalizedMsPerPercent = msPerPercent): void {
     this.paces.set(index, msPerPercent);
-    this.corrected.set(index, corrected);
+    this.normalized.set(index, normalizedMsPerPercent);
     this.median = undefined;
-    this.correctedMedian = undefined;
+    this.normalizedMedian = undefined;
   }
 
-  /** The median pace; undefined while too few are known. */
+  /** Returns the median pace; undefined while too few are known. */
   getMedian(): number | undefined {
     if (this.paces.size < MIN_SAMPLES) {
       return undefined;
@@ -30,12 +30,12 @@
     return this.median;
   }
 
-  /** The median of the paces as they would be on a usual endpoint; undefined while too few are known. */
+  /** Returns the median of the normalized paces; undefined while too few are known. */
   getNormalizedMedian(): number | undefined {
-    if (this.corrected.size < MIN_SAMPLES) {
+    if (this.normalized.size < MIN_SAMPLES) {
       return undefined;
     }
-    this.correctedMedian ??= readQuantile(toSorted(this.corrected.values()), 0.5);
-    return this.correctedMedian;
+    this.normalizedMedian ??= readQuantile(toSorted(this.normalized.values()), 0.5);
+    return this.normalizedMedian;
   }
 }
--- a/packages/dispatch/waiting/StepWait.ts
+++ b/packages/dispatch/waiting/StepWait.ts
@@ -1,7 +1,7 @@
 import type { WaitCause } from './WaitCause';
 import type { WaitTimes } from './WaitTimes';
 
-/** For how long tasks of one step have waited, by cause, since the last of its tasks was placed. */
+/** Time that the tasks of one step have waited since its last placement, by cause. */
 export class StepWait {
   private cause: WaitCause = 'round';
   private readonly times: Record<WaitCause, number> = {
@@ -13,22 +13,22 @@
     pause: 0,
   };
 
-  /** `since` is the monotonic time from which tasks could have been placed. */
+  /** `since` is the monotonic time at which the wait begins. */
   constructor(private since: number) {}
 
-  /** Notes why a round has placed no more; it holds until the next one. */
+  /** Records why a round has placed no more tasks. The cause applies until the next round. */
   recordCause(cause: WaitCause, now: number): void {
-    this.applyTime(now);
+    this.updateTimes(now);
     this.cause = cause;
   }
 
-  /** Milliseconds by cause until now. */
-  readTimes(now: number): WaitTimes {
-    this.applyTime(now);
+  /** Returns the time waited until `now`, in milliseconds by cause. */
+  getTimes(now: number): WaitTimes {
+    this.updateTimes(now);
     return { ...this.times };
   }
 
-  private applyTime(now: number): void {
+  private updateTimes(now: number): void {
     this.times[this.cause] += Math.max(0, now - this.since);
     this.since = Math.max(this.since, now);
   }
--- a/packages/dispatch/waiting/WaitCause.ts
+++ b/packages/dispatch/waiting/WaitCause.ts
@@ -1,10 +1,10 @@
 /**
- * Why a task that could start has not been placed yet.
- * - `round`: no round of placement has looked at it since it could start.
- * - `turn`: its question for advice waits for a box that is free to ask.
- * - `answer`: its question is under way.
- * - `room`: no endpoint that may run it has room.
- * - `limit`: its customer has as much running as it may.
- * - `pause`: it may have ended its endpoint, or endpoints did not take it, and its next start waits.
+ * Reason why a task that could start hasn't been placed yet.
+ * - `round`: there was no round of placement since it became ready.
+ * - `turn`: its advice request waits for a free slot.
+ * - `answer`: its advice request has no response yet.
+ * - `room`: no endpoint that may run it has enough free capacity.
+ * - `limit`: its customer is at its limit.
+ * - `pause`: its next start is backing off after a crash or rejected starts.
  */
 export type WaitCause = 'round' | 'turn' | 'answer' | 'room' | 'limit' | 'pause';
--- a/packages/dispatch/waiting/WaitTimes.ts
+++ b/packages/dispatch/waiting/WaitTimes.ts
@@ -1,4 +1,4 @@
 import type { WaitCause } from './WaitCause';
 
-/** Milliseconds waited, by cause. */
+/** Time waited in milliseconds, by cause. */
 export type WaitTimes = Readonly<Record<WaitCause, number>>;
--- a/packages/dispatch/waiting/WaitingStep.ts
+++ b/packages/dispatch/waiting/WaitingStep.ts
@@ -7,7 +7,8 @@
   readonly time: number;
   readonly step: number;
   readonly shape: JobStep;
-  /** Indexes of the tasks that wait. */
+  /** Indexes of the waiting tasks. */
   readonly indexes: readonly number[];
+  /** Wall clock time by which the step's repetition should be complete. */
   readonly objectiveAtMs: number;
 }
--- a/packages/dispatch/waiting/readWaitingSteps.ts
+++ b/packages/dispatch/waiting/listWaitingSteps.ts
@@ -1,12 +1,12 @@
 import type { LiveJob } from './LiveJob';
 import type { WaitingStep } from './WaitingStep';
 
-/** A gang starts as a whole, so it waits until none of its members may be running. */
+/** Returns whether all members of a gang are waiting, since a gang starts as a whole. */
 const isGangWhole = (indexes: readonly number[], count: number): boolean => indexes.length === count;
 
-/** Lists the steps of a job that have tasks to start at a wall clock time. */
-export const readWaitingSteps = (job: LiveJob, wallMs: number): readonly WaitingStep[] => {
-  const waiting: WaitingStep[] = [];
+/** Returns the steps of a job with tasks that may start at a wall clock time. */
+export const listWaitingSteps = (job: LiveJob, wallMs: number): readonly WaitingStep[] => {
+  const steps: WaitingStep[] = [];
   const { definition, progress } = job;
   for (let time = 0; time < definition.times; time += 1) {
     if (job.getDueAtMs(time) > wallMs) {
@@ -25,8 +25,8 @@
       if (indexes.length === 0 || (shape.isGang && !isGangWhole(indexes, shape.count))) {
         continue;
       }
-      waiting.push({ job, time, step, shape, indexes, objectiveAtMs: job.getObjectiveAtMs(time) });
+      steps.push({ job, time, step, shape, indexes, objectiveAtMs: job.getObjectiveAtMs(time) });
     }
   }
-  return waiting;
+  return steps;
 };
--- a/packages/dispatch/waiting/placementOrders.ts
+++ b/packages/dispatch/waiting/placementOrders.ts
@@ -1,47 +1,48 @@
 import type { CustomerUsage } from '../../customers/CustomerUsage';
-import type { OrderInput } from './OrderInput';
+import type { PlacementOrderInput } from './PlacementOrderInput';
 import type { PlacementOrder } from './PlacementOrder';
-import { toHeldOrder } from './toHeldOrder';
+import { sortByHeldShares } from './sortByHeldShares';
 import type { WaitingStep } from './WaitingStep';
 
-/** Negative when the left step goes first, 0 when the rule does not tell. */
-type Rule = (left: WaitingStep, right: WaitingStep, input: OrderInput) => number;
+/** Returns a negative number when the left step goes first, 0 for a tie. */
+type Comparator = (left: WaitingStep, right: WaitingStep, input: PlacementOrderInput) => number;
 
-const measurePriority: Rule = (left, right) =>
+const comparePriority: Comparator = (left, right) =>
   left.job.definition.queue.priority - right.job.definition.queue.priority;
 
-const measureLateness: Rule = (left, right, { wallMs }) =>
+const compareLateness: Comparator = (left, right, { wallMs }) =>
   Number(left.objectiveAtMs < wallMs) - Number(right.objectiveAtMs < wallMs);
 
-const measureObjective: Rule = (left, right) => left.objectiveAtMs - right.objectiveAtMs;
+const compareObjective: Comparator = (left, right) => left.objectiveAtMs - right.objectiveAtMs;
 
-const measureShare: Rule = (left, right) => Number(left.job.isOverShare) - Number(right.job.isOverShare);
+const compareShare: Comparator = (left, right) =>
+  Number(left.job.isOverShare) - Number(right.job.isOverShare);
 
-/** Processors that a step's customer has running for each unit of its weight; 0 for jobs of no customer. */
-const readWeightedUsage = ({ job }: WaitingStep, usage: CustomerUsage): number => {
+/** Returns the processor usage of a step's customer by its weight; 0 without a customer or a weight. */
+const computeWeightedUsage = ({ job }: WaitingStep, usage: CustomerUsage): number => {
   const { customer } = job.definition;
   return customer === undefined || customer.weight === 0
     ? 0
     : usage.getUsed(customer.name).cpuMillis / customer.weight;
 };
 
-const measureUsage: Rule = (left, right, { usage }) =>
-  readWeightedUsage(left, usage) - readWeightedUsage(right, usage);
+const compareUsage: Comparator = (left, right, { usage }) =>
+  computeWeightedUsage(left, usage) - computeWeightedUsage(right, usage);
 
-/** Rules of each order, the first that tells decides. */
-const RULES: Readonly<Record<Exclude<PlacementOrder, 'held'>, readonly Rule[]>> = {
-  objective: [measurePriority, measureLateness, measureObjective],
-  shares: [measurePriority, measureShare, measureLateness, measureObjective],
-  usage: [measurePriority, measureUsage, measureLateness, measureObjective],
-  sharesThenUsage: [measurePriority, measureShare, measureUsage, measureLateness, measureObjective],
+/** Comparators of each order. Later ones break ties. */
+const COMPARATORS: Readonly<Record<Exclude<PlacementOrder, 'held'>, readonly Comparator[]>> = {
+  objective: [comparePriority, compareLateness, compareObjective],
+  shares: [comparePriority, compareShare, compareLateness, compareObjective],
+  usage: [comparePriority, compareUsage, compareLateness, compareObjective],
+  sharesThenUsage: [comparePriority, compareShare, compareUsage, compareLateness, compareObjective],
 };
 
-const toSorter =
-  (rules: readonly Rule[]) =>
-  (waiting: readonly WaitingStep[], input: OrderInput): readonly WaitingStep[] =>
+const createSorter =
+  (comparators: readonly Comparator[]) =>
+  (waiting: readonly WaitingStep[], input: PlacementOrderInput): readonly WaitingStep[] =>
     [...waiting].sort((left, right) => {
-      for (const rule of rules) {
-        const difference = rule(left, right, input);
+      for (const comparator of comparators) {
+        const difference = comparator(left, right, input);
         if (difference !== 0) {
           return difference;
         }
@@ -49,24 +50,30 @@
       return 0;
     });
 
-const hasShares = (waiting: readonly WaitingStep[]): boolean =>
+const hasWeightedCustomer = (waiting: readonly WaitingStep[]): boolean =>
   waiting.some(({ job }) => (job.definition.customer?.weight ?? 0) > 0);
 
-const toSharesOrder = toSorter(RULES.shares);
+const sortByShares = createSorter(COMPARATORS.shares);
 
-/** Sorts waiting steps for placement, by order. */
+/** Placement orders by name. */
 export const placementOrders: Readonly<
   Record<
     PlacementOrder,
-    { readonly sortSteps: (waiting: readonly WaitingStep[], input: OrderInput) => readonly WaitingStep[] }
+    {
+      readonly sortSteps: (
+        waiting: readonly WaitingStep[],
+        input: PlacementOrderInput,
+      ) => readonly WaitingStep[];
+    }
   >
 > = {
-  objective: { sortSteps: toSorter(RULES.objective) },
-  shares: { sortSteps: toSharesOrder },
-  usage: { sortSteps: toSorter(RULES.usage) },
-  sharesThenUsage: { sortSteps: toSorter(RULES.sharesThenUsage) },
-  // Without customers to divide room among, this order is no other than the usual one.
+  objective: { sortSteps: createSorter(COMPARATORS.objective) },
+  shares: { sortSteps: sortByShares },
+  usage: { sortSteps: createSorter(COMPARATORS.usage) },
+  sharesThenUsage: { sortSteps: createSorter(COMPARATORS.sharesThenUsage) },
+  // Without weighted customers there are no fair shares.
   held: {
-    sortSteps: (waiting, input) => (hasShares(waiting) ? toHeldOrder : toSharesOrder)(waiting, input),
+    sortSteps: (waiting, input) =>
+      (hasWeightedCustomer(waiting) ? sortByHeldShares : sortByShares)(waiting, input),
   },
 };
--- a/packages/dispatch/waiting/toRoundedTimes.ts
+++ b/packages/dispatch/waiting/toRoundedTimes.ts
@@ -1,7 +1,7 @@
 import type { WaitCause } from './WaitCause';
 import type { WaitTimes } from './WaitTimes';
 
-/** Waiting times in whole milliseconds for a line of the log, without the causes that took none. */
+/** Converts wait times for a log line: in whole milliseconds, without causes of 0. */
 export const toRoundedTimes = (times: WaitTimes): Partial<Record<WaitCause, number>> =>
   Object.fromEntries(
     Object.entries(times)
--- a/packages/dispatch/waiting/toStepName.ts
+++ b/packages/dispatch/waiting/toStepName.ts
@@ -1,5 +1,5 @@
 import type { WaitingStep } from './WaitingStep';
 
-/** Name of a step of a job: `JOB.TIME.STEP`, as the advice service and the log lines have it. */
+/** Returns the name of a step of a job, `JOB.TIME.STEP`, as used by the advice service and in log lines. */
 export const toStepName = ({ job, time, step }: Pick<WaitingStep, 'job' | 'time' | 'step'>): string =>
   `${job.definition.id}.${time}.${step}`;
--- a/packages/dispatch/waiting/waitMetricNames.ts
+++ b/packages/dispatch/waiting/waitMetricNames.ts
@@ -1,6 +1,6 @@
 import type { WaitCause } from './WaitCause';
 
-/** Names of the measured times by what a task waited for. */
+/** Names of the metrics of wait times, by cause. */
 export const waitMetricNames = {
   round: 'waitRoundMs',
   turn: 'waitTurnMs',
--- a/tests/stops.test.ts
+++ b/tests/stops.test.ts
@@ -4,9 +4,9 @@
 import { Dispatcher } from '../packages/dispatch/Dispatcher';
 import { chooseMoves } from '../packages/dispatch/stops/chooseMoves';
 import { FailureStreak } from '../packages/dispatch/stops/FailureStreak';
-import { isCutShort } from '../packages/dispatch/stops/isCutShort';
-import { isWorthStopping } from '../packages/dispatch/stops/isWorthStopping';
-import { measureRoomWait } from '../packages/dispatch/stops/measureRoomWait';
+import { isEvictionDue } from '../packages/dispatch/stops/isEvictionDue';
+import { isPreemptionWorthwhile } from '../packages/dispatch/stops/isPreemptionWorthwhile';
+import { estimateCapacityWaitMs } from '../packages/dispatch/stops/estimateCapacityWaitMs';
 import type { StopPolicyName } from '../packages/dispatch/stops/StopPolicyName';
 import { stopPolicies } from '../packages/dispatch/stops/stopPolicies';
 import type { EndpointIncarnation } from '../packages/jobs/EndpointIncarnation';
@@ -46,20 +46,20 @@
   };
 
   it('is paid for work that would else be late', () => {
-    expect(isWorthStopping(price)).toBe(true);
+    expect(isPreemptionWorthwhile(price)).toBe(true);
   });
 
   it('is not paid where the work is in time without, room is about to come, more is lost, or all is lost', () => {
-    expect(isWorthStopping({ ...price, slackMs: 31_000 })).toBe(false);
-    expect(isWorthStopping({ ...price, roomWaitMs: 400 })).toBe(false);
-    expect(isWorthStopping({ ...price, lostCoreMs: 1_000_000 })).toBe(false);
-    expect(isWorthStopping({ ...price, slackMs: -9000 })).toBe(false);
+    expect(isPreemptionWorthwhile({ ...price, slackMs: 31_000 })).toBe(false);
+    expect(isPreemptionWorthwhile({ ...price, roomWaitMs: 400 })).toBe(false);
+    expect(isPreemptionWorthwhile({ ...price, lostCoreMs: 1_000_000 })).toBe(false);
+    expect(isPreemptionWorthwhile({ ...price, slackMs: -9000 })).toBe(false);
   });
 
   it('is paid once the room that is about to come has not come for some time, since others take it', () => {
     const soon = { ...price, roomWaitMs: 400, slackMs: 12_500 };
-    expect(isWorthStopping({ ...soon, waitedMs: 1200 })).toBe(false);
-    expect(isWorthStopping({ ...soon, waitedMs: 1300 })).toBe(true);
+    expect(isPreemptionWorthwhile({ ...soon, waitedMs: 1200 })).toBe(false);
+    expect(isPreemptionWorthwhile({ ...soon, waitedMs: 1300 })).toBe(true);
   });
 
   it('counts the wait until known ends make room for all tasks, so many to an endpoint', () => {
@@ -70,11 +70,11 @@
       { demand: toDemand(8000), remainingMs: Infinity },
     ];
     const endpoints = [{ free: toDemand(4000), holders }];
-    expect(measureRoomWait(endpoints, toDemand(4000), 1, 0)).toBe(0);
-    expect(measureRoomWait(endpoints, toDemand(8000), 1, 0)).toBe(300);
-    expect(measureRoomWait(endpoints, toDemand(4000), 3, 0)).toBe(900);
-    expect(measureRoomWait(endpoints, toDemand(4000), 3, 2)).toBe(Infinity);
-    expect(measureRoomWait(endpoints, toDemand(16_000), 1, 0)).toBe(Infinity);
+    expect(estimateCapacityWaitMs(endpoints, toDemand(4000), 1, 0)).toBe(0);
+    expect(estimateCapacityWaitMs(endpoints, toDemand(8000), 1, 0)).toBe(300);
+    expect(estimateCapacityWaitMs(endpoints, toDemand(4000), 3, 0)).toBe(900);
+    expect(estimateCapacityWaitMs(endpoints, toDemand(4000), 3, 2)).toBe(Infinity);
+    expect(estimateCapacityWaitMs(endpoints, toDemand(16_000), 1, 0)).toBe(Infinity);
   });
 });
 
@@ -102,10 +102,10 @@
 
   it('from an endpoint that leaves wait as long as a stop allows where work is saved, and are not made where it can end', () => {
     const left = { leftMs: 3000, remainingMs: 4000 };
-    expect(isCutShort({ ...left, isSaving: false }, 1300)).toBe(true);
-    expect(isCutShort({ ...left, isSaving: true }, 1300)).toBe(false);
-    expect(isCutShort({ ...left, isSaving: true, leftMs: 1200 }, 1300)).toBe(true);
-    expect(isCutShort({ ...left, isSaving: false, remainingMs: 2900 }, 1300)).toBe(false);
+    expect(isEvictionDue({ ...left, isSaving: false }, 1300)).toBe(true);
+    expect(isEvictionDue({ ...left, isSaving: true }, 1300)).toBe(false);
+    expect(isEvictionDue({ ...left, isSaving: true, leftMs: 1200 }, 1300)).toBe(true);
+    expect(isEvictionDue({ ...left, isSaving: false, remainingMs: 2900 }, 1300)).toBe(false);
   });
 });
 
@@ -235,9 +235,9 @@
     streak.recordEnd('interrupted', 150);
     streak.recordEnd('failed', 200);
     expect(streak.isFailing()).toBe(true);
-    expect(streak.readProbeAt()).toBe(450);
+    expect(streak.getProbeAt()).toBe(450);
     streak.recordEnd('failed', 500);
-    expect(streak.readProbeAt()).toBe(1000);
+    expect(streak.getProbeAt()).toBe(1000);
     streak.recordEnd('done', 600);
     expect(streak.isFailing()).toBe(false);
   });
