--- a/packages/dispatch/placing/Preemptor.ts
+++ b/packages/dispatch/placing/Preemptor.ts
@@ -244,7 +244,7 @@
     const { priority } = step.job.definition.queue;
     return [...endpoint.getRuns()]
       .filter((run) => run.priority > priority && this.isPreemptible(run, now))
-      .sort((free, right) => right.priority - free.priority || free.percent - right.percent);
+      .sort((left, right) => right.priority - left.priority || left.percent - right.percent);
   }
 
   private isPreemptible(run: PlacedRun, now: number): boolean {
@@ -255,8 +255,8 @@
     }
     const isExcluded = shape.isGang || shape.isLongRunning || shape.isFiller;
     const preemptions = job.countPreemptions(run.task);
-    const hasProgressed = preemptions === 0 || now - run.confirmedAt >= this.options.room.minWorkMs;
-    return !isExcluded && preemptions < MAX_PREEMPTIONS && hasProgressed && !this.isEndingSoon(run, now);
+    const hasWorkedEnough = preemptions === 0 || now - run.confirmedAt >= this.options.room.minWorkMs;
+    return !isExcluded && preemptions < MAX_PREEMPTIONS && hasWorkedEnough && !this.isEndingSoon(run, now);
   }
 
   private isEndingSoon(run: PlacedRun, now: number): boolean {
--- a/packages/dispatch/stops/EndpointQuarantine.ts
+++ b/packages/dispatch/stops/EndpointQuarantine.ts
@@ -17,7 +17,7 @@
  * attract waiting tasks and use up their attempts. After a backoff it gets one run at a time as a probe, of a task without failures.
  */
 export class EndpointQuarantine {
-  /** Services of which no endpoint is quarantined, cached for the round. */
+  /** Whether a service is exempt from quarantine, cached for the round. */
   private readonly exempt = new Map<ServiceName, boolean>();
 
   constructor(
@@ -56,8 +56,8 @@
       (endpoint) => endpoint.isSchedulable() && endpoint.getProfile().service === service,
     );
     const failing = schedulable.filter((endpoint) => endpoint.getFailureStreak().isFailing());
-    const isExcused = failing.length > schedulable.length * MAX_QUARANTINED_SHARE;
-    this.exempt.set(service, isExcused);
-    return isExcused;
+    const isServiceExempt = failing.length > schedulable.length * MAX_QUARANTINED_SHARE;
+    this.exempt.set(service, isServiceExempt);
+    return isServiceExempt;
   }
 }
--- a/packages/dispatch/stops/PreemptionRules.ts
+++ b/packages/dispatch/stops/PreemptionRules.ts
@@ -4,7 +4,7 @@
 export interface PreemptionRules {
   /** Returns the cost of a victim. The plan with the lowest total cost is carried out. */
   readonly computeCost: (run: Victim) => number;
-  readonly isWorthwhile: (price: PreemptionEstimate) => boolean;
+  readonly isWorthwhile: (estimate: PreemptionEstimate) => boolean;
   /** Victims that turn out unnecessary are left running. */
   readonly isMinimizingVictims: boolean;
   /** Minimum time between the restart of a preempted task and its next preemption, in milliseconds. */
--- a/packages/dispatch/stops/computeLostWork.ts
+++ b/packages/dispatch/stops/computeLostWork.ts
@@ -4,12 +4,8 @@
 const MILLIS = 1000;
 
 /** Returns the work of an ended run that is in no checkpoint, in core-milliseconds. */
-export const computeLostWork = (
-  run: PlacedRun,
-  { reportedEnd: how, checkpoint }: RunEnd,
-  now: number,
-): number => {
-  const isAllSaved = how === 'stopped' && checkpoint !== '';
+export const computeLostWork = (run: PlacedRun, { reportedEnd, checkpoint }: RunEnd, now: number): number => {
+  const isAllSaved = reportedEnd === 'stopped' && checkpoint !== '';
   if (run.stage === 'recording' || isAllSaved) {
     return 0;
   }
--- a/packages/dispatch/stops/getGangCheckpoint.ts
+++ b/packages/dispatch/stops/getGangCheckpoint.ts
@@ -8,7 +8,7 @@
  */
 export const getGangCheckpoint = (
   run: PlacedRun,
-  { reportedEnd: how, checkpoint }: RunEnd,
+  { reportedEnd, checkpoint }: RunEnd,
   now: number,
 ): GangCheckpoint | undefined => {
   const newest = checkpoint === '' ? run.checkpoint : checkpoint;
@@ -17,5 +17,5 @@
   }
   const isNewer = checkpoint !== '' && checkpoint !== run.checkpoint;
   const knownAt = isNewer ? run.seenAt : (run.checkpointedAt ?? run.confirmedAt);
-  return { checkpoint: newest, run: run.run, savedAt: how === 'stopped' ? now : knownAt };
+  return { checkpoint: newest, run: run.run, savedAt: reportedEnd === 'stopped' ? now : knownAt };
 };
--- a/packages/dispatch/stops/getLossCause.ts
+++ b/packages/dispatch/stops/getLossCause.ts
@@ -16,7 +16,7 @@
 /** Returns the cause by which an interrupted run was lost; undefined for one that ended by itself, or never began. */
 export const getLossCause = (
   run: PlacedRun,
-  { outcome, cause, reportedEnd: how }: RunEnd,
+  { outcome, cause, reportedEnd }: RunEnd,
 ): LossCause | undefined => {
   if (outcome !== 'interrupted') {
     return undefined;
@@ -24,8 +24,8 @@
   if (run.stopCause !== undefined) {
     return run.stopCause;
   }
-  if (how !== undefined) {
-    return UNREQUESTED_CAUSES[how];
+  if (reportedEnd !== undefined) {
+    return UNREQUESTED_CAUSES[reportedEnd];
   }
   return cause === 'lifeOver' || cause === 'leaseOver' ? 'endpointLost' : undefined;
 };
--- a/packages/dispatch/waiting/LiveJob.ts
+++ b/packages/dispatch/waiting/LiveJob.ts
@@ -36,7 +36,7 @@
 interface CachedWaiting {
   readonly steps: readonly WaitingStep[];
   readonly version: number;
-  /** Start of the wall clock time in which no repetition falls due. */
+  /** Wall clock times between which no repetition falls due. */
   readonly fromMs: number;
   readonly untilMs: number;
 }
--- a/packages/dispatch/waiting/LongWaitLogger.ts
+++ b/packages/dispatch/waiting/LongWaitLogger.ts
@@ -34,7 +34,7 @@
 
   constructor(
     private readonly jobs: ReadonlyMap<JobId, LiveJob>,
-    private readonly sendLog: (sentence: string, fields: LineFields) => void,
+    private readonly sendLog: (message: string, fields: LineFields) => void,
   ) {}
 
   logLongWaits(now: number): void {
--- a/packages/dispatch/waiting/sortByHeldShares.ts
+++ b/packages/dispatch/waiting/sortByHeldShares.ts
@@ -46,11 +46,11 @@
   const startedAtMs = Math.max(job.definition.acceptedAtMs, job.getDueAtMs(time));
   const usefulUntilMs = startedAtMs + computeMaxUsefulMs(objectiveAtMs - startedAtMs);
   const isInTime = input.wallMs + remainingMs <= objectiveAtMs;
-  const isOfUse = input.wallMs + remainingMs <= usefulUntilMs;
+  const isUseful = input.wallMs + remainingMs <= usefulUntilMs;
   return {
     step,
     priority: job.definition.queue.priority,
-    timeliness: isInTime ? TIMELINESS.inTime : isOfUse ? TIMELINESS.late : TIMELINESS.expired,
+    timeliness: isInTime ? TIMELINESS.inTime : isUseful ? TIMELINESS.late : TIMELINESS.expired,
     startByMs: (isInTime ? objectiveAtMs : usefulUntilMs) - remainingMs,
     share: computeDominantShare(computeWaitingDemand(step), capacity),
     isOverShare: false,
--- a/tests/customerLimits.test.ts
+++ b/tests/customerLimits.test.ts
@@ -20,14 +20,14 @@
   let dispatcher: Dispatcher;
   let limit: TaskDemand | undefined;
 
-  const startLeader = (unheardUntil = 0, isHeard = true): void => {
+  const startLeader = (unheardUntil = 0, isSynced = true): void => {
     dispatcher = new Dispatcher({
       getDefinition: () => undefined,
       earlierLeasesEndAt: unheardUntil,
       getLimit: () => limit,
     });
     PROFILES.forEach((profile) => dispatcher.handleEndpointProfile(profile));
-    if (isHeard) {
+    if (isSynced) {
       PROFILES.forEach(({ incarnation: endpoint }) =>
         dispatcher.handleStatus({ endpoint, running: [], ended: [], sentAt: 0 }, 1, 1),
       );
@@ -47,10 +47,10 @@
   const handleJob = (definition: JobDefinition): void =>
     dispatcher.handleJob(definition, new JobProgress(definition), 1);
 
-  /** Places, records and confirms; gives what was started. */
+  /** Places what may start, confirms its records and responses, and returns the starts. */
   const placeAll = (now: number): readonly Start[] => {
     dispatcher.placeWaiting(now, now);
-    const starts = readKind('start');
+    const starts = listEffects('start');
     for (const start of starts) {
       dispatcher.handleStartRecorded(start, now);
       dispatcher.handleStartResult(
@@ -64,13 +64,13 @@
     return starts;
   };
 
-  const readKind = <Kind extends DispatchEffect['kind']>(kind: Kind) =>
+  const listEffects = <Kind extends DispatchEffect['kind']>(kind: Kind) =>
     dispatcher
       .takeEffects()
       .filter((effect): effect is Extract<DispatchEffect, { kind: Kind }> => effect.kind === kind);
 
-  /** A look shows that one run was done and all others go on. */
-  const handleDone = (start: Start, now: number): void => {
+  /** Reports by a poll that one run is done and the others on its endpoint go on. */
+  const sendDone = (start: Start, now: number): void => {
     const { task, run } = start.command;
     const others = [...dispatcher.getEndpointState(start.endpoint)!.getRuns()].filter(
       (other) => other.task !== task,
@@ -80,7 +80,7 @@
     dispatcher.handleStatus({ endpoint: start.endpoint, running, ended, sentAt: now }, now, now);
   };
 
-  it('has a wide step run in waves, beside other customers that go on', () => {
+  it('runs a wide step in waves, without effect on other customers', () => {
     const other = {
       ...createJobDefinition(2, [createStep({ count: 2 })]),
       customer: createCustomer('builders', LIMIT),
@@ -92,36 +92,36 @@
     const own = first.filter(({ job }) => job !== other.id);
     expect(own).toHaveLength(3);
     expect(placeAll(3)).toEqual([]);
-    handleDone(own[0]!, 500);
+    sendDone(own[0]!, 500);
     expect(placeAll(501)).toHaveLength(1);
   });
 
-  it('says `limit` as the cause of the wait', () => {
+  it('has `limit` as the cause of its waits', () => {
     handleJob(createJob(1, [createStep({ count: 4 })]));
     const first = placeAll(2);
-    handleDone(first[0]!, 302);
+    sendDone(first[0]!, 302);
     const [later] = placeAll(302);
     expect(later?.waits).toMatchObject({ limit: 300, room: 0, round: 0 });
   });
 
-  it('has a gang start whole or not at all', () => {
+  it('starts a gang as a whole or not at all', () => {
     handleJob(createJob(1, [createStep({ count: 2 })]));
     handleJob(createJob(2, [createStep({ count: 2, isGang: true })]));
     const first = placeAll(2);
     expect(first.map(({ job }) => job)).toEqual([first[0]!.job, first[0]!.job]);
-    first.forEach((start, index) => handleDone(start, 500 + index));
+    first.forEach((start, index) => sendDone(start, 500 + index));
     expect(placeAll(600)).toHaveLength(2);
   });
 
-  it('gets room again only when a stopped run is known to be gone', () => {
+  it('may start tasks again only when a stopped run is known to have ended', () => {
     const job = createJob(1, [createStep({ count: 3 })]);
     handleJob(job);
     const starts = placeAll(2);
     handleJob(createJob(2, [createStep({ count: 3 })]));
     dispatcher.handleCancel(job.id, 100);
     expect(placeAll(100)).toEqual([]);
-    starts.forEach(({ endpoint, command: order }) =>
-      dispatcher.handleStopResult(endpoint, order.task, order.run, { kind: 'done' }, 110),
+    starts.forEach(({ endpoint, command }) =>
+      dispatcher.handleStopResult(endpoint, command.task, command.run, { kind: 'done' }, 110),
     );
     expect(placeAll(120)).toEqual([]);
     PROFILES.forEach(({ incarnation: endpoint }) =>
@@ -130,23 +130,29 @@
     expect(placeAll(132)).toHaveLength(3);
   });
 
-  it('has starts without an answer counted until they are proved not to run', () => {
+  it('is charged for starts without a response until they are known not to run', () => {
     handleJob(createJob(1, [createStep({ count: 3 })]));
     dispatcher.placeWaiting(2, 2);
-    const starts = readKind('start');
+    const starts = listEffects('start');
     starts.forEach((start) => dispatcher.handleStartRecorded(start, 2));
-    for (const { endpoint, command: order } of starts) {
-      dispatcher.handleStartResult(endpoint, order.task, order.run, { kind: 'unanswered', detail: '' }, 50);
+    for (const { endpoint, command } of starts) {
+      dispatcher.handleStartResult(
+        endpoint,
+        command.task,
+        command.run,
+        { kind: 'unanswered', detail: '' },
+        50,
+      );
     }
     handleJob(createJob(2, [createStep({ count: 1 })]));
-    // Other endpoints have room and answer.
+    // Other endpoints have free capacity and respond.
     PROFILES.forEach(({ incarnation: endpoint }) =>
       dispatcher.handleStatus({ endpoint, running: [], ended: [], sentAt: 60 }, 61, 61),
     );
     expect(placeAll(62)).toEqual([]);
   });
 
-  it('has what an earlier leader placed counted before the first start, also on endpoints that are not heard', () => {
+  it('is charged for runs of an earlier leader before the first start, also on unreachable endpoints', () => {
     const job = createJob(1, [createStep({ count: 3 })]);
     const progress = new JobProgress(job);
     [0, 1, 2].forEach((index) =>
@@ -155,8 +161,8 @@
     startLeader(5000, false);
     dispatcher.handleJob(job, progress, 1);
     handleJob(createJob(2, [createStep({ count: 1 })]));
-    const heard = PROFILES.slice(0, 2);
-    heard.forEach(({ incarnation: endpoint }) =>
+    const reachable = PROFILES.slice(0, 2);
+    reachable.forEach(({ incarnation: endpoint }) =>
       dispatcher.handleStatus({ endpoint, running: [], ended: [], sentAt: 2 }, 3, 3),
     );
     dispatcher.handleTick(4000);
@@ -165,24 +171,24 @@
     expect(placeAll(5002)).toHaveLength(3);
   });
 
-  it('has the processor time that fillers ask for counted', () => {
+  it('is charged for the processor demand of fillers', () => {
     handleJob(createJob(1, [createStep({ count: 8, isFiller: true, isLongRunning: true })]));
     expect(placeAll(2)).toHaveLength(3);
   });
 
-  it('is held by the newest limit: a fallen one kills nothing and lets nothing start, a risen one does', () => {
+  it('follows the configured limit: a lower one stops no runs and allows no starts, a higher one allows more', () => {
     handleJob(createJob(1, [createStep({ count: 9 })]));
     expect(placeAll(2)).toHaveLength(3);
     limit = { ...LIMIT, cpuMillis: 1000 };
     dispatcher.handleTick(100);
-    expect(readKind('stop')).toEqual([]);
+    expect(listEffects('stop')).toEqual([]);
     expect(placeAll(100)).toEqual([]);
     limit = { ...LIMIT, cpuMillis: 5000 };
     dispatcher.handleTick(200);
     expect(placeAll(200)).toHaveLength(2);
   });
 
-  it('asks no advice while nothing may start, and for no more than may', () => {
+  it('requests advice only while tasks may start', () => {
     const [own, others] = [
       createJob(1, [createStep({ count: 3 })]),
       createJob(2, [createStep({ count: 40 })], { advice: ADVICE }),
@@ -191,13 +197,13 @@
     const starts = placeAll(2);
     handleJob(others);
     dispatcher.placeWaiting(3, 3);
-    expect(readKind('advise')).toEqual([]);
-    handleDone(starts[0]!, 400);
+    expect(listEffects('advise')).toEqual([]);
+    sendDone(starts[0]!, 400);
     dispatcher.placeWaiting(400, 400);
-    expect(readKind('advise')).toHaveLength(1);
+    expect(listEffects('advise')).toHaveLength(1);
   });
 
-  it('makes nobody give way for work that its limit holds', () => {
+  it('causes no preemption for tasks over the limit', () => {
     limit = { ...LIMIT, cpuMillis: 12_000 };
     handleJob(createJob(1, [createStep({ count: 12, isCheckpointing: true })], { priority: 2 }));
     expect(placeAll(2)).toHaveLength(12);
@@ -207,6 +213,6 @@
       ]),
     );
     dispatcher.placeWaiting(50, 50);
-    expect(readKind('stop')).toEqual([]);
+    expect(listEffects('stop')).toEqual([]);
   });
 });
--- a/tests/hallChoices.test.ts
+++ b/tests/hallPolicies.test.ts
@@ -14,17 +14,17 @@
 const JOBS = 30;
 const TASKS = 10;
 const CAPACITY = { cpuMillis: 32_000, memoryMb: 64_000, accelerators: 0 };
-const CUT_HALL = 'hall-b';
+const LOST_HALL = 'hall-b';
 
-interface Play {
+interface Outcome {
   readonly dispatcher: Dispatcher;
-  readonly halls: ReadonlyMap<EndpointIncarnation, string>;
-  /** Halls of the tasks of each job. */
-  readonly hallsOf: ReadonlyMap<JobId, readonly string[]>;
+  readonly hallByEndpoint: ReadonlyMap<EndpointIncarnation, string>;
+  /** Hall of each task, by job. */
+  readonly hallsByJob: ReadonlyMap<JobId, readonly string[]>;
 }
 
-/** Places jobs of ten tasks, spread over the ids as callers choose them, on endpoints of three halls. */
-const createPlay = (hallChoice: HallPolicyName, usableHalls: readonly string[] = HALLS): Play => {
+/** Places jobs of ten tasks, with evenly distributed ids, on endpoints of three halls. */
+const placeJobs = (hallChoice: HallPolicyName, usableHalls: readonly string[] = HALLS): Outcome => {
   const dispatcher = new Dispatcher({ getDefinition: () => undefined, earlierLeasesEndAt: 0, hallChoice });
   const halls = new Map<EndpointIncarnation, string>();
   for (let number = 0; number < ENDPOINTS; number += 1) {
@@ -50,26 +50,25 @@
   for (const { job, endpoint } of starts) {
     hallsOf.set(job, [...(hallsOf.get(job) ?? []), halls.get(endpoint)!]);
   }
-  return { dispatcher, halls, hallsOf };
+  return { dispatcher, hallByEndpoint: halls, hallsByJob: hallsOf };
 };
 
-/** Jobs that lose a task when a hall is cut off: each then waits until the leases there have ended. */
-const readStruck = ({ hallsOf }: Play): number =>
-  [...hallsOf.values()].filter((halls) => halls.includes(CUT_HALL)).length;
+/** Returns how many jobs have a task in the hall that is lost. */
+const countAffected = ({ hallsByJob: hallsOf }: Outcome): number =>
+  [...hallsOf.values()].filter((halls) => halls.includes(LOST_HALL)).length;
 
-/** The load: 30 urgent jobs of ten tasks on 60 endpoints of three halls. One hall strikes 23 of them when spread, 10 together. */
-describe('a hall that is cut off', () => {
-  it('strikes one job in three when the tasks of a job go together, and most when they are spread', () => {
-    const [spread, together] = [createPlay('spread'), createPlay('together')];
-    expect(spread.hallsOf.size).toBe(JOBS);
-    expect(together.hallsOf.size).toBe(JOBS);
-    expect(readStruck(spread)).toBeGreaterThan((2 / 3) * JOBS);
-    expect(readStruck(together)).toBe(JOBS / HALLS.length);
+describe('the loss of a hall', () => {
+  it('affects one job in three under `together`, and most jobs under `spread`', () => {
+    const [spread, together] = [placeJobs('spread'), placeJobs('together')];
+    expect(spread.hallsByJob.size).toBe(JOBS);
+    expect(together.hallsByJob.size).toBe(JOBS);
+    expect(countAffected(spread)).toBeGreaterThan((2 / 3) * JOBS);
+    expect(countAffected(together)).toBe(JOBS / HALLS.length);
   });
 
-  it('is home to no job while it is silent: all tasks find room elsewhere', () => {
-    const play = createPlay('together', ['hall-a', 'hall-c']);
-    expect([...play.hallsOf.values()].every((halls) => halls.length === TASKS)).toBe(true);
-    expect(readStruck(play)).toBe(0);
+  it('affects no job that is placed while the hall is unreachable', () => {
+    const outcome = placeJobs('together', ['hall-a', 'hall-c']);
+    expect([...outcome.hallsByJob.values()].every((halls) => halls.length === TASKS)).toBe(true);
+    expect(countAffected(outcome)).toBe(0);
   });
 });
--- a/tests/heldShares.test.ts
+++ b/tests/heldShares.test.ts
@@ -15,54 +15,57 @@
 import { createCustomer } from './helpers/createCustomer';
 import { createJobDefinition } from './helpers/createJobDefinition';
 import { createStep } from './helpers/createStep';
-import { ShareLoad } from './helpers/ShareLoad';
+import { ShareSimulation } from './helpers/ShareSimulation';
 
 const CAPACITY: TaskDemand = { cpuMillis: 10_000, memoryMb: 100_000, accelerators: 0 };
 const toCpu = (cpuMillis: number): TaskDemand => ({ cpuMillis, memoryMb: 0, accelerators: 0 });
 const toName = (name: string): CustomerName => toId<CustomerName>(name);
 
-describe('what customers are owed', () => {
-  const owe = (claims: readonly (readonly [string, number, number])[], part = 1): Record<string, number> =>
+describe('fair shares', () => {
+  const computeShares = (
+    demands: readonly (readonly [string, number, number])[],
+    capacityShare = 1,
+  ): Record<string, number> =>
     Object.fromEntries(
       computeFairShares(
-        claims.map(([name, weight, demandedShare]) => ({ customer: toName(name), weight, demandedShare })),
-        part,
+        demands.map(([name, weight, demandedShare]) => ({ customer: toName(name), weight, demandedShare })),
+        capacityShare,
       ),
     );
 
-  it('goes by their weights, and what one leaves goes to the others', () => {
+  it('follow the weights, and redistribute unused shares', () => {
     expect(
-      owe([
+      computeShares([
         ['a', 1, 5],
         ['b', 3, 5],
       ]),
     ).toEqual({ a: 0.25, b: 0.75 });
     expect(
-      owe([
+      computeShares([
         ['a', 1, 5],
         ['b', 2, 0.1],
         ['c', 1, 5],
       ]),
     ).toEqual({ b: 0.1, a: 0.45, c: 0.45 });
     expect(
-      owe([
+      computeShares([
         ['a', 1, 0.2],
         ['b', 9, 0.3],
       ]),
     ).toEqual({ a: 0.2, b: 0.3 });
-    expect(owe([['a', 1, 0.2]], 0)).toEqual({ a: 0 });
-    expect(owe([])).toEqual({});
+    expect(computeShares([['a', 1, 0.2]], 0)).toEqual({ a: 0 });
+    expect(computeShares([])).toEqual({});
   });
 
-  it('counts the resource of which they hold most', () => {
-    const room = { cpuMillis: 1000, memoryMb: 50_000, accelerators: 3 };
-    expect(computeDominantShare(room, CAPACITY)).toBe(0.5);
-    expect(computeDominantShare(room, toCpu(0))).toBe(0);
+  it('are measured in the dominant resource', () => {
+    const demand = { cpuMillis: 1000, memoryMb: 50_000, accelerators: 3 };
+    expect(computeDominantShare(demand, CAPACITY)).toBe(0.5);
+    expect(computeDominantShare(demand, toCpu(0))).toBe(0);
   });
 });
 
-describe('the longest chain of work that is left', () => {
-  it('runs from a step through those that wait for it', () => {
+describe('the critical path', () => {
+  it('runs from a step through its dependent steps', () => {
     const steps = [
       createStep({ estimatedMs: 100 }),
       createStep({ estimatedMs: 50, dependsOn: [0] }),
@@ -74,9 +77,9 @@
   });
 });
 
-describe('the order by what is held', () => {
+describe('the placement order `held`', () => {
   const [big, small] = [createCustomer('big', {}, 3), createCustomer('small', {}, 1)];
-  /** No turn in which late work goes first. */
+  /** A time slice in which expired steps don't go first. */
   const wallMs = 10_000 + 100;
 
   const createWaiting = (
@@ -108,7 +111,7 @@
     readonly readRemainingMs?: () => number;
   }
 
-  const readOrder = (
+  const sortNames = (
     waiting: readonly WaitingStep[],
     { order = 'held', atMs = wallMs, held = new Map(), ...times }: ReadOptions = {},
   ): readonly string[] => {
@@ -120,63 +123,69 @@
       .map((step) => (step as { name?: string }).name ?? '');
   };
 
-  it('begins with what can be in time, then late work of use, by the time by which each has to start', () => {
+  it('puts steps that can be in time first, then useful late ones, by their latest start time', () => {
     const waiting = [
       createWaiting('useless', { customer: big, objectiveAtMs: wallMs - 1900 }),
       createWaiting('late', { customer: big, objectiveAtMs: wallMs - 100 }),
       createWaiting('long', { customer: big, objectiveAtMs: wallMs + 3000, estimatedMs: 12_000 }),
       createWaiting('short', { customer: big, objectiveAtMs: wallMs + 2000 }),
     ];
-    expect(readOrder(waiting)).toEqual(['long', 'short', 'late', 'useless']);
-    const learnt = createWaiting('learnt', { customer: big, objectiveAtMs: wallMs + 700 });
+    expect(sortNames(waiting)).toEqual(['long', 'short', 'late', 'useless']);
+    const learned = createWaiting('learnt', { customer: big, objectiveAtMs: wallMs + 700 });
     const learntMs = { readRemainingMs: () => 800 };
-    expect(readOrder([learnt, ...waiting], learntMs)).toEqual(['short', 'long', 'late', 'learnt', 'useless']);
+    expect(sortNames([learned, ...waiting], learntMs)).toEqual([
+      'short',
+      'long',
+      'late',
+      'learnt',
+      'useless',
+    ]);
   });
 
-  it('puts a burst behind others from where it takes more than its share, within one round', () => {
+  it('puts the steps of a burst that are over the fair share behind others, within one round', () => {
     const burst = Array.from({ length: 6 }, (_, index) =>
       createWaiting(`big-${index}`, { customer: big, objectiveAtMs: wallMs + 1000 + index }),
     );
     const others = ['small-0', 'small-1'].map((name) => createWaiting(name, { customer: small }));
-    // Of ten cores the large one is owed 7.5, so that its first four steps of two cores begin within its share.
+    // The fair share of the large customer is 7.5 of ten cores, so its first four steps of two cores begin within it.
     const expected = ['big-0', 'big-1', 'big-2', 'big-3', 'small-0', 'small-1', 'big-4', 'big-5'];
-    expect(readOrder([...burst, ...others])).toEqual(expected);
+    expect(sortNames([...burst, ...others])).toEqual(expected);
   });
 
-  it('counts what is running, and gives an idle share to those who have work', () => {
+  it('counts running tasks, and redistributes the shares of idle customers', () => {
     const waiting = [
       createWaiting('big', { customer: big, objectiveAtMs: wallMs + 1000 }),
       createWaiting('small', { customer: small, count: 3 }),
     ];
-    expect(readOrder(waiting, { held: new Map([[big, 8000]]) })).toEqual(['small', 'big']);
-    expect(readOrder(waiting, { held: new Map([[big, 5000]]) })).toEqual(['big', 'small']);
+    expect(sortNames(waiting, { held: new Map([[big, 8000]]) })).toEqual(['small', 'big']);
+    expect(sortNames(waiting, { held: new Map([[big, 5000]]) })).toEqual(['big', 'small']);
     const alone = [0, 1].map((index) => createWaiting(`big-${index}`, { customer: big }));
     const mixed = [createWaiting('nobody', { objectiveAtMs: wallMs + 9000 }), ...alone];
-    expect(readOrder(mixed, { held: new Map([[big, 6000]]) })).toEqual(['big-0', 'big-1', 'nobody']);
+    expect(sortNames(mixed, { held: new Map([[big, 6000]]) })).toEqual(['big-0', 'big-1', 'nobody']);
   });
 
-  it('does not count what waits at another priority, which may wait for long', () => {
+  it('does not count waiting steps of another priority', () => {
     const waiting = [
       createWaiting('wide', { customer: small, count: 8 }),
       createWaiting('small', { customer: small, priority: 1, objectiveAtMs: wallMs + 4000 }),
       createWaiting('big', { customer: big, priority: 1, count: 8 }),
     ];
-    expect(readOrder(waiting)).toEqual(['wide', 'small', 'big']);
+    expect(sortNames(waiting)).toEqual(['wide', 'small', 'big']);
   });
 
-  it('lets what is past its use go first in an eighth of the time', () => {
+  it('puts expired steps first in an eighth of the time slices', () => {
     const waiting = [
       createWaiting('late', { customer: big, objectiveAtMs: 1 }),
       createWaiting('new', { customer: small }),
     ];
     const turns = Array.from(
       { length: 80 },
-      (_, turn) => readOrder(waiting, { atMs: wallMs + turn * 100 })[0],
+      (_, turn) => sortNames(waiting, { atMs: wallMs + turn * 100 })[0],
     );
     expect(turns.filter((name) => name === 'late')).toHaveLength(10);
   });
 
-  it('is the usual one where nobody has a weight', () => {
+  it('equals `shares` when no customer has a weight', () => {
     const unowned = createCustomer('unowned');
     const waiting = Array.from({ length: 40 }, (_, index) =>
       createWaiting(`${index}`, {
@@ -187,43 +196,47 @@
     );
     for (let turn = 0; turn < 8; turn += 1) {
       const atMs = wallMs + turn * 100;
-      expect(readOrder(waiting, { atMs })).toEqual(readOrder(waiting, { order: 'shares', atMs }));
+      expect(sortNames(waiting, { atMs })).toEqual(sortNames(waiting, { order: 'shares', atMs }));
     }
   });
 });
 
-type Outcome = ReturnType<ShareLoad['readOutcome']>;
+type Outcome = ReturnType<ShareSimulation['computeOutcome']>;
 
 const SEEDS = [1, 2];
-/** What the others have to get more of what they sent, at the least, for the order to be worth having. */
-const GAIN = 0.02;
-/** What all together may lose by it. */
-const LOSS = 0.02;
+/** Minimum gain in the share of value that the other customers are served. */
+const MIN_GAIN = 0.02;
+/** Maximum loss in the share of value that all customers are served. */
+const MAX_LOSS = 0.02;
 
-const startLoad = (order: PlacementOrder, load: number): readonly Outcome[] =>
+const runSimulations = (order: PlacementOrder, load: number): readonly Outcome[] =>
   SEEDS.map((seed) => {
-    const world = new ShareLoad({ order, load, seed });
-    world.startPlay();
-    return world.readOutcome();
+    const simulation = new ShareSimulation({ order, load, seed });
+    simulation.run();
+    return simulation.computeOutcome();
   });
 
-const toMean = (outcomes: readonly Outcome[], readPart: (outcome: Outcome) => number): number =>
-  outcomes.reduce((sum, outcome) => sum + readPart(outcome), 0) / outcomes.length;
+const computeMean = (outcomes: readonly Outcome[], getValue: (outcome: Outcome) => number): number =>
+  outcomes.reduce((sum, outcome) => sum + getValue(outcome), 0) / outcomes.length;
 
-/** The load: the largest of 20 customers with heavy-tailed weights sends six times its usual for six of twenty seconds. */
-describe.each([1, 1.2])('a hot customer beside others that ask for %s of all room', (load) => {
+/** The largest of 20 customers with heavy-tailed weights sends six times its normal load for six of twenty seconds. */
+describe.each([1, 1.2])('a burst of one customer at a load of %s', (load) => {
   it(
-    'does not push them out of their shares, and neither it nor wide jobs are starved',
+    'does not take the shares of others under `held`, and starves neither that customer nor wide jobs',
     { timeout: 120_000 },
     () => {
-      const [shares, held] = [startLoad('shares', load), startLoad('held', load)];
-      const readOthers = ({ others }: Outcome): number => others;
-      expect(toMean(held, readOthers)).toBeGreaterThan(toMean(shares, readOthers) + GAIN);
-      expect(toMean(held, ({ all }) => all)).toBeGreaterThan(toMean(shares, ({ all }) => all) - LOSS);
-      expect(toMean(held, ({ hot }) => hot)).toBeGreaterThan(toMean(held, readOthers) / 2);
+      const [shares, held] = [runSimulations('shares', load), runSimulations('held', load)];
+      const getOthers = ({ others }: Outcome): number => others;
+      expect(computeMean(held, getOthers)).toBeGreaterThan(computeMean(shares, getOthers) + MIN_GAIN);
+      expect(computeMean(held, ({ all }) => all)).toBeGreaterThan(
+        computeMean(shares, ({ all }) => all) - MAX_LOSS,
+      );
+      expect(computeMean(held, ({ hot }) => hot)).toBeGreaterThan(computeMean(held, getOthers) / 2);
       for (const kind of ['gang', 'wide', 'urgent']) {
-        const inTime = toMean(held, (outcome) => outcome.inTime[kind]!);
-        expect(toMean(held, (outcome) => outcome.widestInTime[kind]!)).toBeGreaterThanOrEqual(inTime / 2);
+        const inTime = computeMean(held, (outcome) => outcome.inTime[kind]!);
+        expect(computeMean(held, (outcome) => outcome.widestDecileInTime[kind]!)).toBeGreaterThanOrEqual(
+          inTime / 2,
+        );
       }
     },
   );
--- a/tests/helpers/ShareLoad.ts
+++ b/tests/helpers/ShareSimulation.ts
@@ -14,16 +14,17 @@
 import { createProfile } from './createProfile';
 import { createStep } from './createStep';
 
-/** What customers send: `perS` jobs a second of all together at full load. */
-interface Kind {
+/** A kind of job. */
+interface JobKind {
   readonly name: string;
-  /** Of one job that ends within its objective. */
-  readonly worth: number;
+  /** Value of one job that ends within its objective. */
+  readonly value: number;
   readonly priority: number;
-  readonly perS: number;
-  /** Tasks of a usual job, and of the widest. */
+  /** Jobs a second of all customers together at a load of 1. */
+  readonly ratePerS: number;
+  /** Mean number of tasks of a job before the maximum is applied. */
   readonly count: number;
-  readonly mostCount: number;
+  readonly maxCount: number;
   readonly cpuMillis: number;
   readonly meanMs: number;
   readonly targetLatencyMs: number;
@@ -32,11 +33,11 @@
 
 interface SentJob {
   readonly customer: CustomerName;
-  readonly kind: Kind;
+  readonly kind: JobKind;
   readonly sentAt: number;
   readonly objectiveMs: number;
   readonly workMs: readonly number[];
-  tookMs: number;
+  durationMs: number;
 }
 
 interface Run {
@@ -45,23 +46,23 @@
   readonly endsAt: number;
 }
 
-/** What callers got, as parts of the worth of what they sent: late work counts a fifth, and nothing after three times its objective. */
-interface ShareLoadOutcome {
+/** Served shares of the value of sent jobs, 0 to 1. Late jobs count a fifth, and nothing after three times their objective. */
+interface ShareOutcome {
   readonly all: number;
-  /** Mean over the worst-served tenth of the customers. */
-  readonly worstTenth: number;
+  /** Mean over the tenth of the customers with the lowest shares. */
+  readonly worstDecile: number;
   readonly hot: number;
-  /** Mean over the customers other than the hot one. */
+  /** Mean over the customers without the burst. */
   readonly others: number;
-  /** By kind, the part of the jobs that ended in time, and of the tenth with most tasks. */
+  /** Share of the jobs that ended in time, by kind. */
   readonly inTime: Readonly<Record<string, number>>;
-  readonly widestInTime: Readonly<Record<string, number>>;
+  readonly widestDecileInTime: Readonly<Record<string, number>>;
   readonly longestMs: number;
 }
 
-interface ShareLoadOptions {
+interface ShareSimulationOptions {
   readonly order: PlacementOrder;
-  /** Work sent by the room that there is, without the hot customer's excess. */
+  /** Sent work relative to the capacity, without the burst. */
   readonly load: number;
   readonly seed: number;
 }
@@ -69,43 +70,43 @@
 const ENDPOINTS = 60;
 const CORES = 64;
 const CUSTOMERS = 20;
-/** The largest one. */
-const HOT = 0;
-const USEFUL_FACTOR = 3;
-const LATE_WORTH = 0.2;
+/** Index of the largest customer, which sends the burst. */
+const LARGEST = 0;
+const MAX_USEFUL_FACTOR = 3;
+const LATE_VALUE = 0.2;
 const TICK_MS = 40;
 const SEND_MS = 20_000;
-/** Time for what was sent to end. */
+/** Time for the sent jobs to end. */
 const DRAIN_MS = 20_000;
-const HOT_FROM_MS = 6000;
-const HOT_MS = 6000;
-const HOT_FACTOR = 6;
+const BURST_FROM_MS = 6000;
+const BURST_MS = 6000;
+const BURST_FACTOR = 6;
 const STRETCH = 1.5;
 const MS_PER_S = 1000;
 
-const toMean = (values: readonly number[]): number =>
+const computeMean = (values: readonly number[]): number =>
   values.reduce((sum, value) => sum + value, 0) / values.length;
 
-const toInTime = (jobs: readonly SentJob[]): number =>
-  toMean(jobs.map(({ tookMs, objectiveMs }) => Number(tookMs <= objectiveMs)));
+const computeInTimeShare = (jobs: readonly SentJob[]): number =>
+  computeMean(jobs.map(({ durationMs: tookMs, objectiveMs }) => Number(tookMs <= objectiveMs)));
 
-const toWorth = ({ kind, tookMs, objectiveMs }: SentJob): number => {
-  const part = tookMs <= objectiveMs ? 1 : tookMs <= USEFUL_FACTOR * objectiveMs ? LATE_WORTH : 0;
-  return part * kind.worth;
+const computeValue = ({ kind, durationMs: tookMs, objectiveMs }: SentJob): number => {
+  const share = tookMs <= objectiveMs ? 1 : tookMs <= MAX_USEFUL_FACTOR * objectiveMs ? LATE_VALUE : 0;
+  return share * kind.value;
 };
 
-const toServedPart = (jobs: readonly SentJob[]): number =>
-  toMean(jobs.map(toWorth)) / toMean(jobs.map(({ kind }) => kind.worth));
+const computeServedShare = (jobs: readonly SentJob[]): number =>
+  computeMean(jobs.map(computeValue)) / computeMean(jobs.map(({ kind }) => kind.value));
 
-/** A gang that needs many large places at once, wide batch, and short urgent jobs: by work about 0.41, 0.48 and 0.11 of all. */
-const KINDS: readonly Kind[] = [
+/** Gangs of large tasks, wide batch jobs, and short urgent jobs: about 0.41, 0.48 and 0.11 of the work. */
+const KINDS: readonly JobKind[] = [
   {
     name: 'gang',
-    worth: 10.6,
+    value: 10.6,
     priority: 1,
-    perS: 0.88,
+    ratePerS: 0.88,
     count: 20,
-    mostCount: 30,
+    maxCount: 30,
     cpuMillis: 18_000,
     meanMs: 5000,
     targetLatencyMs: 1000,
@@ -113,11 +114,11 @@
   },
   {
     name: 'wide',
-    worth: 3.2,
+    value: 3.2,
     priority: 2,
-    perS: 3.96,
+    ratePerS: 3.96,
     count: 25,
-    mostCount: 90,
+    maxCount: 90,
     cpuMillis: 6900,
     meanMs: 2700,
     targetLatencyMs: 3000,
@@ -125,11 +126,11 @@
   },
   {
     name: 'urgent',
-    worth: 0.4,
+    value: 0.4,
     priority: 0,
-    perS: 17.8,
+    ratePerS: 17.8,
     count: 3,
-    mostCount: 12,
+    maxCount: 12,
     cpuMillis: 9900,
     meanMs: 800,
     targetLatencyMs: 300,
@@ -137,15 +138,15 @@
   },
 ];
 
-/** Plays customers with heavy-tailed weights, one of them hot for some seconds, against the dispatcher without a network. */
-export class ShareLoad {
+/** Simulates customers with heavy-tailed weights, the largest with a burst of some seconds, on virtual time. */
+export class ShareSimulation {
   private readonly jobs = new Map<JobId, SentJob>();
   private readonly dispatcher: Dispatcher;
   private readonly random: () => number;
   private readonly running = new Map<EndpointIncarnation, Run[]>();
   private endCount = 0;
 
-  constructor(private readonly options: ShareLoadOptions) {
+  constructor(private readonly options: ShareSimulationOptions) {
     this.random = createRandom(options.seed);
     this.dispatcher = new Dispatcher({
       getDefinition: () => undefined,
@@ -161,51 +162,53 @@
     }
   }
 
-  startPlay(): void {
+  run(): void {
     const weights = Array.from({ length: CUSTOMERS }, (_, rank) => 1 / (rank + 1));
     const sum = weights.reduce((total, weight) => total + weight, 0);
-    const perS = KINDS.reduce((total, kind) => total + kind.perS, 0) * this.options.load;
+    const perS = KINDS.reduce((total, kind) => total + kind.ratePerS, 0) * this.options.load;
     for (let now = 0; now < SEND_MS + DRAIN_MS; now += TICK_MS) {
-      this.applyEnds(now);
+      this.sendEnds(now);
       for (const [rank, weight] of weights.entries()) {
-        const part = weight / sum;
-        const isHot = rank === HOT && now >= HOT_FROM_MS && now < HOT_FROM_MS + HOT_MS;
+        const share = weight / sum;
+        const isHot = rank === LARGEST && now >= BURST_FROM_MS && now < BURST_FROM_MS + BURST_MS;
         const chance =
-          now < SEND_MS ? ((part * TICK_MS) / MS_PER_S) * this.options.load * (isHot ? HOT_FACTOR : 1) : 0;
+          now < SEND_MS ? ((share * TICK_MS) / MS_PER_S) * this.options.load * (isHot ? BURST_FACTOR : 1) : 0;
         for (const kind of KINDS) {
-          if (this.random() < chance * kind.perS) {
-            this.sendJob(kind, createCustomer(`customer-${rank}`, {}, part * perS), now);
+          if (this.random() < chance * kind.ratePerS) {
+            this.sendJob(kind, createCustomer(`customer-${rank}`, {}, share * perS), now);
           }
         }
       }
       this.dispatcher.handleTick(now);
       this.dispatcher.placeWaiting(now, now);
-      this.dispatcher.takeEffects().forEach((effect) => this.applyEffect(effect, now));
+      this.dispatcher.takeEffects().forEach((effect) => this.handleEffect(effect, now));
     }
   }
 
-  readOutcome(): ShareLoadOutcome {
+  computeOutcome(): ShareOutcome {
     const jobs = [...this.jobs.values()];
     const byCustomer = Array.from({ length: CUSTOMERS }, (_, rank) =>
-      toServedPart(jobs.filter(({ customer }) => customer === `customer-${rank}`)),
+      computeServedShare(jobs.filter(({ customer }) => customer === `customer-${rank}`)),
     );
     const byKind = KINDS.map(({ name }) => [name, jobs.filter(({ kind }) => kind.name === name)] as const);
-    const toWidest = (ofKind: readonly SentJob[]): readonly SentJob[] =>
+    const listWidestDecile = (ofKind: readonly SentJob[]): readonly SentJob[] =>
       [...ofKind]
         .sort((left, right) => right.workMs.length - left.workMs.length)
         .slice(0, ofKind.length / 10);
     return {
-      all: toServedPart(jobs),
-      worstTenth: toMean([...byCustomer].sort((left, right) => left - right).slice(0, CUSTOMERS / 10)),
-      hot: byCustomer[HOT]!,
-      others: toMean(byCustomer.filter((_, rank) => rank !== HOT)),
-      inTime: Object.fromEntries(byKind.map(([name, ofKind]) => [name, toInTime(ofKind)])),
-      widestInTime: Object.fromEntries(byKind.map(([name, ofKind]) => [name, toInTime(toWidest(ofKind))])),
-      longestMs: Math.max(...jobs.map(({ tookMs }) => tookMs)),
+      all: computeServedShare(jobs),
+      worstDecile: computeMean([...byCustomer].sort((left, right) => left - right).slice(0, CUSTOMERS / 10)),
+      hot: byCustomer[LARGEST]!,
+      others: computeMean(byCustomer.filter((_, rank) => rank !== LARGEST)),
+      inTime: Object.fromEntries(byKind.map(([name, ofKind]) => [name, computeInTimeShare(ofKind)])),
+      widestDecileInTime: Object.fromEntries(
+        byKind.map(([name, ofKind]) => [name, computeInTimeShare(listWidestDecile(ofKind))]),
+      ),
+      longestMs: Math.max(...jobs.map(({ durationMs: tookMs }) => tookMs)),
     };
   }
 
-  private sendJob(kind: Kind, customer: ReturnType<typeof createCustomer>, now: number): void {
+  private sendJob(kind: JobKind, customer: ReturnType<typeof createCustomer>, now: number): void {
     const { cpuMillis, meanMs, isGang, name, priority, targetLatencyMs } = kind;
     const count = this.chooseCount(kind);
     const demand = { cpuMillis, memoryMb: (2 * cpuMillis) / 1000, accelerators: 0 };
@@ -229,39 +232,39 @@
       sentAt: now,
       objectiveMs,
       workMs,
-      tookMs: Infinity,
+      durationMs: Infinity,
     });
     this.dispatcher.handleJob(definition, new JobProgress(definition), now);
   }
 
-  /** Most jobs have fewer tasks than the mean, few have many times as many. */
-  private chooseCount({ count, mostCount }: Kind): number {
+  /** Draws the number of tasks from an exponential distribution with a maximum. */
+  private chooseCount({ count, maxCount: mostCount }: JobKind): number {
     const drawn = Math.round(-Math.log(1 - this.random()) * count);
     return Math.min(mostCount, Math.max(1, drawn));
   }
 
-  private applyEffect(effect: DispatchEffect, now: number): void {
+  private handleEffect(effect: DispatchEffect, now: number): void {
     if (effect.kind === 'start') {
-      const { endpoint, command: order, job } = effect;
+      const { endpoint, command, job } = effect;
       this.dispatcher.handleStartRecorded(effect, now);
-      this.dispatcher.handleStartResult(endpoint, order.task, order.run, { kind: 'done' }, now);
-      const endsAt = now + this.jobs.get(job)!.workMs[Number(order.task.split('.')[3])]!;
-      this.running.get(endpoint)!.push({ task: order.task, run: order.run, endsAt });
+      this.dispatcher.handleStartResult(endpoint, command.task, command.run, { kind: 'done' }, now);
+      const endsAt = now + this.jobs.get(job)!.workMs[Number(command.task.split('.')[3])]!;
+      this.running.get(endpoint)!.push({ task: command.task, run: command.run, endsAt });
     } else if (effect.kind === 'tell' && effect.message === 'Job ended.') {
       const job = this.jobs.get(toId<JobId>(String(effect.fields['job'])))!;
-      job.tookMs = now - job.sentAt;
+      job.durationMs = now - job.sentAt;
     }
   }
 
-  private applyEnds(now: number): void {
+  private sendEnds(now: number): void {
     for (const [endpoint, runs] of this.running) {
       const ended: EndedTaskStatus[] = runs
         .filter(({ endsAt }) => endsAt <= now)
         .map(({ task, run }) => ({ number: (this.endCount += 1), task, run, how: 'done', checkpoint: '' }));
       if (ended.length > 0) {
-        const left = runs.filter(({ endsAt }) => endsAt > now);
-        this.running.set(endpoint, left);
-        const rows = left.map(({ task, run }) => ({ task, run, checkpoint: '', percent: 50, load: 0 }));
+        const remaining = runs.filter(({ endsAt }) => endsAt > now);
+        this.running.set(endpoint, remaining);
+        const rows = remaining.map(({ task, run }) => ({ task, run, checkpoint: '', percent: 50, load: 0 }));
         this.dispatcher.handleStatus({ endpoint, running: rows, ended, sentAt: now }, now, now);
       }
     }
--- a/tests/helpers/StopWorld.ts
+++ b/tests/helpers/StopSimulation.ts
@@ -12,11 +12,11 @@
 
 type StartEffect = Extract<DispatchEffect, { kind: 'start' }>;
 
-interface WorldRun {
+interface SimulatedRun {
   readonly task: TaskName;
   readonly run: number;
   readonly job: JobDefinition;
-  /** Work of the task, in milliseconds. */
+  /** Total work of the task, in milliseconds. */
   readonly workMs: number;
   readonly isSaving: boolean;
   readonly isGang: boolean;
@@ -26,53 +26,53 @@
   stopAt: number | undefined;
 }
 
-interface WorldEndpoint {
+interface SimulatedEndpoint {
   readonly profile: EndpointProfile;
-  readonly runs: Map<string, WorldRun>;
+  readonly runs: Map<string, SimulatedRun>;
   ended: EndedTaskStatus[];
-  lookAt: number;
+  nextPollAt: number;
   endCount: number;
   leavesAt: number;
 }
 
-interface WorldOptions {
+interface SimulationOptions {
   readonly stopChoice: StopPolicyName;
   readonly endpoints: number;
-  /** Work of a run in milliseconds. */
-  readonly readWorkMs: (job: JobDefinition, task: TaskName, run: number) => number;
-  readonly stopMs: (endpoint: number, now: number) => number;
-  /** True when the answer to a start comes too late, though it was carried out. */
-  readonly isAnswerLate?: (now: number) => boolean;
-  /** True while an endpoint fails all that it starts. */
+  /** Returns the total work of a run, in milliseconds. */
+  readonly getWorkMs: (job: JobDefinition, task: TaskName, run: number) => number;
+  readonly getStopMs: (endpoint: number, now: number) => number;
+  /** Returns whether responses to starts miss their time limit. The starts are carried out all the same. */
+  readonly isResponseLate?: (now: number) => boolean;
+  /** Returns whether an endpoint fails every run. */
   readonly isFailing?: (endpoint: number, now: number) => boolean;
 }
 
 const TICK_MS = 20;
-const LOOK_MS = 400;
-/** Of work between checkpoints. */
-const CHECKPOINT_MS = 1000;
-const ANSWER_MS = 120;
-const DISPATCH_TICK_MS = 100;
+const POLL_INTERVAL_MS = 400;
+/** Work between two checkpoints. */
+const CHECKPOINT_INTERVAL_MS = 1000;
+const LATE_RESPONSE_MS = 120;
+const DISPATCHER_TICK_MS = 100;
 const CAPACITY = { cpuMillis: 64_000, memoryMb: 128_000, accelerators: 0 };
 
-/** A fleet of endpoints of 64 cores that carries out what the dispatcher says, tick by tick, and counts what is lost. */
-export class StopWorld {
+/** Simulated cluster of endpoints of 64 cores on virtual time. It carries out the dispatcher's commands and counts lost work. */
+export class StopSimulation {
   now = 0;
-  /** Core-milliseconds of work that ended unsaved, but for that of runs which failed by themselves. */
+  /** Unsaved work of stopped and lost runs, in core-milliseconds; failed runs don't count. */
   lostCoreMs = 0;
   stops = 0;
   failures = 0;
-  /** Most processors in use at once by the capacity of the endpoint; above 1 room was given away twice. */
-  fullest = 0;
+  /** Highest utilization of an endpoint's processors; above 1 it was overcommitted. */
+  maxUtilization = 0;
   readonly stopsByTask = new Map<TaskName, number>();
   readonly finishedAt = new Map<JobId, number>();
   readonly progress = new Map<JobId, JobProgress>();
   private readonly jobs = new Map<JobId, JobDefinition>();
-  private readonly fleet = new Map<EndpointIncarnation, WorldEndpoint>();
-  private readonly later: { readonly at: number; readonly act: () => void }[] = [];
+  private readonly endpoints = new Map<EndpointIncarnation, SimulatedEndpoint>();
+  private readonly delayed: { readonly at: number; readonly act: () => void }[] = [];
   readonly dispatcher: Dispatcher;
 
-  constructor(private readonly options: WorldOptions) {
+  constructor(private readonly options: SimulationOptions) {
     const { stopChoice } = options;
     this.dispatcher = new Dispatcher({
       getDefinition: (id) => this.jobs.get(id),
@@ -81,11 +81,11 @@
     });
     for (let number = 0; number < options.endpoints; number += 1) {
       const profile = createProfile(`i-${number}`, { capacity: CAPACITY });
-      this.fleet.set(profile.incarnation, {
+      this.endpoints.set(profile.incarnation, {
         profile,
         runs: new Map(),
         ended: [],
-        lookAt: 0,
+        nextPollAt: 0,
         endCount: 0,
         leavesAt: Infinity,
       });
@@ -100,19 +100,21 @@
     this.dispatcher.handleJob(definition, progress, this.now);
   }
 
-  /** An endpoint says that it drains, and ends after some milliseconds with all that runs there. */
-  startLeaving(number: number, remainingMs: number): void {
-    const endpoint = [...this.fleet.values()][number]!;
+  /** Drains an endpoint. It ends after `remainingMs` with all runs that are left. */
+  startDraining(number: number, remainingMs: number): void {
+    const endpoint = [...this.endpoints.values()][number]!;
     endpoint.leavesAt = this.now + remainingMs;
     this.dispatcher.handleEndpointProfile({ ...endpoint.profile, isDraining: true, remainingMs });
   }
 
-  applyTime(untilMs: number): void {
+  runUntil(untilMs: number): void {
     while (this.now < untilMs) {
       this.now += TICK_MS;
-      this.later.splice(0).forEach((entry) => (entry.at <= this.now ? entry.act() : this.later.push(entry)));
-      [...this.fleet.values()].forEach((endpoint, number) => this.applyWork(endpoint, number));
-      if (this.now % DISPATCH_TICK_MS === 0) {
+      this.delayed
+        .splice(0)
+        .forEach((entry) => (entry.at <= this.now ? entry.act() : this.delayed.push(entry)));
+      [...this.endpoints.values()].forEach((endpoint, number) => this.runEndpoint(endpoint, number));
+      if (this.now % DISPATCHER_TICK_MS === 0) {
         this.dispatcher.handleTick(this.now);
       }
       this.dispatcher.placeWaiting(this.now, this.now);
@@ -125,22 +127,22 @@
     }
   }
 
-  readRunningOn(number: number): number {
-    return [...this.fleet.values()][number]!.runs.size;
+  countRunsOn(number: number): number {
+    return [...this.endpoints.values()][number]!.runs.size;
   }
 
-  private applyWork(endpoint: WorldEndpoint, number: number): void {
+  private runEndpoint(endpoint: SimulatedEndpoint, number: number): void {
     const { runs, profile } = endpoint;
     if (this.now >= endpoint.leavesAt) {
       runs.forEach((run) => this.recordLoss(run, run.savedMs));
-      this.fleet.delete(profile.incarnation);
+      this.endpoints.delete(profile.incarnation);
       this.dispatcher.handleIncarnationEnd(profile.incarnation, this.now);
       return;
     }
     for (const run of runs.values()) {
-      if (!run.isGang || this.isWhole(run)) {
+      if (!run.isGang || this.isGangComplete(run)) {
         run.doneMs += TICK_MS;
-        run.savedMs = run.isSaving && run.doneMs % CHECKPOINT_MS === 0 ? run.doneMs : run.savedMs;
+        run.savedMs = run.isSaving && run.doneMs % CHECKPOINT_INTERVAL_MS === 0 ? run.doneMs : run.savedMs;
       }
       if (run.stopAt !== undefined && this.now >= run.stopAt) {
         const saved = run.isSaving ? run.doneMs : 0;
@@ -154,33 +156,33 @@
       }
     }
     const usedMillis = [...runs.values()].reduce((sum, { cores }) => sum + cores * 1000, 0);
-    this.fullest = Math.max(this.fullest, usedMillis / CAPACITY.cpuMillis);
-    if (endpoint.ended.length > 0 || this.now >= endpoint.lookAt) {
-      this.sendLook(endpoint);
+    this.maxUtilization = Math.max(this.maxUtilization, usedMillis / CAPACITY.cpuMillis);
+    if (endpoint.ended.length > 0 || this.now >= endpoint.nextPollAt) {
+      this.sendStatus(endpoint);
     }
   }
 
-  private isWhole(run: WorldRun): boolean {
-    return this.readMembers(run).length === run.job.steps[0]!.count;
+  private isGangComplete(run: SimulatedRun): boolean {
+    return this.listMembers(run).length === run.job.steps[0]!.count;
   }
 
-  private readMembers(
-    run: WorldRun,
-  ): readonly { readonly endpoint: WorldEndpoint; readonly member: WorldRun }[] {
-    return [...this.fleet.values()].flatMap((endpoint) =>
+  private listMembers(
+    run: SimulatedRun,
+  ): readonly { readonly endpoint: SimulatedEndpoint; readonly member: SimulatedRun }[] {
+    return [...this.endpoints.values()].flatMap((endpoint) =>
       [...endpoint.runs.values()]
         .filter((other) => other.job === run.job && other.run === run.run)
         .map((member) => ({ endpoint, member })),
     );
   }
 
-  private recordLoss(run: WorldRun, savedMs: number): void {
+  private recordLoss(run: SimulatedRun, savedMs: number): void {
     this.lostCoreMs += (run.doneMs - savedMs) * run.cores;
   }
 
   private recordEnd(
-    endpoint: WorldEndpoint,
-    run: WorldRun,
+    endpoint: SimulatedEndpoint,
+    run: SimulatedRun,
     how: EndedTaskStatus['how'],
     savedMs: number,
   ): void {
@@ -189,7 +191,7 @@
     const checkpoint = savedMs > 0 ? String(savedMs) : '';
     endpoint.ended.push({ number: endpoint.endCount, task: run.task, run: run.run, how, checkpoint });
     if (run.isGang && how !== 'broken') {
-      for (const { endpoint: other, member } of this.readMembers(run)) {
+      for (const { endpoint: other, member } of this.listMembers(run)) {
         if (how !== 'done') {
           this.recordLoss(member, member.savedMs);
         }
@@ -198,7 +200,7 @@
     }
   }
 
-  private sendLook(endpoint: WorldEndpoint): void {
+  private sendStatus(endpoint: SimulatedEndpoint): void {
     const running = [...endpoint.runs.values()].map(({ task, run, doneMs, workMs, savedMs }) => ({
       task,
       run,
@@ -207,7 +209,7 @@
       load: 0,
     }));
     const ended = endpoint.ended.splice(0);
-    endpoint.lookAt = this.now + LOOK_MS;
+    endpoint.nextPollAt = this.now + POLL_INTERVAL_MS;
     const { incarnation: life } = endpoint.profile;
     this.dispatcher.getEndpointState(life)?.recordLease(this.now + 10_000);
     this.dispatcher.handleStatus({ endpoint: life, running, ended, sentAt: this.now }, this.now, this.now);
@@ -219,16 +221,16 @@
     } else if (effect.kind === 'stop') {
       this.handleStop(effect);
     } else if (effect.kind === 'look') {
-      const endpoint = this.fleet.get(effect.endpoint);
-      this.later.push({
+      const endpoint = this.endpoints.get(effect.endpoint);
+      this.delayed.push({
         at: this.now + TICK_MS,
-        act: () => endpoint !== undefined && this.sendLook(endpoint),
+        act: () => endpoint !== undefined && this.sendStatus(endpoint),
       });
     }
   }
 
   private handleStart(effect: StartEffect): void {
-    const endpoint = this.fleet.get(effect.endpoint);
+    const endpoint = this.endpoints.get(effect.endpoint);
     if (!this.dispatcher.handleStartRecorded(effect, this.now) || endpoint === undefined) {
       return;
     }
@@ -240,7 +242,7 @@
       task,
       run,
       job,
-      workMs: this.options.readWorkMs(job, task, run),
+      workMs: this.options.getWorkMs(job, task, run),
       isSaving: isCheckpointing,
       isGang,
       cores: demand.cpuMillis / 1000,
@@ -248,20 +250,20 @@
       doneMs: savedMs,
       stopAt: undefined,
     });
-    const isLate = this.options.isAnswerLate?.(this.now) === true;
+    const isLate = this.options.isResponseLate?.(this.now) === true;
     const answer = isLate ? ({ kind: 'unanswered', detail: '' } as const) : ({ kind: 'done' } as const);
     const act = (): void => this.dispatcher.handleStartResult(effect.endpoint, task, run, answer, this.now);
-    this.later.push({ at: this.now + (isLate ? ANSWER_MS : 0), act });
+    this.delayed.push({ at: this.now + (isLate ? LATE_RESPONSE_MS : 0), act });
   }
 
   private handleStop(effect: Extract<DispatchEffect, { kind: 'stop' }>): void {
-    const endpoint = this.fleet.get(effect.endpoint);
+    const endpoint = this.endpoints.get(effect.endpoint);
     const run = endpoint?.runs.get(`${effect.task}#${effect.run}`);
-    const number = [...this.fleet.keys()].indexOf(effect.endpoint);
+    const number = [...this.endpoints.keys()].indexOf(effect.endpoint);
     if (run !== undefined) {
       this.stops += 1;
       this.stopsByTask.set(run.task, (this.stopsByTask.get(run.task) ?? 0) + 1);
-      run.stopAt ??= this.now + this.options.stopMs(number, this.now);
+      run.stopAt ??= this.now + this.options.getStopMs(number, this.now);
     }
     this.dispatcher.handleStopResult(effect.endpoint, effect.task, effect.run, { kind: 'done' }, this.now);
   }
--- a/tests/kindSpeeds.test.ts
+++ b/tests/kindSpeeds.test.ts
@@ -13,11 +13,11 @@
 import { createProfile } from './helpers/createProfile';
 import { createStep } from './helpers/createStep';
 
-describe('the speeds of kinds', () => {
-  it('are those of the most widely shared label, once enough runs have been compared', () => {
+describe('the slowdown of a kind of endpoint', () => {
+  it('is that of the most widely shared label, once enough runs are known', () => {
     const kinds = new KindSpeeds();
-    const record = (labels: readonly string[], ratio: number, count: number): void => {
-      Array.from({ length: count }).forEach(() => kinds.recordRun(labels, ratio));
+    const record = (labels: readonly string[], slowdown: number, count: number): void => {
+      Array.from({ length: count }).forEach(() => kinds.recordRun(labels, slowdown));
     };
     record(['b', 'rack-1'], 1.3, 60);
     expect(kinds.getSlowdown(['b', 'rack-1'])).toBe(1);
@@ -29,7 +29,7 @@
     expect(kinds.getSlowdown([])).toBe(1);
   });
 
-  it('are not made by single sick endpoints, and follow a change', () => {
+  it('is not affected by single very slow runs, and follows a change', () => {
     const kinds = new KindSpeeds();
     for (let run = 0; run < 1000; run += 1) {
       kinds.recordRun(['a'], run % 50 === 0 ? 40 : 1);
@@ -45,23 +45,23 @@
 const TICK_MS = 10;
 const LOAD_MS = 30_000;
 const WARM_UP_MS = 5000;
-const SLOW_RATIO = 1.3;
+const SLOWDOWN = 1.3;
 const ENDPOINTS = 30;
-/** An urgent job of ten tasks comes so often, and takes a tenth of all processors. */
-const URGENT_EVERY_MS = 160;
-/** A batch job of 20 tasks comes so often; together with the urgent ones they fill seven tenths. */
-const BATCH_EVERY_MS = 1400;
-/** Of the longest task on a fast endpoint: an objective leaves half of it, and orders and records take most of that. */
+/** Interval of urgent jobs of ten tasks. */
+const URGENT_INTERVAL_MS = 160;
+/** Interval of batch jobs of 20 tasks. Together with the urgent jobs they use seven tenths of the capacity. */
+const BATCH_INTERVAL_MS = 1400;
+/** Multiple of the longest task's time on a fast endpoint within which an urgent job counts as in time. */
 const IN_TIME_FACTOR = 1.15;
 
-interface PlayedRun {
+interface SimulatedRun {
   readonly task: TaskName;
   readonly run: number;
   readonly startedAt: number;
   readonly endsAt: number;
 }
 
-interface PlayedJob {
+interface SimulatedJob {
   readonly sentAt: number;
   readonly chainMs: number;
   readonly workMs: readonly number[];
@@ -69,16 +69,17 @@
 }
 
 /**
- * The load: urgent jobs beside batch on endpoints of which a third take 1.3 times as long, nothing else in the way. Urgent jobs in time
- * 0.27 of them when placed blind, 0.86 with the kinds known; batch jobs done after 5.92 and 6.02 s in the mean.
- * Gives the share of urgent jobs in time, and the mean time of batch jobs.
+ * Runs urgent and batch jobs on endpoints of which a third have a slowdown of 1.3. Returns the share of urgent jobs in time, and the
+ * mean time of batch jobs in milliseconds.
  */
-const startLoad = (speedChoice: SpeedPolicyName): { readonly urgent: number; readonly batchMs: number } => {
+const runSimulation = (
+  speedChoice: SpeedPolicyName,
+): { readonly urgent: number; readonly batchMs: number } => {
   const random = createRandom(7);
   const dispatcher = new Dispatcher({ getDefinition: () => undefined, earlierLeasesEndAt: 0, speedChoice });
-  const running = new Map<EndpointIncarnation, PlayedRun[]>();
-  const jobs = new Map<JobId, PlayedJob>();
-  const tookMs: { readonly job: PlayedJob; readonly ms: number }[] = [];
+  const running = new Map<EndpointIncarnation, SimulatedRun[]>();
+  const jobs = new Map<JobId, SimulatedJob>();
+  const durations: { readonly job: SimulatedJob; readonly ms: number }[] = [];
   const slow = new Set<EndpointIncarnation>();
   for (let number = 0; number < ENDPOINTS; number += 1) {
     const isSlow = number % 3 === 2;
@@ -110,24 +111,24 @@
   };
 
   const startRun = (effect: Extract<DispatchEffect, { kind: 'start' }>, now: number): void => {
-    const { endpoint, command: order, job } = effect;
+    const { endpoint, command, job } = effect;
     dispatcher.handleStartRecorded(effect, now);
-    dispatcher.handleStartResult(endpoint, order.task, order.run, { kind: 'done' }, now);
-    const workMs = jobs.get(job)!.workMs[Number(order.task.split('.')[3])]!;
-    const endsAt = now + workMs * (slow.has(endpoint) ? SLOW_RATIO : 1);
-    running.get(endpoint)!.push({ task: order.task, run: order.run, startedAt: now, endsAt });
+    dispatcher.handleStartResult(endpoint, command.task, command.run, { kind: 'done' }, now);
+    const workMs = jobs.get(job)!.workMs[Number(command.task.split('.')[3])]!;
+    const endsAt = now + workMs * (slow.has(endpoint) ? SLOWDOWN : 1);
+    running.get(endpoint)!.push({ task: command.task, run: command.run, startedAt: now, endsAt });
   };
 
   let endCount = 0;
-  const applyEnds = (now: number): void => {
+  const sendEnds = (now: number): void => {
     for (const [endpoint, runs] of running) {
       const ended: EndedTaskStatus[] = runs
         .filter(({ endsAt }) => endsAt <= now)
         .map(({ task, run }) => ({ number: (endCount += 1), task, run, how: 'done', checkpoint: '' }));
       if (ended.length > 0) {
-        const left = runs.filter(({ endsAt }) => endsAt > now);
-        running.set(endpoint, left);
-        const rows = left.map(({ task, run, startedAt, endsAt }) => ({
+        const remaining = runs.filter(({ endsAt }) => endsAt > now);
+        running.set(endpoint, remaining);
+        const rows = remaining.map(({ task, run, startedAt, endsAt }) => ({
           task,
           run,
           checkpoint: '',
@@ -140,11 +141,11 @@
   };
 
   for (let now = 0; now < LOAD_MS; now += TICK_MS) {
-    applyEnds(now);
-    if (now % URGENT_EVERY_MS === 0) {
+    sendEnds(now);
+    if (now % URGENT_INTERVAL_MS === 0) {
       sendJob(now, true);
     }
-    if (now % BATCH_EVERY_MS === 0) {
+    if (now % BATCH_INTERVAL_MS === 0) {
       sendJob(now, false);
     }
     dispatcher.placeWaiting(now, now);
@@ -153,11 +154,11 @@
         startRun(effect, now);
       } else if (effect.kind === 'tell' && effect.message === 'Job ended.') {
         const job = jobs.get(effect.fields['job'] as JobId)!;
-        tookMs.push({ job, ms: now - job.sentAt });
+        durations.push({ job, ms: now - job.sentAt });
       }
     }
   }
-  const counted = tookMs.filter(({ job }) => job.sentAt >= WARM_UP_MS);
+  const counted = durations.filter(({ job }) => job.sentAt >= WARM_UP_MS);
   const urgent = counted.filter(({ job }) => job.isUrgent);
   const batch = counted.filter(({ job }) => !job.isUrgent);
   const inTime = urgent.filter(({ job, ms }) => ms <= IN_TIME_FACTOR * job.chainMs);
@@ -167,9 +168,9 @@
   };
 };
 
-describe('endpoints of unlike speed', () => {
-  it('have urgent jobs in time, and batch work on the slow ones hardly later', () => {
-    const [blind, kinds] = [startLoad('blind'), startLoad('kinds')];
+describe('the speed policy `kinds`', () => {
+  it('keeps urgent jobs in time on a cluster of mixed speeds, and hardly delays batch jobs', () => {
+    const [blind, kinds] = [runSimulation('blind'), runSimulation('kinds')];
     expect(kinds.urgent).toBeGreaterThan(0.8);
     expect(blind.urgent).toBeLessThan(0.35);
     expect(kinds.batchMs).toBeLessThan(1.05 * blind.batchMs);
--- a/tests/placementOrders.test.ts
+++ b/tests/placementOrders.test.ts
@@ -15,12 +15,12 @@
 describe('shares of customers', () => {
   const clinic = createCustomer('clinic', {}, 2);
 
-  const readBeyond = (meter: JobRateMeter, times: readonly number[], customer = clinic): readonly boolean[] =>
+  const recordJobs = (meter: JobRateMeter, times: readonly number[], customer = clinic): readonly boolean[] =>
     times.map((atMs) => meter.recordJob(customer, atMs));
 
-  it('cover what a customer sends at its rate, and a second of it at once', () => {
+  it("cover jobs at the customer's rate, and a burst of one second of it", () => {
     const meter = new JobRateMeter();
-    expect(readBeyond(meter, [0, 0, 0, 100, 500, 1000, 1100, 1500])).toEqual([
+    expect(recordJobs(meter, [0, 0, 0, 100, 500, 1000, 1100, 1500])).toEqual([
       false,
       false,
       true,
@@ -32,19 +32,19 @@
     ]);
   });
 
-  it('do not grow with what other customers send, and cover everything without a weight', () => {
+  it('do not depend on the jobs of other customers, and cover all jobs without a weight', () => {
     const meter = new JobRateMeter();
-    const flood = createCustomer('builders', {}, 1);
-    expect(readBeyond(meter, Array<number>(50).fill(0), flood).filter((isBeyond) => !isBeyond)).toHaveLength(
-      1,
-    );
-    expect(readBeyond(meter, [0, 0])).toEqual([false, false]);
-    expect(readBeyond(meter, [0, 0, 0], createCustomer('old'))).toEqual([false, false, false]);
+    const burst = createCustomer('builders', {}, 1);
+    expect(
+      recordJobs(meter, Array<number>(50).fill(0), burst).filter((isOverShare) => !isOverShare),
+    ).toHaveLength(1);
+    expect(recordJobs(meter, [0, 0])).toEqual([false, false]);
+    expect(recordJobs(meter, [0, 0, 0], createCustomer('old'))).toEqual([false, false, false]);
   });
 
-  it('are not filled twice by boxes whose clocks are apart', () => {
+  it('are not granted twice because of boxes with different clocks', () => {
     const meter = new JobRateMeter();
-    expect(readBeyond(meter, [1000, 1000, 0, 900, 1000, 100, 1000])).toEqual([
+    expect(recordJobs(meter, [1000, 1000, 0, 900, 1000, 100, 1000])).toEqual([
       false,
       false,
       true,
@@ -55,13 +55,13 @@
     ]);
   });
 
-  it('come out the same for every leader, however it came to know the jobs', () => {
+  it('are the same for every leader, in whatever order it read the jobs', () => {
     const jobs = Array.from({ length: 40 }, (_, index) => ({
       ...createJobDefinition(index + 1, [createStep()]),
       acceptedAtMs: 1000 + Math.floor(index / 3) * 250,
       customer: clinic,
     }));
-    const readLeader = (known: typeof jobs): readonly boolean[] => {
+    const replayJobs = (known: typeof jobs): readonly boolean[] => {
       const replica = new JobReplica();
       known.forEach((job) => replica.recordDefinition(job));
       const meter = new JobRateMeter();
@@ -69,8 +69,8 @@
         .listDefinitionsInOrder()
         .map(({ customer, acceptedAtMs }) => meter.recordJob(customer!, acceptedAtMs));
     };
-    expect(readLeader([...jobs].reverse())).toEqual(readLeader(jobs));
-    expect(readLeader(jobs)).toContain(true);
+    expect(replayJobs([...jobs].reverse())).toEqual(replayJobs(jobs));
+    expect(replayJobs(jobs)).toContain(true);
   });
 });
 
--- a/tests/stops.test.ts
+++ b/tests/stops.test.ts
@@ -17,7 +17,7 @@
 import { createJobDefinition } from './helpers/createJobDefinition';
 import { createProfile } from './helpers/createProfile';
 import { createStep } from './helpers/createStep';
-import { StopWorld } from './helpers/StopWorld';
+import { StopSimulation } from './helpers/StopSimulation';
 
 const URGENT = 0;
 const GANG = 1;
@@ -35,8 +35,8 @@
   return { ...createJobDefinition(number, [createStep({ demand, ...step })], queue), acceptedAtMs: now };
 };
 
-describe('the price of stops', () => {
-  const price = {
+describe('the estimate of a preemption', () => {
+  const estimate = {
     lostCoreMs: 20_000,
     roomWaitMs: 3000,
     waitedMs: 0,
@@ -45,24 +45,24 @@
     waitingCpuMillis: 360_000,
   };
 
-  it('is paid for work that would else be late', () => {
-    expect(isPreemptionWorthwhile(price)).toBe(true);
+  it('is worthwhile for work that would otherwise be late', () => {
+    expect(isPreemptionWorthwhile(estimate)).toBe(true);
   });
 
-  it('is not paid where the work is in time without, room is about to come, more is lost, or all is lost', () => {
-    expect(isPreemptionWorthwhile({ ...price, slackMs: 31_000 })).toBe(false);
-    expect(isPreemptionWorthwhile({ ...price, roomWaitMs: 400 })).toBe(false);
-    expect(isPreemptionWorthwhile({ ...price, lostCoreMs: 1_000_000 })).toBe(false);
-    expect(isPreemptionWorthwhile({ ...price, slackMs: -9000 })).toBe(false);
+  it('is not worthwhile when the step will be in time anyway, capacity is about to be freed, the loss is larger, or the step is far too late', () => {
+    expect(isPreemptionWorthwhile({ ...estimate, slackMs: 31_000 })).toBe(false);
+    expect(isPreemptionWorthwhile({ ...estimate, roomWaitMs: 400 })).toBe(false);
+    expect(isPreemptionWorthwhile({ ...estimate, lostCoreMs: 1_000_000 })).toBe(false);
+    expect(isPreemptionWorthwhile({ ...estimate, slackMs: -9000 })).toBe(false);
   });
 
-  it('is paid once the room that is about to come has not come for some time, since others take it', () => {
-    const soon = { ...price, roomWaitMs: 400, slackMs: 12_500 };
-    expect(isPreemptionWorthwhile({ ...soon, waitedMs: 1200 })).toBe(false);
-    expect(isPreemptionWorthwhile({ ...soon, waitedMs: 1300 })).toBe(true);
+  it('is worthwhile once the step has waited for some time, although capacity is about to be freed', () => {
+    const freedSoon = { ...estimate, roomWaitMs: 400, slackMs: 12_500 };
+    expect(isPreemptionWorthwhile({ ...freedSoon, waitedMs: 1200 })).toBe(false);
+    expect(isPreemptionWorthwhile({ ...freedSoon, waitedMs: 1300 })).toBe(true);
   });
 
-  it('counts the wait until known ends make room for all tasks, so many to an endpoint', () => {
+  it('takes the wait until running tasks free enough capacity, within the limit of tasks per endpoint', () => {
     const toDemand = (cpuMillis: number) => ({ cpuMillis, memoryMb: 0, accelerators: 0 });
     const holders = [
       { demand: toDemand(4000), remainingMs: 900 },
@@ -79,7 +79,7 @@
 });
 
 describe('moves', () => {
-  it('are made for the most urgent and the greatest gain first, so many at once', () => {
+  it('are made by priority, then by gain, up to a limit at once', () => {
     const moves = [
       { priority: BATCH, gainMs: 9000 },
       { priority: URGENT, gainMs: 2000 },
@@ -91,133 +91,140 @@
     expect(chooseMoves(moves, 7, 9)).toEqual([]);
   });
 
-  it('count only the rest where a stop saves what was done', () => {
-    const half = { pace: 45, usualPace: 15, slowPace: 30, percent: 50, stalledMs: 0, moveMs: 300 };
+  it('are decided under `priced` by the remaining work of a run that saves the rest', () => {
+    const straggler = { pace: 45, usualPace: 15, slowPace: 30, percent: 50, stalledMs: 0, moveMs: 300 };
     for (const choice of ['ranked', 'priced'] as const) {
-      expect(stopPolicies[choice].findMoveReason({ ...half, isSaving: false })).toBeUndefined();
+      expect(stopPolicies[choice].findMoveReason({ ...straggler, isSaving: false })).toBeUndefined();
     }
-    expect(stopPolicies.ranked.findMoveReason({ ...half, isSaving: true })).toBeUndefined();
-    expect(stopPolicies.priced.findMoveReason({ ...half, isSaving: true })).toBe('slow');
+    expect(stopPolicies.ranked.findMoveReason({ ...straggler, isSaving: true })).toBeUndefined();
+    expect(stopPolicies.priced.findMoveReason({ ...straggler, isSaving: true })).toBe('slow');
   });
 
-  it('from an endpoint that leaves wait as long as a stop allows where work is saved, and are not made where it can end', () => {
-    const left = { leftMs: 3000, remainingMs: 4000 };
-    expect(isEvictionDue({ ...left, isSaving: false }, 1300)).toBe(true);
-    expect(isEvictionDue({ ...left, isSaving: true }, 1300)).toBe(false);
-    expect(isEvictionDue({ ...left, isSaving: true, leftMs: 1200 }, 1300)).toBe(true);
-    expect(isEvictionDue({ ...left, isSaving: false, remainingMs: 2900 }, 1300)).toBe(false);
+  it('off a draining endpoint are made as late as possible for runs that save their work, at once for others, and not for runs that end in time', () => {
+    const input = { leftMs: 3000, remainingMs: 4000 };
+    expect(isEvictionDue({ ...input, isSaving: false }, 1300)).toBe(true);
+    expect(isEvictionDue({ ...input, isSaving: true }, 1300)).toBe(false);
+    expect(isEvictionDue({ ...input, isSaving: true, leftMs: 1200 }, 1300)).toBe(true);
+    expect(isEvictionDue({ ...input, isSaving: false, remainingMs: 2900 }, 1300)).toBe(false);
   });
 });
 
-describe('single tasks of which one in ten takes seven times as long', () => {
+describe('jobs of one task, one in ten of which takes seven times as long', () => {
   const USUAL_MS = 700;
 
-  /** Urgent jobs of one task, so that no sibling tells what is usual. */
-  const startLoad = (stopChoice: StopPolicyName) => {
-    const world = new StopWorld({
+  /** Runs urgent jobs of one task, which have no siblings to be compared with. */
+  const runSimulation = (stopChoice: StopPolicyName) => {
+    const simulation = new StopSimulation({
       stopChoice,
       endpoints: 4,
-      readWorkMs: (job, _task, run) => (run === 1 && job.acceptedAtMs % 1000 === 0 ? 7 : 1) * USUAL_MS,
-      stopMs: () => 300,
+      getWorkMs: (job, _task, run) => (run === 1 && job.acceptedAtMs % 1000 === 0 ? 7 : 1) * USUAL_MS,
+      getStopMs: () => 300,
     });
     const sentAt = new Map<string, number>();
     for (let number = 1; number <= 50; number += 1) {
-      world.applyTime(number * 100);
-      const job = createJob(number, URGENT, world.now, 10, { count: 1, estimatedMs: USUAL_MS });
-      sentAt.set(job.id, world.now);
-      world.sendJob(job);
+      simulation.runUntil(number * 100);
+      const job = createJob(number, URGENT, simulation.now, 10, { count: 1, estimatedMs: USUAL_MS });
+      sentAt.set(job.id, simulation.now);
+      simulation.sendJob(job);
     }
-    world.applyTime(15_000);
-    const tookMs = [...world.finishedAt].map(([id, at]) => at - sentAt.get(id)!);
-    return { inTime: tookMs.filter((ms) => ms <= 1000 + 1.5 * USUAL_MS).length, stops: world.stops };
+    simulation.runUntil(15_000);
+    const durationsMs = [...simulation.finishedAt].map(([id, at]) => at - sentAt.get(id)!);
+    return {
+      inTime: durationsMs.filter((ms) => ms <= 1000 + 1.5 * USUAL_MS).length,
+      stops: simulation.stops,
+    };
   };
 
-  it('are caught by the run times that were learnt: 50 of 50 are in time with five moves, for 45', () => {
-    expect(startLoad('ranked')).toEqual({ inTime: 45, stops: 0 });
-    expect(startLoad('priced')).toEqual({ inTime: 50, stops: 5 });
+  it('are all in time under `priced`, which compares stragglers with learnt run times', () => {
+    expect(runSimulation('ranked')).toEqual({ inTime: 45, stops: 0 });
+    expect(runSimulation('priced')).toEqual({ inTime: 50, stops: 5 });
   });
 });
 
-describe('starts whose answers are late, since the leader is slow', () => {
-  /** Urgent jobs on a fleet with room; the answers to all starts of two seconds come after the time limit. */
-  const startLoad = (stopChoice: StopPolicyName) => {
-    const world = new StopWorld({
+describe('start commands whose responses are late', () => {
+  /** Runs urgent jobs on a cluster with free capacity. For two seconds the responses to all starts miss the time limit. */
+  const runSimulation = (stopChoice: StopPolicyName) => {
+    const simulation = new StopSimulation({
       stopChoice,
       endpoints: 10,
-      readWorkMs: () => 600,
-      stopMs: () => 300,
-      isAnswerLate: (now) => now > 2000 && now < 4000,
+      getWorkMs: () => 600,
+      getStopMs: () => 300,
+      isResponseLate: (now) => now > 2000 && now < 4000,
     });
     const sentAt = new Map<string, number>();
     for (let number = 1; number <= 60; number += 1) {
-      world.applyTime(number * 100);
-      const job = createJob(number, URGENT, world.now, 10, { count: 3, estimatedMs: 600 });
-      sentAt.set(job.id, world.now);
-      world.sendJob(job);
+      simulation.runUntil(number * 100);
+      const job = createJob(number, URGENT, simulation.now, 10, { count: 3, estimatedMs: 600 });
+      sentAt.set(job.id, simulation.now);
+      simulation.sendJob(job);
     }
-    world.applyTime(12_000);
-    const tookMs = [...world.finishedAt].map(([id, at]) => at - sentAt.get(id)!);
-    const inTime = tookMs.filter((ms) => ms <= 1000 + 1.5 * 600).length / sentAt.size;
-    return { inTime, lostCoreMs: world.lostCoreMs, stops: world.stops };
+    simulation.runUntil(12_000);
+    const durationsMs = [...simulation.finishedAt].map(([id, at]) => at - sentAt.get(id)!);
+    const inTime = durationsMs.filter((ms) => ms <= 1000 + 1.5 * 600).length / sentAt.size;
+    return { inTime, lostCoreMs: simulation.lostCoreMs, stops: simulation.stops };
   };
 
-  it('are looked for before they are stopped: none of 60 is lost, and none is late', () => {
+  it('are checked by a poll before they are stopped, so that no run is lost and no job is late', () => {
     for (const choice of ['ranked', 'priced'] as const) {
-      expect(startLoad(choice)).toEqual({ inTime: 1, lostCoreMs: 0, stops: 0 });
+      expect(runSimulation(choice)).toEqual({ inTime: 1, lostCoreMs: 0, stops: 0 });
     }
   });
 });
 
-describe('gangs that need large places on a fleet filled with batch work', () => {
+describe('gangs of large tasks on a cluster filled with batch work', () => {
   const ENDPOINTS = 16;
   const LOAD_MS = 24_000;
 
-  /** Batch of 7 cores that saves its work fills the fleet; gangs of 8 times 18 cores come; a stop takes up to 0.9 s. */
-  const startLoad = (stopChoice: StopPolicyName) => {
+  /** Fills the cluster with batch tasks of 7 cores that keep checkpoints, and sends gangs of 8 tasks of 18 cores. Stops take up to 0.9 s. */
+  const runSimulation = (stopChoice: StopPolicyName) => {
     const random = createRandom(11);
-    const world = new StopWorld({
+    const simulation = new StopSimulation({
       stopChoice,
       endpoints: ENDPOINTS,
-      readWorkMs: (job) => (job.queue.priority === GANG ? 3000 : 2500),
-      stopMs: () => 400 + 500 * random(),
+      getWorkMs: (job) => (job.queue.priority === GANG ? 3000 : 2500),
+      getStopMs: () => 400 + 500 * random(),
     });
     const gangs = new Map<string, number>();
     let number = 0;
-    let mostStopping = 0;
-    while (world.now < LOAD_MS) {
-      world.applyTime(world.now + 100);
-      if (world.now % 200 === 0) {
+    let maxStopsByTask = 0;
+    while (simulation.now < LOAD_MS) {
+      simulation.runUntil(simulation.now + 100);
+      if (simulation.now % 200 === 0) {
         number += 1;
         const batch = { count: 20, estimatedMs: 2500, isCheckpointing: true };
-        world.sendJob(createJob(number, BATCH, world.now, 7, batch));
+        simulation.sendJob(createJob(number, BATCH, simulation.now, 7, batch));
       }
-      if (world.now % 2400 === 0 && world.now < LOAD_MS - 6000) {
+      if (simulation.now % 2400 === 0 && simulation.now < LOAD_MS - 6000) {
         number += 1;
-        const job = createJob(number, GANG, world.now, 18, { count: 8, estimatedMs: 3000, isGang: true });
-        gangs.set(job.id, world.now);
-        world.sendJob(job);
+        const job = createJob(number, GANG, simulation.now, 18, {
+          count: 8,
+          estimatedMs: 3000,
+          isGang: true,
+        });
+        gangs.set(job.id, simulation.now);
+        simulation.sendJob(job);
       }
-      mostStopping = Math.max(mostStopping, ...world.stopsByTask.values());
+      maxStopsByTask = Math.max(maxStopsByTask, ...simulation.stopsByTask.values());
     }
-    world.applyTime(LOAD_MS + 20_000);
-    const tookMs = [...gangs].map(([id, at]) => {
-      const endedAt = [...world.finishedAt].find(([finished]) => finished === id)?.[1];
+    simulation.runUntil(LOAD_MS + 20_000);
+    const durationsMs = [...gangs].map(([id, at]) => {
+      const endedAt = [...simulation.finishedAt].find(([finished]) => finished === id)?.[1];
       return endedAt === undefined ? Infinity : endedAt - at;
     });
-    const inTime = tookMs.filter((ms) => ms <= 1000 + 1.5 * 3000).length;
+    const inTime = durationsMs.filter((ms) => ms <= 1000 + 1.5 * 3000).length;
     return {
-      fullest: world.fullest,
+      fullest: simulation.maxUtilization,
       gangs: gangs.size,
       inTime,
-      stops: world.stops,
-      mostStopping,
-      done: world.finishedAt.size,
+      stops: simulation.stops,
+      mostStopping: maxStopsByTask,
+      done: simulation.finishedAt.size,
     };
   };
 
-  it('cost 59 stops when these are priced, for 95, with as many gangs in time, and nobody stopped more often than twice', () => {
-    const ranked = startLoad('ranked');
-    const priced = startLoad('priced');
+  it('cause fewer stops under `priced`, with as many gangs in time and no task stopped more than twice', () => {
+    const ranked = runSimulation('ranked');
+    const priced = runSimulation('priced');
     expect(ranked.stops).toBeGreaterThan(50);
     expect(priced.stops).toBeLessThan(ranked.stops);
     expect(priced.inTime).toBeGreaterThanOrEqual(ranked.inTime);
@@ -227,8 +234,8 @@
   });
 });
 
-describe('endpoints that fail all that they start', () => {
-  it('are one by one, with a pause that grows with each failure', () => {
+describe('endpoints that fail every run', () => {
+  it('have a streak of failures whose backoff grows with each failure', () => {
     const streak = new FailureStreak();
     streak.recordEnd('failed', 100);
     expect(streak.isFailing()).toBe(false);
@@ -242,90 +249,99 @@
     expect(streak.isFailing()).toBe(false);
   });
 
-  /** Batch that waits for room, while two of 16 endpoints fail all for eight seconds. */
-  const startLoad = (stopChoice: StopPolicyName, failing: number) => {
-    const world = new StopWorld({
+  /** Runs batch jobs that wait for capacity, while some of 16 endpoints fail every run for eight seconds. */
+  const runSimulation = (stopChoice: StopPolicyName, failing: number) => {
+    const simulation = new StopSimulation({
       stopChoice,
       endpoints: 16,
-      readWorkMs: () => 1500,
-      stopMs: () => 300,
+      getWorkMs: () => 1500,
+      getStopMs: () => 300,
       isFailing: (number, now) => number < failing && now > 2000 && now < 10_000,
     });
     for (let number = 1; number <= 50; number += 1) {
-      world.applyTime(number * 250);
-      world.sendJob(createJob(number, BATCH, world.now, 8, { count: 20, estimatedMs: 1500 }));
+      simulation.runUntil(number * 250);
+      simulation.sendJob(createJob(number, BATCH, simulation.now, 8, { count: 20, estimatedMs: 1500 }));
     }
-    world.applyTime(40_000);
-    const states = [...world.progress.values()].map((progress) => progress.getState());
+    simulation.runUntil(40_000);
+    const states = [...simulation.progress.values()].map((progress) => progress.getState());
     return {
-      failures: world.failures,
+      failures: simulation.failures,
       completed: states.filter((state) => state === 'completed').length,
-      fullest: world.fullest,
+      fullest: simulation.maxUtilization,
     };
   };
 
-  it('do not use up the attempts of what waits for room elsewhere: 50 of 50 jobs are done, for 43, and 22 runs fail, for 160', () => {
-    const ranked = startLoad('ranked', 2);
-    const priced = startLoad('priced', 2);
+  it('do not use up the attempts of waiting tasks under `priced`, which quarantines them', () => {
+    const ranked = runSimulation('ranked', 2);
+    const priced = runSimulation('priced', 2);
     expect(ranked.completed).toBeLessThan(45);
     expect(priced.completed).toBe(50);
     expect(priced.failures).toBeLessThan(ranked.failures / 5);
   });
 
-  it('stay open where many fail: then the work is at fault, and waiting would help nobody', () => {
-    expect(startLoad('priced', 8)).toEqual(startLoad('ranked', 8));
+  it('are not quarantined when many fail, since the work is likely at fault', () => {
+    expect(runSimulation('priced', 8)).toEqual(runSimulation('ranked', 8));
   });
 });
 
-describe('endpoints that leave at short notice', () => {
-  /** One of five endpoints leaves after 5.5 s, with tasks of 10 s on it that began a second before. */
-  const startLoad = (stopChoice: StopPolicyName, step: Partial<JobStep>, workMs: number, cores = 16) => {
-    const world = new StopWorld({ stopChoice, endpoints: 5, readWorkMs: () => workMs, stopMs: () => 900 });
-    world.applyTime(500);
-    world.sendJob(createJob(1, BATCH, world.now, cores, { estimatedMs: workMs, ...step }));
-    world.applyTime(1500);
-    const used = [4, 3, 2, 1, 0].find((number) => world.readRunningOn(number) > 0)!;
-    world.startLeaving(used, 5500);
-    world.applyTime(30_000);
-    return { endedAt: [...world.finishedAt.values()][0], lostCoreMs: world.lostCoreMs, stops: world.stops };
+describe('endpoints that drain at short notice', () => {
+  /** Starts tasks, and a second later drains one of the five endpoints that run any, with a deadline of 5.5 s. */
+  const runSimulation = (stopChoice: StopPolicyName, step: Partial<JobStep>, workMs: number, cores = 16) => {
+    const simulation = new StopSimulation({
+      stopChoice,
+      endpoints: 5,
+      getWorkMs: () => workMs,
+      getStopMs: () => 900,
+    });
+    simulation.runUntil(500);
+    simulation.sendJob(createJob(1, BATCH, simulation.now, cores, { estimatedMs: workMs, ...step }));
+    simulation.runUntil(1500);
+    const draining = [4, 3, 2, 1, 0].find((number) => simulation.countRunsOn(number) > 0)!;
+    simulation.startDraining(draining, 5500);
+    simulation.runUntil(30_000);
+    return {
+      endedAt: [...simulation.finishedAt.values()][0],
+      lostCoreMs: simulation.lostCoreMs,
+      stops: simulation.stops,
+    };
   };
 
-  it('are left by saved work in time for a stop of 0.9 s, so that nothing is lost', () => {
+  it('lose no work that is saved, since it is evicted in time for a stop of 0.9 s', () => {
     const saved = { count: 3, isCheckpointing: true };
-    expect(startLoad('ranked', saved, 9500).lostCoreMs).toBeGreaterThan(0);
-    expect(startLoad('priced', saved, 9500)).toMatchObject({ lostCoreMs: 0, stops: 3 });
+    expect(runSimulation('ranked', saved, 9500).lostCoreMs).toBeGreaterThan(0);
+    expect(runSimulation('priced', saved, 9500)).toMatchObject({ lostCoreMs: 0, stops: 3 });
   });
 
-  it('keep what can end there', () => {
-    expect(startLoad('priced', { count: 3 }, 5000)).toMatchObject({ lostCoreMs: 0, stops: 0 });
+  it('keep runs that end before the deadline', () => {
+    expect(runSimulation('priced', { count: 3 }, 5000)).toMatchObject({ lostCoreMs: 0, stops: 0 });
   });
 
-  it('are left at once by a gang that cannot end there, as a whole', () => {
+  it('cause the eviction of a whole gang at once when it cannot end there', () => {
     const gang = { count: 2, isGang: true };
-    const ranked = startLoad('ranked', gang, 9500);
-    const priced = startLoad('priced', gang, 9500);
+    const ranked = runSimulation('ranked', gang, 9500);
+    const priced = runSimulation('priced', gang, 9500);
     expect(priced.lostCoreMs).toBeLessThan(ranked.lostCoreMs / 2);
     expect(priced.endedAt).toBeLessThan(ranked.endedAt! - 3000);
   });
 
-  it('are left in time by a gang that saves its work, and it goes on from the newest checkpoint of any member', () => {
+  it('cause a timely eviction of a gang that keeps checkpoints, which resumes from the newest of any member', () => {
     const gang = { count: 4, isGang: true, isCheckpointing: true };
-    const ranked = startLoad('ranked', gang, 9500, 40);
-    const priced = startLoad('priced', gang, 9500, 40);
-    // It begins at 0.5 s, and its 9.5 s of work are done but for the orders between.
+    const ranked = runSimulation('ranked', gang, 9500, 40);
+    const priced = runSimulation('priced', gang, 9500, 40);
+    // The gang starts at 0.5 s and has 9.5 s of work; 100 ms are left for commands.
     expect(priced.endedAt).toBeLessThan(500 + 9500 + 100);
     expect(ranked.endedAt).toBeGreaterThan(500 + 9500 + 500);
     expect(priced.lostCoreMs).toBeLessThan(ranked.lostCoreMs);
   });
 });
 
-describe('a start without an answer', () => {
+describe('a start command without a response', () => {
   const ENDPOINT = toId<EndpointIncarnation>('i-0');
   const job = createJob(1, URGENT, 0, 2, { count: 1 });
   const task = toTaskName(job.id, { time: 0, step: 0, index: 0 });
   const running = [{ task, run: 1, checkpoint: '', percent: 40, load: 0 }];
 
-  const createDoubt = (): Dispatcher => {
+  const createUnanswered = (): Dispatcher => {
     const dispatcher = new Dispatcher({
       getDefinition: () => job,
       earlierLeasesEndAt: 0,
@@ -343,62 +359,62 @@
     return dispatcher;
   };
 
-  const sendLook = (dispatcher: Dispatcher, rows: typeof running, sentAt: number, now: number): void =>
+  const sendStatus = (dispatcher: Dispatcher, rows: typeof running, sentAt: number, now: number): void =>
     dispatcher.handleStatus({ endpoint: ENDPOINT, running: rows, ended: [], sentAt }, now, now);
 
-  const readKinds = (dispatcher: Dispatcher): readonly string[] => {
+  const listEffectKinds = (dispatcher: Dispatcher): readonly string[] => {
     const kinds = dispatcher.takeEffects().map(({ kind }) => kind);
     return kinds.filter((kind) => ['look', 'stop', 'start'].includes(kind));
   };
 
-  const hasRoom = (dispatcher: Dispatcher): boolean =>
+  const isFree = (dispatcher: Dispatcher): boolean =>
     dispatcher.getEndpointState(ENDPOINT)!.countRuns() === 0;
 
-  it('goes on when a look shows it', () => {
-    const dispatcher = createDoubt();
-    expect(readKinds(dispatcher)).toEqual(['look']);
-    sendLook(dispatcher, running, 150, 160);
+  it('is accepted when a poll lists the run', () => {
+    const dispatcher = createUnanswered();
+    expect(listEffectKinds(dispatcher)).toEqual(['look']);
+    sendStatus(dispatcher, running, 150, 160);
     dispatcher.handleTick(600);
     dispatcher.placeWaiting(600, 600);
-    expect(readKinds(dispatcher)).toEqual([]);
+    expect(listEffectKinds(dispatcher)).toEqual([]);
     expect(dispatcher.getEndpointState(ENDPOINT)!.getRun(task, 1)?.stage).toBe('running');
   });
 
-  it('is not judged by a look that was sent before', () => {
-    const dispatcher = createDoubt();
-    readKinds(dispatcher);
-    sendLook(dispatcher, [], 130, 160);
-    expect(readKinds(dispatcher)).toEqual([]);
-    expect(hasRoom(dispatcher)).toBe(false);
+  it('is not affected by a poll that was sent before', () => {
+    const dispatcher = createUnanswered();
+    listEffectKinds(dispatcher);
+    sendStatus(dispatcher, [], 130, 160);
+    expect(listEffectKinds(dispatcher)).toEqual([]);
+    expect(isFree(dispatcher)).toBe(false);
   });
 
-  it('keeps its room until it is proved absent, also when the answer to the stop is lost and the start arrives late', () => {
-    const dispatcher = createDoubt();
-    readKinds(dispatcher);
-    sendLook(dispatcher, [], 150, 160);
-    expect(readKinds(dispatcher)).toEqual(['stop']);
+  it('holds its capacity until the run is known to be absent, even if the response to the stop is lost and the start arrives late', () => {
+    const dispatcher = createUnanswered();
+    listEffectKinds(dispatcher);
+    sendStatus(dispatcher, [], 150, 160);
+    expect(listEffectKinds(dispatcher)).toEqual(['stop']);
     dispatcher.handleStopResult(ENDPOINT, task, 1, { kind: 'unanswered', detail: '' }, 300);
-    // The order was under way all the time, and began after the look.
-    sendLook(dispatcher, running, 310, 320);
-    expect(hasRoom(dispatcher)).toBe(false);
+    // The start command was delayed, and its run began after the poll.
+    sendStatus(dispatcher, running, 310, 320);
+    expect(isFree(dispatcher)).toBe(false);
     dispatcher.handleTick(400);
     dispatcher.handleTick(700);
-    expect(readKinds(dispatcher)).toEqual(['stop']);
-    sendLook(dispatcher, [], 710, 720);
-    expect(hasRoom(dispatcher)).toBe(false);
+    expect(listEffectKinds(dispatcher)).toEqual(['stop']);
+    sendStatus(dispatcher, [], 710, 720);
+    expect(isFree(dispatcher)).toBe(false);
     dispatcher.handleStopResult(ENDPOINT, task, 1, { kind: 'done' }, 730);
-    sendLook(dispatcher, [], 740, 750);
-    expect(hasRoom(dispatcher)).toBe(true);
+    sendStatus(dispatcher, [], 740, 750);
+    expect(isFree(dispatcher)).toBe(true);
     dispatcher.placeWaiting(760, 760);
-    expect(readKinds(dispatcher)).toEqual(['start']);
+    expect(listEffectKinds(dispatcher)).toEqual(['start']);
   });
 
-  it('is over with the lease when nothing is heard any more', () => {
-    const dispatcher = createDoubt();
+  it('ends with the lease when the endpoint stays unreachable', () => {
+    const dispatcher = createUnanswered();
     dispatcher.handleUnreachable(ENDPOINT, 500);
     dispatcher.handleTick(8900);
-    expect(hasRoom(dispatcher)).toBe(false);
+    expect(isFree(dispatcher)).toBe(false);
     dispatcher.handleTick(9001);
-    expect(hasRoom(dispatcher)).toBe(true);
+    expect(isFree(dispatcher)).toBe(true);
   });
 });
