--- a/tests/customerLimits.test.ts
+++ b/tests/customerLimits.test.ts
@@ -20,10 +20,10 @@
   let dispatcher: Dispatcher;
   let limit: TaskDemand | undefined;
 
-  const startLeader = (unheardUntil = 0, isSynced = true): void => {
+  const startLeader = (earlierLeasesEndAt = 0, isSynced = true): void => {
     dispatcher = new Dispatcher({
       getDefinition: () => undefined,
-      earlierLeasesEndAt: unheardUntil,
+      earlierLeasesEndAt,
       getLimit: () => limit,
     });
     PROFILES.forEach((profile) => dispatcher.handleEndpointProfile(profile));
--- a/tests/hallPolicies.test.ts
+++ b/tests/hallPolicies.test.ts
@@ -26,11 +26,11 @@
 /** Places jobs of ten tasks, with evenly distributed ids, on endpoints of three halls. */
 const placeJobs = (hallChoice: HallPolicyName, usableHalls: readonly string[] = HALLS): Outcome => {
   const dispatcher = new Dispatcher({ getDefinition: () => undefined, earlierLeasesEndAt: 0, hallChoice });
-  const halls = new Map<EndpointIncarnation, string>();
+  const hallByEndpoint = new Map<EndpointIncarnation, string>();
   for (let number = 0; number < ENDPOINTS; number += 1) {
     const hall = HALLS[number % HALLS.length]!;
     const profile = createProfile(`i-${number}`, { hall, capacity: CAPACITY });
-    halls.set(profile.incarnation, hall);
+    hallByEndpoint.set(profile.incarnation, hall);
     dispatcher.handleEndpointProfile(profile);
     if (usableHalls.includes(hall)) {
       dispatcher.handleStatus({ endpoint: profile.incarnation, running: [], ended: [], sentAt: 0 }, 1, 1);
@@ -43,19 +43,19 @@
     dispatcher.handleJob(definition, new JobProgress(definition), 1);
     dispatcher.placeWaiting(2 + number, 2 + number);
   }
-  const hallsOf = new Map<JobId, string[]>();
+  const hallsByJob = new Map<JobId, string[]>();
   const starts = dispatcher
     .takeEffects()
     .filter((effect): effect is Extract<DispatchEffect, { kind: 'start' }> => effect.kind === 'start');
   for (const { job, endpoint } of starts) {
-    hallsOf.set(job, [...(hallsOf.get(job) ?? []), halls.get(endpoint)!]);
+    hallsByJob.set(job, [...(hallsByJob.get(job) ?? []), hallByEndpoint.get(endpoint)!]);
   }
-  return { dispatcher, hallByEndpoint: halls, hallsByJob: hallsOf };
+  return { dispatcher, hallByEndpoint, hallsByJob };
 };
 
 /** Returns how many jobs have a task in the hall that is lost. */
-const countAffected = ({ hallsByJob: hallsOf }: Outcome): number =>
-  [...hallsOf.values()].filter((halls) => halls.includes(LOST_HALL)).length;
+const countAffected = ({ hallsByJob }: Outcome): number =>
+  [...hallsByJob.values()].filter((halls) => halls.includes(LOST_HALL)).length;
 
 describe('the loss of a hall', () => {
   it('affects one job in three under `together`, and most jobs under `spread`', () => {
--- a/tests/helpers/ShareSimulation.ts
+++ b/tests/helpers/ShareSimulation.ts
@@ -88,10 +88,11 @@
   values.reduce((sum, value) => sum + value, 0) / values.length;
 
 const computeInTimeShare = (jobs: readonly SentJob[]): number =>
-  computeMean(jobs.map(({ durationMs: tookMs, objectiveMs }) => Number(tookMs <= objectiveMs)));
+  computeMean(jobs.map(({ durationMs, objectiveMs }) => Number(durationMs <= objectiveMs)));
 
-const computeValue = ({ kind, durationMs: tookMs, objectiveMs }: SentJob): number => {
-  const share = tookMs <= objectiveMs ? 1 : tookMs <= MAX_USEFUL_FACTOR * objectiveMs ? LATE_VALUE : 0;
+const computeValue = ({ kind, durationMs, objectiveMs }: SentJob): number => {
+  const share =
+    durationMs <= objectiveMs ? 1 : durationMs <= MAX_USEFUL_FACTOR * objectiveMs ? LATE_VALUE : 0;
   return share * kind.value;
 };
 
@@ -155,10 +156,10 @@
     });
     for (let number = 0; number < ENDPOINTS; number += 1) {
       const capacity = { cpuMillis: CORES * 1000, memoryMb: 128_000, accelerators: 0 };
-      const { incarnation: life } = createProfile(`i-${number}`);
+      const { incarnation } = createProfile(`i-${number}`);
       this.dispatcher.handleEndpointProfile(createProfile(`i-${number}`, { capacity }));
-      this.dispatcher.handleStatus({ endpoint: life, running: [], ended: [], sentAt: 0 }, 0, 0);
-      this.running.set(life, []);
+      this.dispatcher.handleStatus({ endpoint: incarnation, running: [], ended: [], sentAt: 0 }, 0, 0);
+      this.running.set(incarnation, []);
     }
   }
 
@@ -204,7 +205,7 @@
       widestDecileInTime: Object.fromEntries(
         byKind.map(([name, ofKind]) => [name, computeInTimeShare(listWidestDecile(ofKind))]),
       ),
-      longestMs: Math.max(...jobs.map(({ durationMs: tookMs }) => tookMs)),
+      longestMs: Math.max(...jobs.map(({ durationMs }) => durationMs)),
     };
   }
 
@@ -238,9 +239,9 @@
   }
 
   /** Draws the number of tasks from an exponential distribution with a maximum. */
-  private chooseCount({ count, maxCount: mostCount }: JobKind): number {
+  private chooseCount({ count, maxCount }: JobKind): number {
     const drawn = Math.round(-Math.log(1 - this.random()) * count);
-    return Math.min(mostCount, Math.max(1, drawn));
+    return Math.min(maxCount, Math.max(1, drawn));
   }
 
   private handleEffect(effect: DispatchEffect, now: number): void {
--- a/tests/helpers/StopSimulation.ts
+++ b/tests/helpers/StopSimulation.ts
@@ -32,7 +32,7 @@
   ended: EndedTaskStatus[];
   nextPollAt: number;
   endCount: number;
-  leavesAt: number;
+  drainDeadline: number;
 }
 
 interface SimulationOptions {
@@ -87,7 +87,7 @@
         ended: [],
         nextPollAt: 0,
         endCount: 0,
-        leavesAt: Infinity,
+        drainDeadline: Infinity,
       });
       this.dispatcher.handleEndpointProfile(profile);
     }
@@ -103,7 +103,7 @@
   /** Drains an endpoint. It ends after `remainingMs` with all runs that are left. */
   startDraining(number: number, remainingMs: number): void {
     const endpoint = [...this.endpoints.values()][number]!;
-    endpoint.leavesAt = this.now + remainingMs;
+    endpoint.drainDeadline = this.now + remainingMs;
     this.dispatcher.handleEndpointProfile({ ...endpoint.profile, isDraining: true, remainingMs });
   }
 
@@ -133,7 +133,7 @@
 
   private runEndpoint(endpoint: SimulatedEndpoint, number: number): void {
     const { runs, profile } = endpoint;
-    if (this.now >= endpoint.leavesAt) {
+    if (this.now >= endpoint.drainDeadline) {
       runs.forEach((run) => this.recordLoss(run, run.savedMs));
       this.endpoints.delete(profile.incarnation);
       this.dispatcher.handleIncarnationEnd(profile.incarnation, this.now);
@@ -210,9 +210,13 @@
     }));
     const ended = endpoint.ended.splice(0);
     endpoint.nextPollAt = this.now + POLL_INTERVAL_MS;
-    const { incarnation: life } = endpoint.profile;
-    this.dispatcher.getEndpointState(life)?.recordLease(this.now + 10_000);
-    this.dispatcher.handleStatus({ endpoint: life, running, ended, sentAt: this.now }, this.now, this.now);
+    const { incarnation } = endpoint.profile;
+    this.dispatcher.getEndpointState(incarnation)?.recordLease(this.now + 10_000);
+    this.dispatcher.handleStatus(
+      { endpoint: incarnation, running, ended, sentAt: this.now },
+      this.now,
+      this.now,
+    );
   }
 
   private handleEffect(effect: DispatchEffect): void {
@@ -251,8 +255,8 @@
       stopAt: undefined,
     });
     const isLate = this.options.isResponseLate?.(this.now) === true;
-    const answer = isLate ? ({ kind: 'unanswered', detail: '' } as const) : ({ kind: 'done' } as const);
-    const act = (): void => this.dispatcher.handleStartResult(effect.endpoint, task, run, answer, this.now);
+    const result = isLate ? ({ kind: 'unanswered', detail: '' } as const) : ({ kind: 'done' } as const);
+    const act = (): void => this.dispatcher.handleStartResult(effect.endpoint, task, run, result, this.now);
     this.delayed.push({ at: this.now + (isLate ? LATE_RESPONSE_MS : 0), act });
   }
 
--- a/tests/kindSpeeds.test.ts
+++ b/tests/kindSpeeds.test.ts
@@ -63,7 +63,7 @@
 
 interface SimulatedJob {
   readonly sentAt: number;
-  readonly chainMs: number;
+  readonly criticalPathMs: number;
   readonly workMs: readonly number[];
   readonly isUrgent: boolean;
 }
@@ -106,7 +106,7 @@
       acceptedAtMs: now,
     };
     const workMs = Array.from({ length: count }, () => meanMs * (0.7 + 0.6 * random()));
-    jobs.set(definition.id, { sentAt: now, chainMs: Math.max(...workMs), workMs, isUrgent });
+    jobs.set(definition.id, { sentAt: now, criticalPathMs: Math.max(...workMs), workMs, isUrgent });
     dispatcher.handleJob(definition, new JobProgress(definition), now);
   };
 
@@ -161,7 +161,7 @@
   const counted = durations.filter(({ job }) => job.sentAt >= WARM_UP_MS);
   const urgent = counted.filter(({ job }) => job.isUrgent);
   const batch = counted.filter(({ job }) => !job.isUrgent);
-  const inTime = urgent.filter(({ job, ms }) => ms <= IN_TIME_FACTOR * job.chainMs);
+  const inTime = urgent.filter(({ job, ms }) => ms <= IN_TIME_FACTOR * job.criticalPathMs);
   return {
     urgent: inTime.length / urgent.length,
     batchMs: batch.reduce((sum, { ms }) => sum + ms, 0) / batch.length,
--- a/tests/stops.test.ts
+++ b/tests/stops.test.ts
@@ -93,8 +93,8 @@
 
   it('are decided under `priced` by the remaining work of a run that saves the rest', () => {
     const straggler = { pace: 45, usualPace: 15, slowPace: 30, percent: 50, stalledMs: 0, moveMs: 300 };
-    for (const choice of ['ranked', 'priced'] as const) {
-      expect(stopPolicies[choice].findMoveReason({ ...straggler, isSaving: false })).toBeUndefined();
+    for (const policy of ['ranked', 'priced'] as const) {
+      expect(stopPolicies[policy].findMoveReason({ ...straggler, isSaving: false })).toBeUndefined();
     }
     expect(stopPolicies.ranked.findMoveReason({ ...straggler, isSaving: true })).toBeUndefined();
     expect(stopPolicies.priced.findMoveReason({ ...straggler, isSaving: true })).toBe('slow');
@@ -110,27 +110,27 @@
 });
 
 describe('jobs of one task, one in ten of which takes seven times as long', () => {
-  const USUAL_MS = 700;
+  const BASELINE_MS = 700;
 
   /** Runs urgent jobs of one task, which have no siblings to be compared with. */
   const runSimulation = (stopChoice: StopPolicyName) => {
     const simulation = new StopSimulation({
       stopChoice,
       endpoints: 4,
-      getWorkMs: (job, _task, run) => (run === 1 && job.acceptedAtMs % 1000 === 0 ? 7 : 1) * USUAL_MS,
+      getWorkMs: (job, _task, run) => (run === 1 && job.acceptedAtMs % 1000 === 0 ? 7 : 1) * BASELINE_MS,
       getStopMs: () => 300,
     });
     const sentAt = new Map<string, number>();
     for (let number = 1; number <= 50; number += 1) {
       simulation.runUntil(number * 100);
-      const job = createJob(number, URGENT, simulation.now, 10, { count: 1, estimatedMs: USUAL_MS });
+      const job = createJob(number, URGENT, simulation.now, 10, { count: 1, estimatedMs: BASELINE_MS });
       sentAt.set(job.id, simulation.now);
       simulation.sendJob(job);
     }
     simulation.runUntil(15_000);
     const durationsMs = [...simulation.finishedAt].map(([id, at]) => at - sentAt.get(id)!);
     return {
-      inTime: durationsMs.filter((ms) => ms <= 1000 + 1.5 * USUAL_MS).length,
+      inTime: durationsMs.filter((ms) => ms <= 1000 + 1.5 * BASELINE_MS).length,
       stops: simulation.stops,
     };
   };
@@ -165,8 +165,8 @@
   };
 
   it('are checked by a poll before they are stopped, so that no run is lost and no job is late', () => {
-    for (const choice of ['ranked', 'priced'] as const) {
-      expect(runSimulation(choice)).toEqual({ inTime: 1, lostCoreMs: 0, stops: 0 });
+    for (const policy of ['ranked', 'priced'] as const) {
+      expect(runSimulation(policy)).toEqual({ inTime: 1, lostCoreMs: 0, stops: 0 });
     }
   });
 });
@@ -213,11 +213,11 @@
     });
     const inTime = durationsMs.filter((ms) => ms <= 1000 + 1.5 * 3000).length;
     return {
-      fullest: simulation.maxUtilization,
+      maxUtilization: simulation.maxUtilization,
       gangs: gangs.size,
       inTime,
       stops: simulation.stops,
-      mostStopping: maxStopsByTask,
+      maxStopsByTask,
       done: simulation.finishedAt.size,
     };
   };
@@ -229,8 +229,8 @@
     expect(priced.stops).toBeLessThan(ranked.stops);
     expect(priced.inTime).toBeGreaterThanOrEqual(ranked.inTime);
     expect(priced.done).toBeGreaterThanOrEqual(ranked.done);
-    expect(priced.mostStopping).toBeLessThanOrEqual(2);
-    expect(priced.fullest).toBeLessThanOrEqual(1);
+    expect(priced.maxStopsByTask).toBeLessThanOrEqual(2);
+    expect(priced.maxUtilization).toBeLessThanOrEqual(1);
   });
 });
 
@@ -267,7 +267,7 @@
     return {
       failures: simulation.failures,
       completed: states.filter((state) => state === 'completed').length,
-      fullest: simulation.maxUtilization,
+      maxUtilization: simulation.maxUtilization,
     };
   };
 
