--- a/packages/dispatch/stops/computeLostWork.ts
+++ b/packages/dispatch/stops/computeLostWork.ts
@@ -3,13 +3,9 @@
 
 const MILLIS = 1000;
 
-/** Core-milliseconds of work that ended with a run and are in no checkpoint. */
-export const computeLostWork = (
-  run: PlacedRun,
-  { reportedEnd: how, checkpoint }: RunEnd,
-  now: number,
-): number => {
-  const isAllSaved = how === 'stopped' && checkpoint !== '';
+/** Returns the work of an ended run that is in no checkpoint, in core-milliseconds. */
+export const computeLostWork = (run: PlacedRun, { reportedEnd, checkpoint }: RunEnd, now: number): number => {
+  const isAllSaved = reportedEnd === 'stopped' && checkpoint !== '';
   if (run.stage === 'recording' || isAllSaved) {
     return 0;
   }
--- a/packages/dispatch/stops/getLossCause.ts
+++ b/packages/dispatch/stops/getLossCause.ts
@@ -3,8 +3,8 @@
 import type { RunEnd } from '../runs/RunEnd';
 import type { LossCause } from './LossCause';
 
-/** Ends that an endpoint tells and the leader has not asked for. */
-const UNASKED: Readonly<Record<EndedTaskStatus['how'], LossCause | undefined>> = {
+/** Loss causes of ends that an endpoint reports without a stop by this leader. */
+const UNREQUESTED_CAUSES: Readonly<Record<EndedTaskStatus['how'], LossCause | undefined>> = {
   done: undefined,
   failed: undefined,
   stopped: 'notWanted',
@@ -13,10 +13,10 @@
   lapsed: 'lapsed',
 };
 
-/** What an interrupted run was lost by; undefined for one that ended by itself, or never began. */
+/** Returns the cause by which an interrupted run was lost; undefined for one that ended by itself, or never began. */
 export const getLossCause = (
   run: PlacedRun,
-  { outcome, cause, reportedEnd: how }: RunEnd,
+  { outcome, cause, reportedEnd }: RunEnd,
 ): LossCause | undefined => {
   if (outcome !== 'interrupted') {
     return undefined;
@@ -24,8 +24,8 @@
   if (run.stopCause !== undefined) {
     return run.stopCause;
   }
-  if (how !== undefined) {
-    return UNASKED[how];
+  if (reportedEnd !== undefined) {
+    return UNREQUESTED_CAUSES[reportedEnd];
   }
   return cause === 'lifeOver' || cause === 'leaseOver' ? 'endpointLost' : undefined;
 };
