--- a/packages/jobs/CrashBlame.ts
+++ b/packages/jobs/CrashBlame.ts
@@ -1,9 +1,9 @@
 /**
- * How sure it is that a task ended the endpoint it ran on.
- * - `sole`: its run was the only one there that had just begun.
- * - `shared`: it was one of several that may have.
- * - `inherited`: an earlier leader had placed its run, and nobody knows how long it had worked.
- * - `present`: its run had worked for a while.
- * - `unproved`: the endpoint fell silent with it and has not been heard since; it may be cut off and no more.
+ * How likely it is that a task caused the crash of the endpoint it ran on.
+ * - `sole`: its run was the only one there in startup.
+ * - `shared`: its run was one of several in startup.
+ * - `inherited`: its run was placed by an earlier leader, and its age is unknown.
+ * - `present`: its run was past startup.
+ * - `unproved`: the endpoint became unreachable and has not responded since; it may only be partitioned.
  */
 export type CrashBlame = 'sole' | 'shared' | 'inherited' | 'present' | 'unproved';
--- a/packages/jobs/EndpointId.ts
+++ b/packages/jobs/EndpointId.ts
@@ -1,4 +1,4 @@
 import type { Brand } from '../common/Brand';
 
-/** Id of an endpoint: the name of its record. It may start again under it, so what is known of it belongs to an `EndpointLife`. */
+/** Id of an endpoint: the key of its record. It is the same for every `EndpointIncarnation` of the endpoint. */
 export type EndpointId = Brand<string, 'EndpointId'>;
--- a/packages/jobs/EndpointIncarnation.ts
+++ b/packages/jobs/EndpointIncarnation.ts
@@ -1,7 +1,8 @@
 import type { Brand } from '../common/Brand';
 
 /**
- * One life of an endpoint, from its start to its end: its id and the Unix millisecond of its start, as `endpointLives` writes them. Another life
- * under the same id runs nothing of before, counts its ends and its clock anew, and has seen no fencing token.
+ * One process of an endpoint: the endpoint's id and the process's start in Unix milliseconds, as `endpointIncarnations` formats them.
+ * A new incarnation has none of the runs of the previous one, numbers ended tasks from the beginning, has another monotonic clock, and has
+ * seen no fencing token.
  */
-export type EndpointIncarnation = Brand<string, 'EndpointLife'>;
+export type EndpointIncarnation = Brand<string, 'EndpointIncarnation'>;
--- a/packages/jobs/JobDefinition.ts
+++ b/packages/jobs/JobDefinition.ts
@@ -3,20 +3,20 @@
 import type { JobQueue } from './JobQueue';
 import type { JobStep } from './JobStep';
 
-/** What a caller submitted, with the queue's policy at that time. Never changes once accepted. */
+/** A job as submitted, with the policy of its queue at that time. Immutable once accepted. */
 export interface JobDefinition {
   readonly id: JobId;
   readonly queue: JobQueue;
-  /** Undefined for jobs that nobody's key came with. */
+  /** Undefined for jobs submitted without a key. */
   readonly customer?: JobCustomer;
-  /** Opaque text that is handed to each task. */
+  /** Opaque text that is passed to each task. */
   readonly spec: string;
   readonly steps: readonly JobStep[];
-  /** How often the steps run; 1 for jobs without times. */
+  /** Number of repetitions of the steps; 1 for a job that is not repeated. */
   readonly times: number;
-  /** Due time of the first run in milliseconds since 1970; 0 for jobs without times. */
+  /** Due time of the first repetition in Unix milliseconds; 0 for a job that is not repeated. */
   readonly firstRunMs: number;
   readonly intervalMs: number;
-  /** Wall clock of the accepting box, for order among jobs and for logs. */
+  /** Wall clock of the accepting box, in Unix milliseconds. Orders jobs. */
   readonly acceptedAtMs: number;
 }
--- a/packages/jobs/JobProgress.ts
+++ b/packages/jobs/JobProgress.ts
@@ -7,38 +7,38 @@
 import type { TaskCrash } from './TaskCrash';
 import type { TaskProgress } from './TaskProgress';
 
-const NOWHERE = toId<EndpointIncarnation>('');
-const UNTOUCHED: TaskProgress = {
+const NO_ENDPOINT = toId<EndpointIncarnation>('');
+const INITIAL_PROGRESS: TaskProgress = {
   phase: 'waiting',
   run: 0,
   failures: 0,
-  endpoint: NOWHERE,
+  endpoint: NO_ENDPOINT,
   checkpoint: '',
   crashes: [],
   doubts: [],
 };
 
 /**
- * Progress of one job: a task table [time][step][index] and the job's own end.
- * Pure state: no clock, no sockets. Each change takes the run that it concerns, and changes of older runs are passed over,
- * so that applying one twice or late is harmless.
+ * Progress of one job: a table of tasks by [time][step][index], and the outcome of the job.
+ * Pure state without clock or I/O. Updates name the run that they concern and are ignored for older runs, so that it is safe to
+ * apply one twice or late.
  */
 export class JobProgress {
   private readonly tasks: TaskProgress[][][] = [];
-  /** Tasks that are not done, by [time][step]. */
-  private readonly open: number[][] = [];
+  /** Number of tasks that are not done, by [time][step]. */
+  private readonly openCounts: number[][] = [];
   private openTotal = 0;
-  private begun = false;
-  /** Wall clock of the job's end; 0 while it has none. */
+  private hasStarted = false;
+  /** Wall clock of the job's end in Unix milliseconds; 0 until then. */
   private endedAtMs = 0;
   private ending: 'completed' | 'failed' | 'cancelled' | undefined;
-  /** Rises with each change of a task. */
+  /** Increases with each change of a task. */
   private version = 0;
 
   constructor(private readonly definition: JobDefinition) {
     for (let time = 0; time < definition.times; time += 1) {
-      this.tasks.push(definition.steps.map((step) => Array<TaskProgress>(step.count).fill(UNTOUCHED)));
-      this.open.push(definition.steps.map((step) => step.count));
+      this.tasks.push(definition.steps.map((step) => Array<TaskProgress>(step.count).fill(INITIAL_PROGRESS)));
+      this.openCounts.push(definition.steps.map((step) => step.count));
     }
     this.openTotal = definition.times * definition.steps.reduce((sum, step) => sum + step.count, 0);
   }
@@ -51,13 +51,13 @@
     return this.tasks[time]?.[step] ?? [];
   }
 
-  /** A number that rises with each change of a task. */
+  /** Returns a number that increases with each change of a task. */
   getVersion(): number {
     return this.version;
   }
 
   getState(): JobState {
-    return this.ending ?? (this.begun ? 'running' : 'queued');
+    return this.ending ?? (this.hasStarted ? 'running' : 'queued');
   }
 
   getEndedAtMs(): number {
@@ -69,15 +69,15 @@
   }
 
   isStepDone(time: number, step: number): boolean {
-    return this.open[time]?.[step] === 0;
+    return this.openCounts[time]?.[step] === 0;
   }
 
-  /** Tasks of a step that are not done. */
+  /** Returns how many tasks of a step are not done. */
   countOpenTasks(time: number, step: number): number {
-    return this.open[time]?.[step] ?? 0;
+    return this.openCounts[time]?.[step] ?? 0;
   }
 
-  /** True when every step that this one waits for is done. */
+  /** Returns true when all steps that this one depends on are done. */
   isStepReady(time: number, step: number): boolean {
     return this.definition.steps[step]?.dependsOn.every((earlier) => this.isStepDone(time, earlier)) ?? false;
   }
@@ -92,19 +92,19 @@
     if (task === undefined || task.phase === 'done' || run <= task.run) {
       return;
     }
-    this.begun = true;
-    this.writeTask(address, { ...task, phase: 'placed', run, endpoint });
+    this.hasStarted = true;
+    this.setTask(address, { ...task, phase: 'placed', run, endpoint });
   }
 
-  /** Records that the newest run, which has not ended, may have reached another life than the one that it was placed on. */
+  /** Records that the newest run may have started on another incarnation than the one it was placed on. Ignored after its end. */
   recordTransfer(address: TaskAddress, run: number, endpoint: EndpointIncarnation): void {
     const task = this.getTask(address);
     if (task?.phase === 'placed' && task.run === run) {
-      this.writeTask(address, { ...task, endpoint });
+      this.setTask(address, { ...task, endpoint });
     }
   }
 
-  /** Records how the newest run ended. Returns false when that run is not the newest, or has ended before. */
+  /** Records how the newest run ended. Returns false for an older run and for one that has already ended. */
   recordEnd(address: TaskAddress, run: number, outcome: RunOutcome, checkpoint: string): boolean {
     const task = this.getTask(address);
     if (task === undefined || task.phase !== 'placed' || task.run !== run) {
@@ -112,19 +112,19 @@
     }
     const kept = checkpoint === '' ? task.checkpoint : checkpoint;
     if (outcome === 'done') {
-      this.writeDone(address, task);
+      this.setDone(address, task);
       return true;
     }
     const failures = task.failures + (outcome === 'failed' ? 1 : 0);
-    this.writeTask(address, { ...task, phase: 'waiting', failures, checkpoint: kept });
+    this.setTask(address, { ...task, phase: 'waiting', failures, checkpoint: kept });
     return true;
   }
 
-  /** Records that a gang is done: the end of one member stands for all, also for those whose own end was lost. */
+  /** Records that all tasks of a gang are done, including those whose own end was not reported. */
   recordGangDone(time: number, step: number): void {
     for (const [index, task] of this.listTasks(time, step).entries()) {
       if (task.phase !== 'done') {
-        this.writeDone({ time, step, index }, task);
+        this.setDone({ time, step, index }, task);
       }
     }
   }
@@ -133,56 +133,56 @@
   recordCheckpoint(address: TaskAddress, checkpoint: string): void {
     const task = this.getTask(address);
     if (task !== undefined && task.phase !== 'done' && checkpoint !== '') {
-      this.writeTask(address, { ...task, checkpoint });
+      this.setTask(address, { ...task, checkpoint });
     }
   }
 
-  /** Sets the count of failed runs, as read from the log. */
+  /** Sets the number of failed runs, as read from the log. */
   recordFailures(address: TaskAddress, failures: number): void {
     const task = this.getTask(address);
     if (task !== undefined) {
-      this.writeTask(address, { ...task, failures });
+      this.setTask(address, { ...task, failures });
     }
   }
 
-  /** Records that an endpoint ended under a task, or what is newly known of that. */
+  /** Records the crash of an endpoint under a task, in place of an earlier record of the same crash. */
   recordCrash(address: TaskAddress, crash: TaskCrash): void {
     const task = this.getTask(address);
     if (task !== undefined && task.phase !== 'done') {
       const isOther = ({ endpoint }: TaskCrash): boolean => endpoint !== crash.endpoint;
       const crashes = [...task.crashes.filter(isOther), crash];
-      this.writeTask(address, { ...task, crashes, doubts: task.doubts.filter(isOther) });
+      this.setTask(address, { ...task, crashes, doubts: task.doubts.filter(isOther) });
     }
   }
 
-  /** Notes that an endpoint fell silent for good under a task, which is to be charged with it once it is known to have ended. */
-  recordUnconfirmedCrash(address: TaskAddress, doubt: TaskCrash): void {
+  /** Records the crash of an endpoint that is not confirmed yet, in place of an earlier record of the same crash. */
+  recordUnconfirmedCrash(address: TaskAddress, crash: TaskCrash): void {
     const task = this.getTask(address);
     if (task !== undefined && task.phase !== 'done') {
-      const others = task.doubts.filter(({ endpoint }) => endpoint !== doubt.endpoint);
-      this.writeTask(address, { ...task, doubts: [...others, doubt] });
+      const others = task.doubts.filter(({ endpoint }) => endpoint !== crash.endpoint);
+      this.setTask(address, { ...task, doubts: [...others, crash] });
     }
   }
 
-  /** Drops the note on an endpoint. */
+  /** Removes the unconfirmed crash of an endpoint, if there is one. */
   removeUnconfirmedCrash(address: TaskAddress, endpoint: EndpointIncarnation): void {
     const task = this.getTask(address);
-    if (task?.doubts.some((doubt) => doubt.endpoint === endpoint) === true) {
-      this.writeTask(address, {
+    if (task?.doubts.some((crash) => crash.endpoint === endpoint) === true) {
+      this.setTask(address, {
         ...task,
-        doubts: task.doubts.filter((doubt) => doubt.endpoint !== endpoint),
+        doubts: task.doubts.filter((crash) => crash.endpoint !== endpoint),
       });
     }
   }
 
-  /** Takes back some of what was recorded of endpoints. Returns false when there was nothing of it. */
-  removeCrashes(address: TaskAddress, isRevoked: (crash: TaskCrash) => boolean): boolean {
+  /** Removes the crashes, confirmed or not, that match a predicate. Returns false when none did. */
+  removeCrashes(address: TaskAddress, isRemoved: (crash: TaskCrash) => boolean): boolean {
     const task = this.getTask(address);
-    if (task === undefined || ![...task.crashes, ...task.doubts].some(isRevoked)) {
+    if (task === undefined || ![...task.crashes, ...task.doubts].some(isRemoved)) {
       return false;
     }
-    const isKept = (crash: TaskCrash): boolean => !isRevoked(crash);
-    this.writeTask(address, {
+    const isKept = (crash: TaskCrash): boolean => !isRemoved(crash);
+    this.setTask(address, {
       ...task,
       crashes: task.crashes.filter(isKept),
       doubts: task.doubts.filter(isKept),
@@ -190,7 +190,7 @@
     return true;
   }
 
-  /** Records the end of the job as a whole. The first end stands. */
+  /** Records the outcome of the job. Ignored when it has one. */
   recordJobEnd(ending: 'completed' | 'failed' | 'cancelled', atMs: number): void {
     if (this.ending === undefined) {
       this.ending = ending;
@@ -198,14 +198,14 @@
     }
   }
 
-  private writeDone(address: TaskAddress, task: TaskProgress): void {
-    this.writeTask(address, { ...task, phase: 'done', checkpoint: '', crashes: [], doubts: [] });
-    const steps = this.open[address.time]!;
+  private setDone(address: TaskAddress, task: TaskProgress): void {
+    this.setTask(address, { ...task, phase: 'done', checkpoint: '', crashes: [], doubts: [] });
+    const steps = this.openCounts[address.time]!;
     steps[address.step] = steps[address.step]! - 1;
     this.openTotal -= 1;
   }
 
-  private writeTask(address: TaskAddress, task: TaskProgress): void {
+  private setTask(address: TaskAddress, task: TaskProgress): void {
     this.version += 1;
     this.tasks[address.time]![address.step]![address.index] = task;
   }
--- a/packages/jobs/JobQueue.ts
+++ b/packages/jobs/JobQueue.ts
@@ -1,26 +1,26 @@
 import type { ServiceName } from './ServiceName';
 
-/** Policy of one queue, as configured when a job was accepted. */
+/** Policy of a queue, as configured when a job was accepted. */
 export interface JobQueue {
   readonly name: string;
   readonly service: ServiceName;
-  /** 0 goes first. */
+  /** 0 is the highest priority. */
   readonly priority: number;
   /** Runs of one task that may fail before its job fails. */
   readonly attempts: number;
-  /** Factor on the longest chain of work in the latency objective. */
+  /** Factor on the critical path of estimated work in the latency objective. */
   readonly stretch: number;
-  /** Added to the stretched chain of work in the latency objective. */
+  /** Constant part of the latency objective. */
   readonly targetLatencyMs: number;
-  /** Present when only endpoints named by the advice service may run a step. */
-  readonly advice?: AdvicePolicy;
+  /** Present when steps may only run on endpoints that the advice service has approved. */
+  readonly advice?: AdviceTimings;
 }
 
-interface AdvicePolicy {
-  /** Time of one call. */
+interface AdviceTimings {
+  /** Duration of one call. */
   readonly decisionMs: number;
-  /** Further time for each endpoint named. */
+  /** Additional duration for each endpoint in the call. */
   readonly perEndpointMs: number;
-  /** How long a ticket holds. */
+  /** Validity of a ticket. */
   readonly validityMs: number;
 }
--- a/packages/jobs/JobReplica.ts
+++ b/packages/jobs/JobReplica.ts
@@ -10,29 +10,29 @@
 interface ReplicaChange {
   readonly accepted: readonly JobDefinition[];
   readonly cancelled: readonly JobId[];
-  /** Jobs whose records cannot be read: another writer's, since each box checks what it accepts. They are passed over. */
+  /** Jobs whose records fail validation, which foreign writers can cause. They are skipped. */
   readonly invalid: readonly JobId[];
 }
 
-/** All jobs as the log shows them: accepted definitions, cancels, and the newest state of each. */
+/** All jobs in the log: accepted definitions, cancellations, and the newest state of each. */
 export class JobReplica {
   private readonly definitions = new Map<JobId, JobDefinition>();
   private readonly cancelled = new Set<JobId>();
-  /** States that leaders have written; a job without one is queued. */
+  /** States written by leaders; a job without one is queued. */
   private readonly states = new Map<JobId, JobState>();
 
-  /** Folds records of the jobs' topic; tells what is new. Folding a record twice is harmless. */
+  /** Folds records of the jobs' topic and returns what is new. Idempotent. */
   foldJobRecords(records: readonly LogWrite[]): ReplicaChange {
     const accepted: JobDefinition[] = [];
     const cancelled: JobId[] = [];
-    const refused: JobId[] = [];
+    const invalid: JobId[] = [];
     for (const record of records) {
       const definitionId = jobKeys.parseDefinitionKey(record.key);
       const cancelId = jobKeys.parseCancelKey(record.key);
       if (definitionId !== undefined) {
         const definition = this.foldDefinition(definitionId, record.value);
         if (definition === 'unreadable') {
-          refused.push(definitionId);
+          invalid.push(definitionId);
         } else if (definition !== undefined) {
           accepted.push(definition);
         }
@@ -40,10 +40,10 @@
         cancelled.push(cancelId);
       }
     }
-    return { accepted, cancelled, invalid: refused };
+    return { accepted, cancelled, invalid };
   }
 
-  /** Takes in a job that is durable. Returns false when it was known. */
+  /** Adds a durable job. Returns false when it is known already. */
   recordDefinition(definition: JobDefinition): boolean {
     if (this.definitions.has(definition.id)) {
       return false;
@@ -52,7 +52,7 @@
     return true;
   }
 
-  /** Takes in a cancel that is durable. Returns false when it was known. */
+  /** Adds a durable cancellation. Returns false when it is known already. */
   recordCancel(id: JobId): boolean {
     if (this.cancelled.has(id)) {
       return false;
@@ -61,7 +61,7 @@
     return true;
   }
 
-  /** Folds records of the states' topic; keys of others are passed over. */
+  /** Folds records of the states' topic, ignoring other keys. */
   foldStateRecords(records: readonly LogRecord[]): void {
     for (const { key, value } of records) {
       const id = jobKeys.parseStateKey(key);
@@ -77,12 +77,12 @@
     }
   }
 
-  /** Takes a newer state from the process itself, as it would come from the log. */
+  /** Sets a newer state that this process has written, before it is read from the log. */
   setState(id: JobId, state: JobState): void {
     this.states.set(id, state);
   }
 
-  /** The state that leaders have written. */
+  /** Returns the newest state written by a leader. */
   getWrittenState(id: JobId): JobState {
     return this.states.get(id) ?? 'queued';
   }
@@ -95,7 +95,7 @@
     return this.definitions.size;
   }
 
-  /** All jobs in the order of acceptance, the same in every process that has read them. */
+  /** Lists all jobs in order of acceptance. The order is the same in every process. */
   listDefinitionsInOrder(): readonly JobDefinition[] {
     return [...this.definitions.values()].sort(
       (left, right) => left.acceptedAtMs - right.acceptedAtMs || (left.id < right.id ? -1 : 1),
@@ -106,7 +106,7 @@
     return this.cancelled.has(id);
   }
 
-  /** State for callers; undefined for an unknown job. */
+  /** Returns the state as callers see it; undefined for an unknown job. */
   getState(id: JobId): JobState | undefined {
     if (!this.definitions.has(id)) {
       return undefined;
@@ -116,7 +116,7 @@
     return this.cancelled.has(id) && !isEnded ? 'cancelled' : state;
   }
 
-  /** Jobs of a queue none of whose tasks has begun. */
+  /** Counts the jobs of a queue that have neither started nor been cancelled. */
   countPending(queueName: string): number {
     let count = 0;
     for (const definition of this.definitions.values()) {
--- a/packages/jobs/JobStep.ts
+++ b/packages/jobs/JobStep.ts
@@ -1,33 +1,33 @@
 import type { TaskDemand } from './TaskDemand';
 
-/** One step of a job: `count` like tasks. */
+/** A step of a job: `count` identical tasks. */
 export interface JobStep {
   readonly count: number;
   readonly demand: TaskDemand;
-  /** The caller's rough guess of one task's run time; 0 when not given. */
+  /** The caller's estimate of one task's run time in milliseconds; 0 when not given. */
   readonly estimatedMs: number;
-  /** Numbers of the earlier steps whose tasks must all be done first. */
+  /** Indexes of earlier steps that must be done first. */
   readonly dependsOn: readonly number[];
-  /** The tasks work only together, and start together. */
+  /** The tasks are started together and run only together. */
   readonly isGang: boolean;
-  /** A gang that is slower when spread over more than one rack. */
+  /** The gang runs slower when spread over several racks. */
   readonly isSameRack: boolean;
-  /** Label that the endpoint must have; empty for none. */
+  /** Label that an endpoint must have; empty for none. */
   readonly requiredLabel: string;
-  /** Rack label that holds the data; empty for none. */
+  /** Label of the rack that holds the input data; empty for none. */
   readonly dataRack: string;
-  /** Most tasks of the step on one endpoint; 0 for no limit. */
+  /** Maximum number of tasks of the step on one endpoint; 0 for no limit. */
   readonly maxPerEndpoint: number;
   readonly allowsDuplicates: boolean;
-  /** The tasks run until the job is cancelled, and are started again however they end. */
+  /** The tasks run until the job is cancelled, and are restarted whenever they end. */
   readonly isLongRunning: boolean;
   readonly isCheckpointing: boolean;
-  /** What the tasks run; tasks of one image behave alike. Empty when not given. */
+  /** Image that the tasks run, by which run times are learnt; empty when not given. */
   readonly image: string;
-  /** Bound for the tail latency of a long-running task in milliseconds; 0 for none. */
+  /** Tail latency objective of a long-running task in milliseconds; 0 for none. */
   readonly targetMs: number;
-  /** The tasks take only processor time that others leave unused. */
+  /** The tasks use only processor time that other tasks leave idle. */
   readonly isFiller: boolean;
-  /** How many tasks of a long-running step may be away at once by the scheduler's doing. */
+  /** How many tasks of a long-running step the scheduler may interrupt at the same time. */
   readonly missAllowed: number;
 }
--- a/packages/jobs/RunOutcome.ts
+++ b/packages/jobs/RunOutcome.ts
@@ -1,2 +1,2 @@
-/** How a run ended, as far as a job's progress is concerned. Only `failed` counts as an attempt. */
+/** How a run ended, for the progress of its job. Only `failed` counts as an attempt. */
 export type RunOutcome = 'done' | 'failed' | 'interrupted';
--- a/packages/jobs/TaskAddress.ts
+++ b/packages/jobs/TaskAddress.ts
@@ -1,6 +1,6 @@
-/** Place of a task within its job. */
+/** Position of a task within its job. */
 export interface TaskAddress {
-  /** Number of the repetition; 0 for jobs without times. */
+  /** Index of the repetition; 0 for a job that is not repeated. */
   readonly time: number;
   readonly step: number;
   readonly index: number;
--- a/packages/jobs/TaskDemand.ts
+++ b/packages/jobs/TaskDemand.ts
@@ -1,4 +1,4 @@
-/** Room that one task takes on an endpoint, in whole units so that sums are exact. */
+/** Resources that a task takes on an endpoint. Integers, so that sums are exact. */
 export interface TaskDemand {
   /** Thousandths of a core. */
   readonly cpuMillis: number;
--- a/packages/jobs/TaskProgress.ts
+++ b/packages/jobs/TaskProgress.ts
@@ -2,19 +2,19 @@
 import type { TaskCrash } from './TaskCrash';
 import type { TaskPhase } from './TaskPhase';
 
-/** Progress of one task. Changed only by `JobProgress`. */
+/** Progress of a task. Only `JobProgress` changes it. */
 export interface TaskProgress {
   readonly phase: TaskPhase;
-  /** Number of the newest run; 0 before the first. Never falls. */
+  /** Number of the newest run; 0 before the first. Never decreases. */
   readonly run: number;
-  /** Runs that ended in failure. */
+  /** Number of failed runs. */
   readonly failures: number;
-  /** Where the newest run was placed; empty before the first. */
+  /** Endpoint of the newest run; empty before the first. */
   readonly endpoint: EndpointIncarnation;
   /** Newest checkpoint; empty for none. */
   readonly checkpoint: string;
-  /** Endpoints that ended under the task, since it last worked for a while. */
+  /** Crashes of endpoints under the task since one of its runs was last past startup. */
   readonly crashes: readonly TaskCrash[];
-  /** Endpoints that fell silent for good under the task, and count only once they are known to have ended: its run was none of the likeliest. */
+  /** Unconfirmed crashes: endpoints that became unreachable under the task. They count once the crash is confirmed. */
   readonly doubts: readonly TaskCrash[];
 }
--- a/packages/jobs/checkDefinition.ts
+++ b/packages/jobs/checkDefinition.ts
@@ -1,9 +1,9 @@
 import type { JobStep } from './JobStep';
 
-/** Most tasks of one job over all steps and times, so that one job cannot fill a box's memory. */
+/** Maximum number of tasks of a job over all steps and repetitions. Bounds the memory that one job takes on a box. */
 const MAX_TASKS = 100_000;
 
-/** Tells why the steps of a job cannot be taken; undefined when they can. */
+/** Returns why the steps of a job are invalid; undefined when they are valid. */
 export const checkDefinition = (steps: readonly JobStep[], times: number): string | undefined => {
   if (steps.length === 0) {
     return 'steps: expected at least one';
@@ -15,7 +15,7 @@
     if (unknown !== undefined) {
       return `steps[${number}]: waits for step ${unknown}, which does not exist`;
     }
-    // Steps may only wait for earlier ones, so no cycle can be written.
+    // Dependencies on earlier steps only rule out cycles.
     const later = step.dependsOn.find((earlier) => earlier >= number);
     if (later !== undefined) {
       return `steps[${number}]: waits for step ${later}, which is not an earlier step`;
--- a/packages/jobs/computeMaxUsefulMs.ts
+++ b/packages/jobs/computeMaxUsefulMs.ts
@@ -1,5 +1,5 @@
-/** Callers still have use for what ends within so many times its objective. */
+/** A result is useful to its caller up to this multiple of the latency objective. */
 const USEFUL_FACTOR = 3;
 
-/** How long after its begin the end of a job is of use to its caller, by its objective; both in milliseconds. */
+/** Computes the latency up to which the result of a job is useful to its caller, from its objective; both in milliseconds. */
 export const computeMaxUsefulMs = (objectiveMs: number): number => USEFUL_FACTOR * objectiveMs;
--- a/packages/jobs/computeStepWork.ts
+++ b/packages/jobs/computeStepWork.ts
@@ -1,5 +1,5 @@
 import type { JobStep } from './JobStep';
 
-/** Estimated work of one task of a step in milliseconds; steps that run on have no end to wait for. */
+/** Returns the estimated run time of one task of a step in milliseconds; 0 for long-running steps, which nothing waits for. */
 export const computeStepWork = ({ isLongRunning, estimatedMs }: JobStep): number =>
   isLongRunning ? 0 : estimatedMs;
--- a/packages/jobs/definitionSchema.ts
+++ b/packages/jobs/definitionSchema.ts
@@ -13,7 +13,7 @@
 const amount = z.number().min(0);
 const demandSchema = z.object({ cpuMillis: whole, memoryMb: whole, accelerators: whole });
 
-/** `formatDefinition` leaves out what is 0, false or empty. */
+/** `formatDefinition` omits the default values. */
 const stepSchema = z.object({
   count: whole,
   demand: demandSchema,
@@ -39,7 +39,7 @@
   limit: z.object({ cpuMillis: amount, memoryMb: amount, accelerators: amount }),
 });
 
-/** The log record of an accepted job. */
+/** Schema of the log record of an accepted job. */
 export const definitionSchema: z.ZodType<JobDefinition> = z.object({
   id: z.string().transform((text) => toId<JobId>(text)),
   queue: queueSchema,
--- a/packages/jobs/endpointIncarnations.ts
+++ b/packages/jobs/endpointIncarnations.ts
@@ -2,20 +2,20 @@
 import type { EndpointId } from './EndpointId';
 import type { EndpointIncarnation } from './EndpointIncarnation';
 
-const WITH_START = /^(.*)@\d+$/;
+const WITH_START_TIME = /^(.*)@\d+$/;
 
-/** Names the life of an endpoint. One that does not tell its start has a single life under its id. */
-const toIncarnation = (id: EndpointId, bornAtMs: number | undefined): EndpointIncarnation =>
-  toId<EndpointIncarnation>(bornAtMs === undefined ? id : `${id}@${bornAtMs}`);
+/** Returns the name of an incarnation. An endpoint that does not report its start has a single incarnation, named by its id. */
+const toIncarnation = (id: EndpointId, startedAtMs: number | undefined): EndpointIncarnation =>
+  toId<EndpointIncarnation>(startedAtMs === undefined ? id : `${id}@${startedAtMs}`);
 
-/** The endpoint that a life is one of. */
-const toEndpointId = (life: EndpointIncarnation): EndpointId =>
-  toId<EndpointId>(WITH_START.exec(life)?.[1] ?? life);
+/** Returns the id of the endpoint that an incarnation belongs to. */
+const toEndpointId = (incarnation: EndpointIncarnation): EndpointId =>
+  toId<EndpointId>(WITH_START_TIME.exec(incarnation)?.[1] ?? incarnation);
 
-/** True when an id can't be told from the name of a life. */
-const isIncarnationName = (id: string): boolean => WITH_START.test(id);
+/** Returns true for an id that could be taken for the name of an incarnation. */
+const isIncarnationName = (id: string): boolean => WITH_START_TIME.test(id);
 
-/** The names of endpoints' lives. */
+/** Conversions between endpoint ids and the names of incarnations. */
 export const endpointIncarnations = {
   toLife: toIncarnation,
   readEndpoint: toEndpointId,
--- a/packages/jobs/formatDefinition.ts
+++ b/packages/jobs/formatDefinition.ts
@@ -1,13 +1,13 @@
 import type { JobDefinition } from './JobDefinition';
 import type { JobStep } from './JobStep';
 
-/** True for what `definitionSchema` fills in by itself: every box reads every job, so that each byte counts many times. */
+/** Returns true for the default values of `definitionSchema`. Every box reads every job, so that records are kept short. */
 const isDefault = (value: unknown): boolean =>
   value === 0 || value === false || value === '' || (Array.isArray(value) && value.length === 0);
 
-const toShortStep = (step: JobStep): Partial<JobStep> =>
+const toCompactStep = (step: JobStep): Partial<JobStep> =>
   Object.fromEntries(Object.entries(step).filter(([, value]) => !isDefault(value)));
 
-/** Formats an accepted job as the JSON text of its log record, without what is 0, false or empty in its steps. */
+/** Formats an accepted job as the JSON text of its log record, without the default values in its steps. */
 export const formatDefinition = (definition: JobDefinition): string =>
-  JSON.stringify({ ...definition, steps: definition.steps.map(toShortStep) });
+  JSON.stringify({ ...definition, steps: definition.steps.map(toCompactStep) });
--- a/packages/jobs/jobKeys.ts
+++ b/packages/jobs/jobKeys.ts
@@ -1,21 +1,21 @@
 import type { JobId } from './JobId';
 
-const DEFINITION = 'j/';
-const CANCEL = 'c/';
-const PROGRESS = 'p/';
-const STATE = 's/';
+const DEFINITION_PREFIX = 'j/';
+const CANCEL_PREFIX = 'c/';
+const PROGRESS_PREFIX = 'p/';
+const STATE_PREFIX = 's/';
 
-const toIdOf = (prefix: string, key: string): JobId | undefined =>
+const parseKey = (prefix: string, key: string): JobId | undefined =>
   key.startsWith(prefix) ? (key.slice(prefix.length) as JobId) : undefined;
 
-/** Keys of jobs in the log, and back. */
+/** Formats and parses the keys of job records in the log. */
 export const jobKeys = {
-  toDefinitionKey: (id: JobId): string => `${DEFINITION}${id}`,
-  toCancelKey: (id: JobId): string => `${CANCEL}${id}`,
-  toProgressKey: (id: JobId): string => `${PROGRESS}${id}`,
-  toStateKey: (id: JobId): string => `${STATE}${id}`,
-  parseDefinitionKey: (key: string) => toIdOf(DEFINITION, key),
-  parseCancelKey: (key: string) => toIdOf(CANCEL, key),
-  parseProgressKey: (key: string) => toIdOf(PROGRESS, key),
-  parseStateKey: (key: string) => toIdOf(STATE, key),
+  toDefinitionKey: (id: JobId): string => `${DEFINITION_PREFIX}${id}`,
+  toCancelKey: (id: JobId): string => `${CANCEL_PREFIX}${id}`,
+  toProgressKey: (id: JobId): string => `${PROGRESS_PREFIX}${id}`,
+  toStateKey: (id: JobId): string => `${STATE_PREFIX}${id}`,
+  parseDefinitionKey: (key: string) => parseKey(DEFINITION_PREFIX, key),
+  parseCancelKey: (key: string) => parseKey(CANCEL_PREFIX, key),
+  parseProgressKey: (key: string) => parseKey(PROGRESS_PREFIX, key),
+  parseStateKey: (key: string) => parseKey(STATE_PREFIX, key),
 } as const;
--- a/packages/jobs/jobStates.ts
+++ b/packages/jobs/jobStates.ts
@@ -8,8 +8,8 @@
   'cancelled',
 ]);
 
-/** States of jobs as texts of the log. */
+/** Job states as values of log records. */
 export const jobStates = {
-  /** Reads a state; undefined when the text is none. */
+  /** Parses a state; undefined for any other text. */
   parseState: (text: string): JobState | undefined => (STATES.has(text) ? (text as JobState) : undefined),
 } as const;
--- a/packages/jobs/parseDefinition.ts
+++ b/packages/jobs/parseDefinition.ts
@@ -4,7 +4,7 @@
 import type { JobId } from './JobId';
 import { checkDefinition } from './checkDefinition';
 
-/** Reads the log record of an accepted job; undefined when it is none, or that of another job, or could not have been accepted. */
+/** Parses the log record of an accepted job; undefined when it is malformed, has another id, or its steps are invalid. */
 export const parseDefinition = (id: JobId, text: string): JobDefinition | undefined => {
   const parsed = definitionSchema.safeParse(parseJson(text));
   if (!parsed.success || parsed.data.id !== id) {
--- a/packages/jobs/parseProgress.ts
+++ b/packages/jobs/parseProgress.ts
@@ -26,12 +26,12 @@
   tasks: z.array(
     z.tuple([whole, whole, whole, z.enum(['w', 'p', 'd']), whole, whole, z.string(), z.string()]),
   ),
-  /** Apart from the tasks: processes that do not know it pass it over, and records without it have none. */
+  /** Separate lists for compatibility with versions that neither read nor write them. */
   crashes: crashRowsSchema,
   doubts: crashRowsSchema,
 });
 
-/** Reads the log record of a job's progress; undefined when the text is none. */
+/** Parses the log record of a job's progress; undefined when it is malformed. */
 export const parseProgress = (definition: JobDefinition, text: string): JobProgress | undefined => {
   const parsed = progressSchema.safeParse(parseJson(text));
   if (!parsed.success) {
--- a/packages/jobs/parseTaskName.ts
+++ b/packages/jobs/parseTaskName.ts
@@ -7,13 +7,13 @@
   readonly address: TaskAddress;
 }
 
-/** Reads a task's name back; undefined when it is none. */
+/** Parses the name of a task; undefined when it is malformed. */
 export const parseTaskName = (name: string): ParsedTaskName | undefined => {
   const parts = name.split('.');
-  const [job, ...places] = parts;
-  const [time, step, index] = places.map(Number);
-  const isWhole = [time, step, index].every((place) => Number.isInteger(place));
-  if (job === undefined || parts.length !== 4 || !isWhole) {
+  const [job, ...indexes] = parts;
+  const [time, step, index] = indexes.map(Number);
+  const isValid = [time, step, index].every((part) => Number.isInteger(part));
+  if (job === undefined || parts.length !== 4 || !isValid) {
     return undefined;
   }
   return { job: toId<JobId>(job), address: { time: time!, step: step!, index: index! } };
--- a/packages/jobs/queueSchema.ts
+++ b/packages/jobs/queueSchema.ts
@@ -9,7 +9,7 @@
   validityMs: z.number(),
 });
 
-/** A queue's policy in log records and between boxes. */
+/** Schema of a queue's policy in log records and in messages between boxes. */
 export const queueSchema: z.ZodType<JobQueue> = z.object({
   name: z.string(),
   service: z.string().transform((text) => toId<ServiceName>(text)),
--- a/packages/jobs/resourceMath.ts
+++ b/packages/jobs/resourceMath.ts
@@ -20,12 +20,12 @@
   accelerators: demand.accelerators * factor,
 });
 
-const isWithin = (need: TaskDemand, room: TaskDemand): boolean =>
-  need.cpuMillis <= room.cpuMillis &&
-  need.memoryMb <= room.memoryMb &&
-  need.accelerators <= room.accelerators;
+const isWithin = (demand: TaskDemand, capacity: TaskDemand): boolean =>
+  demand.cpuMillis <= capacity.cpuMillis &&
+  demand.memoryMb <= capacity.memoryMb &&
+  demand.accelerators <= capacity.accelerators;
 
-/** Arithmetic on demands of tasks; all functions are pure. */
+/** Arithmetic on resource demands. */
 export const resourceMath = {
   NOTHING: ZERO,
   toSum: computeSum,
--- a/packages/jobs/toReservedDemand.ts
+++ b/packages/jobs/toReservedDemand.ts
@@ -1,6 +1,6 @@
 import type { JobStep } from './JobStep';
 import type { TaskDemand } from './TaskDemand';
 
-/** Room that a task of a step takes: a filler takes no processor time that is kept for others. */
+/** Returns the resources that a task of a step reserves. A filler task reserves no processor time. */
 export const toReservedDemand = ({ isFiller, demand }: JobStep): TaskDemand =>
   isFiller ? { ...demand, cpuMillis: 0 } : demand;
