--- a/tests/foreignRecords.test.ts
+++ b/tests/foreignRecords.test.ts
@@ -1,6 +1,5 @@
 /*
- * Entries of another writer may stand among those of the platform and of the product: fields that are missing or of another type, states or
- * services that nobody named, bytes that are no text. They name no endpoint to use, end no process, and leave the others as they are.
+ * Records of foreign writers may be malformed in any way. They must be rejected without a crash, and without an effect on other records.
  */
 import fc from 'fast-check';
 import { describe, expect, it } from 'vitest';
@@ -45,11 +44,11 @@
   services: [{ name: 's' }],
   tenants: [{ name: 't', 'api-keys': ['k'], weight: 1, 'upper-limit': { cpu: 1, 'mem-mb': 1, gpu: 0 } }],
 };
-const BODY = { spec: '1', steps: [{ count: 2, cpu: 100, 'mem-mb': 100, 'estimated-ms': 10 }] };
+const SUBMISSION = { spec: '1', steps: [{ count: 2, cpu: 100, 'mem-mb': 100, 'estimated-ms': 10 }] };
 
-/** Every text that must be borne: what the parser expects with one place changed, other JSON, and no JSON at all. */
-const createTexts = (good: unknown): fc.Arbitrary<string> => {
-  const text = JSON.stringify(good);
+/** Generates valid JSON with one value replaced, other JSON, and text that is no JSON. */
+const createTexts = (valid: unknown): fc.Arbitrary<string> => {
+  const text = JSON.stringify(valid);
   const values = fc.jsonValue({ maxDepth: 3 });
   const changed = fc.tuple(fc.nat(), values).map(([place, value]) => {
     let seen = 0;
@@ -66,7 +65,7 @@
   return fc.oneof(changed, cut, bytes, long, other);
 };
 
-const checkAll = (texts: fc.Arbitrary<string>, check: (text: string) => void): void => {
+const checkProperty = (texts: fc.Arbitrary<string>, check: (text: string) => void): void => {
   fc.assert(fc.property(texts, check), { numRuns: RUNS, seed: SEED });
 };
 
@@ -76,16 +75,19 @@
   const parse = (fields: object, id = 'i-1') =>
     parseEndpointRecord(id, JSON.stringify({ ...ENDPOINT, ...fields }));
 
-  it('name a life where they are whole, with and without the start of it', () => {
-    expect(parse({})).toMatchObject({ ok: true, value: { life: 'i-1@1775000000000', isDraining: false } });
-    expect(parse({ born: undefined })).toMatchObject({ ok: true, value: { life: 'i-1' } });
+  it('parse to an incarnation when valid, with and without a start time', () => {
+    expect(parse({})).toMatchObject({
+      ok: true,
+      value: { incarnation: 'i-1@1775000000000', isDraining: false },
+    });
+    expect(parse({ born: undefined })).toMatchObject({ ok: true, value: { incarnation: 'i-1' } });
     expect(parse({ state: 'draining', 'remaining-ms': 900 })).toMatchObject({
       ok: true,
       value: { isDraining: true, remainingMs: 900 },
     });
   });
 
-  it.each(Object.keys(ENDPOINT).filter((field) => field !== 'born'))('name none without %s', (field) => {
+  it.each(Object.keys(ENDPOINT).filter((field) => field !== 'born'))('are rejected without %s', (field) => {
     expect(parse({ [field]: undefined }).ok).toBe(false);
     expect(parse({ [field]: null }).ok).toBe(false);
     expect(parse({ [field]: [[]] }).ok).toBe(false);
@@ -93,30 +95,30 @@
 
   it.each([
     ['an unknown state', { state: 'resting' }],
-    ['a number for a state', { state: 1 }],
+    ['a numeric state', { state: 1 }],
     ['an empty service', { service: '' }],
     ['an empty address', { address: '' }],
     ['an address without a port', { address: 'nowhere' }],
-    ['a port that is none', { address: '10.0.0.1:99999' }],
-    ['less than no room', { capacity: { cpu: -1, 'mem-mb': 1, gpu: 0 } }],
-    ['a room that lacks a part', { capacity: { cpu: 1, 'mem-mb': 1 } }],
-    ['a start as a text', { born: '1775000000000' }],
-    ['a broken start', { born: 1.5 }],
-    ['a start before all time', { born: -1 }],
-    ['no start but null', { born: null }],
-    ['labels of another kind', { labels: [1] }],
-    ['bytes that are no text', { labels: ['\uFFFD'] }],
-  ])('name none with %s', (_name, fields) => {
+    ['an invalid port', { address: '10.0.0.1:99999' }],
+    ['negative capacity', { capacity: { cpu: -1, 'mem-mb': 1, gpu: 0 } }],
+    ['incomplete capacity', { capacity: { cpu: 1, 'mem-mb': 1 } }],
+    ['a start time that is a string', { born: '1775000000000' }],
+    ['a fractional start time', { born: 1.5 }],
+    ['a negative start time', { born: -1 }],
+    ['a null start time', { born: null }],
+    ['labels of another type', { labels: [1] }],
+    ['replacement characters', { labels: ['\uFFFD'] }],
+  ])('are rejected with %s', (_name, fields) => {
     expect(parse(fields).ok).toBe(false);
   });
 
-  it('name none under an id that reads like a life', () => {
+  it('are rejected under an id that could name an incarnation, and under an empty one', () => {
     expect(parse({}, 'i-1@5').ok).toBe(false);
     expect(parse({}, '').ok).toBe(false);
   });
 
-  it('are refused or name an endpoint that can be called and has a room', () => {
-    checkAll(createTexts(ENDPOINT), (text) => {
+  it('are rejected, or parse to an endpoint with a usable address and capacity', () => {
+    checkProperty(createTexts(ENDPOINT), (text) => {
       const parsed = parseEndpointRecord('i-1', text);
       if (parsed.ok) {
         expect(parsed.value.address).toMatch(/^[^\s:]+:\d+$/);
@@ -126,10 +128,10 @@
   });
 });
 
-describe('other entries and calls', () => {
+describe('other records and requests', () => {
   it.each([
     ['configurations', CONFIGURATION, (text: string) => parseConfiguration(text)],
-    ['submissions', BODY, (text: string) => parseJobBody(Buffer.from(text))],
+    ['submissions', SUBMISSION, (text: string) => parseJobBody(Buffer.from(text))],
     ['keys', 'Token k', (text: string) => parseCallerKey(text)],
     ['names of tasks', '0000000000000001.0.0.0', (text: string) => parseTaskName(text)],
     [
@@ -142,24 +144,24 @@
       { address: 'a:1', cores: 1 },
       (text: string) => new BoxDirectory().foldRecords([{ offset: 0, key: 'b/x', value: text }]),
     ],
-  ])('are read or refused, whatever they hold: %s', (_name, good, parse) => {
-    checkAll(createTexts(good), (text) => {
+  ])('are parsed or rejected without an exception: %s', (_name, valid, parse) => {
+    checkProperty(createTexts(valid), (text) => {
       parse(text);
     });
   });
 
-  it('of progress are read whole or not at all', () => {
+  it('of progress are parsed completely or not at all', () => {
     const progress = new JobProgress(DEFINITION);
     progress.recordPlaced({ time: 0, step: 0, index: 0 }, 1, toId('i-1@5'));
-    const good: unknown = JSON.parse(formatProgress(DEFINITION, progress));
-    checkAll(createTexts(good), (text) => {
+    const valid: unknown = JSON.parse(formatProgress(DEFINITION, progress));
+    checkProperty(createTexts(valid), (text) => {
       const read = parseProgress(DEFINITION, text);
       const runs = read?.listTasks(0, 0).map(({ run }) => run) ?? [];
       expect(runs.every(isUsableNumber)).toBe(true);
     });
   });
 
-  it('of jobs that cannot be read are told, and those beside them are taken in', () => {
+  it('of jobs are reported when invalid, while valid ones beside them are accepted', () => {
     const replica = new JobReplica();
     const bad = toId<JobId>('000000000000000f');
     const huge = { ...DEFINITION, id: bad, steps: [createStep({ count: 1_000_000_000 })] };
@@ -173,7 +175,7 @@
     expect(change.accepted.map(({ id }) => id)).toEqual([DEFINITION.id]);
   });
 
-  it('of the log are read whatever their bytes are', () => {
+  it('of the log are parsed whatever their bytes are', () => {
     fc.assert(
       fc.property(fc.array(fc.uint8Array({ maxLength: 40 }), { maxLength: 5 }), (payloads) => {
         const frames = payloads.map((payload) => {
