--- a/packages/customers/CallerCheck.ts
+++ b/packages/customers/CallerCheck.ts
@@ -1,10 +1,10 @@
 import type { CustomerPolicy } from './CustomerPolicy';
 
 /**
- * What a call's key gives it.
- * - `admitted`: for the customer to whom the key belongs; undefined on a queue that is open to all, without a known key.
- * - `refused`: nothing was done, and the same key will not do later.
- * - `stale`: the configuration here is too old to tell; another box may know.
+ * Result of checking the API key of a request.
+ * - `admitted`: for the customer that holds the key; undefined for a request without a known key to a queue that is open to all.
+ * - `refused`: the key is missing or wrong, and a retry with it will not succeed.
+ * - `stale`: the configuration of this box is too old to decide; another box may be able to.
  */
 export type CallerCheck =
   | { readonly kind: 'admitted'; readonly customer: CustomerPolicy | undefined }
--- a/packages/customers/CallerKey.ts
+++ b/packages/customers/CallerKey.ts
@@ -1,4 +1,4 @@
-/** The key of a call, as far as the call carries one. */
+/** API key of a request, if it has one. */
 export type CallerKey =
   | { readonly kind: 'none' }
   | { readonly kind: 'malformed' }
--- a/packages/customers/CustomerDirectory.ts
+++ b/packages/customers/CustomerDirectory.ts
@@ -2,7 +2,7 @@
 import type { CustomerPolicy } from './CustomerPolicy';
 import { toKeyDigest } from './toKeyDigest';
 
-/** The customers of one version of the configuration. Looking a key up takes the same time however many there are. */
+/** The customers of one version of the configuration, indexed by key and by name. */
 export class CustomerDirectory {
   private readonly byKey = new Map<string, CustomerPolicy>();
   private readonly byName = new Map<CustomerName, CustomerPolicy>();
@@ -14,7 +14,7 @@
     }
   }
 
-  /** The customer to whom a key belongs; undefined when no customer holds it. */
+  /** Returns the customer that holds a key; undefined when there is none. */
   findByKey(key: string): CustomerPolicy | undefined {
     return this.byKey.get(toKeyDigest(key));
   }
--- a/packages/customers/CustomerMetrics.ts
+++ b/packages/customers/CustomerMetrics.ts
@@ -1,15 +1,15 @@
 import type { TaskDemand } from '../jobs/TaskDemand';
 import type { CustomerName } from './CustomerName';
 
-/** One customer for the metrics address. */
+/** Values of one customer in the metrics. */
 export interface CustomerMetrics {
   readonly name: CustomerName;
-  /** What may be running now. */
+  /** Resources of runs that may be in progress. */
   readonly used: TaskDemand;
-  /** Runs that may be there now. */
+  /** Number of runs that may be in progress. */
   readonly runs: number;
-  /** Tasks that could start and wait. */
+  /** Number of tasks that are ready and wait for a start. */
   readonly waiting: number;
-  /** 0 in a dimension means no limit there. */
+  /** 0 in a dimension means no limit. */
   readonly limit: TaskDemand;
 }
--- a/packages/customers/CustomerName.ts
+++ b/packages/customers/CustomerName.ts
@@ -1,4 +1,4 @@
 import type { Brand } from '../common/Brand';
 
-/** Name of a customer, as the operator's configuration gives it. */
+/** Name of a customer in the operator's configuration. */
 export type CustomerName = Brand<string, 'CustomerName'>;
--- a/packages/customers/CustomerPolicy.ts
+++ b/packages/customers/CustomerPolicy.ts
@@ -2,13 +2,13 @@
 import type { CustomerName } from './CustomerName';
 import type { KeyDigest } from './KeyDigest';
 
-/** One customer in a version of the configuration. */
+/** A customer in one version of the configuration. */
 export interface CustomerPolicy {
   readonly name: CustomerName;
-  /** Digests of the keys that work. */
+  /** Digests of the valid API keys. */
   readonly keys: readonly KeyDigest[];
-  /** Share of the endpoints when all are full, and jobs a second that the customer is owed; 0 when not given. */
+  /** Weight of the customer's fair share of the endpoints, and its share of jobs per second; 0 when not given. */
   readonly weight: number;
-  /** What the customer's tasks may take over all endpoints together; 0 in a dimension means no limit there. */
+  /** Maximum of resources that the customer's tasks may take on all endpoints together; 0 in a dimension means no limit. */
   readonly limit: TaskDemand;
 }
--- a/packages/customers/CustomerUsage.ts
+++ b/packages/customers/CustomerUsage.ts
@@ -2,24 +2,24 @@
 import type { TaskDemand } from '../jobs/TaskDemand';
 import type { CustomerName } from './CustomerName';
 
-/** A run as far as a customer's limit is concerned. */
+/** A run that counts against a customer's limit. */
 interface CountedRun {
   readonly customer: CustomerName | undefined;
-  /** What counts against the limit. */
+  /** Resources that count against the limit. */
   readonly charge: TaskDemand;
 }
 
 /**
- * What each customer has taken over all endpoints: everything that may be running counts, from the choice of an endpoint until the
- * end is known. The books of endpoints tell it of each run, so a reading costs the same however many runs there are.
+ * Resources that the runs of each customer take on all endpoints. A run counts from its placement until its end is known. The sums are
+ * updated with each run, so that reading them does not depend on the number of runs.
  */
 export class CustomerUsage {
-  private readonly sums = new Map<CustomerName, { readonly taken: TaskDemand; readonly runs: number }>();
+  private readonly usages = new Map<CustomerName, { readonly taken: TaskDemand; readonly runs: number }>();
 
   recordRun({ customer, charge }: CountedRun): void {
     if (customer !== undefined) {
-      const { taken, runs } = this.readSum(customer);
-      this.sums.set(customer, { taken: resourceMath.toSum(taken, charge), runs: runs + 1 });
+      const { taken, runs } = this.getUsage(customer);
+      this.usages.set(customer, { taken: resourceMath.toSum(taken, charge), runs: runs + 1 });
     }
   }
 
@@ -27,24 +27,24 @@
     if (customer === undefined) {
       return;
     }
-    const { taken, runs } = this.readSum(customer);
+    const { taken, runs } = this.getUsage(customer);
     if (runs <= 1) {
-      this.sums.delete(customer);
+      this.usages.delete(customer);
     } else {
-      this.sums.set(customer, { taken: resourceMath.toDifference(taken, charge), runs: runs - 1 });
+      this.usages.set(customer, { taken: resourceMath.toDifference(taken, charge), runs: runs - 1 });
     }
   }
 
   getUsed(customer: CustomerName): TaskDemand {
-    return this.readSum(customer).taken;
+    return this.getUsage(customer).taken;
   }
 
-  /** Customers with runs, with what these take. */
+  /** Returns the usage of all customers that have runs. */
   getAll(): ReadonlyMap<CustomerName, { readonly taken: TaskDemand; readonly runs: number }> {
-    return this.sums;
+    return this.usages;
   }
 
-  private readSum(customer: CustomerName): { readonly taken: TaskDemand; readonly runs: number } {
-    return this.sums.get(customer) ?? { taken: resourceMath.NOTHING, runs: 0 };
+  private getUsage(customer: CustomerName): { readonly taken: TaskDemand; readonly runs: number } {
+    return this.usages.get(customer) ?? { taken: resourceMath.NOTHING, runs: 0 };
   }
 }
--- a/packages/customers/JobCaller.ts
+++ b/packages/customers/JobCaller.ts
@@ -1,10 +1,10 @@
 import type { CustomerName } from './CustomerName';
 
-/** Who asks about a job, and through which queue. */
+/** Caller of a request about a job, and the queue that the request came through. */
 export interface JobCaller {
   readonly queue: string;
-  /** True for queues that are open to all. */
+  /** True when the queue is open to all. */
   readonly isOpen: boolean;
-  /** Undefined without a key. */
+  /** Undefined for a request without a known key. */
   readonly customer?: CustomerName | undefined;
 }
--- a/packages/customers/KeyDigest.ts
+++ b/packages/customers/KeyDigest.ts
@@ -1,4 +1,4 @@
 import type { Brand } from '../common/Brand';
 
-/** SHA-256 of a customer's key in base64. Keys themselves are kept nowhere. */
+/** SHA-256 of an API key in base64. Keys themselves are not stored. */
 export type KeyDigest = Brand<string, 'KeyDigest'>;
--- a/packages/customers/checkCaller.ts
+++ b/packages/customers/checkCaller.ts
@@ -2,12 +2,12 @@
 import type { CallerKey } from './CallerKey';
 import type { CustomerDirectory } from './CustomerDirectory';
 
-interface CallerInput {
+interface CallerCheckInput {
   readonly key: CallerKey;
-  /** True for queues that are open to all. */
+  /** True when the queue is open to all. */
   readonly isOpen: boolean;
   readonly customers: CustomerDirectory;
-  /** False while keys may have been taken away that this box has not heard of, and the settings ask for strictness. */
+  /** False when keys may have been revoked without this box knowing, and the settings require a fresh configuration. */
   readonly isFresh: boolean;
 }
 
@@ -16,8 +16,8 @@
   reason: key.kind === 'none' ? 'no key' : key.kind === 'malformed' ? 'malformed key' : 'unknown key',
 });
 
-/** Decides whether a call may use a queue, and for whom. */
-export const checkCaller = ({ key, isOpen, customers, isFresh }: CallerInput): CallerCheck => {
+/** Decides whether a request may use a queue, and for which customer. */
+export const checkCaller = ({ key, isOpen, customers, isFresh }: CallerCheckInput): CallerCheck => {
   const customer = key.kind === 'given' ? customers.findByKey(key.key) : undefined;
   if (isOpen) {
     return { kind: 'admitted', customer };
--- a/packages/customers/hasAccess.ts
+++ b/packages/customers/hasAccess.ts
@@ -2,8 +2,8 @@
 import type { JobCaller } from './JobCaller';
 
 /**
- * True when a caller may know of a job and cancel it: its own customer, and anybody through the open queue on which it was handed
- * in. Jobs of no customer are known to all.
+ * Returns true when a caller may see a job and cancel it: the customer of the job, and anyone through the open queue that it was
+ * submitted to. Jobs without a customer are open to all.
  */
 export const hasAccess = (caller: JobCaller, { customer, queue }: JobDefinition): boolean =>
   customer === undefined ||
--- a/tests/customers.test.ts
+++ b/tests/customers.test.ts
@@ -62,7 +62,7 @@
   return router;
 };
 
-describe('keys of customers', () => {
+describe('API keys of customers', () => {
   const router = createRouter(createConfiguration(1, TENANTS));
 
   const checkHeader = (path: string, header: string | undefined, isFresh = true) => {
@@ -72,7 +72,7 @@
     return check.kind === 'admitted' ? (check.customer?.name ?? 'nobody') : check;
   };
 
-  it('admit their customer, each of them', () => {
+  it('each admit their customer', () => {
     expect(checkHeader('/jobs/', `Token ${KEYS.clinic}`)).toBe('clinic');
     expect(checkHeader('/jobs/', `token  ${KEYS.clinicSecond} `)).toBe('clinic');
     expect(checkHeader('/jobs/', `Token ${KEYS.builders}`)).toBe('builders');
@@ -92,23 +92,23 @@
     expect(checkHeader('/jobs/', header)).toEqual({ kind: 'refused', reason });
   });
 
-  it('are not asked for on queues that are open to all, and tell whose call it is when they come', () => {
+  it('are optional on queues that are open to all, and identify the customer when sent', () => {
     expect(checkHeader('/open/', undefined)).toBe('nobody');
     expect(checkHeader('/open/', 'Token key-of-nobody')).toBe('nobody');
     expect(checkHeader('/open/', `Token ${KEYS.clinic}`)).toBe('clinic');
   });
 
-  it('are asked for nowhere where the platform knows no customers, and everywhere else by default', () => {
+  it('are optional everywhere when the configuration has no list of customers, and required by default when it has', () => {
     expect(createRouter(createConfiguration(1)).readRoute('jobs.example', '/jobs/')?.isOpen).toBe(true);
     expect(createRouter(createConfiguration(1, [])).readRoute('jobs.example', '/jobs/')?.isOpen).toBe(false);
   });
 
-  it('tell nothing on closed queues while the configuration is too old and the settings are strict', () => {
+  it('are neither admitted nor refused on closed queues while a fresh configuration is required and missing', () => {
     expect(checkHeader('/jobs/', `Token ${KEYS.clinic}`, false)).toEqual({ kind: 'stale' });
     expect(checkHeader('/open/', undefined, false)).toBe('nobody');
   });
 
-  it('stop working with the version that takes them away; an older version does not bring them back', () => {
+  it('are revoked by the version that removes them, and not restored by an older version', () => {
     const changing = createRouter(createConfiguration(1, TENANTS));
     const newer = parseConfiguration(createConfiguration(2, [createTenant('clinic', [KEYS.clinicSecond])]));
     const older = parseConfiguration(createConfiguration(1, TENANTS));
@@ -122,26 +122,26 @@
     expect(changing.readCustomers().findByKey(KEYS.clinicSecond)?.name).toBe('clinic');
   });
 
-  it('stand in no configuration that is kept or given to another box, only their digests', () => {
-    const kept = JSON.stringify(router.readConfiguration());
-    Object.values(KEYS).forEach((key) => expect(kept).not.toContain(key));
-    expect(kept).toContain(toKeyDigest(KEYS.clinic));
-    const given = configurationSchema.parse(JSON.parse(kept));
-    expect(new CustomerDirectory(given.customers).findByKey(KEYS.clinic)?.name).toBe('clinic');
-    expect(given).toEqual(router.readConfiguration());
+  it('are stored and sent to other boxes as digests only', () => {
+    const stored = JSON.stringify(router.readConfiguration());
+    Object.values(KEYS).forEach((key) => expect(stored).not.toContain(key));
+    expect(stored).toContain(toKeyDigest(KEYS.clinic));
+    const sent = configurationSchema.parse(JSON.parse(stored));
+    expect(new CustomerDirectory(sent.customers).findByKey(KEYS.clinic)?.name).toBe('clinic');
+    expect(sent).toEqual(router.readConfiguration());
   });
 });
 
-describe('a configuration with mistakes', () => {
-  it('is refused with all of them at once', () => {
+describe('an invalid configuration', () => {
+  it('is refused with all problems at once', () => {
     const text = JSON.stringify({
       version: 1,
       routes: [{ name: 'jobs' }],
       tenants: [{ name: '', 'upper-limit': { cpu: -1 } }],
     });
     const parsed = parseConfiguration(text);
-    const places = parsed.ok ? [] : parsed.error.map((problem) => problem.split(':')[0]);
-    expect(places).toEqual(
+    const paths = parsed.ok ? [] : parsed.error.map((problem) => problem.split(':')[0]);
+    expect(paths).toEqual(
       expect.arrayContaining([
         'routes.0.host',
         'routes.0.service',
@@ -151,7 +151,7 @@
     );
   });
 
-  it('is refused when two customers share a name or a key, without telling the key', () => {
+  it('is refused when two customers share a name or a key, without revealing the key', () => {
     const parsed = parseConfiguration(
       createConfiguration(1, [
         createTenant('clinic', [KEYS.clinic]),
@@ -165,45 +165,45 @@
     });
   });
 
-  it.each(['', '[]', 'null', '{'])('is refused when it is no configuration at all: %j', (text) => {
+  it.each(['', '[]', 'null', '{'])('is refused when it has another shape: %j', (text) => {
     expect(parseConfiguration(text).ok).toBe(false);
   });
 });
 
-describe('who may know of a job', () => {
+describe('access to a job', () => {
   const ownJob = { ...createJobDefinition(1, [createStep()]), customer: createCustomer('clinic') };
-  const commonJob = createJobDefinition(2, [createStep()]);
+  const anonymousJob = createJobDefinition(2, [createStep()]);
   const clinic = toId<CustomerName>('clinic');
   const builders = toId<CustomerName>('builders');
 
-  it('is its own customer', () => {
+  it('is granted to its own customer', () => {
     expect(hasAccess({ queue: 'jobs', isOpen: false, customer: clinic }, ownJob)).toBe(true);
     expect(hasAccess({ queue: 'jobs', isOpen: false, customer: builders }, ownJob)).toBe(false);
   });
 
-  it('is anybody on the open queue to which it was handed in, but not through another open queue', () => {
+  it('is granted to anyone on the open queue it was submitted to, but not through another open queue', () => {
     expect(hasAccess({ queue: 'jobs', isOpen: true }, ownJob)).toBe(true);
     expect(hasAccess({ queue: 'other', isOpen: true }, ownJob)).toBe(false);
-    expect(hasAccess({ queue: 'jobs', isOpen: false }, commonJob)).toBe(true);
+    expect(hasAccess({ queue: 'jobs', isOpen: false }, anonymousJob)).toBe(true);
   });
 });
 
 describe('limits of customers', () => {
   const limit = createCustomer('clinic', { cpuMillis: 8000, memoryMb: 1000 }).limit;
-  const nothing = createCustomer('clinic').limit;
+  const noLimit = createCustomer('clinic').limit;
   const demand = { cpuMillis: 3000, memoryMb: 100, accelerators: 1 };
 
-  it('count in the dimension that is scarcest, and not where there is none', () => {
-    expect(customerLimits.measureFitCount(limit, nothing, demand)).toBe(2);
-    expect(customerLimits.measureFitCount(limit, { ...nothing, memoryMb: 950 }, demand)).toBe(0);
-    expect(customerLimits.measureFitCount(nothing, { ...nothing, cpuMillis: 1e9 }, demand)).toBe(Infinity);
+  it('count in the scarcest dimension, and not in dimensions without a limit', () => {
+    expect(customerLimits.measureFitCount(limit, noLimit, demand)).toBe(2);
+    expect(customerLimits.measureFitCount(limit, { ...noLimit, memoryMb: 950 }, demand)).toBe(0);
+    expect(customerLimits.measureFitCount(noLimit, { ...noLimit, cpuMillis: 1e9 }, demand)).toBe(Infinity);
   });
 
-  it('that have fallen below what runs let nothing more start', () => {
-    expect(customerLimits.measureFitCount(limit, { ...nothing, cpuMillis: 20_000 }, demand)).toBe(0);
+  it('that have been lowered below the current usage allow no further task', () => {
+    expect(customerLimits.measureFitCount(limit, { ...noLimit, cpuMillis: 20_000 }, demand)).toBe(0);
   });
 
-  it('tell at once what could never run: a task or a whole gang that is larger', () => {
+  it('reject a task or a whole gang that exceeds them', () => {
     const large = createStep({ demand: { ...demand, cpuMillis: 9000 } });
     const wide = createStep({ count: 20, demand });
     expect(customerLimits.readProblem([wide], limit)).toBeUndefined();
@@ -213,10 +213,10 @@
     expect(customerLimits.readProblem([{ ...wide, isGang: true }], limit)).toBe(
       'steps[0]: a gang of 20 is more than the customer may ever have running',
     );
-    expect(customerLimits.readProblem([large], nothing)).toBeUndefined();
+    expect(customerLimits.readProblem([large], noLimit)).toBeUndefined();
   });
 
-  it('are kept with the job in the log; jobs of earlier versions have none', () => {
+  it('are stored with the job in the log; jobs of earlier versions have none', () => {
     const definition = {
       ...createJobDefinition(1, [createStep()]),
       customer: createCustomer('clinic', limit),
@@ -227,23 +227,23 @@
   });
 });
 
-describe('the figures of customers', () => {
-  it('are given by name, with what could break the text form escaped, for a bounded number of customers', () => {
-    const figures = {
+describe('the metrics of customers', () => {
+  it('are labelled with the escaped name, for a bounded number of customers', () => {
+    const metrics = {
       name: toId<CustomerName>('a "b"\\'),
       used: { cpuMillis: 1500, memoryMb: 0, accelerators: 0 },
       runs: 2,
       waiting: 7,
       limit: { cpuMillis: 4000, memoryMb: 0, accelerators: 0 },
     };
-    expect(formatCustomerMetrics([figures]).split('\n')).toEqual([
+    expect(formatCustomerMetrics([metrics]).split('\n')).toEqual([
       'stairline_customer_running_tasks{customer="a \\"b\\"\\\\"} 2',
       'stairline_customer_running_cpu_millis{customer="a \\"b\\"\\\\"} 1500',
       'stairline_customer_waiting_tasks{customer="a \\"b\\"\\\\"} 7',
       'stairline_customer_limit_cpu_millis{customer="a \\"b\\"\\\\"} 4000',
       '',
     ]);
-    const many = Array.from({ length: 2000 }, (_, runs) => ({ ...figures, runs }));
+    const many = Array.from({ length: 2000 }, (_, runs) => ({ ...metrics, runs }));
     expect(formatCustomerMetrics(many).split('\n').length).toBeLessThan(1100);
     expect(formatCustomerMetrics(many)).toContain('} 1999\n');
   });
@@ -255,7 +255,7 @@
     charge: { cpuMillis: 3, memoryMb: 2, accelerators: 1 },
   };
 
-  it('rises and falls with runs, and forgets customers that have none', () => {
+  it('follows starts and ends of runs, and drops customers without runs', () => {
     const usage = new CustomerUsage();
     usage.recordRun(run);
     usage.recordRun(run);
--- a/tests/helpers/createCustomer.ts
+++ b/tests/helpers/createCustomer.ts
@@ -3,7 +3,7 @@
 import type { JobCustomer } from '../../packages/customers/JobCustomer';
 import type { TaskDemand } from '../../packages/jobs/TaskDemand';
 
-/** A customer of a job, with a limit in thousandths of a core or more dimensions; what is left out is not limited. */
+/** Creates a customer of a job. Dimensions that are left out are not limited. */
 export const createCustomer = (name: string, limit: Partial<TaskDemand> = {}, weight = 0): JobCustomer => ({
   name: toId<CustomerName>(name),
   weight,
--- a/tests/helpers/createJobDefinition.ts
+++ b/tests/helpers/createJobDefinition.ts
@@ -7,7 +7,7 @@
 
 const ID_DIGITS = 16;
 
-/** A numbered job of some steps; later numbers were accepted later. */
+/** Creates a job whose number gives its id and its time of acceptance. */
 export const createJobDefinition = (
   number: number,
   steps: readonly JobStep[],
--- a/tests/helpers/createStep.ts
+++ b/tests/helpers/createStep.ts
@@ -1,6 +1,6 @@
 import type { JobStep } from '../../packages/jobs/JobStep';
 
-/** A step of two small tasks, or what the fields say. */
+/** Creates a step of two small tasks, with some fields replaced. */
 export const createStep = (fields: Partial<JobStep> = {}): JobStep => ({
   count: 2,
   demand: { cpuMillis: 1000, memoryMb: 100, accelerators: 0 },
