--- a/packages/load/AdmissionDecision.ts
+++ b/packages/load/AdmissionDecision.ts
@@ -1,9 +1,9 @@
 /**
- * Whether a job comes in, and why.
- * - `unknown`: the load is not known; it is taken.
- * - `room`: there is room for all that it starts with; it is taken.
- * - `bearable`: it is expected to wait, and to be of use all the same; it is taken.
- * - `hopeless`: it could not be of use any more; it is refused.
+ * Decision on admitting a job.
+ * - `unknown`: admitted, since the load is unknown.
+ * - `room`: admitted, since its first tasks fit into the free capacity.
+ * - `bearable`: admitted, since it is expected to end while useful.
+ * - `hopeless`: refused, since it is expected to end too late to be useful.
  */
 export type AdmissionDecision =
   | { readonly kind: 'unknown' | 'room' }
--- a/packages/load/AdmissionMode.ts
+++ b/packages/load/AdmissionMode.ts
@@ -1,7 +1,7 @@
 /**
- * What the load has to do with taking jobs in.
- * - `open`: nothing; leaders don't tell it either.
- * - `watch`: it is told and written beside each accepted job, and every job is taken.
- * - `load`: a job that by a fresh digest could not be of use is refused.
+ * Admission control of new jobs by load.
+ * - `open`: none; leaders do not publish their load.
+ * - `watch`: the load is published and logged with each accepted job, and all jobs are admitted.
+ * - `load`: jobs that could not end while useful, by a fresh load digest, are refused.
  */
 export type AdmissionMode = 'open' | 'watch' | 'load';
--- a/packages/load/AdmissionRequest.ts
+++ b/packages/load/AdmissionRequest.ts
@@ -3,14 +3,14 @@
 import type { JobQueue } from '../jobs/JobQueue';
 import type { JobStep } from '../jobs/JobStep';
 
-/** A job at the door. */
+/** A submitted job that is to be admitted or refused. */
 export interface AdmissionRequest {
   readonly id: JobId;
   readonly queue: JobQueue;
   readonly customer: CustomerName | undefined;
   readonly steps: readonly JobStep[];
-  /** Milliseconds from now at which its first time is due; 0 for a job without times. */
+  /** Milliseconds until its first repetition is due; 0 for a job that is not repeated. */
   readonly dueInMs: number;
-  /** Milliseconds for which its caller still waits. */
+  /** Milliseconds until the caller stops waiting. */
   readonly leftMs: number;
 }
--- a/packages/load/CustomerLoad.ts
+++ b/packages/load/CustomerLoad.ts
@@ -1,11 +1,11 @@
 import type { CustomerName } from '../customers/CustomerName';
 
-/** What one customer has waiting and holds. */
+/** Waiting tasks of a customer, and its share of the endpoints. */
 export interface CustomerLoad {
   readonly customer: CustomerName;
   readonly waitingTasks: number;
-  /** Part of the scarcest resource that it holds, 0 to 1. */
+  /** Share of the resource of which it uses the largest part, 0 to 1. */
   readonly dominantShare: number;
-  /** Part that its weight gives it while everybody has work waiting, 0 to 1. */
+  /** Weighted fair share of the endpoints under the current demand, 0 to 1. */
   readonly fairShare: number;
 }
--- a/packages/load/FairShares.ts
+++ b/packages/load/FairShares.ts
@@ -1,4 +1,4 @@
 import type { CustomerName } from '../customers/CustomerName';
 
-/** Part of all endpoints that each customer is owed, 0 to 1. */
+/** Fair share of the endpoints by customer, 0 to 1. */
 export type FairShares = ReadonlyMap<CustomerName, number>;
--- a/packages/load/KnownLoad.ts
+++ b/packages/load/KnownLoad.ts
@@ -1,8 +1,8 @@
 import type { LoadDigest } from './LoadDigest';
 
-/** A digest that a box may go by. */
+/** A load digest that is fresh enough for decisions. */
 export interface KnownLoad {
   readonly digest: LoadDigest;
-  /** Milliseconds since it was made, as far as this box can tell; never too few. */
+  /** Upper bound of its age in milliseconds. */
   readonly ageMs: number;
 }
--- a/packages/load/LoadPublisher.ts
+++ b/packages/load/LoadPublisher.ts
@@ -3,21 +3,21 @@
 import type { LoadSnapshot } from './LoadSnapshot';
 import { StartRates } from './StartRates';
 
-interface LoadMoment {
+interface Clocks {
   readonly now: number;
   readonly wallMs: number;
 }
 
-/** Every box reads each digest; waiting work changes little in less time, beside objectives of seconds. */
-const INTERVAL_MS = 1000;
+/** Every box reads each digest, which bounds the rate. */
+const PUBLISH_INTERVAL_MS = 1000;
 
-/** Decides when a leader tells its load, and what. One for each epoch. */
+/** Creates the load digests of a leader when they are due. One instance for each epoch. */
 export class LoadPublisher {
   private readonly rates: StartRates;
   private sequence = 0;
-  private toldAt = -Infinity;
-  /** True when something waited by the newest digest. */
-  private hasWaiting = false;
+  private createdAt = -Infinity;
+  /** True when the newest snapshot had waiting tasks. */
+  private isWaiting = false;
 
   constructor(
     private readonly epoch: number,
@@ -30,16 +30,16 @@
     this.rates.recordStart(queue, now);
   }
 
-  /** The text of a digest that is due; undefined when none is, or nothing waits and the boxes know it. */
-  createDueDigest({ now, wallMs }: LoadMoment, readSnapshot: () => LoadSnapshot): string | undefined {
-    if (now - this.toldAt < INTERVAL_MS) {
+  /** Returns the text of a digest; undefined when none is due, or when nothing waits and this has been published. */
+  createDueDigest({ now, wallMs }: Clocks, getSnapshot: () => LoadSnapshot): string | undefined {
+    if (now - this.createdAt < PUBLISH_INTERVAL_MS) {
       return undefined;
     }
-    this.toldAt = now;
-    const snapshot = readSnapshot();
-    const hadWaiting = this.hasWaiting;
-    this.hasWaiting = snapshot.queues.some(({ waitingTasks }) => waitingTasks > 0);
-    if (!this.hasWaiting && !hadWaiting) {
+    this.createdAt = now;
+    const snapshot = getSnapshot();
+    const wasWaiting = this.isWaiting;
+    this.isWaiting = snapshot.queues.some(({ waitingTasks }) => waitingTasks > 0);
+    if (!this.isWaiting && !wasWaiting) {
       return undefined;
     }
     this.sequence += 1;
--- a/packages/load/LoadSnapshot.ts
+++ b/packages/load/LoadSnapshot.ts
@@ -9,14 +9,14 @@
   readonly held: TaskDemand;
 }
 
-/** What a leader's memory shows at one moment, before it is cut down to a digest. */
+/** Load of a leader at one moment, from which a digest is created. */
 export interface LoadSnapshot {
-  /** Room of the usable endpoints together, taken or not. */
+  /** Total capacity of the schedulable endpoints. */
   readonly capacity: TaskDemand;
   readonly freeCpuMillis: number;
   readonly queues: readonly Omit<QueueLoad, 'expectedWaitMs'>[];
-  /** Customers that have something waiting. */
+  /** Customers with waiting tasks. */
   readonly customers: ReadonlyMap<CustomerName, CustomerSnapshot>;
-  /** What customers hold that have nothing waiting, as the sum of their dominant shares. */
+  /** Sum of the dominant shares of all other customers. */
   readonly othersShare: number;
 }
--- a/packages/load/LoadView.ts
+++ b/packages/load/LoadView.ts
@@ -4,15 +4,15 @@
 import { loadKeys } from './loadKeys';
 import { parseDigest } from './parseDigest';
 
-/** What a box knows of time and of the leader when it looks at the load. */
+/** Clocks and leadership of a box when it reads the load. */
 interface LoadMoment {
   readonly now: number;
   readonly wallMs: number;
-  /** The newest epoch known; undefined before any. */
+  /** Newest epoch known; undefined without one. */
   readonly epoch: number | undefined;
 }
 
-/** Two digests have been missed: room and queues have changed since. */
+/** Two publish intervals. */
 const STALE_MS = 2000;
 
 const isNewer = (digest: LoadDigest, known: LoadDigest | undefined): boolean =>
@@ -20,40 +20,40 @@
   digest.epoch > known.epoch ||
   (digest.epoch === known.epoch && digest.sequence > known.sequence);
 
-/** The newest digest that has come to this box. */
+/** The newest load digest that this box has received. */
 export class LoadView {
   private newest: LoadDigest | undefined;
-  /** Monotonic time at which it was read. */
-  private readAt = -Infinity;
+  /** Monotonic time at which it was received. */
+  private receivedAt = -Infinity;
 
   /**
-   * Takes in records of the states' topic, whose newest epoch so far is `epoch`; gives how many digests were refused. One of an epoch that nobody
-   * has claimed is no leader's, and would hide all that follow.
+   * Folds records of the states' topic, whose newest epoch so far is `epoch`, and returns how many digests were rejected. A digest of an
+   * epoch that has not been claimed is rejected, since it would hide the digests of real leaders.
    */
   foldRecords(records: readonly Pick<LogRecord, 'key' | 'value'>[], now: number, epoch: number): number {
-    let refusedCount = 0;
+    let rejectedCount = 0;
     for (const { key, value } of records) {
       if (key !== loadKeys.digestKey) {
         continue;
       }
       const digest = parseDigest(value);
       if (digest === undefined || digest.epoch > epoch) {
-        refusedCount += 1;
+        rejectedCount += 1;
       } else if (isNewer(digest, this.newest)) {
         this.newest = digest;
-        this.readAt = now;
+        this.receivedAt = now;
       }
     }
-    return refusedCount;
+    return rejectedCount;
   }
 
-  /** Milliseconds since the newest digest was made; undefined without one. */
+  /** Returns the age of the newest digest in milliseconds; undefined without one. */
   getAgeMs({ now, wallMs }: LoadMoment): number | undefined {
-    // Clocks that are apart, and records that are read long after they were written, may make a digest older than it is, not younger.
-    return this.newest && Math.max(now - this.readAt, wallMs - this.newest.madeAtMs);
+    // The maximum: clock skew or a late read may overestimate the age, but not underestimate it.
+    return this.newest && Math.max(now - this.receivedAt, wallMs - this.newest.madeAtMs);
   }
 
-  /** The load to go by; undefined when there is none, it is old, or a newer leader has not told its own yet. */
+  /** Returns the newest digest; undefined when there is none, it is stale, or the current leader has not published one. */
   getLoad(moment: LoadMoment): KnownLoad | undefined {
     const digest = this.newest;
     const ageMs = this.getAgeMs(moment);
--- a/packages/load/QueueLoad.ts
+++ b/packages/load/QueueLoad.ts
@@ -1,12 +1,12 @@
-/** What one queue has waiting and running. */
+/** Waiting and running work of a queue. */
 export interface QueueLoad {
   readonly queue: string;
-  /** Tasks that could start and wait. */
+  /** Number of tasks that are ready and wait for a start. */
   readonly waitingTasks: number;
-  /** Processor time that they ask for, in thousandths of a core. */
+  /** Processor demand of the waiting tasks, in thousandths of a core. */
   readonly waitingCpuMillis: number;
-  /** Processor time that its runs hold, in thousandths of a core. */
+  /** Processor demand of the runs, in thousandths of a core. */
   readonly runningCpuMillis: number;
-  /** Time from now until a task that arrives now is expected to start, in milliseconds. */
+  /** Expected time from the arrival of a task to its start, in milliseconds. */
   readonly expectedWaitMs: number;
 }
--- a/packages/load/ShareDemand.ts
+++ b/packages/load/ShareDemand.ts
@@ -1,10 +1,10 @@
 import type { CustomerName } from '../customers/CustomerName';
 
-/** What one customer would take if there were room for all of it. */
+/** Weight and demand of a customer in the computation of fair shares. */
 export interface ShareDemand {
   readonly customer: CustomerName;
   /** Above 0. */
   readonly weight: number;
-  /** Dominant share of what it has running and waiting together; may be above 1. */
+  /** Dominant share of its running and waiting work together; may be above 1. */
   readonly demandedShare: number;
 }
--- a/packages/load/admissionModes.ts
+++ b/packages/load/admissionModes.ts
@@ -1,13 +1,13 @@
 import type { AdmissionMode } from './AdmissionMode';
 
-interface DoorRules {
-  /** Leaders tell all boxes of their load. */
+interface AdmissionRules {
+  /** Leaders publish their load to all boxes. */
   readonly isLoadPublished: boolean;
   readonly canRefuse: boolean;
 }
 
-/** What each way of taking jobs in does. */
-export const admissionModes: Readonly<Record<AdmissionMode, DoorRules>> = {
+/** Rules of each admission mode. */
+export const admissionModes: Readonly<Record<AdmissionMode, AdmissionRules>> = {
   open: { isLoadPublished: false, canRefuse: false },
   watch: { isLoadPublished: true, canRefuse: false },
   load: { isLoadPublished: true, canRefuse: true },
--- a/packages/load/chooseAdmission.ts
+++ b/packages/load/chooseAdmission.ts
@@ -5,27 +5,27 @@
 import type { KnownLoad } from './KnownLoad';
 import type { LoadDigest } from './LoadDigest';
 
-/** Nobody is sent away for less: the next digest may tell otherwise. */
+/** One publish interval of digests. */
 const MIN_RETRY_MS = 1000;
-/** Callers that are refused together come back over so much more time, by their ids, rather than in one wave. */
-const SPREAD_PART = 0.5;
-/** Digits of a job's id that choose its place in that time. */
+/** Maximum addition to the retry time, as a part of it. Spreads the retries of callers that were refused together. */
+const JITTER_PART = 0.5;
+/** Number of digits of a job's id that determine its jitter. */
 const ID_DIGITS = 6;
 
-/** Processor time that the job could start with at once. */
-const measureFirstCpu = ({ steps }: AdmissionRequest): number =>
+/** Returns the processor demand of the tasks that could start at once, in thousandths of a core. */
+const computeInitialCpuMillis = ({ steps }: AdmissionRequest): number =>
   steps
     .filter(({ dependsOn, isFiller }) => dependsOn.length === 0 && !isFiller)
     .reduce((sum, { count, demand }) => sum + count * demand.cpuMillis, 0);
 
-/** Longest time that a job may wait before it is of no use, by its caller's estimates; they err on the side of taking. */
-const measureUsefulMs = ({ queue, steps, dueInMs }: AdmissionRequest): number => {
+/** Returns how long a job may wait and be useful to its caller, in milliseconds. Does not subtract its own run time, in favour of admission. */
+const computeMaxWaitMs = ({ queue, steps, dueInMs }: AdmissionRequest): number => {
   const objectiveMs = queue.targetLatencyMs + queue.stretch * Math.max(0, ...computeCriticalPaths(steps));
   return dueInMs + computeMaxUsefulMs(objectiveMs);
 };
 
-/** A customer that holds less than it is owed waits behind others for so much less. */
-const readPatience = (digest: LoadDigest, { customer }: AdmissionRequest): number => {
+/** Returns the factor on the expected wait: below 1 for customers below their fair share, 0 for customers with nothing waiting. */
+const computeWaitFactor = (digest: LoadDigest, { customer }: AdmissionRequest): number => {
   if (customer === undefined) {
     return 1;
   }
@@ -36,28 +36,36 @@
   return load.fairShare === 0 ? 1 : Math.min(1, load.dominantShare / load.fairShare);
 };
 
-/** Where in the time of return a job stands, 0 to 1; the same on every box. */
-const toSpread = ({ id }: AdmissionRequest): number => parseInt(id.slice(-ID_DIGITS), 16) / 16 ** ID_DIGITS;
+/** Returns the jitter of a job, 0 to 1, by its id. It is the same on every box. */
+const computeJitter = ({ id }: AdmissionRequest): number =>
+  parseInt(id.slice(-ID_DIGITS), 16) / 16 ** ID_DIGITS;
 
-const measureRetryMs = (hopelessMs: number, caller: AdmissionRequest): number => {
-  const earliestMs = Math.max(MIN_RETRY_MS, hopelessMs);
-  const spreadMs = Math.round(earliestMs * (1 + SPREAD_PART * toSpread(caller)));
-  // Within its time a caller may come back; the spread alone must not take it out of that.
-  return Math.max(earliestMs, Math.min(spreadMs, caller.leftMs));
+const computeRetryAfterMs = (excessMs: number, request: AdmissionRequest): number => {
+  const earliestMs = Math.max(MIN_RETRY_MS, excessMs);
+  const jitteredMs = Math.round(earliestMs * (1 + JITTER_PART * computeJitter(request)));
+  // Jitter must not delay the retry beyond the time that the caller waits.
+  return Math.max(earliestMs, Math.min(jitteredMs, request.leftMs));
 };
 
-/** Takes a job, or refuses it where by a fresh digest it could not be of use to its caller. */
-export const chooseAdmission = (load: KnownLoad | undefined, caller: AdmissionRequest): AdmissionDecision => {
-  const queue = load?.digest.queues.find((row) => row.queue === caller.queue.name);
+/** Admits a job, or refuses it when it could not end while useful, by a fresh load digest. */
+export const chooseAdmission = (
+  load: KnownLoad | undefined,
+  request: AdmissionRequest,
+): AdmissionDecision => {
+  const queue = load?.digest.queues.find((row) => row.queue === request.queue.name);
   if (load === undefined || queue === undefined) {
     return { kind: 'unknown' };
   }
-  if (measureFirstCpu(caller) <= load.digest.freeCpuMillis) {
+  if (computeInitialCpuMillis(request) <= load.digest.freeCpuMillis) {
     return { kind: 'room' };
   }
-  const expectedWaitMs = Math.round(queue.expectedWaitMs * readPatience(load.digest, caller));
-  const usefulMs = measureUsefulMs(caller);
-  return expectedWaitMs <= usefulMs
+  const expectedWaitMs = Math.round(queue.expectedWaitMs * computeWaitFactor(load.digest, request));
+  const maxWaitMs = computeMaxWaitMs(request);
+  return expectedWaitMs <= maxWaitMs
     ? { kind: 'bearable', expectedWaitMs }
-    : { kind: 'hopeless', expectedWaitMs, retryAfterMs: measureRetryMs(expectedWaitMs - usefulMs, caller) };
+    : {
+        kind: 'hopeless',
+        expectedWaitMs,
+        retryAfterMs: computeRetryAfterMs(expectedWaitMs - maxWaitMs, request),
+      };
 };
--- a/packages/load/digestSchema.ts
+++ b/packages/load/digestSchema.ts
@@ -2,7 +2,7 @@
 import { toId } from '../common/toId';
 import type { CustomerName } from '../customers/CustomerName';
 
-/** Far above what a leader sends. */
+/** Far more than a leader publishes. */
 const MAX_ROWS = 100;
 const MAX_NAME_LENGTH = 256;
 
@@ -10,17 +10,17 @@
 const count = amount.int();
 const name = z.string().min(1).max(MAX_NAME_LENGTH);
 
-/** Rows go as lists without names of fields, since every box reads them each second. */
+/** Rows are tuples, which keeps the digests small. */
 const queueRow = z.tuple([name, count, amount, amount, amount]);
 const customerRow = z.tuple([name, count, amount, amount]);
 
-/** Checks a digest as it stands in the log. */
+/** Schema of the log record of a digest. */
 export const digestSchema = z.object({
   epoch: count,
   sequence: count,
   madeAtMs: amount,
   capacityCpuMillis: amount,
-  // Below 0 while endpoints hold more than they have come to have room for.
+  // Negative while endpoints are overcommitted after their capacity has shrunk.
   freeCpuMillis: z.number().finite(),
   queues: z
     .array(
--- a/packages/load/formatDigest.ts
+++ b/packages/load/formatDigest.ts
@@ -1,6 +1,6 @@
 import type { LoadDigest } from './LoadDigest';
 
-/** Writes a digest as it stands in the log. */
+/** Formats a digest as the JSON text of its log record. */
 export const formatDigest = (digest: LoadDigest): string =>
   JSON.stringify({
     ...digest,
--- a/packages/load/loadKeys.ts
+++ b/packages/load/loadKeys.ts
@@ -1,5 +1,5 @@
-/** Names under which leaders write their load to the log. */
+/** Keys of load records in the log. */
 export const loadKeys = {
-  /** Key of the newest digest in the topic of states. */
+  /** Key of the load digest in the states' topic. */
   digestKey: 'load',
 } as const;
