--- a/tests/loadDigest.test.ts
+++ b/tests/loadDigest.test.ts
@@ -19,11 +19,11 @@
 import { createProfile } from './helpers/createProfile';
 import { createStep } from './helpers/createStep';
 
-const toName = (name: string): CustomerName => toId<CustomerName>(name);
-const toCpu = (cpuMillis: number): TaskDemand => ({ cpuMillis, memoryMb: 0, accelerators: 0 });
+const toCustomerName = (name: string): CustomerName => toId<CustomerName>(name);
+const toCpuDemand = (cpuMillis: number): TaskDemand => ({ cpuMillis, memoryMb: 0, accelerators: 0 });
 
 const createSnapshot = (queueCount: number, customerCount = queueCount): LoadSnapshot => ({
-  capacity: toCpu(16_000_000),
+  capacity: toCpuDemand(16_000_000),
   freeCpuMillis: 1_234_567,
   queues: Array.from({ length: queueCount }, (_, number) => ({
     queue: `${'queue'.repeat(5)}-${number}`,
@@ -33,8 +33,13 @@
   })),
   customers: new Map(
     Array.from({ length: customerCount }, (_, number) => [
-      toName(`${'owner'.repeat(5)}-${number}`),
-      { weight: 1, waitingTasks: number * 1000, waiting: toCpu(1_234_567), held: toCpu(1_234_567) },
+      toCustomerName(`${'owner'.repeat(5)}-${number}`),
+      {
+        weight: 1,
+        waitingTasks: number * 1000,
+        waiting: toCpuDemand(1_234_567),
+        held: toCpuDemand(1_234_567),
+      },
     ]),
   ),
   othersShare: 0,
@@ -51,8 +56,8 @@
   ...fields,
 });
 
-describe('a digest of the load', () => {
-  it('holds those with most waiting, and stays below 2 kB however many there are', () => {
+describe('a load digest', () => {
+  it('contains the rows with most waiting tasks, and stays below 2 kB', () => {
     const digest = createDigest({
       epoch: 12_345,
       sequence: 12_345,
@@ -65,21 +70,21 @@
     expect(formatDigest(digest).length).toBeLessThan(2000);
   });
 
-  it('expects a newcomer to wait while those before it start, and nothing where the rate is not known', () => {
-    const readWait = (rate: number | undefined): number | undefined =>
+  it('expects a new task to wait for the starts before it, and expects no wait while the rate is unknown', () => {
+    const computeWait = (rate: number | undefined): number | undefined =>
       createDigest({ ...createLoad(), snapshot: createSnapshot(2), getStartsPerSecond: () => rate }).queues[0]
         ?.expectedWaitMs;
-    expect(readWait(200)).toBe(5000);
-    expect(readWait(0)).toBe(60_000);
-    expect(readWait(undefined)).toBe(0);
+    expect(computeWait(200)).toBe(5000);
+    expect(computeWait(0)).toBe(60_000);
+    expect(computeWait(undefined)).toBe(0);
   });
 
-  it('tells what customers hold and are owed', () => {
-    const half = { waitingTasks: 1, waiting: toCpu(16_000_000), held: toCpu(8_000_000) };
+  it('gives the dominant share and the fair share of customers', () => {
+    const half = { waitingTasks: 1, waiting: toCpuDemand(16_000_000), held: toCpuDemand(8_000_000) };
     const customers = new Map([
-      [toName('large'), { ...half, weight: 3 }],
-      [toName('small'), { ...half, weight: 1, held: toCpu(0) }],
-      [toName('none'), { ...half, weight: 0, held: toCpu(1_600_000) }],
+      [toCustomerName('large'), { ...half, weight: 3 }],
+      [toCustomerName('small'), { ...half, weight: 1, held: toCpuDemand(0) }],
+      [toCustomerName('none'), { ...half, weight: 0, held: toCpuDemand(1_600_000) }],
     ]);
     const snapshot = { ...createSnapshot(1), customers, othersShare: 0.2 };
     const rows = createDigest({ ...createLoad(), snapshot, getStartsPerSecond: () => 1 }).customers;
@@ -92,7 +97,7 @@
     ]);
   });
 
-  it('sums up what a leader has waiting and running', () => {
+  it('sums up the waiting and running work of a leader', () => {
     const dispatcher = new Dispatcher({ getDefinition: () => undefined, earlierLeasesEndAt: 0 });
     dispatcher.handleEndpointProfile(createProfile('i-1'));
     const life = createProfile('i-1').incarnation;
@@ -113,7 +118,7 @@
     expect([load.capacity.cpuMillis, load.freeCpuMillis, load.othersShare]).toEqual([4000, 0, 0]);
   });
 
-  it('is read back as it was written, and nothing else is taken for one', () => {
+  it('is parsed back as it was formatted, and malformed text is rejected', () => {
     const digest = createLoad();
     expect(parseDigest(formatDigest(digest))).toEqual(digest);
     const amount = fc.double({ min: 0, max: 1e12, noNaN: true });
@@ -141,7 +146,7 @@
         isSound,
       ),
     );
-    // One character changed anywhere, as garbage that looks like a digest.
+    // One character replaced anywhere.
     const text = formatDigest(digest);
     fc.assert(
       fc.property(fc.nat(text.length - 1), fc.string({ minLength: 1, maxLength: 1 }), (at, character) =>
@@ -155,7 +160,7 @@
 });
 
 describe('the rate of starts', () => {
-  it('is that of the best second of late, and not known at first', () => {
+  it('is that of the best recent second, and unknown at first', () => {
     const rates = new StartRates(0);
     for (let now = 0; now < 6000; now += 10) {
       rates.recordStart('busy', now);
@@ -163,41 +168,41 @@
     expect(rates.computePerSecond('busy', 2000)).toBeUndefined();
     expect(rates.computePerSecond('busy', 6000)).toBe(100);
     expect(rates.computePerSecond('idle', 6000)).toBe(0);
-    // Nothing starts while the log is out, and what waits will drain as fast as before.
+    // A stall of the log does not lower the rate.
     expect(rates.computePerSecond('busy', 9500)).toBe(100);
     expect(rates.computePerSecond('busy', 20_000)).toBe(0);
   });
 });
 
-describe('a leader', () => {
-  it('tells its load once a second while something waits, and once more when nothing does', () => {
-    const teller = new LoadPublisher(7, 0);
-    const told: LoadDigest[] = [];
+describe('a load publisher', () => {
+  it('publishes once a second while tasks wait, and once more when none do', () => {
+    const publisher = new LoadPublisher(7, 0);
+    const published: LoadDigest[] = [];
     for (let now = 0; now < 6000; now += 100) {
       const isWaiting = now >= 1000 && now < 3500;
-      const text = teller.createDueDigest({ now, wallMs: now }, () => createSnapshot(isWaiting ? 2 : 1));
+      const text = publisher.createDueDigest({ now, wallMs: now }, () => createSnapshot(isWaiting ? 2 : 1));
       if (text !== undefined) {
-        told.push(parseDigest(text)!);
+        published.push(parseDigest(text)!);
       }
     }
-    expect(told.map(({ madeAtMs }) => madeAtMs)).toEqual([1000, 2000, 3000, 4000]);
-    expect(told.map(({ epoch, sequence }) => [epoch, sequence])).toEqual([
+    expect(published.map(({ madeAtMs }) => madeAtMs)).toEqual([1000, 2000, 3000, 4000]);
+    expect(published.map(({ epoch, sequence }) => [epoch, sequence])).toEqual([
       [7, 1],
       [7, 2],
       [7, 3],
       [7, 4],
     ]);
-    expect(told.at(-1)!.queues[0]!.waitingTasks).toBe(0);
+    expect(published.at(-1)!.queues[0]!.waitingTasks).toBe(0);
   });
 });
 
-describe('what a box knows of the load', () => {
+describe('the load view of a box', () => {
   const toRecord = (digest: LoadDigest): { key: string; value: string } => {
     return { key: loadKeys.digestKey, value: formatDigest(digest) };
   };
   const moment = { now: 500, wallMs: 1200, epoch: 3 };
 
-  it('is the newest by epoch, then by sequence, whatever the order in which they come', () => {
+  it('keeps the newest digest by epoch, then by sequence, in any order of arrival', () => {
     const view = new LoadView();
     const records = [createLoad({ sequence: 2 }), createLoad({ epoch: 2, sequence: 9 }), createLoad()].map(
       toRecord,
@@ -208,23 +213,23 @@
     expect(view.getLoad(moment)?.digest).toMatchObject({ epoch: 4, sequence: 1 });
   });
 
-  it('counts as none once it is old, by either clock', () => {
+  it('returns no digest that is stale by either clock', () => {
     const view = new LoadView();
     expect(view.getLoad(moment)).toBeUndefined();
     view.foldRecords([toRecord(createLoad())], 500, 4);
     expect(view.getLoad(moment)?.ageMs).toBe(200);
     expect(view.getLoad({ ...moment, now: 2501 })).toBeUndefined();
-    // Read long after it was written, as by a box that has just started.
+    // Read long after it was written, by a box that has just started.
     expect(view.getLoad({ ...moment, wallMs: 3001 })).toBeUndefined();
-    // The leader's clock is ahead: it is as old as this box has had it.
+    // The leader's clock is ahead: the time since it was received counts.
     expect(view.getLoad({ ...moment, now: 1500, wallMs: 0 })?.ageMs).toBe(1000);
   });
 
-  it('is that of no leader which has been replaced, until the new one tells its own', () => {
+  it('returns no digest of a replaced leader, until the new one publishes its own', () => {
     const view = new LoadView();
     view.foldRecords([toRecord(createLoad())], 500, 4);
     expect(view.getLoad({ ...moment, epoch: 4 })).toBeUndefined();
-    // The one before has not noticed yet.
+    // The replaced leader still publishes.
     view.foldRecords([toRecord(createLoad({ sequence: 2 }))], 500, 4);
     expect(view.getLoad({ ...moment, epoch: 4 })).toBeUndefined();
     view.foldRecords([toRecord(createLoad({ epoch: 4 }))], 500, 4);
@@ -232,7 +237,7 @@
     expect(view.getLoad({ ...moment, epoch: 4 })?.digest.epoch).toBe(4);
   });
 
-  it('stays as it was where garbage comes in between, which is counted', () => {
+  it('ignores and counts malformed digests and those of unclaimed epochs', () => {
     const view = new LoadView();
     view.foldRecords([toRecord(createLoad())], 500, 4);
     const garbage = ['', '{"epoch":99}', 'x'].map((value) => ({ key: loadKeys.digestKey, value }));
--- a/tests/loadDoor.test.ts
+++ b/tests/loadDoor.test.ts
@@ -15,9 +15,9 @@
 import { createJobDefinition } from './helpers/createJobDefinition';
 import { createStep } from './helpers/createStep';
 
-const toName = (name: string): CustomerName => toId<CustomerName>(name);
+const toCustomerName = (name: string): CustomerName => toId<CustomerName>(name);
 
-/** A full fleet; a newcomer of two tasks of a core, 400 ms each, has use for what ends within 2550 ms. */
+/** A digest of a full fleet. A job of two 400 ms tasks of one core is useful until 2550 ms. */
 const createDigest = (expectedWaitMs: number, fields: Partial<LoadDigest> = {}): LoadDigest => ({
   epoch: 1,
   sequence: 1,
@@ -35,79 +35,80 @@
 
 const toKnown = (digest: LoadDigest): KnownLoad => ({ digest, ageMs: 100 });
 
-const createCaller = (number = 1, fields: Partial<AdmissionRequest> = {}): AdmissionRequest => {
+const createRequest = (number = 1, fields: Partial<AdmissionRequest> = {}): AdmissionRequest => {
   const { id, queue, steps } = createJobDefinition(number, [createStep()]);
   return { id, queue, steps, customer: undefined, dueInMs: 0, leftMs: 3000, ...fields };
 };
 
-describe('the door', () => {
-  it('takes whatever it knows no load for', () => {
-    expect(chooseAdmission(undefined, createCaller()).kind).toBe('unknown');
+describe('admission control', () => {
+  it('admits jobs while the load of their queue is unknown', () => {
+    expect(chooseAdmission(undefined, createRequest()).kind).toBe('unknown');
     const other = createDigest(60_000, { queues: [] });
-    expect(chooseAdmission(toKnown(other), createCaller()).kind).toBe('unknown');
+    expect(chooseAdmission(toKnown(other), createRequest()).kind).toBe('unknown');
   });
 
-  it('refuses nothing while there is room for it, however long the queue is said to be', () => {
+  it('admits jobs that fit into the free capacity, however long the queue is', () => {
     const digest = createDigest(60_000, { freeCpuMillis: 2000 });
-    expect(chooseAdmission(toKnown(digest), createCaller()).kind).toBe('room');
+    expect(chooseAdmission(toKnown(digest), createRequest()).kind).toBe('room');
   });
 
-  it('takes late work as long as it is of use, and refuses what is not', () => {
-    const readKind = (waitMs: number, fields: Partial<AdmissionRequest> = {}): string =>
-      chooseAdmission(toKnown(createDigest(waitMs)), createCaller(1, fields)).kind;
-    expect(readKind(0)).toBe('bearable');
-    expect(readKind(USEFUL_MS)).toBe('bearable');
-    expect(readKind(USEFUL_MS + 1)).toBe('hopeless');
-    expect(readKind(USEFUL_MS + 1, { dueInMs: 5000 })).toBe('bearable');
+  it('admits jobs that are expected to end while useful, and refuses others', () => {
+    const chooseKind = (waitMs: number, fields: Partial<AdmissionRequest> = {}): string =>
+      chooseAdmission(toKnown(createDigest(waitMs)), createRequest(1, fields)).kind;
+    expect(chooseKind(0)).toBe('bearable');
+    expect(chooseKind(USEFUL_MS)).toBe('bearable');
+    expect(chooseKind(USEFUL_MS + 1)).toBe('hopeless');
+    expect(chooseKind(USEFUL_MS + 1, { dueInMs: 5000 })).toBe('bearable');
   });
 
-  it('takes the owners that hold least of what they are owed for longest', () => {
+  it('expects shorter waits for customers below their fair share', () => {
     const customers = [
-      { customer: toName('full'), waitingTasks: 50, dominantShare: 0.6, fairShare: 0.5 },
-      { customer: toName('half'), waitingTasks: 40, dominantShare: 0.1, fairShare: 0.2 },
+      { customer: toCustomerName('full'), waitingTasks: 50, dominantShare: 0.6, fairShare: 0.5 },
+      { customer: toCustomerName('half'), waitingTasks: 40, dominantShare: 0.1, fairShare: 0.2 },
     ];
-    const readKind = (waitMs: number, name: string): string =>
+    const chooseKind = (waitMs: number, name: string): string =>
       chooseAdmission(
         toKnown(createDigest(waitMs, { customers })),
-        createCaller(1, { customer: toName(name) }),
+        createRequest(1, { customer: toCustomerName(name) }),
       ).kind;
-    expect(readKind(USEFUL_MS + 1, 'full')).toBe('hopeless');
-    expect(readKind(USEFUL_MS + 1, 'half')).toBe('bearable');
-    expect(readKind(2 * USEFUL_MS + 2, 'half')).toBe('hopeless');
-    expect(readKind(60_000, 'nothing-waiting')).toBe('bearable');
+    expect(chooseKind(USEFUL_MS + 1, 'full')).toBe('hopeless');
+    expect(chooseKind(USEFUL_MS + 1, 'half')).toBe('bearable');
+    expect(chooseKind(2 * USEFUL_MS + 2, 'half')).toBe('hopeless');
+    expect(chooseKind(60_000, 'nothing-waiting')).toBe('bearable');
   });
 
-  it('has callers come back when there is use for it, spread, each at the same time from every box', () => {
+  it('spreads retries, with the same retry time for a job on every box', () => {
     const refusedMs = 4000;
-    const readRetryMs = (number: number, leftMs = 60_000): number => {
+    const computeRetryMs = (number: number, leftMs = 60_000): number => {
       const load = toKnown(createDigest(USEFUL_MS + refusedMs));
-      // Ids are random; these end in digits spread evenly.
+      // Ids that end in evenly spread digits.
       const id = toId<JobId>(
         `0000000000${Math.floor((number * 0x1000000) / 200)
           .toString(16)
           .padStart(6, '0')}`,
       );
-      const answer = chooseAdmission(load, createCaller(1, { id, leftMs }));
+      const answer = chooseAdmission(load, createRequest(1, { id, leftMs }));
       return answer.kind === 'hopeless' ? answer.retryAfterMs : 0;
     };
-    const times = Array.from({ length: 200 }, (_, number) => readRetryMs(number));
+    const times = Array.from({ length: 200 }, (_, number) => computeRetryMs(number));
     expect(Math.min(...times)).toBeGreaterThanOrEqual(refusedMs);
     expect(Math.max(...times)).toBeLessThanOrEqual(1.5 * refusedMs);
     const busiest = times.filter((ms) => ms >= 5000 && ms < 5200).length;
     expect(busiest).toBeLessThan(30);
-    expect(readRetryMs(70)).toBe(readRetryMs(70));
-    // The spread takes nobody past the time for which it waits.
-    expect(readRetryMs(199, 4100)).toBe(4100);
-    expect(readRetryMs(199, 100)).toBe(refusedMs);
+    expect(computeRetryMs(70)).toBe(computeRetryMs(70));
+    // Jitter does not delay a retry beyond the time that the caller waits.
+    expect(computeRetryMs(199, 4100)).toBe(4100);
+    expect(computeRetryMs(199, 100)).toBe(refusedMs);
   });
 });
 
-/** One box: what it reads is set by the test. */
-class DoorBox {
+/** Admission control of one box. The test sets what it reads. */
+class AdmissionFixture {
   now = 0;
   epoch = 1;
-  /** Whether the jobs' topic can be read to its end, and the job that is found there. */
+  /** Whether the jobs' topic can be read to its end. */
   isReadable = true;
+  /** Job that is found in the jobs' topic. */
   found: JobId | undefined;
   readonly lines: { readonly sentence: string; readonly fields: Record<string, unknown> }[] = [];
   readonly door: LoadDoor;
@@ -138,11 +139,11 @@
     return this.door.startCheck(createJobDefinition(number, [createStep()]), this.now + 400);
   }
 
-  async readKind(number = 1): Promise<string> {
+  async chooseKind(number = 1): Promise<string> {
     return (await this.startCheck(number)).kind;
   }
 
-  readCount(name: string): number {
+  getCount(name: string): number {
     return Number(new RegExp(`stairline_${name}_total (\\d+)`).exec(this.metrics.formatText({}))?.[1]);
   }
 }
@@ -150,8 +151,8 @@
 const HOPELESS_MS = 20_000;
 
 describe('a box with the door by load', () => {
-  it('refuses what is hopeless, once the jobs have been read to the end, and tells why', async () => {
-    const box = new DoorBox();
+  it('refuses a hopeless job once the jobs have been read to the end, and logs the reason', async () => {
+    const box = new AdmissionFixture();
     box.handleDigest(HOPELESS_MS);
     box.now = 300;
     expect(await box.startCheck()).toEqual({ kind: 'refused', retryAfterMs: expect.any(Number) });
@@ -167,52 +168,52 @@
         }),
       },
     ]);
-    expect(box.readCount('door_hopeless')).toBe(1);
+    expect(box.getCount('door_hopeless')).toBe(1);
   });
 
-  it('refuses no job whose earlier send may have been taken', async () => {
-    const box = new DoorBox();
+  it('refuses no job that an earlier request may have submitted', async () => {
+    const box = new AdmissionFixture();
     box.handleDigest(HOPELESS_MS);
     box.door.recordDoubt(createJobDefinition(1, []).id);
-    expect(await box.readKind(1)).toBe('taken');
+    expect(await box.chooseKind(1)).toBe('taken');
     box.found = createJobDefinition(2, []).id;
-    expect(await box.readKind(2)).toBe('known');
-    // It cannot be seen whether another box took it.
+    expect(await box.chooseKind(2)).toBe('known');
+    // Another box may have accepted it.
     box.isReadable = false;
-    expect(await box.readKind(3)).toBe('taken');
-    expect(box.readCount('door_doubtful')).toBe(2);
+    expect(await box.chooseKind(3)).toBe('taken');
+    expect(box.getCount('door_doubtful')).toBe(2);
   });
 
-  it('takes all when digests stop, as in a hall that is cut off, and refuses again when they come back', async () => {
-    const box = new DoorBox();
+  it('admits all jobs when digests stop, as in a partitioned hall, and refuses again when they return', async () => {
+    const box = new AdmissionFixture();
     box.handleDigest(HOPELESS_MS);
-    expect(await box.readKind()).toBe('refused');
+    expect(await box.chooseKind()).toBe('refused');
     box.now = 2100;
-    expect(await box.readKind()).toBe('taken');
+    expect(await box.chooseKind()).toBe('taken');
     box.handleDigest(HOPELESS_MS, { sequence: 2 });
-    expect(await box.readKind()).toBe('refused');
+    expect(await box.chooseKind()).toBe('refused');
   });
 
-  it('takes all from the change of a leader until the new one tells its load, whatever the old one still tells', async () => {
-    const box = new DoorBox();
+  it('admits all jobs from a change of leader until the new one publishes its load, even if the old one still does', async () => {
+    const box = new AdmissionFixture();
     box.handleDigest(HOPELESS_MS);
     box.epoch = 2;
-    expect(await box.readKind()).toBe('taken');
+    expect(await box.chooseKind()).toBe('taken');
     box.handleDigest(HOPELESS_MS, { sequence: 2 });
-    expect(await box.readKind()).toBe('taken');
+    expect(await box.chooseKind()).toBe('taken');
     box.handleDigest(0, { epoch: 2 });
-    expect(await box.readKind()).toBe('taken');
+    expect(await box.chooseKind()).toBe('taken');
     box.handleDigest(HOPELESS_MS, { epoch: 2, sequence: 2 });
     box.handleDigest(0, { epoch: 1, sequence: 9 });
-    expect(await box.readKind()).toBe('refused');
+    expect(await box.chooseKind()).toBe('refused');
   });
 
-  it('takes all while it only watches, with the load beside the line of the job, and tells nothing while open', async () => {
-    const watching = new DoorBox('watch');
+  it('admits all jobs and returns the load to log in mode watch, and ignores the load in mode open', async () => {
+    const watching = new AdmissionFixture('watch');
     watching.handleDigest(HOPELESS_MS);
     const load = { loadEpoch: 1, loadSequence: 1, loadAgeMs: 0, expectedWaitMs: HOPELESS_MS };
     expect(await watching.startCheck()).toEqual({ kind: 'taken', load });
-    const open = new DoorBox('open');
+    const open = new AdmissionFixture('open');
     open.handleDigest(HOPELESS_MS);
     expect(await open.startCheck()).toEqual({ kind: 'taken', load: {} });
   });
