--- a/packages/leadership/LeaderIntroduction.ts
+++ b/packages/leadership/LeaderIntroduction.ts
@@ -1,10 +1,10 @@
 import type { BoxPower } from '../boxes/BoxPower';
 import type { LeaderRecord } from './LeaderRecord';
 
-/** What a leader tells other boxes about itself. */
+/** Announcement of a leader, which it sends to the other boxes. */
 export interface LeaderIntroduction extends BoxPower {
-  /** The record with which it leads. It has read it back from the log, so that it is true when it is told. */
+  /** Its leader record, which it has read back from the log. */
   readonly record: LeaderRecord;
-  /** Host and port of its box for calls between boxes. */
+  /** Host and port of its box for requests between boxes. */
   readonly address: string;
 }
--- a/packages/leadership/LeaderRecord.ts
+++ b/packages/leadership/LeaderRecord.ts
@@ -1,10 +1,10 @@
-/** What the log says of the leader. The record with the highest epoch counts. */
+/** Record of the leader in the log. The one with the highest epoch is valid. */
 export interface LeaderRecord {
-  /** Also the fencing token on every order to endpoints. */
+  /** Also the fencing token of each command to endpoints. */
   readonly epoch: number;
   readonly box: string;
-  /** Unique for each start of a box. */
+  /** Unique for each process of a box. */
   readonly process: string;
-  /** The leader has stopped by plan and gives no more orders. */
+  /** True once the leader has stopped gracefully and sends no more commands. */
   readonly isResigned: boolean;
 }
--- a/packages/leadership/LeaderWatch.ts
+++ b/packages/leadership/LeaderWatch.ts
@@ -3,7 +3,7 @@
 import { toHostPort } from '../common/toHostPort';
 
 interface LeaderWatchOptions {
-  /** Called when the leader's process has certainly ended, as far as its box tells: its port refuses connections. */
+  /** Called when the port of the leader's box refuses connections, so that the process has ended. */
   readonly handleEnded: (process: string) => void;
 }
 
@@ -12,13 +12,13 @@
   readonly address: string;
 }
 
-const CONNECT_LIMIT_MS = 400;
-const RETRY_MS = 300;
-const NOBODY_LISTENS = 'ECONNREFUSED';
+const CONNECT_TIMEOUT_MS = 400;
+const RECONNECT_DELAY_MS = 300;
+const CONNECTION_REFUSED = 'ECONNREFUSED';
 
 /**
- * Holds an idle connection to the leader's box. A process that ends closes it at once, which is noticed long before its
- * silence in the log. This is a hint to claim sooner, no proof: the log's epochs decide.
+ * Detects the end of the leader's process by an idle connection to its box, sooner than by missing heartbeats in the log. This is only
+ * a hint to claim early: leadership is decided by the epochs in the log.
  */
 export class LeaderWatch {
   private watched: Watched | undefined;
@@ -26,7 +26,7 @@
 
   constructor(private readonly options: LeaderWatchOptions) {}
 
-  /** Watches a leader's process from now on; undefined watches none. */
+  /** Sets the process to watch; undefined to watch none. */
   setLeader(watched: Watched | undefined): void {
     if (watched?.process === this.watched?.process && watched?.address === this.watched?.address) {
       return;
@@ -42,28 +42,28 @@
   private startConnection(watched: Watched): void {
     const { host, port } = toHostPort(watched.address);
     const socket = connect({ host, port });
-    const timer = setTimeout(() => socket.destroy(), CONNECT_LIMIT_MS);
+    const timer = setTimeout(() => socket.destroy(), CONNECT_TIMEOUT_MS);
     this.socket = socket;
-    let stoodFrom = Infinity;
+    let connectedAt = Infinity;
     socket.once('connect', () => {
-      stoodFrom = performance.now();
+      connectedAt = performance.now();
       clearTimeout(timer);
     });
     socket.once('error', (error: NodeJS.ErrnoException) => {
-      if (error.code === NOBODY_LISTENS && this.watched === watched) {
+      if (error.code === CONNECTION_REFUSED && this.watched === watched) {
         this.options.handleEnded(watched.process);
       }
     });
     socket.once('close', () => {
       clearTimeout(timer);
-      void this.startAgain(watched, performance.now() - stoodFrom >= RETRY_MS);
+      void this.retryConnection(watched, performance.now() - connectedAt >= RECONNECT_DELAY_MS);
     });
   }
 
-  private async startAgain(watched: Watched, hasStood: boolean): Promise<void> {
-    // A connection that had stood is opened again at once: if nobody listens any more, the process has ended. One that is closed as soon as
-    // it stands would be opened without end.
-    await startDelay(hasStood ? 0 : RETRY_MS);
+  private async retryConnection(watched: Watched, wasEstablished: boolean): Promise<void> {
+    // An established connection is reopened at once: a refusal shows that the process has ended. The delay keeps connections that are
+    // closed right after they open from being reopened in a tight loop.
+    await startDelay(wasEstablished ? 0 : RECONNECT_DELAY_MS);
     if (this.watched === watched) {
       this.startConnection(watched);
     }
--- a/packages/leadership/Leadership.ts
+++ b/packages/leadership/Leadership.ts
@@ -20,18 +20,18 @@
   readonly clock: Clock;
   readonly random: Random;
   readonly logger: Logger;
-  /** True when boxes are known that should lead rather than this one. */
+  /** Returns true when stronger boxes are known, which should lead instead of this one. */
   readonly isOutranked: () => boolean;
-  /** Called once this process leads. */
+  /** Called when this process becomes the leader. */
   readonly handleElected: (election: Election) => void;
 }
 
-/** What a process that has come to lead must know. Times are monotonic. */
+/** Result of an election that this process has won. Times are monotonic. */
 interface Election {
   readonly epoch: number;
-  /** When the claim was sent that won. */
+  /** Time at which the claim was sent. */
   readonly claimedAt: number;
-  /** When all that earlier leaders leased has ended, on endpoints that were not heard since. */
+  /** Time at which all leases of earlier leaders have expired. */
   readonly earlierLeasesEndAt: number;
 }
 
@@ -39,13 +39,10 @@
 const FIRST_CLAIM_JITTER_MS = 150;
 const RESIGNED_JITTER_MS = 80;
 const ENDED_JITTER_MS = 250;
-/** A box that knows of stronger ones leaves them so long to claim first. */
-const OUTRANKED_WAIT_MS = 350;
-/**
- * The same behind a silent leader: boxes read up to 850 ms apart, so that a strong one may see the silence so much later. A box of 0.324
- * cores took 2.3 s from its claim to its first order, a strong one 0.3 s (245 endpoints).
- */
-const OUTRANKED_SILENT_WAIT_MS = 900;
+/** Delay of claims by a box that knows stronger ones, which lets these claim first. */
+const OUTRANKED_DELAY_MS = 350;
+/** The same after a missing heartbeat, which a stronger box may notice later by a read cycle. */
+const OUTRANKED_SILENT_DELAY_MS = 900;
 
 type ClaimReason =
   | 'the leader handed over'
@@ -56,40 +53,40 @@
   | 'leader is silent';
 
 /**
- * Decides which process leads. A claim is an append under the next epoch: the log refuses every later write of lower epochs,
- * and of two claims with one epoch it keeps the first. Whoever reads its own claim back leads.
+ * Leader election through the log. A claim is an append under the next epoch: the log rejects later writes of lower epochs, and keeps
+ * only the first of several claims of an epoch. The process that reads its own claim back leads.
  */
 export class Leadership {
   private record: LeaderRecord | undefined;
-  /** Monotonic time of the newest sign of the leader. */
-  private signAt = -Infinity;
-  /** Since when the log has been read without a gap; undefined while it cannot be read. */
+  /** Monotonic time of the last activity of the leader. */
+  private activeAt = -Infinity;
+  /** Monotonic time since which the log has been readable; undefined while it is not. */
   private readableSince: number | undefined;
   private isClaiming = false;
   private isLeading = false;
   private isStopped = false;
-  /** Epoch whose leader has said, or shown, that it gives no more orders. */
+  /** Epoch of a leader that has handed over or whose process has ended. */
   private endedEpoch: number | undefined;
   private endedReason: ClaimReason = 'the leader handed over';
-  /** Monotonic time at which this process noticed that. */
+  /** Monotonic time at which this process noticed the end. */
   private endedAt = -Infinity;
   private readonly leases = new LeaseHistory();
-  /** Monotonic time at which reads first showed the leader silent; undefined while they do not. */
-  private silenceSeenAt: number | undefined;
-  private readonly shortJitter: number;
+  /** Monotonic time at which a read first showed the heartbeat timeout of the leader; undefined without a timeout. */
+  private timeoutSeenAt: number | undefined;
+  private readonly jitter: number;
 
   constructor(private readonly options: LeadershipOptions) {
-    this.shortJitter = options.random();
+    this.jitter = options.random();
   }
 
   getRecord(): LeaderRecord | undefined {
     return this.record;
   }
 
-  /** Folds records of the progress topic. Only leaders write there, so every record is a sign of the leader. */
+  /** Folds records of the progress topic. Only leaders write to it, so that each record shows activity of the leader. */
   foldRecords(records: readonly LogRecord[]): void {
     const now = this.options.clock.readNow();
-    this.signAt = now;
+    this.activeAt = now;
     for (const { key, value } of records) {
       if (key !== leaderKeys.recordKey) {
         this.leases.recordActivity(now);
@@ -98,27 +95,27 @@
       const parsed = leaderRecordSchema.safeParse(parseJson(value));
       if (parsed.success && parsed.data.epoch >= (this.record?.epoch ?? 0)) {
         this.leases.recordLeader(parsed.data, now);
-        this.applyRecord(parsed.data);
+        this.setRecord(parsed.data);
       }
     }
   }
 
   /**
-   * A leader has told by a call that it leads. The epoch of a record that this process has not read yet shows that the log has it. Returns
-   * false for one that is not newer than what is known.
+   * Handles the announcement of a leader, whose record this process may not have read from the log yet. Returns false when its epoch is
+   * not newer than the known one.
    */
   handleIntroduction(record: LeaderRecord): boolean {
     if (record.epoch <= (this.record?.epoch ?? 0)) {
       return false;
     }
     const now = this.options.clock.readNow();
-    this.signAt = now;
+    this.activeAt = now;
     this.leases.recordLeader(record, now);
-    this.applyRecord(record);
+    this.setRecord(record);
     return true;
   }
 
-  /** The leader of an epoch has stopped and asked this process to lead next. */
+  /** Handles the request of a leader that has stopped to take over from it. */
   handleHandOver(epoch: number): void {
     this.leases.recordStopped(epoch, this.options.clock.readNow());
     this.endedEpoch = epoch;
@@ -126,7 +123,7 @@
     this.applyTime();
   }
 
-  /** The process that leads seems to have ended. */
+  /** Handles the probable end of the process of the leader. */
   handleLeaderEnded(process: string): void {
     if (this.record?.process === process) {
       this.endedAt = this.endedEpoch === this.record.epoch ? this.endedAt : this.options.clock.readNow();
@@ -135,17 +132,17 @@
     }
   }
 
-  /** Told when the log can be read again, or no longer: silence is counted only while it can. */
+  /** Handles the loss or recovery of read access to the log. Heartbeat timeouts count only while the log is readable. */
   handleConnection(isConnected: boolean): void {
     this.readableSince = isConnected ? this.options.clock.readNow() : undefined;
   }
 
-  /** Claims when the leader is gone. */
+  /** Claims leadership if there is no leader. */
   applyTime(): void {
     if (this.isStopped || this.isLeading || this.isClaiming) {
       return;
     }
-    const reason = this.readClaimReason();
+    const reason = this.findClaimReason();
     if (reason !== undefined) {
       this.isClaiming = true;
       void this.sendClaim(reason).finally(() => {
@@ -154,26 +151,26 @@
     }
   }
 
-  /** This process leads no more. */
+  /** Handles that this process no longer leads. */
   handleDeposed(): void {
     this.isLeading = false;
-    this.signAt = this.options.clock.readNow();
-    this.leases.recordActivity(this.signAt);
+    this.activeAt = this.options.clock.readNow();
+    this.leases.recordActivity(this.activeAt);
   }
 
-  /** Claims no more. */
+  /** Stops claiming. */
   stop(): void {
     this.isStopped = true;
   }
 
-  /** Formats this process's record: written as a heartbeat, and with `isResigned` as the last write of a planned stop. */
+  /** Formats the leader record of this process, which serves as heartbeat, and with `isResigned` as the last write of a graceful stop. */
   formatRecord(epoch: number, isResigned: boolean): string {
     const { box, process } = this.options;
     const record: LeaderRecord = { epoch, box, process, isResigned };
     return JSON.stringify(record);
   }
 
-  private applyRecord(record: LeaderRecord): void {
+  private setRecord(record: LeaderRecord): void {
     const isNew = record.epoch !== this.record?.epoch;
     this.record = record;
     if (isNew) {
@@ -181,50 +178,50 @@
     }
   }
 
-  private readClaimReason(): ClaimReason | undefined {
+  private findClaimReason(): ClaimReason | undefined {
     const { follower, clock, process, box } = this.options;
     if (this.readableSince === undefined || !follower.isFollowing()) {
       return undefined;
     }
     const now = clock.readNow();
-    const patienceMs = this.options.isOutranked() ? OUTRANKED_WAIT_MS : 0;
-    const signAgeMs = now - this.signAt;
+    const rankDelayMs = this.options.isOutranked() ? OUTRANKED_DELAY_MS : 0;
+    const inactiveMs = now - this.activeAt;
     if (this.record === undefined) {
       const readableMs = now - this.readableSince;
-      return readableMs > this.shortJitter * FIRST_CLAIM_JITTER_MS + patienceMs ? 'no leader yet' : undefined;
+      return readableMs > this.jitter * FIRST_CLAIM_JITTER_MS + rankDelayMs ? 'no leader yet' : undefined;
     }
     if (this.endedEpoch === this.record.epoch) {
       if (this.endedReason === 'the leader handed over') {
         return this.endedReason;
       }
-      // Those who see the process end see it together: a short random wait keeps their claims apart, and weak boxes behind strong
-      // ones. It counts from the end, since the last sign may be older: of 97 boxes 16 claimed within 12 ms, and a weak one led.
-      const waitedMs = now - Math.max(this.endedAt, this.signAt);
-      return waitedMs > this.shortJitter * ENDED_JITTER_MS + patienceMs ? this.endedReason : undefined;
+      // All boxes notice the end at the same time: a random delay from then on keeps their claims apart, and lets stronger boxes claim
+      // first. The last activity may be older and is no base for the delay.
+      const elapsedMs = now - Math.max(this.endedAt, this.activeAt);
+      return elapsedMs > this.jitter * ENDED_JITTER_MS + rankDelayMs ? this.endedReason : undefined;
     }
     if (this.record.isResigned) {
-      return signAgeMs > this.shortJitter * RESIGNED_JITTER_MS + patienceMs ? 'leader resigned' : undefined;
+      return inactiveMs > this.jitter * RESIGNED_JITTER_MS + rankDelayMs ? 'leader resigned' : undefined;
     }
     if (this.record.box === box && this.record.process !== process) {
       return 'an earlier process of this box led';
     }
-    const silentMs = follower.getLastSuccessAt() - Math.max(this.signAt, this.readableSince);
-    if (silentMs <= leaderTimings.silenceMs) {
-      this.silenceSeenAt = undefined;
+    const confirmedInactiveMs = follower.getLastSuccessAt() - Math.max(this.activeAt, this.readableSince);
+    if (confirmedInactiveMs <= leaderTimings.heartbeatTimeoutMs) {
+      this.timeoutSeenAt = undefined;
       return undefined;
     }
-    // The waits count from the read that showed it. All boxes read at the same moments, 850 ms apart: waits that counted from the last
-    // sign were over together, and of many claims at once that of a weak box might win.
-    this.silenceSeenAt ??= now;
-    const waitedMs = now - this.silenceSeenAt;
-    const silentPatienceMs = patienceMs === 0 ? 0 : OUTRANKED_SILENT_WAIT_MS;
-    const dueMs = this.shortJitter * leaderTimings.claimJitterMs + silentPatienceMs;
-    return waitedMs >= dueMs ? 'leader is silent' : undefined;
+    // The delay counts from the read that showed the timeout. All boxes read at the same moments: delays from the last activity on would
+    // all be over by the next read, and a weaker box could claim first.
+    this.timeoutSeenAt ??= now;
+    const elapsedMs = now - this.timeoutSeenAt;
+    const silentRankDelayMs = rankDelayMs === 0 ? 0 : OUTRANKED_SILENT_DELAY_MS;
+    const dueMs = this.jitter * leaderTimings.claimJitterMs + silentRankDelayMs;
+    return elapsedMs >= dueMs ? 'leader is silent' : undefined;
   }
 
-  /** True while the leader has shown a sign within a time, and after a moment. Both are monotonic milliseconds. */
+  /** Returns true if the leader was active within a time in milliseconds, and after a monotonic time. */
   hasActivitySince(after: number, withinMs: number): boolean {
-    return this.signAt > after && this.options.clock.readNow() - this.signAt <= withinMs;
+    return this.activeAt > after && this.options.clock.readNow() - this.activeAt <= withinMs;
   }
 
   private async sendClaim(reason: ClaimReason): Promise<void> {
@@ -233,17 +230,17 @@
     logger.info('Claiming leadership.', {
       epoch,
       reason,
-      silentMs: Math.round(clock.readNow() - this.signAt),
+      silentMs: Math.round(clock.readNow() - this.activeAt),
     });
     const claimedAt = clock.readNow();
-    const answer = await client.append({
+    const response = await client.append({
       topic,
       writes: [{ key: leaderKeys.recordKey, value: this.formatRecord(epoch, false) }],
       writer: { producer: leaderKeys.producer, epoch, sequence: leaderKeys.claimSequence },
       timeoutMs: CLAIM_TIMEOUT_MS,
     });
-    // Without an answer the claim may still have landed: reading on shows it.
-    const target = answer.ok ? answer.value + 1 : (follower.getOffset() ?? 0) + 1;
+    // Without a response the claim may still have been written: the next records show it.
+    const target = response.ok ? response.value + 1 : (follower.getOffset() ?? 0) + 1;
     await follower.waitForOffset(target, CLAIM_TIMEOUT_MS);
     if (this.isStopped || this.record?.epoch !== epoch || this.record.process !== this.options.process) {
       logger.info('Claim lost.', { epoch, leader: this.record?.process ?? '' });
--- a/packages/leadership/leaderKeys.ts
+++ b/packages/leadership/leaderKeys.ts
@@ -1,9 +1,9 @@
-/** Names under which leaders write to the log. */
+/** Keys and writer identity of leaders in the log. */
 export const leaderKeys = {
   /** Key of the leader's record. */
   recordKey: 'leader',
-  /** Producer of every leader's appends. */
+  /** Producer name in the appends of all leaders. */
   producer: 'leader',
-  /** A claim is the first append of its epoch. */
+  /** Sequence number of a claim, the first append of its epoch. */
   claimSequence: 1,
 } as const;
--- a/packages/leadership/leaderRecordSchema.ts
+++ b/packages/leadership/leaderRecordSchema.ts
@@ -1,6 +1,6 @@
 import { z } from 'zod';
 
-/** Checks a leader's record, as it stands in the log and as a leader tells it. */
+/** Schema of a leader record, in the log and in announcements. */
 export const leaderRecordSchema = z.object({
   epoch: z.number(),
   box: z.string(),
--- a/packages/leadership/leaderTimings.ts
+++ b/packages/leadership/leaderTimings.ts
@@ -1,17 +1,17 @@
-/** Times of leadership and leases in milliseconds; docs/decisions/0005 has the reasons. */
+/** Timings of leadership and leases; see docs/decisions/0005. */
 export const leaderTimings = {
-  /** The leader writes at least this often. */
+  /** Maximum interval between writes of the leader. */
   heartbeatMs: 400,
-  /** A leader whose writes are missed for so long, while the log can be read, is replaced. */
-  silenceMs: 1300,
-  /** Largest random addition to the silence, so that followers do not claim together. */
+  /** A leader without writes for longer than this, while the log can be read, is replaced. */
+  heartbeatTimeoutMs: 1300,
+  /** Maximum random delay of a claim, so that followers do not claim at the same time. */
   claimJitterMs: 400,
-  /** Lease of everything that runs on an endpoint, from the sending of the grant on. */
+  /** Lease of the runs of an endpoint, from the moment the grant is sent. */
   leaseMs: 4000,
-  /** An endpoint's clock may be slow by this share. */
+  /** Maximum rate by which the clock of an endpoint may be slow. */
   clockDriftShare: 0.03,
-  /** Added to every bound that is computed from a lease. */
+  /** Safety margin that is added to each bound computed from a lease. */
   marginMs: 250,
-  /** A leader that cannot write to the log renews leases for so long after its last answered write. */
+  /** Grace period after its last acknowledged write in which a leader that cannot write to the log still renews leases. */
   unconfirmedGraceMs: 8000,
 } as const;
--- a/tests/leaderWatch.test.ts
+++ b/tests/leaderWatch.test.ts
@@ -4,7 +4,7 @@
 import { LeaderWatch } from '../packages/leadership/LeaderWatch';
 
 const WATCHED_MS = 1000;
-/** One each 300 ms, and the first. */
+/** The first, and one per reconnect delay. */
 const MAX_CONNECTIONS = 5;
 
 describe('the watch of the leader', () => {
@@ -27,7 +27,7 @@
     return `127.0.0.1:${(server.address() as AddressInfo).port}`;
   };
 
-  it('does not connect without a pause where connections are closed as soon as they stand', async () => {
+  it('does not reconnect in a tight loop when connections are closed right after they open', async () => {
     let connections = 0;
     const address = await startServer((count) => {
       connections = count;
--- a/tests/leadership.test.ts
+++ b/tests/leadership.test.ts
@@ -12,7 +12,7 @@
 
 const LEADER = { epoch: 1, box: 'box-0', process: 'box-0#1', isResigned: false };
 
-/** A log that can be read and shows that no claim of this process has won. */
+/** Creates a readable log that never responds to claims. */
 const createLog = (claims: number[], readNow: () => number): LogClient => ({
   append: () => {
     claims.push(readNow());
@@ -23,9 +23,9 @@
   stop: () => Promise.resolve(),
 });
 
-describe('a box that sees the process of the leader end', () => {
-  /** Time from the end to the claim, on a clock that stands still meanwhile. */
-  const measureClaimMs = async (isOutranked: boolean, silentBeforeMs: number): Promise<number> => {
+describe('a box that notices the end of the process of the leader', () => {
+  /** Returns the time from the end to the claim, in milliseconds on a simulated clock. */
+  const computeClaimMs = async (isOutranked: boolean, inactiveBeforeMs: number): Promise<number> => {
     let now = 1000;
     const clock = { readNow: () => now, readWall: () => now };
     const claims: number[] = [];
@@ -56,7 +56,7 @@
     });
     leadership.handleConnection(true);
     leadership.foldRecords([{ offset: 0, key: leaderKeys.recordKey, value: JSON.stringify(LEADER) }]);
-    now += silentBeforeMs;
+    now += inactiveBeforeMs;
     const endedAt = now;
     leadership.handleLeaderEnded(LEADER.process);
     for (; claims.length === 0 && now < endedAt + 1000; now += 10) {
@@ -67,27 +67,27 @@
     return claims[0]! - endedAt;
   };
 
-  it('leaves stronger boxes the first claim, also where the leader had been silent before', async () => {
-    for (const silentBeforeMs of [0, 700]) {
-      expect(await measureClaimMs(false, silentBeforeMs)).toBeLessThan(100);
-      const outrankedMs = await measureClaimMs(true, silentBeforeMs);
+  it('lets stronger boxes claim first, even if the leader was inactive before', async () => {
+    for (const inactiveBeforeMs of [0, 700]) {
+      expect(await computeClaimMs(false, inactiveBeforeMs)).toBeLessThan(100);
+      const outrankedMs = await computeClaimMs(true, inactiveBeforeMs);
       expect(outrankedMs).toBeGreaterThan(350);
       expect(outrankedMs).toBeLessThan(500);
     }
   });
 });
 
-describe('a box whose reads show the leader silent', () => {
-  /** Reads are answered so far apart, for all boxes at the same moments. */
+describe('a box whose reads show a heartbeat timeout', () => {
+  /** Interval of read responses, which arrive at all boxes at the same moments. */
   const CYCLE_MS = 850;
 
-  /** Time from the last sign to the claim. */
-  const measureClaimMs = (isOutranked: boolean, random: number, readsEarlierMs = 0): number => {
+  /** Returns the time from the last activity of the leader to the claim, in milliseconds. */
+  const computeClaimMs = (isOutranked: boolean, random: number, readsEarlierMs = 0): number => {
     let now = 1000;
     let lastOkAt = now;
     const clock = { readNow: () => now, readWall: () => now };
     const claims: number[] = [];
-    const follower = { readLastOkAt: () => lastOkAt, isFollowing: () => true, readOffset: () => 0 };
+    const follower = { getLastSuccessAt: () => lastOkAt, isFollowing: () => true, getOffset: () => 0 };
     const leadership = new Leadership({
       client: createLog(claims, clock.readNow),
       topic: 'keyed.states',
@@ -110,17 +110,17 @@
     return claims[0]! - 1000;
   };
 
-  it('waits from the read that showed it, so that boxes that read at the same moments claim one after the other', () => {
-    const strong = [0, 0.3, 0.8].map((random) => measureClaimMs(false, random));
+  it('delays its claim from the read that showed the timeout, so that boxes do not claim at the same moment', () => {
+    const strong = [0, 0.3, 0.8].map((random) => computeClaimMs(false, random));
     expect(strong).toEqual([1700, 1820, 2020]);
-    const weak = [0, 0.3, 0.8].map((random) => measureClaimMs(true, random));
+    const weak = [0, 0.3, 0.8].map((random) => computeClaimMs(true, random));
     expect(Math.min(...weak)).toBeGreaterThan(strong[1]! + 200);
-    // A weak box that sees the silence earlier than the strong ones still leaves them the first claim.
-    expect(measureClaimMs(true, 0, 390)).toBeGreaterThan(strong[2]!);
+    // A weak box that notices the timeout earlier than the strong ones still claims after them.
+    expect(computeClaimMs(true, 0, 390)).toBeGreaterThan(strong[2]!);
   });
 });
 
-/** A box that says it can use the log, whatever it is asked, after a time. */
+/** Starts a server that responds with success to every request, after a delay. */
 const startUsableBox = async (
   delayMs: number,
 ): Promise<{ readonly server: Server; readonly address: string }> => {
@@ -129,8 +129,8 @@
   return { server, address: `127.0.0.1:${(server.address() as AddressInfo).port}` };
 };
 
-describe('the boxes that may lead next', () => {
-  it('are first those not clearly weaker', () => {
+describe('candidates for the next leader', () => {
+  it('are the boxes that are not clearly weaker', () => {
     const directory = new BoxDirectory();
     const cores = { strong: 1.35, similar: 1, weak: 0.3 };
     directory.foldRecords(
@@ -164,21 +164,21 @@
     return directory;
   };
 
-  it('are not those whose link is narrow, however many cores they have', () => {
+  it('exclude boxes with a slow link, however many cores they have', () => {
     const directory = createUnlikeBoxes();
     expect(directory.readPeers({ cores: 1.35, linkMbps: 140 }).map(({ box }) => box)).toEqual(['wide']);
     expect(directory.readStronger({ cores: 0.81, linkMbps: 7 }).map(({ box }) => box)).toEqual(['wide']);
     expect(directory.readStronger({ cores: 1.35, linkMbps: 140 })).toEqual([]);
   });
 
-  it('tell by their cores alone where an earlier version announced them', () => {
+  it('are compared by cores alone when an earlier version announced them', () => {
     const directory = new BoxDirectory();
     const value = JSON.stringify({ address: 'old:80', cores: 0.81 });
     directory.foldRecords([{ offset: 0, key: BoxDirectory.toKey('old'), value }]);
     expect(directory.readStronger({ cores: 0.5, linkMbps: 1000 }).map(({ box }) => box)).toEqual(['old']);
   });
 
-  it('are the strongest that the log serves, when it serves none as strong as the one that asks', async () => {
+  it('are the strongest boxes that can use the log, when none is as strong as the one that hands over', async () => {
     const directory = createUnlikeBoxes();
     const asked: Server[] = [];
     const boxes = [
@@ -198,7 +198,7 @@
   });
 });
 
-describe('what earlier leaders leased', () => {
+describe('leases of earlier leaders', () => {
   const toRecord = (epoch: number, isResigned = false): LeaderRecord => ({
     epoch,
     box: `box-${epoch}`,
@@ -206,45 +206,45 @@
     isResigned,
   });
   const LEASE_BOUND_MS = 4370;
-  const UNCONFIRMED_MS = 8000;
+  const UNCONFIRMED_GRACE_MS = 8000;
 
-  it('ends a bounded time after the last sign of a leader, however late the next one is elected', () => {
+  it('expire a bounded time after the last activity of a leader, however late the next one is elected', () => {
     const leases = new LeaseHistory();
     leases.recordLeader(toRecord(1), 1000);
     leases.recordActivity(2000);
     leases.recordLeader(toRecord(2), 9000);
-    expect(leases.getEarlierEndAt()).toBe(2000 + LEASE_BOUND_MS + UNCONFIRMED_MS);
+    expect(leases.getEarlierEndAt()).toBe(2000 + LEASE_BOUND_MS + UNCONFIRMED_GRACE_MS);
   });
 
-  it('ends with the lease itself where the leader has said that it stopped', () => {
+  it('expire without the grace period when the leader has stopped gracefully', () => {
     const resigned = new LeaseHistory();
     resigned.recordLeader(toRecord(1), 1000);
     resigned.recordLeader(toRecord(1, true), 5000);
     resigned.recordLeader(toRecord(2), 5500);
     expect(resigned.getEarlierEndAt()).toBe(5000 + LEASE_BOUND_MS);
-    const told = new LeaseHistory();
-    told.recordLeader(toRecord(1), 1000);
-    told.recordStopped(1, 5000);
-    told.recordLeader(toRecord(2), 5500);
-    expect(told.getEarlierEndAt()).toBe(5000 + LEASE_BOUND_MS);
+    const notified = new LeaseHistory();
+    notified.recordLeader(toRecord(1), 1000);
+    notified.recordStopped(1, 5000);
+    notified.recordLeader(toRecord(2), 5500);
+    expect(notified.getEarlierEndAt()).toBe(5000 + LEASE_BOUND_MS);
   });
 
-  it('is not forgotten when a leader in between was short', () => {
+  it('are still bounded by an earlier leader when the one in between was short', () => {
     const leases = new LeaseHistory();
     leases.recordLeader(toRecord(1), 1000);
     leases.recordLeader(toRecord(2), 3000);
     leases.recordLeader(toRecord(2, true), 3100);
     leases.recordLeader(toRecord(3), 3200);
-    expect(leases.getEarlierEndAt()).toBe(1000 + LEASE_BOUND_MS + UNCONFIRMED_MS);
+    expect(leases.getEarlierEndAt()).toBe(1000 + LEASE_BOUND_MS + UNCONFIRMED_GRACE_MS);
   });
 
-  it('counts a heartbeat that is read after the word of its leader, and not the word of another', () => {
+  it('count from a heartbeat read after the stop message of its leader, and not from the stop message of another epoch', () => {
     const leases = new LeaseHistory();
     leases.recordLeader(toRecord(1), 1000);
     leases.recordStopped(1, 1100);
     leases.recordLeader(toRecord(1), 1200);
     leases.recordStopped(7, 1300);
     leases.recordLeader(toRecord(2), 1400);
-    expect(leases.getEarlierEndAt()).toBe(1200 + LEASE_BOUND_MS + UNCONFIRMED_MS);
+    expect(leases.getEarlierEndAt()).toBe(1200 + LEASE_BOUND_MS + UNCONFIRMED_GRACE_MS);
   });
 });
