--- a/packages/store/ExclusiveWriter.ts
+++ b/packages/store/ExclusiveWriter.ts
@@ -11,32 +11,32 @@
   readonly clock: Clock;
   readonly producer: string;
   readonly epoch: number;
-  /** Number of the newest append that this writer has made in the epoch. */
+  /** Sequence number of the last append of this writer in the epoch. */
   readonly lastSequence: number;
-  /** Waits this long for more records before an append is sent. */
+  /** Time to wait for more records before an append is sent. */
   readonly lingerMs: number;
   readonly maxBytes: number;
-  /** A newer writer holds the topic: nothing of this one lands any more. */
+  /** Called when a newer writer holds the topic, so that no further append of this one succeeds. */
   readonly handleFenced: (detail: string) => void;
-  /** An append was answered; the argument is when it was sent. */
+  /** Called when an append has succeeded, with the monotonic time at which it was sent. */
   readonly handleConfirmed: (sentAt: number) => void;
-  /** Appends fail, or work again; with the monotonic time at which the one that shows it was sent. */
+  /** Called when appends start to fail or succeed again, with the monotonic time at which that append was sent. */
   readonly handleConnection: (isConnected: boolean, detail: string, sentAt: number) => void;
 }
 
-interface QueuedChange {
+interface QueuedHandler {
   readonly handleWritten: () => void;
 }
 
 const RETRY_DELAY_MS = 60;
 
 /**
- * Appends as the one writer of an epoch. Appends are numbered, so that one without an answer is repeated without doubling.
- * Records are formatted when they are sent: a key that changed several times meanwhile is written once.
+ * Appends as the only writer of an epoch. Appends are numbered, so that a retry is not written twice.
+ * Records are formatted when they are sent, and a key that has changed several times until then is written once.
  */
 export class ExclusiveWriter {
   private readonly dirty = new Map<string, () => string>();
-  private queued: QueuedChange[] = [];
+  private queued: QueuedHandler[] = [];
   private sequence: number;
   private isSending = false;
   private isStopped = false;
@@ -48,8 +48,8 @@
   }
 
   /**
-   * Queues the newest value of a key. `handleWritten` is called once it is durable, and never when it is not.
-   * `formatValue` is called when the append is made.
+   * Queues the newest value of a key. `formatValue` is called when the append is sent. `handleWritten` is called once the value is
+   * durable, and never if it does not become so.
    */
   queueWrite(key: string, formatValue: () => string, handleWritten?: () => void): void {
     if (this.isStopped) {
@@ -65,12 +65,12 @@
     }
   }
 
-  /** How long appends have failed, in milliseconds; 0 while the newest was answered. */
+  /** Returns for how long appends have failed, in milliseconds; 0 after a success. */
   getOutageMs(): number {
     return this.failingSince === undefined ? 0 : this.options.clock.readNow() - this.failingSince;
   }
 
-  /** Calls the handler once everything queued so far is durable; at once when it is. */
+  /** Calls the handler once everything queued so far is durable, which may be at once. */
   queueBarrier(handleWritten: () => void): void {
     if (this.isSending) {
       this.queued.push({ handleWritten });
@@ -79,10 +79,10 @@
     }
   }
 
-  /** Sends the append under way once more if it has had no answer yet: the log is known to answer again. */
+  /** Retries the pending append at once if appends have been failing. Called when the log is known to have recovered. */
   retryPending(): void {
     if (this.failingSince !== undefined) {
-      this.interruption.stopWait();
+      this.interruption.cancel();
     }
   }
 
@@ -92,7 +92,7 @@
     this.queued = [];
   }
 
-  /** Resolves once all that is queued is durable, or the time is over. */
+  /** Resolves once everything queued is durable, or after the timeout. */
   async waitForFlush(timeoutMs: number): Promise<void> {
     const until = this.options.clock.readNow() + timeoutMs;
     while (this.isSending && this.options.clock.readNow() < until) {
@@ -104,7 +104,7 @@
     await startDelay(this.options.lingerMs);
     while (this.dirty.size > 0 && !this.isStopped) {
       const writes = this.createBatch();
-      // Changes that did not fit wait for the next append, and so do the handlers: a handler's record may be among them.
+      // Handlers wait until no change is left for the next append, since theirs may be among those left.
       const handlers = this.dirty.size === 0 ? this.queued.splice(0) : [];
       const isWritten = await this.sendBatch(writes);
       if (!isWritten) {
@@ -123,7 +123,7 @@
     let bytes = 0;
     for (const [key, formatValue] of this.dirty) {
       const write = { key, value: formatValue() };
-      bytes += appendRules.measureBytes(write);
+      bytes += appendRules.computeBytes(write);
       if (writes.length > 0 && bytes > this.options.maxBytes) {
         break;
       }
@@ -140,24 +140,24 @@
     while (!this.isStopped) {
       const sentAt = clock.readNow();
       const writer = { producer, epoch, sequence: this.sequence };
-      const answer = await this.interruption.startWait(client.append({ topic, writes, writer, timeoutMs }));
+      const response = await this.interruption.waitFor(client.append({ topic, writes, writer, timeoutMs }));
       if (this.hasStopped()) {
         return false;
       }
-      if (answer === undefined) {
+      if (response === undefined) {
         continue;
       }
-      if (answer.ok) {
+      if (response.ok) {
         this.recordConnection(true, '', sentAt);
         this.options.handleConfirmed(sentAt);
         return true;
       }
-      if (answer.error.kind === 'fenced') {
+      if (response.error.kind === 'fenced') {
         this.stop();
-        this.options.handleFenced(answer.error.detail);
+        this.options.handleFenced(response.error.detail);
         return false;
       }
-      const detail = answer.error.kind === 'forgotten' ? 'forgotten' : answer.error.detail;
+      const detail = response.error.kind === 'forgotten' ? 'forgotten' : response.error.detail;
       this.recordConnection(false, detail, sentAt);
       timeoutMs = Math.min(appendRules.maxTimeoutMs, timeoutMs * 2);
       await startDelay(RETRY_DELAY_MS);
--- a/packages/store/Interruption.ts
+++ b/packages/store/Interruption.ts
@@ -1,17 +1,17 @@
-/** Lets a wait for an answer be given up from outside. */
+/** Lets a pending wait for a call be interrupted. */
 export class Interruption {
   private handleInterrupted: (() => void) | undefined;
 
-  /** Resolves to the answer, or to undefined when the wait is interrupted first. The call itself goes on. */
-  startWait<Answer>(call: Promise<Answer>): Promise<Answer | undefined> {
+  /** Resolves to the result of the call, or to undefined when interrupted first. The call itself is not cancelled. */
+  waitFor<Value>(call: Promise<Value>): Promise<Value | undefined> {
     const interrupted = new Promise<undefined>((resolve) => {
       this.handleInterrupted = () => resolve(undefined);
     });
     return Promise.race([call, interrupted]);
   }
 
-  /** Ends the wait under way, if there is one. */
-  stopWait(): void {
+  /** Interrupts the pending wait, if there is one. */
+  cancel(): void {
     this.handleInterrupted?.();
     this.handleInterrupted = undefined;
   }
--- a/packages/store/LogClient.ts
+++ b/packages/store/LogClient.ts
@@ -8,47 +8,47 @@
   readonly topic: string;
   readonly writes: readonly LogWrite[];
   readonly timeoutMs: number;
-  /** Present for exclusive writers. */
+  /** Present for appends of an exclusive writer. */
   readonly writer?: WriterIdentity;
 }
 
 interface ReadRequest {
   readonly topic: string;
   readonly fromOffset: number;
-  /** How long the answer may wait for a record. */
+  /** Time that the log may wait for a record before it responds. */
   readonly waitMs: number;
-  /** Longest silence of the log, `waitMs` included. */
+  /** Time limit without data from the log, `waitMs` included. */
   readonly timeoutMs: number;
 }
 
 interface NewestRequest {
   readonly topic: string;
-  /** The page begins after this key; undefined for the first page. */
+  /** Key that the page starts after; undefined for the first page. */
   readonly afterKey: string | undefined;
-  /** Longest silence of the log. */
+  /** Time limit without data from the log. */
   readonly timeoutMs: number;
 }
 
-/** One page of the newest records by key, in the order of the keys. */
-interface NewestPage extends ReadAnswer {
-  /** True when keys after these remain. */
+/** Page of the newest records by key, in the order of the keys. */
+interface NewestPage extends ReadResponse {
+  /** True when there are further keys. */
   readonly hasMore: boolean;
 }
 
-/** What a read of the log gave. */
-interface ReadAnswer {
+/** Response of the log to a read. */
+interface ReadResponse {
   readonly records: readonly LogRecord[];
-  /** Offset after the newest record of the topic. */
+  /** Offset after the last record of the topic. */
   readonly endOffset: number;
 }
 
-/** What the product needs of the platform's log: keyed topics of one partition with linearizable appends and reads. */
+/** Client of the platform's log: keyed topics of one partition with linearizable appends and reads. */
 export interface LogClient {
-  /** Appends all records or none; gives the offset of the first. */
+  /** Appends all records or none, and returns the offset of the first. */
   append(request: AppendRequest): Promise<Result<number, LogError>>;
-  /** Reads records from an offset on. */
-  readRecords(request: ReadRequest): Promise<Result<ReadAnswer, LogError>>;
-  /** Reads the newest record of some keys. Pages are no snapshot; `NewestReader` reads a topic whole. */
+  /** Reads the records from an offset on. */
+  readRecords(request: ReadRequest): Promise<Result<ReadResponse, LogError>>;
+  /** Reads a page of the newest record of each key. Pages are not a consistent snapshot; see `NewestReader`. */
   readNewestPage(request: NewestRequest): Promise<Result<NewestPage, LogError>>;
   /** Closes all connections. */
   stop(): Promise<void>;
--- a/packages/store/LogError.ts
+++ b/packages/store/LogError.ts
@@ -1,9 +1,9 @@
 /**
- * Why a call to the log failed.
- * - `refused`: nothing was done.
- * - `unknown`: it may have been done, or may be done later.
+ * Reason for which a call to the log failed.
+ * - `refused`: the call has had no effect.
+ * - `unknown`: the call may have had its effect, or may still have it.
  * - `fenced`: a newer writer holds the partition.
- * - `forgotten`: the records asked for are gone; read the newest of each key instead.
+ * - `forgotten`: the requested records are no longer retained; read the newest record of each key instead.
  */
 export type LogError =
   | { readonly kind: 'refused'; readonly detail: string }
--- a/packages/store/LogFollower.ts
+++ b/packages/store/LogFollower.ts
@@ -14,49 +14,49 @@
   readonly topic: string;
   readonly clock: Clock;
   readonly random: Random;
-  /** Pause between reads, so that a busy topic costs few calls. */
+  /** Pause between reads, which bounds the number of calls for a busy topic. */
   readonly pauseMs: number;
-  /** How long a read waits for a record. Short ones notice silence sooner. */
+  /** Time that a read waits for a record. Shorter polls detect an unavailable log sooner. */
   readonly pollMs: number;
-  /** Takes records in order. After a gap in the log's history the newest of each key come again, so it must be idempotent. */
+  /** Handles records in order. Must be idempotent: after a gap the newest record of each key is delivered again. */
   readonly handleRecords: (records: readonly LogRecord[]) => void;
   /**
-   * Told when the whole topic has been read, when reads fail, the first ones too, and when they are answered again; with the
-   * monotonic time at which the read that shows it was sent.
+   * Called when the whole topic has been read, when reads start to fail (including the first ones), and when they succeed again, with
+   * the monotonic time at which that read was sent.
    */
   readonly handleConnection?: (isConnected: boolean, detail: string, sentAt: number) => void;
 }
 
-/** Silence beyond the wait that was asked for before a call is given up; doubles with each call that had no answer. */
+/** Time limit of a call beyond its long-poll wait; doubles with each call without a response. */
 const CALL_TIMEOUT_MS = 500;
 const MAX_CALL_TIMEOUT_MS = 1000;
-const READ_AGAIN_MS = 20;
+const RETRY_DELAY_MS = 20;
 const BACKOFF_BASE_MS = 60;
 const BACKOFF_MAX_MS = 400;
 
-/** Follows one topic of the log by long polls, from the newest record of each key on. */
+/** Follows a topic of the log by long polls, starting with the newest record of each key. */
 export class LogFollower {
   private offset: number | undefined;
   private isStopped = true;
-  /** Rises with each start, so that the loop of an earlier one ends even when its read returns late. */
+  /** Increases with each start, so that the loop of an earlier start ends even when its read returns late. */
   private generation = 0;
   private isConnected = false;
   private isFailing = false;
-  private hasAnswered = false;
+  private hasResponded = false;
   private newest: NewestReader;
   private readonly interruption = new Interruption();
-  private lastOkAt = -Infinity;
+  private lastSuccessAt = -Infinity;
   /**
-   * Monotonic time by which the read under way is answered. An answer that is read later has waited while this process was held up or its
-   * machine suspended: it tells nothing newer, and a box that woke took a live leader for silent by it.
+   * Monotonic time by which the pending read has a response. A response that is handled later was delayed in this process, by load or
+   * suspension of the machine, and counts as received at this time.
    */
   private dueAt = -Infinity;
-  /** Monotonic time at which the read under way was sent. */
+  /** Monotonic time at which the pending read was sent. */
   private sentAt = -Infinity;
-  private pauseEnd: AbortController | undefined;
+  private pauseAbort: AbortController | undefined;
   private pauseMs: number;
   private timeoutMs = CALL_TIMEOUT_MS;
-  /** A read outside the loop, and the one that follows it for those who ask meanwhile. */
+  /** A pending read outside the loop, and the next one, which serves callers that arrive meanwhile. */
   private refresh: Promise<boolean> | undefined;
   private nextRefresh: Promise<boolean> | undefined;
   private readonly backoff: Backoff;
@@ -71,7 +71,7 @@
     });
   }
 
-  /** Follows until `stop`; resolves then. */
+  /** Follows the topic. Resolves after `stop`. */
   async start(): Promise<void> {
     this.isStopped = false;
     this.generation += 1;
@@ -79,7 +79,7 @@
     while (this.isCurrent(generation)) {
       this.sentAt = this.options.clock.readNow();
       const read = this.offset === undefined ? this.readFirst() : this.readNext(this.offset);
-      const error = await this.interruption.startWait(read.then((failure) => failure ?? 'done'));
+      const error = await this.interruption.waitFor(read.then((failure) => failure ?? 'done'));
       if (!this.isCurrent(generation)) {
         break;
       }
@@ -88,68 +88,67 @@
       }
       if (error === 'done') {
         this.recordSuccess();
-        await this.startPause(this.pauseMs);
+        await this.waitPause(this.pauseMs);
       } else if (error.kind === 'forgotten') {
         this.offset = undefined;
         this.newest = new NewestReader(this.options.client, this.options.topic);
-        // A log that goes on forgetting would be read whole without a pause.
-        await this.startPause(this.backoff.chooseDelay());
+        // Avoids a tight loop of full reads when the log retains too little.
+        await this.waitPause(this.backoff.chooseDelay());
       } else {
         this.recordFailure(error);
-        await this.startPause(this.backoff.chooseDelay());
+        await this.waitPause(this.backoff.chooseDelay());
       }
     }
   }
 
   stop(): void {
     this.isStopped = true;
-    this.pauseEnd?.abort();
+    this.pauseAbort?.abort();
   }
 
   /**
-   * The log is known to answer calls sent at `answeredSentAt`, after an outage. Reads at once if the last read failed, or if the
-   * one under way was sent earlier: it may have gone into the outage, and would be missed only after its wait and time limit
-   * (1.5 s for a leader's long poll).
+   * Retries at once if the last read failed, or if the pending one was sent earlier and may have been lost in the outage. Called when
+   * the log has responded, after an outage, to a call sent at the monotonic time `successSentAt`.
    */
-  retryPending(answeredSentAt: number): void {
-    const isOlder = this.offset !== undefined && this.sentAt < answeredSentAt;
+  retryPending(successSentAt: number): void {
+    const isOlder = this.offset !== undefined && this.sentAt < successSentAt;
     if (this.isFailing || isOlder) {
-      this.interruption.stopWait();
+      this.interruption.cancel();
     }
     if (this.isFailing) {
-      this.pauseEnd?.abort();
+      this.pauseAbort?.abort();
     }
   }
 
-  /** Sets the pause between reads from now on. */
+  /** Sets the pause between reads, and ends the current one. */
   setPause(pauseMs: number): void {
     this.pauseMs = pauseMs;
-    this.pauseEnd?.abort();
+    this.pauseAbort?.abort();
   }
 
-  /** Offset of the next record to come; undefined before the first read. */
+  /** Returns the offset of the next record; undefined until the whole topic has been read. */
   getOffset(): number | undefined {
     return this.offset;
   }
 
-  /** Monotonic time of which the newest successful read tells. */
+  /** Returns the monotonic time up to which the newest successful read shows the topic. */
   getLastSuccessAt(): number {
-    return this.lastOkAt;
+    return this.lastSuccessAt;
   }
 
-  /** True while the whole topic is known and reads are answered. */
+  /** Returns true while the whole topic is known and reads succeed. */
   isFollowing(): boolean {
     return this.isConnected;
   }
 
-  /** True while reads are answered, also before the whole topic is known. */
+  /** Returns true while reads succeed, even before the whole topic is known. */
   isReachable(): boolean {
-    return this.hasAnswered && !this.isFailing;
+    return this.hasResponded && !this.isFailing;
   }
 
   /**
-   * Resolves to true once a read that was sent after this call has been handled; to false when there was none in time, and at
-   * once while the topic has not been read whole.
+   * Resolves to true once a read that was sent after this call has been handled. Resolves to false after the timeout, or at once while
+   * the whole topic has not been read.
    */
   waitForRefresh(timeoutMs: number): Promise<boolean> {
     return startBounded(this.queueRefresh(timeoutMs), timeoutMs, false);
@@ -162,7 +161,7 @@
       });
       return this.refresh;
     }
-    // The read under way may have been answered before this call: only the next one is sure to show what was there.
+    // The pending read may be older than this call: only the next one certainly shows the present state.
     this.nextRefresh ??= this.refresh.then(() => {
       this.nextRefresh = undefined;
       return this.queueRefresh(timeoutMs);
@@ -170,24 +169,24 @@
     return this.nextRefresh;
   }
 
-  /** Reads beside the loop, which may be in a long poll. */
+  /** Reads outside the loop, which may be in a long poll. */
   private async readNow(timeoutMs: number): Promise<boolean> {
     const { client, topic } = this.options;
     while (this.offset !== undefined) {
       const { offset } = this;
-      const answer = await client.readRecords({ topic, fromOffset: offset, waitMs: 0, timeoutMs });
-      if (!answer.ok) {
+      const response = await client.readRecords({ topic, fromOffset: offset, waitMs: 0, timeoutMs });
+      if (!response.ok) {
         return false;
       }
       if (this.offset === offset) {
-        this.applyRecords(answer.value.records);
+        this.applyRecords(response.value.records);
         return true;
       }
     }
     return false;
   }
 
-  /** Reads pages of the newest records until all have come or one fails; the next try goes on after those that came. */
+  /** Reads pages of the newest records until the topic is complete or a read fails. The next attempt resumes after the last page. */
   private async readFirst(): Promise<LogError | undefined> {
     while (this.offset === undefined && !this.isStopped) {
       this.dueAt = this.options.clock.readNow() + this.timeoutMs;
@@ -195,8 +194,8 @@
       if (!page.ok) {
         return page.error;
       }
-      this.recordAnswered();
-      // Unless a later read was quicker.
+      this.recordResponse();
+      // Unless a concurrent read has set it.
       this.offset ??= page.value.endOffset;
       this.options.handleRecords(page.value.records);
     }
@@ -205,17 +204,17 @@
 
   private async readNext(offset: number): Promise<LogError | undefined> {
     const { client, topic } = this.options;
-    // After a failure no long poll, so that the return of the log is noticed soon.
+    // No long poll after a failure, so that recovery of the log is noticed early.
     const waitMs = this.isConnected ? this.options.pollMs : 0;
     const timeoutMs = waitMs + this.timeoutMs;
     this.dueAt = this.options.clock.readNow() + timeoutMs;
-    const answer = await client.readRecords({ topic, fromOffset: offset, waitMs, timeoutMs });
-    if (!answer.ok) {
-      return answer.error;
+    const response = await client.readRecords({ topic, fromOffset: offset, waitMs, timeoutMs });
+    if (!response.ok) {
+      return response.error;
     }
-    // Unless a refresh or a later start has read on meanwhile.
+    // Unless a refresh or a later start has advanced it.
     if (this.offset === offset) {
-      this.applyRecords(answer.value.records);
+      this.applyRecords(response.value.records);
     }
     return undefined;
   }
@@ -229,17 +228,17 @@
   }
 
   private recordSuccess(): void {
-    this.recordAnswered();
+    this.recordResponse();
     if (!this.isConnected) {
       this.isConnected = true;
       this.options.handleConnection?.(true, '', this.sentAt);
     }
   }
 
-  private recordAnswered(): void {
-    this.lastOkAt = Math.max(this.lastOkAt, Math.min(this.options.clock.readNow(), this.dueAt));
+  private recordResponse(): void {
+    this.lastSuccessAt = Math.max(this.lastSuccessAt, Math.min(this.options.clock.readNow(), this.dueAt));
     this.timeoutMs = CALL_TIMEOUT_MS;
-    this.hasAnswered = true;
+    this.hasResponded = true;
     this.isFailing = false;
     this.backoff.recordSuccess();
   }
@@ -257,16 +256,16 @@
     }
   }
 
-  private async startPause(ms: number): Promise<void> {
+  private async waitPause(ms: number): Promise<void> {
     if (ms <= 0) {
       return;
     }
-    this.pauseEnd = new AbortController();
-    await startDelay(ms, this.pauseEnd.signal);
-    this.pauseEnd = undefined;
+    this.pauseAbort = new AbortController();
+    await startDelay(ms, this.pauseAbort.signal);
+    this.pauseAbort = undefined;
   }
 
-  /** Reads until all records before `offset` have been handled; false when the time is over first. */
+  /** Reads until all records before `offset` have been handled. Resolves to false after the timeout. */
   async waitForOffset(offset: number, timeoutMs: number): Promise<boolean> {
     const until = this.options.clock.readNow() + timeoutMs;
     while ((this.offset ?? 0) < offset) {
@@ -275,7 +274,7 @@
         return false;
       }
       if (!(await this.waitForRefresh(leftMs))) {
-        await startDelay(READ_AGAIN_MS);
+        await startDelay(RETRY_DELAY_MS);
       }
     }
     return true;
--- a/packages/store/LogRecord.ts
+++ b/packages/store/LogRecord.ts
@@ -1,7 +1,7 @@
-/** One record of a keyed topic. */
+/** Record of a keyed topic. */
 export interface LogRecord {
   readonly offset: number;
   readonly key: string;
-  /** Empty when the key was dropped. */
+  /** Empty for a deleted key. */
   readonly value: string;
 }
--- a/packages/store/LogWrite.ts
+++ b/packages/store/LogWrite.ts
@@ -1,4 +1,4 @@
-/** One record to append: an empty value drops the key. */
+/** Record to append. An empty value deletes the key. */
 export interface LogWrite {
   readonly key: string;
   readonly value: string;
--- a/packages/store/LogWriter.ts
+++ b/packages/store/LogWriter.ts
@@ -13,12 +13,12 @@
   readonly client: LogClient;
   readonly topic: string;
   readonly clock: Clock;
-  /** Waits this long for more records before an append is sent. */
+  /** Time to wait for more records before an append is sent. */
   readonly lingerMs: number;
-  /** Largest append in bytes. */
+  /** Maximum size of an append in bytes. */
   readonly maxBytes: number;
   readonly random: Random;
-  /** A record that may be written at any time, to try whether the log is back. */
+  /** Record that may be written at any time, to probe whether the log has recovered. */
   readonly probe: LogWrite;
 }
 
@@ -30,11 +30,11 @@
 
 const RETRY_DELAY_MS = 50;
 const PROBE_PAUSE_MS = 300;
-const PROBE_LIMIT_MS = 700;
+const PROBE_TIMEOUT_MS = 700;
 
 /**
- * Appends records of many callers with few calls: one append at a time, and all that came meanwhile goes into the next.
- * The records must bear being appended twice, since an append without an answer is tried again.
+ * Appends records of many callers in batches: one append at a time, while further records are queued for the next one.
+ * An append without a response is retried, so that records must be idempotent.
  */
 export class LogWriter implements RecordWriter {
   private readonly queued: QueuedWrite[] = [];
@@ -46,7 +46,7 @@
 
   constructor(private readonly options: LogWriterOptions) {}
 
-  /** Appends one record. Answers by the deadline, in monotonic milliseconds, at the latest. */
+  /** Appends a record. Resolves by the deadline, in monotonic milliseconds, at the latest. */
   writeRecord(write: LogWrite, deadline: number): Promise<WriteOutcome> {
     return new Promise((resolve) => {
       this.queued.push({ write, deadline, resolve });
@@ -57,40 +57,40 @@
     });
   }
 
-  /** How long appends have failed, in milliseconds; 0 while the newest was answered. */
+  /** Returns for how long appends have failed, in milliseconds; 0 after a success. */
   getOutageMs(): number {
     return this.failingSince === undefined ? 0 : this.options.clock.readNow() - this.failingSince;
   }
 
-  /** Sends the append under way once more if it has had no answer yet: the log is known to answer again. */
+  /** Retries the pending append at once if appends have been failing. Called when the log is known to have recovered. */
   retryPending(): void {
     if (this.failingSince !== undefined) {
-      this.interruption.stopWait();
+      this.interruption.cancel();
     }
   }
 
   private async sendQueued(): Promise<void> {
     await startDelay(this.options.lingerMs);
     while (this.queued.length > 0) {
-      const isAnswered = await this.sendBatch(this.createBatch());
-      if (!isAnswered) {
-        // Nothing of these has been sent, so that they certainly do not land: better than to send them into the same silence.
+      const isWritten = await this.sendBatch(this.createBatch());
+      if (!isWritten) {
+        // These have not been sent, so that they certainly have no effect.
         this.queued.splice(0).forEach(({ resolve }) => resolve('refused'));
       }
     }
     this.isSending = false;
     if (this.failingSince !== undefined && !this.isProbing) {
-      void this.startProbing();
+      void this.runProbes();
     }
   }
 
-  /** While appends fail, tries by itself whether the log is back, so that no caller has to. */
-  private async startProbing(): Promise<void> {
+  /** Probes the log until it has recovered, independently of callers. */
+  private async runProbes(): Promise<void> {
     const { clock, probe } = this.options;
     this.isProbing = true;
     while (this.failingSince !== undefined) {
       await startDelay(PROBE_PAUSE_MS * (1 + this.options.random()));
-      await this.writeRecord(probe, clock.readNow() + PROBE_LIMIT_MS);
+      await this.writeRecord(probe, clock.readNow() + PROBE_TIMEOUT_MS);
     }
     this.isProbing = false;
   }
@@ -99,7 +99,7 @@
     let bytes = 0;
     let count = 0;
     for (const { write } of this.queued) {
-      bytes += appendRules.measureBytes(write);
+      bytes += appendRules.computeBytes(write);
       if (count > 0 && bytes > this.options.maxBytes) {
         break;
       }
@@ -109,42 +109,42 @@
   }
 
   /**
-   * Tries a batch until it is answered; writes whose deadline passes meanwhile are given up one by one. False when all were given
-   * up.
+   * Sends a batch, with retries until it succeeds or the deadlines of all writes have passed. Writes are settled one by one when their
+   * deadline passes. Resolves to false when no write succeeded.
    */
   private async sendBatch(batch: readonly QueuedWrite[]): Promise<boolean> {
-    let open = batch;
-    let mayHaveLanded = false;
-    while (open.length > 0) {
-      const timeoutMs = Math.min(this.timeoutMs, this.readLongestLeft(open));
+    let pending = batch;
+    let mayBeWritten = false;
+    while (pending.length > 0) {
+      const timeoutMs = Math.min(this.timeoutMs, this.computeMaxRemainingMs(pending));
       const { client, topic } = this.options;
-      const writes = open.map(({ write }) => write);
-      const answer = await this.interruption.startWait(client.append({ topic, writes, timeoutMs }));
-      if (answer === undefined) {
-        mayHaveLanded = true;
+      const writes = pending.map(({ write }) => write);
+      const response = await this.interruption.waitFor(client.append({ topic, writes, timeoutMs }));
+      if (response === undefined) {
+        mayBeWritten = true;
         continue;
       }
-      if (answer.ok) {
+      if (response.ok) {
         this.recordSuccess();
-        open.forEach(({ resolve }) => resolve('written'));
+        pending.forEach(({ resolve }) => resolve('written'));
         return true;
       }
-      this.recordFailure(answer.error);
-      mayHaveLanded = mayHaveLanded || answer.error.kind === 'unknown';
+      this.recordFailure(response.error);
+      mayBeWritten = mayBeWritten || response.error.kind === 'unknown';
       const now = this.options.clock.readNow() + RETRY_DELAY_MS;
-      open
+      pending
         .filter(({ deadline }) => deadline <= now)
-        .forEach(({ resolve }) => resolve(mayHaveLanded ? 'unknown' : 'refused'));
-      open = open.filter(({ deadline }) => deadline > now);
-      if (open.length > 0) {
+        .forEach(({ resolve }) => resolve(mayBeWritten ? 'unknown' : 'refused'));
+      pending = pending.filter(({ deadline }) => deadline > now);
+      if (pending.length > 0) {
         await startDelay(RETRY_DELAY_MS);
       }
     }
     return false;
   }
 
-  private readLongestLeft(open: readonly QueuedWrite[]): number {
-    const latest = Math.max(...open.map(({ deadline }) => deadline));
+  private computeMaxRemainingMs(pending: readonly QueuedWrite[]): number {
+    const latest = Math.max(...pending.map(({ deadline }) => deadline));
     return Math.max(1, latest - this.options.clock.readNow());
   }
 
--- a/packages/store/NewestReader.ts
+++ b/packages/store/NewestReader.ts
@@ -3,19 +3,19 @@
 import type { LogError } from './LogError';
 import type { LogRecord } from './LogRecord';
 
-interface PartOfTopic {
+interface TopicPage {
   readonly records: readonly LogRecord[];
-  /** Offset from which the records go on; present once every key has been read. */
+  /** Offset to continue reading from; undefined until every key has been read. */
   readonly endOffset: number | undefined;
 }
 
 /**
- * Reads the newest record of every key of a topic, page by page. A page that came is kept: after a failure the reading goes on
- * where it stood, so that a whole topic passes a narrow or failing link in the end.
+ * Reads the newest record of every key of a topic, page by page. After a failure it resumes with the next page, so that even a slow
+ * or unreliable link transfers the whole topic eventually.
  */
 export class NewestReader {
   private afterKey: string | undefined;
-  /** End of the topic as the first page gave it: records that change between pages come again from there on. */
+  /** End of the topic at the first page. Reading continues from there, which repeats records that changed between pages. */
   private endOffset: number | undefined;
 
   constructor(
@@ -23,8 +23,8 @@
     private readonly topic: string,
   ) {}
 
-  /** Reads the next page. `timeoutMs` bounds the silence of the log, not the length of the answer. */
-  async readPage(timeoutMs: number): Promise<Result<PartOfTopic, LogError>> {
+  /** Reads the next page. `timeoutMs` bounds the time without data from the log, not the duration of the response. */
+  async readPage(timeoutMs: number): Promise<Result<TopicPage, LogError>> {
     const { topic, afterKey } = this;
     const page = await this.client.readNewestPage({ topic, afterKey, timeoutMs });
     if (!page.ok) {
@@ -32,13 +32,13 @@
     }
     const { records, hasMore } = page.value;
     if (this.afterKey !== afterKey) {
-      // A call that was made again meanwhile was quicker.
+      // A concurrent call has read this page already.
       return { ok: true, value: { records: [], endOffset: undefined } };
     }
     this.endOffset ??= page.value.endOffset;
     const last = records[records.length - 1];
     this.afterKey = last?.key ?? afterKey;
-    const isWhole = !hasMore || last === undefined;
-    return { ok: true, value: { records, endOffset: isWhole ? this.endOffset : undefined } };
+    const isComplete = !hasMore || last === undefined;
+    return { ok: true, value: { records, endOffset: isComplete ? this.endOffset : undefined } };
   }
 }
--- a/packages/store/RecordWriter.ts
+++ b/packages/store/RecordWriter.ts
@@ -1,10 +1,10 @@
 import type { LogWrite } from './LogWrite';
 import type { WriteOutcome } from './WriteOutcome';
 
-/** Makes records durable in one topic. Records must bear being written twice. */
+/** Writes records to one topic. Records may be written twice, and must be idempotent. */
 export interface RecordWriter {
-  /** Writes one record. Answers by the deadline, in monotonic milliseconds, at the latest. */
+  /** Writes a record. Resolves by the deadline, in monotonic milliseconds, at the latest. */
   writeRecord(write: LogWrite, deadline: number): Promise<WriteOutcome>;
-  /** How long writes have failed, in milliseconds; 0 while the newest was answered. */
+  /** Returns for how long writes have failed, in milliseconds; 0 after a success. */
   getOutageMs(): number;
 }
--- a/packages/store/WriterIdentity.ts
+++ b/packages/store/WriterIdentity.ts
@@ -1,7 +1,7 @@
-/** Identifies an exclusive writer of a topic. The log refuses writers with a lower epoch than it has seen. */
+/** Identity of an exclusive writer of a topic. The log rejects writers with a lower epoch than it has seen. */
 export interface WriterIdentity {
   readonly producer: string;
   readonly epoch: number;
-  /** Number of this append in the epoch; a repeated number gets its first answer again. */
+  /** Number of the append in the epoch. A repeated append gets the response to the first one. */
   readonly sequence: number;
 }
--- a/tests/logFollower.test.ts
+++ b/tests/logFollower.test.ts
@@ -4,10 +4,10 @@
 import { LogFollower } from '../packages/store/LogFollower';
 
 const POLL_MS = 1000;
-/** Far below the wait and the time limit of a read without an answer. */
-const AT_ONCE_MS = 100;
+/** Far below the wait and the time limit of a read without a response. */
+const IMMEDIATE_MS = 100;
 const FORGETTING_MS = 600;
-/** One each 30 ms, half of the shortest wait. */
+/** One per 30 ms, the shortest backoff. */
 const MAX_FORGOTTEN_READS = 20;
 
 describe('a follower of a topic', () => {
@@ -15,7 +15,7 @@
 
   afterEach(() => follower?.stop());
 
-  /** A log whose first long poll goes into an outage and is never answered. */
+  /** Creates a log whose long polls never get a response. */
   const createLog = (readTimes: number[]): LogClient => ({
     append: () => Promise.reject(new Error('not used')),
     readNewestPage: () => Promise.resolve({ ok: true, value: { records: [], endOffset: 0, hasMore: false } }),
@@ -40,13 +40,13 @@
     return follower;
   };
 
-  it('rests between reads of a log that keeps forgetting', async () => {
+  it('backs off between reads of a log that does not retain the records', async () => {
     let reads = 0;
     const log: LogClient = {
       ...createLog([]),
       readRecords: async () => {
         reads += 1;
-        await startWait(1);
+        await waitFor(1);
         return { ok: false, error: { kind: 'forgotten', firstOffset: 0 } };
       },
     };
@@ -60,30 +60,30 @@
       handleRecords: () => undefined,
     });
     void follower.start();
-    await startWait(FORGETTING_MS);
+    await waitFor(FORGETTING_MS);
     expect(reads).toBeGreaterThan(1);
     expect(reads).toBeLessThanOrEqual(MAX_FORGOTTEN_READS);
   });
 
-  const startWait = (ms: number): Promise<void> => new Promise((resolve) => setTimeout(resolve, ms));
+  const waitFor = (ms: number): Promise<void> => new Promise((resolve) => setTimeout(resolve, ms));
 
-  it('reads anew when a call that was sent after its own has shown that the log is back', async () => {
+  it('retries when a call sent after its pending read has shown that the log has recovered', async () => {
     const readTimes: number[] = [];
     const started = startFollower(readTimes);
-    await startWait(20);
+    await waitFor(20);
     expect(readTimes).toHaveLength(1);
     started.retryPending(systemClock.readNow());
-    await startWait(AT_ONCE_MS);
+    await waitFor(IMMEDIATE_MS);
     expect(readTimes).toHaveLength(2);
   });
 
-  it('does not read anew for the answer to a call that was sent before its own', async () => {
+  it('does not retry for the response to a call sent before its pending read', async () => {
     const readTimes: number[] = [];
     const earlier = systemClock.readNow();
     const started = startFollower(readTimes);
-    await startWait(20);
+    await waitFor(20);
     started.retryPending(earlier);
-    await startWait(AT_ONCE_MS);
+    await waitFor(IMMEDIATE_MS);
     expect(readTimes).toHaveLength(1);
   });
 });
--- a/tests/logWriter.test.ts
+++ b/tests/logWriter.test.ts
@@ -8,7 +8,7 @@
 const DEADLINE_MS = 500;
 const PROBE = { key: 'b/box', value: 'here' };
 
-describe('writes to a log that does not answer', () => {
+describe('writes to a log that does not respond', () => {
   it('are refused, not unknown, when they were never sent', async () => {
     const sentKeys = new Set<string>();
     const client: LogClient = {
