--- a/packages/logging/DecisionLog.ts
+++ b/packages/logging/DecisionLog.ts
@@ -1,6 +1,6 @@
 import type { Logger } from '../common/Logger';
-import { chooseStoryDepth } from './chooseStoryDepth';
-import { LeftOutLines } from './LeftOutLines';
+import { chooseMinSamplingLevel } from './chooseMinSamplingLevel';
+import { SuppressedLines } from './SuppressedLines';
 import { LineBudget } from './LineBudget';
 import type { LineClass } from './LineClass';
 import type { LineFields } from './LineFields';
@@ -12,111 +12,115 @@
 
 interface DecisionLogOptions {
   readonly box: string;
-  /** Takes one line with its newline. Must not block. */
+  /** Writes a line, which includes its newline. Must not block. */
   readonly writeLine: (line: string) => void;
-  /** Bytes that wait to be taken by the reader of the lines. */
+  /** Returns the number of bytes that the reader of the log has not consumed. */
   readonly getBacklogBytes: () => number;
-  /** Monotonic milliseconds. */
+  /** Returns monotonic milliseconds. */
   readonly readNow: () => number;
-  /** Milliseconds since 1970. */
+  /** Returns Unix milliseconds. */
   readonly readWall: () => number;
-  /** Most lines a second in the mean. */
+  /** Maximum mean rate of lines. */
   readonly linesPerSecond: number;
 }
 
 interface Line {
   readonly level: LineLevel;
   readonly part: string;
-  readonly sentence: string;
+  readonly message: string;
   readonly fields: LineFields | undefined;
 }
 
 const MAX_BACKLOG_BYTES = 1_000_000;
-const PART = 'sight';
+const OWN_PART = 'sight';
 
 /**
- * A log of one JSON object a line whose volume is bounded, by lines a second and by what its reader has not taken. What stays is chosen by the class of
- * a line and, among lines of jobs, by whole stories of some jobs; what is left out is counted and told.
+ * Log of one JSON object per line, with a bounded rate of lines and a bounded backlog of its reader. Lines have priority by class. Lines of
+ * jobs are sampled by job, so that all lines of a sampled job are kept. Suppressed lines are counted, and the counts are logged.
  */
 export class DecisionLog {
   private readonly budget: LineBudget;
   private readonly rates = new LineRates();
-  private readonly leftOut: LeftOutLines;
+  private readonly suppressed: SuppressedLines;
 
   constructor(private readonly options: DecisionLogOptions) {
     const now = options.readNow();
     this.budget = new LineBudget(options.linesPerSecond, now);
-    this.leftOut = new LeftOutLines(now);
+    this.suppressed = new SuppressedLines(now);
   }
 
-  /** The logger of one part of the process. */
+  /** Creates the logger of one part of the process. */
   createLogger(part: string): Logger {
     return {
-      info: (sentence, fields) => this.handleLine({ level: 'info', part, sentence, fields }),
-      warn: (sentence, fields) => this.handleLine({ level: 'warn', part, sentence, fields }),
-      error: (sentence, fields) => this.handleLine({ level: 'error', part, sentence, fields }),
+      info: (message, fields) => this.handleLine({ level: 'info', part, message, fields }),
+      warn: (message, fields) => this.handleLine({ level: 'warn', part, message, fields }),
+      error: (message, fields) => this.handleLine({ level: 'error', part, message, fields }),
     };
   }
 
-  /** Tells what was left out, if it is time: also where no further line comes. */
+  /** Logs the counts of suppressed lines when due. Called periodically, since further lines may not come. */
   applyTime(): void {
     const now = this.options.readNow();
-    if (this.leftOut.isDue(now)) {
-      this.writeLeftOut(now);
+    if (this.suppressed.isReportDue(now)) {
+      this.writeSuppressed(now);
     }
   }
 
-  /** Tells what was left out since it was last told: the process ends. */
+  /** Logs the remaining counts of suppressed lines at the end of the process. */
   stop(): void {
-    if (this.leftOut.hasLines()) {
-      this.writeLeftOut(this.options.readNow());
+    if (this.suppressed.hasSuppressed()) {
+      this.writeSuppressed(this.options.readNow());
     }
   }
 
   private handleLine(line: Line): void {
     this.applyTime();
     const now = this.options.readNow();
-    const known = getLineClass(line.level, line.sentence, line.fields);
-    this.rates.recordLine(known === 'story', now);
-    const depth = this.readDepth();
-    const lineClass = known === 'story' ? this.chooseStoryClass(line, depth) : known;
-    if (this.hasRoom(lineClass, now)) {
+    const baseClass = getLineClass(line.level, line.message, line.fields);
+    this.rates.recordLine(baseClass === 'story', now);
+    const minLevel = this.getMinSamplingLevel();
+    const lineClass = baseClass === 'story' ? this.chooseJobLineClass(line, minLevel) : baseClass;
+    if (this.hasBudget(lineClass, now)) {
       this.writeEntry(line);
     } else {
-      this.leftOut.recordLine(line.sentence, depth);
+      this.suppressed.recordLine(line.message, minLevel);
     }
   }
 
-  private chooseStoryClass({ fields }: Line, depth: number): LineClass {
-    return computeSamplingLevel(findLineJob(fields) ?? '') >= depth ? 'story' : 'rest';
+  private chooseJobLineClass({ fields }: Line, minLevel: number): LineClass {
+    return computeSamplingLevel(findLineJob(fields) ?? '') >= minLevel ? 'story' : 'rest';
   }
 
-  private readDepth(): number {
+  private getMinSamplingLevel(): number {
     const { rates } = this;
-    return chooseStoryDepth(this.options.linesPerSecond, rates.readStoryRate(), rates.readOtherRate());
+    return chooseMinSamplingLevel(
+      this.options.linesPerSecond,
+      rates.getJobLineRate(),
+      rates.computeOtherRate(),
+    );
   }
 
-  private hasRoom(lineClass: LineClass, now: number): boolean {
-    const isTaken = lineClass === 'error' || this.isReaderTaking();
-    return isTaken && this.budget.claim(lineClass, now);
+  private hasBudget(lineClass: LineClass, now: number): boolean {
+    const canWrite = lineClass === 'error' || this.isReaderKeepingUp();
+    return canWrite && this.budget.takeToken(lineClass, now);
   }
 
-  private isReaderTaking(): boolean {
+  private isReaderKeepingUp(): boolean {
     return this.options.getBacklogBytes() < MAX_BACKLOG_BYTES;
   }
 
-  /** Takes room like an error: without this line nobody knows that others are missing. */
-  private writeLeftOut(now: number): void {
-    if (this.isReaderTaking()) {
-      this.budget.claim('error', now);
-      const fields = this.leftOut.readFields(now);
-      this.writeEntry({ level: 'info', part: PART, sentence: 'Lines left out.', fields });
+  /** Logs the counts of suppressed lines, with the priority of an error. */
+  private writeSuppressed(now: number): void {
+    if (this.isReaderKeepingUp()) {
+      this.budget.takeToken('error', now);
+      const fields = this.suppressed.takeFields(now);
+      this.writeEntry({ level: 'info', part: OWN_PART, message: 'Lines left out.', fields });
     }
   }
 
-  private writeEntry({ level, part, sentence, fields }: Line): void {
+  private writeEntry({ level, part, message, fields }: Line): void {
     const time = new Date(this.options.readWall()).toISOString();
-    const entry = { time, level, box: this.options.box, part, message: sentence, ...fields };
+    const entry = { time, level, box: this.options.box, part, message, ...fields };
     this.options.writeLine(`${JSON.stringify(entry)}\n`);
   }
 }
--- a/packages/logging/JobTrace.ts
+++ b/packages/logging/JobTrace.ts
@@ -6,12 +6,12 @@
 import type { RunAccount } from '../ledger/RunAccount';
 import { toRunKey } from '../ledger/toRunKey';
 
-/** Runs kept of a job: a critical path has a run for each step, and one more for each try. */
+/** Maximum number of runs kept per job, enough for the critical path with retries. */
 const MAX_RUNS = 48;
 
-/** What the leader remembers of a live job's runs that have ended, to tell why it is late. Times that come in are monotonic. */
+/** Ended runs of a live job, from which a late end can be explained. Time arguments are monotonic. */
 export class JobTrace {
-  /** In the order in which they ended. */
+  /** In order of their ends. */
   private runs: RunAccount[] = [];
   private newestAt: number;
 
@@ -21,8 +21,8 @@
 
   recordRun(
     run: PlacedRun,
-    { incarnation: life, hall }: EndpointProfile,
-    { outcome, reportedEnd: how }: RunEnd,
+    { incarnation, hall }: EndpointProfile,
+    { outcome, reportedEnd }: RunEnd,
     now: number,
   ): void {
     this.newestAt = now;
@@ -33,17 +33,17 @@
       waits: run.waits ?? {},
       endedAt: now,
       outcome,
-      how: how ?? '',
+      how: reportedEnd ?? '',
       why: run.stopCause ?? '',
-      endpoint: life,
+      endpoint: incarnation,
       hall,
       recordMs: run.recordedAt - run.placedAt,
       startMs: Math.max(0, run.confirmedAt - run.recordedAt),
     });
-    this.applyBound();
+    this.removeExcessRun();
   }
 
-  /** The account of the job, which ends now at a wall clock time. */
+  /** Creates the account of the job, which has ended at a wall clock time in Unix milliseconds. */
   createAccount({ id, queue, ...definition }: JobDefinition, ending: string, wallMs: number): JobAccount {
     const offsetMs = wallMs - this.newestAt;
     const dueAt = definition.firstRunMs + (definition.times - 1) * definition.intervalMs;
@@ -68,8 +68,8 @@
     };
   }
 
-  /** Of runs that were done the one that ended first goes first: what followed had to wait for a later one. */
-  private applyBound(): void {
+  /** Removes the earliest completed run when there are too many, since later steps wait for later runs. */
+  private removeExcessRun(): void {
     if (this.runs.length > MAX_RUNS) {
       const first = this.runs.findIndex(({ outcome }) => outcome === 'done');
       this.runs.splice(Math.max(0, first), 1);
--- a/packages/logging/LineBatcher.ts
+++ b/packages/logging/LineBatcher.ts
@@ -1,61 +1,61 @@
 import type { Logger } from '../common/Logger';
-import { gatheredLines } from './gatheredLines';
+import { batchedLines } from './batchedLines';
 import type { LineFields } from './LineFields';
 
-/** What is told by one line happened within so long; the line stands so much later, or up to the next look at the time. */
-const GATHER_MS = 50;
-/** A line stays below some kilobytes. */
+/** Lines of a batch are from within this time, which delays the batch. */
+const BATCH_MS = 50;
+/** Bounds the size of a line. */
 const MAX_ROWS = 40;
 
-interface Gathered {
-  readonly sentence: string;
+interface Batch {
+  readonly message: string;
   readonly shared: LineFields;
   readonly rows: LineFields[];
   readonly since: number;
 }
 
-const toPart = (fields: LineFields, isWanted: (name: string) => boolean): LineFields =>
-  Object.fromEntries(Object.entries(fields).filter(([name]) => isWanted(name)));
+const toFieldSubset = (fields: LineFields, isIncluded: (name: string) => boolean): LineFields =>
+  Object.fromEntries(Object.entries(fields).filter(([name]) => isIncluded(name)));
 
-/** Writes lines of one kind that come together as one line with rows; all others as they come. */
+/** Combines similar lines of one moment into one line with rows. Other lines are written at once. */
 export class LineBatcher {
-  private readonly gathered = new Map<string, Gathered>();
+  private readonly batches = new Map<string, Batch>();
 
   constructor(private readonly logger: Logger) {}
 
-  recordLine(sentence: string, fields: LineFields, now: number): void {
-    const rowFields = gatheredLines[sentence];
+  recordLine(message: string, fields: LineFields, now: number): void {
+    const rowFields = batchedLines[message];
     if (rowFields === undefined) {
-      this.logger.info(sentence, fields);
+      this.logger.info(message, fields);
       return;
     }
-    const shared = toPart(fields, (name) => !rowFields.includes(name));
-    const key = `${sentence} ${JSON.stringify(shared)}`;
-    const one = this.gathered.get(key) ?? { sentence, shared, rows: [], since: now };
-    this.gathered.set(key, one);
-    one.rows.push(toPart(fields, (name) => rowFields.includes(name)));
-    if (one.rows.length >= MAX_ROWS) {
-      this.writeGathered(key, one);
+    const shared = toFieldSubset(fields, (name) => !rowFields.includes(name));
+    const key = `${message} ${JSON.stringify(shared)}`;
+    const batch = this.batches.get(key) ?? { message, shared, rows: [], since: now };
+    this.batches.set(key, batch);
+    batch.rows.push(toFieldSubset(fields, (name) => rowFields.includes(name)));
+    if (batch.rows.length >= MAX_ROWS) {
+      this.writeBatch(key, batch);
     }
   }
 
-  /** Writes what has waited long enough. */
+  /** Writes the batches that are due. */
   applyTime(now: number): void {
-    for (const [key, one] of this.gathered) {
-      if (now - one.since >= GATHER_MS) {
-        this.writeGathered(key, one);
+    for (const [key, batch] of this.batches) {
+      if (now - batch.since >= BATCH_MS) {
+        this.writeBatch(key, batch);
       }
     }
   }
 
-  /** Writes all that waits. */
+  /** Writes all pending batches. */
   stop(): void {
-    this.gathered.forEach((one, key) => this.writeGathered(key, one));
+    this.batches.forEach((batch, key) => this.writeBatch(key, batch));
   }
 
-  /** A single one is written like any other line, so that its job has it among its own. */
-  private writeGathered(key: string, { sentence, shared, rows }: Gathered): void {
-    this.gathered.delete(key);
-    this.logger.info(sentence, rows.length === 1 ? { ...rows[0], ...shared } : { ...shared, rows });
+  /** Writes a batch. A single line is written in the usual form, so that it is found by its job. */
+  private writeBatch(key: string, { message, shared, rows }: Batch): void {
+    this.batches.delete(key);
+    this.logger.info(message, rows.length === 1 ? { ...rows[0], ...shared } : { ...shared, rows });
   }
 }
--- a/packages/logging/LineBudget.ts
+++ b/packages/logging/LineBudget.ts
@@ -1,9 +1,9 @@
 import type { LineClass } from './LineClass';
 
-/** Lines of several seconds may come at once. */
+/** Capacity of the bucket, in seconds at the mean rate. */
 const BURST_SECONDS = 4;
-/** Part of the bucket that must be left over for a line of a class to be written: what graver lines have to themselves. */
-const FLOORS: Readonly<Record<LineClass, number>> = {
+/** Part of the capacity that is reserved for lines of higher classes. */
+const RESERVED_PARTS: Readonly<Record<LineClass, number>> = {
   error: -Infinity,
   vital: 0,
   notable: 0.15,
@@ -11,7 +11,7 @@
   rest: 0.75,
 };
 
-/** Room for lines: a token bucket from which graver lines may take more. */
+/** Token bucket for lines, which classes of higher priority may empty further. */
 export class LineBudget {
   private readonly capacity: number;
   private tokens: number;
@@ -24,19 +24,19 @@
     this.tokens = this.capacity;
   }
 
-  /** Takes room for a line of a class; false when there is none. */
-  claim(lineClass: LineClass, now: number): boolean {
-    this.applyTime(now);
-    if (this.tokens < Math.max(1, this.capacity * FLOORS[lineClass]) && lineClass !== 'error') {
+  /** Takes a token for a line of a class. Returns false when none is available to the class. */
+  takeToken(lineClass: LineClass, now: number): boolean {
+    this.addTokens(now);
+    if (this.tokens < Math.max(1, this.capacity * RESERVED_PARTS[lineClass]) && lineClass !== 'error') {
       return false;
     }
     this.tokens -= 1;
     return true;
   }
 
-  private applyTime(now: number): void {
-    const gained = ((now - this.filledAt) / 1000) * this.linesPerSecond;
-    this.tokens = Math.min(this.capacity, this.tokens + gained);
+  private addTokens(now: number): void {
+    const added = ((now - this.filledAt) / 1000) * this.linesPerSecond;
+    this.tokens = Math.min(this.capacity, this.tokens + added);
     this.filledAt = now;
   }
 }
--- a/packages/logging/LineFields.ts
+++ b/packages/logging/LineFields.ts
@@ -1,2 +1,2 @@
-/** What stands beside the sentence of a line. */
+/** Structured fields of a log line. */
 export type LineFields = Readonly<Record<string, unknown>>;
--- a/packages/logging/LineLevel.ts
+++ b/packages/logging/LineLevel.ts
@@ -1,2 +1,2 @@
-/** How grave a line is by the part that writes it. */
+/** Severity of a log line. */
 export type LineLevel = 'info' | 'warn' | 'error';
--- a/packages/logging/gatheredLines.ts
+++ b/packages/logging/batchedLines.ts
@@ -1,8 +1,7 @@
 /**
- * Lines that come by the dozen at one moment, with the fields in which they differ. Those of one moment that agree in all other fields are written as one,
- * with a row for each.
+ * Messages of lines that are batched, with the fields of their rows. Lines that agree in all other fields share a batch.
  */
-export const gatheredLines: Readonly<Record<string, readonly string[]>> = {
+export const batchedLines: Readonly<Record<string, readonly string[]>> = {
   'Run gives way.': ['job', 'task', 'run', 'endpoint', 'percent', 'priority'],
   'Run is moved.': ['job', 'task', 'run', 'endpoint', 'percent'],
   'Step waits.': ['job', 'step', 'waits'],
--- a/packages/logging/computeSamplingLevel.ts
+++ b/packages/logging/computeSamplingLevel.ts
@@ -1,28 +1,28 @@
-const HASH_START = 2_166_136_261;
-const HASH_FACTOR = 16_777_619;
+const HASH_OFFSET_BASIS = 2_166_136_261;
+const HASH_PRIME = 16_777_619;
 const HASH_BITS = 32;
 
-/** Spreads each bit of a 32-bit number over all others: ids of a caller may differ in few of them. */
-const toMixed = (value: number): number => {
+/** Mixes the bits of a 32-bit number, since ids may differ in only a few. */
+const toMixedBits = (value: number): number => {
   const first = Math.imul(value ^ (value >>> 16), 0x85eb_ca6b);
   const second = Math.imul(first ^ (first >>> 13), 0xc2b2_ae35);
   return second ^ (second >>> 16);
 };
 
-const toHash = (text: string): number => {
-  let hash = HASH_START;
+const computeHash = (text: string): number => {
+  let hash = HASH_OFFSET_BASIS;
   for (let index = 0; index < text.length; index += 1) {
-    hash = Math.imul(hash ^ text.charCodeAt(index), HASH_FACTOR);
+    hash = Math.imul(hash ^ text.charCodeAt(index), HASH_PRIME);
   }
-  return toMixed(hash);
+  return toMixedBits(hash);
 };
 
 /**
- * In how small a share of all jobs this one still is: one in 2^n jobs has a depth of n or more. By the id alone, so that all boxes and all
- * leaders choose the same jobs, and each share holds all smaller ones.
+ * Computes the sampling level of a job: one in 2^n jobs has a level of n or more. It depends on the id only, so that all boxes sample the
+ * same jobs, and each sample contains all smaller ones.
  */
 export const computeSamplingLevel = (job: string): number => {
-  const hash = toHash(job);
+  const hash = computeHash(job);
   const lowestBit = hash & -hash;
   return lowestBit === 0 ? HASH_BITS : HASH_BITS - 1 - Math.clz32(lowestBit);
 };
--- a/packages/logging/formatLateJob.ts
+++ b/packages/logging/formatLateJob.ts
@@ -5,13 +5,13 @@
 import { toRunName } from '../ledger/toRunName';
 import type { LineFields } from './LineFields';
 
-/** Rows of one line: it stays below some kilobytes. */
+/** Bounds the size of a line. */
 const MAX_SPANS = 40;
 const MAX_RUNS = 12;
 
 const toDurationMs = ({ placedAt, endedAt = placedAt }: RunAccount): number => endedAt - placedAt;
 
-/** The spans worth a row, in order; of too many the longest. */
+/** Chooses the spans of the critical path that are logged: the longest ones, in order. */
 const choosePathRows = (path: readonly LedgerSpan[]): readonly LineFields[] => {
   const shortest = path.map(({ from, to }) => to - from).sort((left, right) => right - left)[MAX_SPANS - 1];
   const isShown = ({ from, to }: LedgerSpan): boolean => to - from >= (shortest ?? 0);
@@ -25,7 +25,7 @@
     }));
 };
 
-const readCauseSums = (path: readonly LedgerSpan[]): Readonly<Record<string, number>> => {
+const computeCauseSums = (path: readonly LedgerSpan[]): Readonly<Record<string, number>> => {
   const sums: Record<string, number> = {};
   for (const { cause, from, to } of path) {
     sums[cause] = (sums[cause] ?? 0) + to - from;
@@ -33,7 +33,7 @@
   return Object.fromEntries(Object.entries(sums).map(([cause, ms]) => [cause, Math.round(ms)]));
 };
 
-/** The runs on the path, with where and how they ended; of too many the longest. */
+/** Chooses the runs on the critical path that are logged: the longest ones, in order. */
 const chooseRunRows = (account: JobAccount, path: readonly LedgerSpan[]): readonly LineFields[] => {
   const names = new Set(path.map(({ run }) => run));
   const runs = [...account.runs.values()].filter((run) => names.has(toRunName(run)));
@@ -53,7 +53,7 @@
     }));
 };
 
-/** The line about a job that failed or ended after its objective: where its time went, and the runs on which the rest waited. */
+/** Formats the log fields of a job that failed or ended late: its time by cause, and the runs on its critical path. */
 export const formatLateJob = (account: JobAccount, lateMs: number): LineFields => {
   const { job, queue, ending, acceptedAt, endedAt = acceptedAt } = account;
   const path = readCriticalPath(account);
@@ -63,7 +63,7 @@
     ending,
     lateMs: Math.round(lateMs),
     totalMs: Math.round(endedAt - acceptedAt),
-    causes: readCauseSums(path),
+    causes: computeCauseSums(path),
     path: choosePathRows(path),
     runs: chooseRunRows(account, path),
   };
--- a/packages/logging/getLineClass.ts
+++ b/packages/logging/getLineClass.ts
@@ -4,15 +4,15 @@
 import type { LineLevel } from './LineLevel';
 import { findLineJob } from './findLineJob';
 
-/** The class of a line, before it is known whether its job is chosen. */
+/** Returns the class of a line before sampling. */
 export const getLineClass = (
   level: LineLevel,
-  sentence: string,
+  message: string,
   fields: LineFields | undefined,
 ): Exclude<LineClass, 'rest'> => {
   if (level === 'error') {
     return 'error';
   }
-  const byDefault = findLineJob(fields) === undefined ? 'vital' : 'story';
-  return level === 'warn' ? 'vital' : (lineClasses[sentence] ?? byDefault);
+  const defaultClass = findLineJob(fields) === undefined ? 'vital' : 'story';
+  return level === 'warn' ? 'vital' : (lineClasses[message] ?? defaultClass);
 };
--- a/packages/logging/lineClasses.ts
+++ b/packages/logging/lineClasses.ts
@@ -1,8 +1,7 @@
 import type { LineClass } from './LineClass';
 
 /**
- * Classes of lines by their sentence. Any other line is `story` if it names a job, and `vital` if it names none.
- * Those of a caller that was not served, and of a job that ended badly, are the first that are looked for.
+ * Classes of lines by message. Any other line is `story` if it names a job, and `vital` if it names none.
  */
 export const lineClasses: Readonly<Record<string, Extract<LineClass, 'vital' | 'notable'>>> = {
   'Call refused for its key.': 'vital',
--- a/tests/lateJobs.test.ts
+++ b/tests/lateJobs.test.ts
@@ -24,32 +24,32 @@
 const LOAD_MS = 8000;
 const WALL_MS = 1_767_225_600_000;
 const WORK_MS = 400;
-/** A run that is stopped goes on for so long. */
+/** Time that a run continues after its stop. */
 const STOP_MS = 700;
-/** Lines a second: a fifth of those that come. */
+/** Bound of the log in lines per second, a fifth of the lines that are logged. */
 const BOUND = 400;
 const JOBS_PER_TICK = 3;
-/** One job in so many meets a trouble. */
-const TROUBLE_EVERY = 12;
+/** One job in this many has a fault. */
+const FAULT_INTERVAL = 12;
 const WIDE = toId<ServiceName>('service-a');
 const NARROW = toId<ServiceName>('service-b');
 
-/** What may befall the first run of a job's last task, and what its time must be said to have gone into. */
-interface Trouble {
+/** Fault of the first run of a job's last task, and the cause by which its time must be explained. */
+interface Fault {
   readonly expected: LedgerCause;
   readonly workMs: number;
   readonly how: EndedTaskStatus['how'];
 }
 
-const TROUBLES: readonly Trouble[] = [
+const FAULTS: readonly Fault[] = [
   { expected: 'running', workMs: 1200, how: 'done' },
   { expected: 'failed', workMs: 800, how: 'failed' },
   { expected: 'lost', workMs: 800, how: 'lapsed' },
-  // So slow that its run is moved, and slow to stop.
+  // A straggler that is moved, and slow to stop.
   { expected: 'stopped', workMs: 20_000, how: 'done' },
 ];
 
-interface PlayedRun {
+interface SimulatedRun {
   readonly task: TaskName;
   readonly run: number;
   readonly startedAt: number;
@@ -58,10 +58,10 @@
 }
 
 /**
- * The load: 300 jobs and some 2,000 lines a second, one job in twelve in trouble, and bursts on a service without room for them. The job of each trouble is
- * late by it and by nothing else.
+ * Simulated load of 300 jobs and about 2,000 lines per second. One job in twelve has a fault, which alone makes it late, and bursts on a
+ * small service make jobs late by missing capacity.
  */
-class LateWorld {
+class LateJobSimulation {
   readonly lines: string[] = [];
   readonly expected = new Map<string, LedgerCause>();
   readonly late = new Set<string>();
@@ -69,8 +69,8 @@
   private jobCount = 0;
   private endCount = 0;
   private readonly dispatcher = new Dispatcher({ getDefinition: () => undefined, earlierLeasesEndAt: 0 });
-  private readonly running = new Map<EndpointIncarnation, PlayedRun[]>();
-  private readonly troubles = new Map<string, Trouble>();
+  private readonly running = new Map<EndpointIncarnation, SimulatedRun[]>();
+  private readonly faults = new Map<string, Fault>();
   private readonly objectives = new Map<string, number>();
   private readonly log = new DecisionLog({
     box: 'box-1',
@@ -88,15 +88,15 @@
     const narrow = ['n-1', 'n-2'].map((id) => createProfile(id, { service: NARROW }));
     for (const profile of [...wide, ...narrow]) {
       this.dispatcher.handleEndpointProfile(profile);
-      const look = { endpoint: profile.incarnation, running: [], ended: [], sentAt: 0 };
-      this.dispatcher.handleStatus(look, 0, WALL_MS);
+      const status = { endpoint: profile.incarnation, running: [], ended: [], sentAt: 0 };
+      this.dispatcher.handleStatus(status, 0, WALL_MS);
       this.running.set(profile.incarnation, []);
     }
   }
 
   start(): void {
     for (; this.now < LOAD_MS + 4000; this.now += TICK_MS) {
-      this.applyEnds();
+      this.handleRunEnds();
       if (this.now < LOAD_MS) {
         this.sendJobs();
       }
@@ -110,19 +110,16 @@
   }
 
   private sendJobs(): void {
-    for (let one = 0; one < JOBS_PER_TICK; one += 1) {
-      const isTroubled = this.jobCount % TROUBLE_EVERY === 0;
-      this.sendJob(
-        WIDE,
-        isTroubled ? TROUBLES[(this.jobCount / TROUBLE_EVERY) % TROUBLES.length] : undefined,
-      );
+    for (let count = 0; count < JOBS_PER_TICK; count += 1) {
+      const isFaulty = this.jobCount % FAULT_INTERVAL === 0;
+      this.sendJob(WIDE, isFaulty ? FAULTS[(this.jobCount / FAULT_INTERVAL) % FAULTS.length] : undefined);
     }
     if (this.now % 2000 === 1000) {
       Array.from({ length: 12 }).forEach(() => this.sendJob(NARROW, undefined));
     }
   }
 
-  private sendJob(service: ServiceName, trouble: Trouble | undefined): void {
+  private sendJob(service: ServiceName, fault: Fault | undefined): void {
     const steps = [createStep(), createStep({ count: 1, dependsOn: [0] })];
     const isWide = service === WIDE;
     const definition = {
@@ -134,9 +131,9 @@
     this.logger.info('Job taken in.', { job: id, queue: queue.name, steps: definition.steps.length });
     this.dispatcher.handleJob(definition, new JobProgress(definition), this.now);
     this.objectives.set(id, this.now + queue.targetLatencyMs + queue.stretch * WORK_MS * (isWide ? 2 : 1));
-    this.expected.set(id, isWide ? (trouble?.expected ?? 'running') : 'room');
-    if (trouble !== undefined) {
-      this.troubles.set(`${id}.0.1.0#1`, trouble);
+    this.expected.set(id, isWide ? (fault?.expected ?? 'running') : 'room');
+    if (fault !== undefined) {
+      this.faults.set(`${id}.0.1.0#1`, fault);
     }
   }
 
@@ -155,20 +152,20 @@
   }
 
   private startRun(effect: Extract<DispatchEffect, { kind: 'start' }>): void {
-    const { endpoint, command: order } = effect;
+    const { endpoint, command } = effect;
     this.dispatcher.handleStartRecorded(effect, this.now);
-    this.dispatcher.handleStartResult(endpoint, order.task, order.run, { kind: 'done' }, this.now);
-    const { workMs, how } = this.troubles.get(`${order.task}#${order.run}`) ?? {
+    this.dispatcher.handleStartResult(endpoint, command.task, command.run, { kind: 'done' }, this.now);
+    const { workMs, how } = this.faults.get(`${command.task}#${command.run}`) ?? {
       workMs: WORK_MS,
       how: 'done',
     };
     const startedAt = this.now;
-    const run = { task: order.task, run: order.run, startedAt, endsAt: startedAt + workMs, how };
+    const run = { task: command.task, run: command.run, startedAt, endsAt: startedAt + workMs, how };
     this.running.get(endpoint)!.push(run);
   }
 
   private stopRun({ endpoint, task, run }: Extract<DispatchEffect, { kind: 'stop' }>): void {
-    const runs = this.running.get(endpoint)!.map((one): PlayedRun => {
+    const runs = this.running.get(endpoint)!.map((one): SimulatedRun => {
       const isStopped = one.task === task && one.run === run;
       return isStopped ? { ...one, endsAt: this.now + STOP_MS, how: 'stopped' } : one;
     });
@@ -176,7 +173,7 @@
     this.dispatcher.handleStopResult(endpoint, task, run, { kind: 'done' }, this.now);
   }
 
-  private applyEnds(): void {
+  private handleRunEnds(): void {
     for (const [endpoint, runs] of this.running) {
       const done = runs.filter(({ endsAt }) => endsAt <= this.now);
       const left = runs.filter(({ endsAt }) => endsAt > this.now);
@@ -190,8 +187,8 @@
           percent: Math.floor((100 * (this.now - startedAt)) / (endsAt - startedAt)),
           load: 0,
         }));
-        const look = { endpoint, running: rows, ended, sentAt: this.now };
-        this.dispatcher.handleStatus(look, this.now, this.now + WALL_MS);
+        const status = { endpoint, running: rows, ended, sentAt: this.now };
+        this.dispatcher.handleStatus(status, this.now, this.now + WALL_MS);
       }
     }
   }
@@ -201,40 +198,40 @@
   }
 }
 
-const startWorld = (): LateWorld => {
-  const world = new LateWorld();
-  world.start();
-  return world;
+const runSimulation = (): LateJobSimulation => {
+  const simulation = new LateJobSimulation();
+  simulation.start();
+  return simulation;
 };
 
-describe('jobs that end late under a load of which the log can hold a fifth', () => {
-  const world = startWorld();
-  const accounts = new Map(readAccounts(world.lines).map((account) => [account.job, account]));
+describe('jobs that end late while the log can hold a fifth of the lines', () => {
+  const simulation = runSimulation();
+  const accounts = new Map(readAccounts(simulation.lines).map((account) => [account.job, account]));
 
-  it('are each told with the cause, found by the id', () => {
-    expect(world.late.size).toBeGreaterThan(150);
-    const found = [...world.late].map((job): readonly unknown[] => {
+  it('are each logged with the cause', () => {
+    expect(simulation.late.size).toBeGreaterThan(150);
+    const found = [...simulation.late].map((job): readonly unknown[] => {
       const account = accounts.get(job);
       const path = account === undefined ? [] : readBestPath(account);
       const sums = new Map<LedgerCause, number>();
-      // What any job of its shape takes is no cause of being late.
+      // The usual run time is no cause of a late end.
       path.forEach(({ cause, from, to }) => sums.set(cause, (sums.get(cause) ?? 0) + to - from));
       sums.set(
         'running',
-        (sums.get('running') ?? 0) - (world.expected.get(job) === 'room' ? 1 : 2) * WORK_MS,
+        (sums.get('running') ?? 0) - (simulation.expected.get(job) === 'room' ? 1 : 2) * WORK_MS,
       );
       const totalMs = path.reduce((sum, { from, to }) => sum + to - from, 0);
       const [cause] = [...sums].sort(([, left], [, right]) => right - left)[0] ?? [];
       return [job, cause, (sums.get('unknown') ?? 0) < totalMs / 10];
     });
-    expect(found).toEqual([...world.late].map((job) => [job, world.expected.get(job), true]));
-    expect(new Set(found.map(([, cause]) => cause)).size).toBe(TROUBLES.length + 1);
+    expect(found).toEqual([...simulation.late].map((job) => [job, simulation.expected.get(job), true]));
+    expect(new Set(found.map(([, cause]) => cause)).size).toBe(FAULTS.length + 1);
   });
 
-  it('have the runs that made them late in one line, with endpoint, end and why we stopped them', () => {
-    const told = world.lines.filter((line) => line.includes('"Job ended late."'));
-    expect(told).toHaveLength(world.late.size);
-    const rows = told.flatMap(
+  it('have the runs that made them late in one line, with endpoint, end and reason of the stop', () => {
+    const logged = simulation.lines.filter((line) => line.includes('"Job ended late."'));
+    expect(logged).toHaveLength(simulation.late.size);
+    const rows = logged.flatMap(
       (line) => (JSON.parse(line) as { readonly runs: readonly Readonly<Record<string, unknown>>[] }).runs,
     );
     const readRows = (how: string) => rows.filter((row) => row['how'] === how);
@@ -243,28 +240,28 @@
     expect(readRows('stopped').length).toBeGreaterThan(20);
     expect(readRows('stopped').map((row) => row['why'])).toEqual(readRows('stopped').map(() => 'slow'));
     expect(rows.every((row) => /^[in]-\d+$/u.test(String(row['endpoint'])))).toBe(true);
-    expect(Math.max(...told.map(({ length }) => length))).toBeLessThan(2000);
+    expect(Math.max(...logged.map(({ length }) => length))).toBeLessThan(2000);
   });
 
-  it('leave the others their part: the log keeps to its bound, and the smallest share of jobs is told whole', () => {
+  it('leave capacity for other lines: the log keeps to its bound, and the smallest sample of jobs is complete', () => {
     const seconds = (LOAD_MS + 4000) / 1000;
-    expect(world.lines.length).toBeLessThan(BOUND * (4 + seconds) + seconds);
-    const chosen = [...world.expected.keys()].filter((job) => computeSamplingLevel(job) >= 4);
+    expect(simulation.lines.length).toBeLessThan(BOUND * (4 + seconds) + seconds);
+    const chosen = [...simulation.expected.keys()].filter((job) => computeSamplingLevel(job) >= 4);
     expect(chosen.length).toBeGreaterThan(100);
     const paths = chosen.map((job) => readBestPath(accounts.get(job)!));
     expect(paths.flat().filter(({ cause }) => cause === 'unknown')).toEqual([]);
   });
 
-  it('give a ledger whose unknown is under a tenth of the time of late jobs', () => {
-    const late = [...world.late].map((job) => accounts.get(job)!);
+  it('have less than a tenth of their time without a cause in the ledger', () => {
+    const late = [...simulation.late].map((job) => accounts.get(job)!);
     const { queues } = createLedger(late, { windowMs: 2000, worstCount: 1 });
     const { sums } = queues[0]!;
     expect(sums.readMean('unknown')).toBeLessThan(sums.readMeanTotal() / 10);
   });
 });
 
-/** Plays the end of a job's only run on a leader that took the job in, and gives the line about it. */
-const startInherited = (leaderAt: number, endsAt: number): Readonly<Record<string, unknown>> | undefined => {
+/** Simulates the end of a job's only run under a new leader, and returns the fields of its line. */
+const runRecovered = (leaderAt: number, endsAt: number): Readonly<Record<string, unknown>> | undefined => {
   const definition = createJobDefinition(1, [createStep({ count: 1 })]);
   const progress = new JobProgress(definition);
   const { incarnation: endpoint } = createProfile('i-1');
@@ -273,15 +270,15 @@
   dispatcher.handleEndpointProfile(createProfile('i-1'));
   dispatcher.handleJob(definition, progress, leaderAt);
   const row = { number: 1, task: toId<TaskName>(`${definition.id}.0.0.0`), run: 1, checkpoint: '' };
-  const look = { endpoint, running: [], ended: [{ ...row, how: 'done' as const }], sentAt: endsAt };
-  dispatcher.handleStatus(look, endsAt, endsAt);
+  const status = { endpoint, running: [], ended: [{ ...row, how: 'done' as const }], sentAt: endsAt };
+  dispatcher.handleStatus(status, endsAt, endsAt);
   const tell = dispatcher
     .takeEffects()
     .find((effect) => effect.kind === 'tell' && effect.message === 'Job ended late.');
   return tell?.kind === 'tell' ? tell.fields : undefined;
 };
 
-describe('a job whose leader goes while it runs', () => {
+describe('a job whose leader changes while it runs', () => {
   const definition = createJobDefinition(1, [createStep({ count: 1 })]);
   const toLine = (atMs: number, message: string, fields: object): string =>
     JSON.stringify({ time: new Date(atMs).toISOString(), box: 'box-1', part: 'leader', message, ...fields });
@@ -293,10 +290,10 @@
     toLine(901, 'Tasks placed.', { job, waits: { room: 900 }, placed: [{ task, run: 1 }] }),
   ];
 
-  it('is told by the next one as far as that saw it, and the ledger joins the lines of both', () => {
-    const told = startInherited(1000, 1300)!;
-    expect(told['causes']).toEqual({ handOver: 999, running: 300 });
-    const late = toLine(1300, 'Job ended late.', told);
+  it('is explained by the next leader for its own time, and the ledger joins the lines of both', () => {
+    const logged = runRecovered(1000, 1300)!;
+    expect(logged['causes']).toEqual({ handOver: 999, running: 300 });
+    const late = toLine(1300, 'Job ended late.', logged);
     const [alone] = readAccounts([late]);
     expect(readBestPath(alone!).map(({ cause }) => cause)).toEqual(['handOver', 'running']);
     const ended = toLine(1300, 'Run ended.', { job, task, run: 1, outcome: 'done' });
@@ -308,8 +305,8 @@
     ]);
   });
 
-  it('is told by the lines of the earlier leader until the next one had it, where others of the next one are missing', () => {
-    const told = startInherited(4000, 4300)!;
+  it('is explained by the lines of the earlier leader until the next one took over, when lines of the next one are missing', () => {
+    const logged = runRecovered(4000, 4300)!;
     const lines = [
       ...earlier.slice(0, 2),
       toLine(2001, 'Step waits.', {
@@ -317,7 +314,7 @@
         rows: [{ job, step: `${job}.0.0`, waits: { room: 2000 } }],
       }),
       toLine(4003, 'Leading.', { epoch: 2 }),
-      toLine(4300, 'Job ended late.', told),
+      toLine(4300, 'Job ended late.', logged),
     ];
     const [account] = readAccounts(lines);
     const path = readBestPath(account!).map(({ cause, from, to }) => [cause, to - from]);
@@ -329,17 +326,17 @@
   });
 
   it('has no line when it ends in time', () => {
-    expect(startInherited(500, 800)).toBeUndefined();
+    expect(runRecovered(500, 800)).toBeUndefined();
   });
 });
 
-describe('what is remembered of a live job', () => {
-  it('is bounded, and keeps the runs that the end waited for', () => {
+describe('the trace of a live job', () => {
+  it('is bounded, and keeps the runs that the end depended on', () => {
     const definition = createJobDefinition(1, [createStep({ count: 500 })]);
     const trace = new JobTrace(1);
     for (let index = 0; index < 500; index += 1) {
       const run = createPlacedRun(definition, { time: 0, step: 0, index }, 1, 10);
-      const end = { outcome: 'done', cause: 'listed', how: 'done', checkpoint: '' } as const;
+      const end = { outcome: 'done', cause: 'listed', reportedEnd: 'done', checkpoint: '' } as const;
       trace.recordRun(run, createProfile(`i-${index}`), end, 1000 + index);
     }
     const account = trace.createAccount(definition, 'completed', 1499);
