--- a/packages/leadership/Leadership.ts
+++ b/packages/leadership/Leadership.ts
@@ -42,7 +42,7 @@
 /** Delay of claims by a box that knows stronger ones, which lets these claim first. */
 const OUTRANKED_DELAY_MS = 350;
 /** The same after a missing heartbeat, which a stronger box may notice later by a read cycle. */
-const OUTRANKED_SILENT_DELAY_MS = 900;
+const OUTRANKED_TIMEOUT_DELAY_MS = 900;
 
 type ClaimReason =
   | 'the leader handed over'
@@ -83,7 +83,7 @@
     return this.record;
   }
 
-  /** Folds records of the progress topic. Only leaders write to it, so that each record shows activity of the leader. */
+  /** Folds records of the states' topic. Only leaders write to it, so that each record shows activity of the leader. */
   foldRecords(records: readonly LogRecord[]): void {
     const now = this.options.clock.readNow();
     this.activeAt = now;
@@ -115,7 +115,7 @@
     return true;
   }
 
-  /** Handles the request of a leader that has stopped to take over from it. */
+  /** Handles the request to take over from a leader that has stopped. */
   handleHandOver(epoch: number): void {
     this.leases.recordStopped(epoch, this.options.clock.readNow());
     this.endedEpoch = epoch;
@@ -214,8 +214,8 @@
     // all be over by the next read, and a weaker box could claim first.
     this.timeoutSeenAt ??= now;
     const elapsedMs = now - this.timeoutSeenAt;
-    const silentRankDelayMs = rankDelayMs === 0 ? 0 : OUTRANKED_SILENT_DELAY_MS;
-    const dueMs = this.jitter * leaderTimings.claimJitterMs + silentRankDelayMs;
+    const timeoutRankDelayMs = rankDelayMs === 0 ? 0 : OUTRANKED_TIMEOUT_DELAY_MS;
+    const dueMs = this.jitter * leaderTimings.claimJitterMs + timeoutRankDelayMs;
     return elapsedMs >= dueMs ? 'leader is silent' : undefined;
   }
 
--- a/packages/leadership/LeaseHistory.ts
+++ b/packages/leadership/LeaseHistory.ts
@@ -1,7 +1,7 @@
 import type { LeaderRecord } from './LeaderRecord';
 import { leaderTimings } from './leaderTimings';
 
-const { leaseMs, clockDriftShare, marginMs, unconfirmedGraceMs: unconfirmedMs } = leaderTimings;
+const { leaseMs, clockDriftShare, marginMs, unconfirmedGraceMs } = leaderTimings;
 /** From the sending of a grant until its lease has expired by any clock within the tolerance. */
 const MAX_LEASE_MS = leaseMs * (1 + clockDriftShare) + marginMs;
 
@@ -47,6 +47,6 @@
   }
 
   private computeEndAt(): number {
-    return this.activeAt + MAX_LEASE_MS + (this.hasStopped ? 0 : unconfirmedMs);
+    return this.activeAt + MAX_LEASE_MS + (this.hasStopped ? 0 : unconfirmedGraceMs);
   }
 }
--- a/packages/leadership/leaderTimings.ts
+++ b/packages/leadership/leaderTimings.ts
@@ -8,7 +8,7 @@
   claimJitterMs: 400,
   /** Lease of the runs of an endpoint, from the moment the grant is sent. */
   leaseMs: 4000,
-  /** Maximum rate by which the clock of an endpoint may be slow. */
+  /** Maximum relative drift of the clock of an endpoint. */
   clockDriftShare: 0.03,
   /** Safety margin that is added to each bound computed from a lease. */
   marginMs: 250,
--- a/packages/store/LogFollower.ts
+++ b/packages/store/LogFollower.ts
@@ -156,7 +156,7 @@
 
   private queueRefresh(timeoutMs: number): Promise<boolean> {
     if (this.refresh === undefined) {
-      this.refresh = this.readNow(timeoutMs).finally(() => {
+      this.refresh = this.readLatest(timeoutMs).finally(() => {
         this.refresh = undefined;
       });
       return this.refresh;
@@ -170,7 +170,7 @@
   }
 
   /** Reads outside the loop, which may be in a long poll. */
-  private async readNow(timeoutMs: number): Promise<boolean> {
+  private async readLatest(timeoutMs: number): Promise<boolean> {
     const { client, topic } = this.options;
     while (this.offset !== undefined) {
       const { offset } = this;
--- a/tests/loadDoor.test.ts
+++ b/tests/admission.test.ts
@@ -87,8 +87,8 @@
           .toString(16)
           .padStart(6, '0')}`,
       );
-      const answer = chooseAdmission(load, createRequest(1, { id, leftMs }));
-      return answer.kind === 'hopeless' ? answer.retryAfterMs : 0;
+      const decision = chooseAdmission(load, createRequest(1, { id, leftMs }));
+      return decision.kind === 'hopeless' ? decision.retryAfterMs : 0;
     };
     const times = Array.from({ length: 200 }, (_, number) => computeRetryMs(number));
     expect(Math.min(...times)).toBeGreaterThanOrEqual(refusedMs);
@@ -110,13 +110,13 @@
   isReadable = true;
   /** Job that is found in the jobs' topic. */
   found: JobId | undefined;
-  readonly lines: { readonly sentence: string; readonly fields: Record<string, unknown> }[] = [];
+  readonly lines: { readonly message: string; readonly fields: Record<string, unknown> }[] = [];
   readonly door: LoadDoor;
   private readonly view = new LoadView();
   private readonly metrics = new ServeMetrics();
 
   constructor(door: AdmissionMode = 'load') {
-    const handleLine = (sentence: string, fields = {}): void => void this.lines.push({ sentence, fields });
+    const handleLine = (message: string, fields = {}): void => void this.lines.push({ message, fields });
     this.door = new LoadDoor({
       door,
       view: this.view,
@@ -158,7 +158,7 @@
     expect(await box.startCheck()).toEqual({ kind: 'refused', retryAfterMs: expect.any(Number) });
     expect(box.lines).toEqual([
       {
-        sentence: 'Job not taken: it could not be of use in time.',
+        message: 'Job not taken: it could not be of use in time.',
         fields: expect.objectContaining({
           loadEpoch: 1,
           loadSequence: 1,
--- a/tests/lateJobs.test.ts
+++ b/tests/lateJobs.test.ts
@@ -234,11 +234,11 @@
     const rows = logged.flatMap(
       (line) => (JSON.parse(line) as { readonly runs: readonly Readonly<Record<string, unknown>>[] }).runs,
     );
-    const readRows = (how: string) => rows.filter((row) => row['how'] === how);
-    expect(readRows('failed')[0]).toMatchObject({ outcome: 'failed', hall: 'hall-a' });
-    expect(readRows('lapsed')[0]).toMatchObject({ outcome: 'interrupted' });
-    expect(readRows('stopped').length).toBeGreaterThan(20);
-    expect(readRows('stopped').map((row) => row['why'])).toEqual(readRows('stopped').map(() => 'slow'));
+    const listRows = (how: string) => rows.filter((row) => row['how'] === how);
+    expect(listRows('failed')[0]).toMatchObject({ outcome: 'failed', hall: 'hall-a' });
+    expect(listRows('lapsed')[0]).toMatchObject({ outcome: 'interrupted' });
+    expect(listRows('stopped').length).toBeGreaterThan(20);
+    expect(listRows('stopped').map((row) => row['why'])).toEqual(listRows('stopped').map(() => 'slow'));
     expect(rows.every((row) => /^[in]-\d+$/u.test(String(row['endpoint'])))).toBe(true);
     expect(Math.max(...logged.map(({ length }) => length))).toBeLessThan(2000);
   });
--- a/tests/loadDigest.test.ts
+++ b/tests/loadDigest.test.ts
@@ -100,8 +100,8 @@
   it('sums up the waiting and running work of a leader', () => {
     const dispatcher = new Dispatcher({ getDefinition: () => undefined, earlierLeasesEndAt: 0 });
     dispatcher.handleEndpointProfile(createProfile('i-1'));
-    const life = createProfile('i-1').incarnation;
-    dispatcher.handleStatus({ endpoint: life, running: [], ended: [], sentAt: 0 }, 0, 0);
+    const endpoint = createProfile('i-1').incarnation;
+    dispatcher.handleStatus({ endpoint, running: [], ended: [], sentAt: 0 }, 0, 0);
     const owner = createCustomer('owner', {}, 2);
     const definition = { ...createJobDefinition(1, [createStep({ count: 6 })]), customer: owner };
     dispatcher.handleJob(definition, new JobProgress(definition), 0);
