--- a/packages/load/KnownLoad.ts
+++ b/packages/load/KnownLoad.ts
@@ -3,6 +3,6 @@
 /** A load digest that is fresh enough for decisions. */
 export interface KnownLoad {
   readonly digest: LoadDigest;
-  /** Upper bound of its age in milliseconds. */
+  /** Age in milliseconds, by the clock that makes it older. */
   readonly ageMs: number;
 }
--- a/packages/load/LoadView.ts
+++ b/packages/load/LoadView.ts
@@ -49,7 +49,7 @@
 
   /** Returns the age of the newest digest in milliseconds; undefined without one. */
   getAgeMs({ now, wallMs }: LoadMoment): number | undefined {
-    // The maximum: clock skew or a late read may overestimate the age, but not underestimate it.
+    // The larger of both: clock skew and late reads should rather make a digest stale than fresh.
     return this.newest && Math.max(now - this.receivedAt, wallMs - this.newest.madeAtMs);
   }
 
