--- a/packages/load/KnownLoad.ts
+++ b/packages/load/KnownLoad.ts
@@ -1,8 +1,8 @@
 import type { LoadDigest } from './LoadDigest';
 
-/** A digest that a box may go by. */
+/** A load digest that is fresh enough for decisions. */
 export interface KnownLoad {
   readonly digest: LoadDigest;
-  /** Milliseconds since it was made, as far as this box can tell; never too few. */
+  /** Age in milliseconds, by the clock that makes it older. */
   readonly ageMs: number;
 }
