--- a/packages/dispatch/crashes/CrashRecord.ts
+++ b/packages/dispatch/crashes/CrashRecord.ts
@@ -3,5 +3,5 @@
 
 /** The end of an endpoint, charged to one task. */
 export interface CrashRecord extends TaskRef {
-  readonly charge: TaskCrash;
+  readonly crash: TaskCrash;
 }
--- a/packages/dispatch/crashes/CrashTracker.ts
+++ b/packages/dispatch/crashes/CrashTracker.ts
@@ -10,16 +10,16 @@
 import { chooseBlames } from './chooseBlames';
 import { crashLimits } from './crashLimits';
 import { isPastStartup } from './isPastStartup';
-import { isGivenUp } from './isGivenUp';
+import { isOverCrashLimit } from './isOverCrashLimit';
 import { isCrashSuspect } from './isCrashSuspect';
 import type { TaskRef } from './TaskRef';
 import type { CrashRecord } from './CrashRecord';
 import { UnconfirmedCrashes } from './UnconfirmedCrashes';
 import { CrashHistory } from './CrashHistory';
-import { OutageWatch } from './OutageWatch';
-import { readPauseMs } from './readPauseMs';
+import { OutageDetector } from './OutageDetector';
+import { computeBackoffMs } from './computeBackoffMs';
 
-interface CrashLedgerOptions {
+interface CrashTrackerOptions {
   readonly jobs: ReadonlyMap<JobId, LiveJob>;
   readonly ledger: RunTracker;
   /** The progress of a job has changed and must be recorded. */
@@ -38,23 +38,23 @@
  * The charges are part of a job's progress, so that each leader goes on from those of the one before.
  */
 export class CrashTracker {
-  private readonly doubts = new UnconfirmedCrashes();
+  private readonly unconfirmed = new UnconfirmedCrashes();
   private readonly history = new CrashHistory();
-  private readonly outages = new OutageWatch();
+  private readonly outages = new OutageDetector();
   /** Jobs with a task that is not started any more. */
-  private readonly givenUp = new Map<JobId, TaskAddress>();
+  private readonly tasksOverLimit = new Map<JobId, TaskAddress>();
 
-  constructor(private readonly options: CrashLedgerOptions) {}
+  constructor(private readonly options: CrashTrackerOptions) {}
 
   /** Takes in the charges of a job that earlier leaders left: waits begin anew, and doubts go on. */
   applyRecoveredCrashes(job: LiveJob, address: TaskAddress, now: number): void {
-    this.applyInheritedDoubts(job, address);
+    this.applyRecoveredUnconfirmed(job, address);
     const crashes = job.progress.getTask(address)?.crashes ?? [];
     if (crashes.length === 0) {
       return;
     }
     for (const { endpoint, blame, ageMs } of crashes) {
-      this.history.recordCharged(endpoint, {
+      this.history.recordImplicated(endpoint, {
         job: job.definition.id,
         address,
         isBlamed: blame !== 'present',
@@ -62,17 +62,17 @@
       });
       if (blame === 'unproved') {
         const charge = { endpoint, blame: 'inherited', ageMs } as const;
-        this.doubts.recordDoubt({ job: job.definition.id, address, since: now, charge });
+        this.unconfirmed.addCrash({ job: job.definition.id, address, since: now, crash: charge });
       }
     }
-    this.applyCharges(job, address, now);
+    this.applyCrashes(job, address, now);
   }
 
   /**
    * What an earlier leader waited to see is charged now: this one does not know the endpoint's address, and may never see it. Without this a
    * change of leader would let a harmful task off, and it would be started more often than it may be.
    */
-  private applyInheritedDoubts(job: LiveJob, address: TaskAddress): void {
+  private applyRecoveredUnconfirmed(job: LiveJob, address: TaskAddress): void {
     for (const doubt of job.progress.getTask(address)?.doubts ?? []) {
       job.progress.recordCrash(address, { ...doubt, blame: 'unproved' });
       this.options.handleChanged(job.definition.id);
@@ -82,36 +82,36 @@
   /** An endpoint's life is over; `runs` were there, or may have been. */
   handleIncarnationEnd(book: EndpointState, runs: readonly PlacedRun[], now: number): void {
     const { incarnation: id, address } = book.getProfile();
-    const doubts = this.doubts.claimAll(id);
-    if (book.isLeaving()) {
-      this.revokeCharges(id, doubts, 'left by plan', now);
+    const doubts = this.unconfirmed.takeAll(id);
+    if (book.isRemovalPlanned()) {
+      this.removeCrashes(id, doubts, 'left by plan', now);
       return;
     }
-    this.history.recordCrashed(address, now);
-    const charges = this.readCharges(book, runs).map(({ run, blame }) => ({
+    this.history.recordMachineCrash(address, now);
+    const charges = this.chooseBlames(book, runs).map(({ run, blame }) => ({
       job: run.job,
       address: run.address,
-      charge: { endpoint: id, blame, ageMs: this.readAgeMs(run) },
+      crash: { endpoint: id, blame, ageMs: this.getAgeMs(run) },
     }));
     const all = [...doubts, ...charges];
-    const blamed = all.filter(({ charge }) => charge.blame !== 'present').map(({ job }) => job);
+    const blamed = all.filter(({ crash: charge }) => charge.blame !== 'present').map(({ job }) => job);
     this.history.recordLoss(id, blamed, now);
     this.recordCrashes(id, all, now);
   }
 
   /** The lease of an endpoint that was silent has run out, and with it `runs`: it crashed, or is cut off. */
-  handleLapse(book: EndpointState, runs: readonly PlacedRun[], now: number): void {
-    if (book.isLeaving()) {
+  handleLeaseExpiry(book: EndpointState, runs: readonly PlacedRun[], now: number): void {
+    if (book.isRemovalPlanned()) {
       return;
     }
     const { incarnation: id } = book.getProfile();
     const unproved: CrashRecord[] = [];
-    for (const { run, blame } of this.readCharges(book, runs)) {
+    for (const { run, blame } of this.chooseBlames(book, runs)) {
       const { job, address } = run;
-      const charge = { endpoint: id, blame, ageMs: this.readAgeMs(run) };
-      this.doubts.recordDoubt({ job, address, since: now, charge });
-      if (blame !== 'present' || this.isLastBorne(run)) {
-        unproved.push({ job, address, charge: { ...charge, blame: 'unproved' } });
+      const charge = { endpoint: id, blame, ageMs: this.getAgeMs(run) };
+      this.unconfirmed.addCrash({ job, address, since: now, crash: charge });
+      if (blame !== 'present' || this.isOneCrashBelowLimit(run)) {
+        unproved.push({ job, address, crash: { ...charge, blame: 'unproved' } });
       } else if (!isPastStartup(run)) {
         this.options.jobs.get(job)?.progress.recordUnconfirmedCrash(address, charge);
         this.options.handleChanged(job);
@@ -124,34 +124,34 @@
    * True for a run that had just begun, and whose task is given up with one charge more: its next start must not leave before that is known.
    * To charge every such run would hold up sound work beside harmful tasks.
    */
-  private isLastBorne(run: PlacedRun): boolean {
-    return !isPastStartup(run) && this.readCrashes(run).length >= crashLimits.maxAll - 1;
+  private isOneCrashBelowLimit(run: PlacedRun): boolean {
+    return !isPastStartup(run) && this.listCrashes(run).length >= crashLimits.maxAll - 1;
   }
 
   /** An endpoint that answered until now has fallen silent. */
   handleUnreachable(book: EndpointState, now: number): void {
-    this.outages.handleSilence(book, now);
+    this.outages.handleUnreachable(book, now);
   }
 
   /** The endpoint is heard: it has not crashed. */
-  handleHeard(id: EndpointIncarnation, now: number): void {
-    this.outages.handleHeard(id);
-    this.revokeCharges(id, this.doubts.claimAll(id), 'heard again', now);
+  handleReachable(id: EndpointIncarnation, now: number): void {
+    this.outages.handleReachable(id);
+    this.removeCrashes(id, this.unconfirmed.takeAll(id), 'heard again', now);
   }
 
   /** A run that was sent to a life which is over has begun on the next one: its task had no part in that end. */
-  handleBegunElsewhere({ job, address }: PlacedRun, before: EndpointIncarnation, now: number): void {
-    this.revokeCharges(before, [{ job, address }], 'its run began on the next life', now);
+  handleTransferConfirmed({ job, address }: PlacedRun, before: EndpointIncarnation, now: number): void {
+    this.removeCrashes(before, [{ job, address }], 'its run began on the next life', now);
   }
 
   /** A look has listed a run: one that has worked for much longer than those that were lost clears its task. */
-  handleListed(run: PlacedRun): void {
+  handleRunListed(run: PlacedRun): void {
     const { progress } = this.options.jobs.get(run.job) ?? {};
     const { crashes = [], doubts = [] } = progress?.getTask(run.address) ?? {};
     if (crashes.length === 0 && doubts.length === 0) {
       return;
     }
-    const { clearedAgeFactor, clearedAgeMs, longestClearedAgeMs } = crashLimits;
+    const { clearedAgeFactor, clearedAgeMs, maxClearedAgeMs: longestClearedAgeMs } = crashLimits;
     const listedMs = run.seenAt - run.confirmedAt;
     const isCleared = ({ ageMs }: TaskCrash): boolean =>
       listedMs >= Math.min(longestClearedAgeMs, clearedAgeFactor * ageMs + clearedAgeMs);
@@ -168,35 +168,39 @@
 
   /** True while it is worth asking at the address of an endpoint that fell silent for good. */
   isCrashUnconfirmed(id: EndpointIncarnation, now: number): boolean {
-    return this.doubts.isAwaited(id, now);
+    return this.unconfirmed.isCrashUnconfirmed(id, now);
   }
 
   /** Tells whether a machine has crashed so lately that the next crash there would tell little of a task. */
   hasCrashedRecently(address: string, now: number): boolean {
-    return this.history.hasCrashedLately(address, now);
+    return this.history.hasCrashedRecently(address, now);
   }
 
   /** True while endpoints are lost that nothing had just begun on, or for which all that had has been done since. */
-  private isAmongLosses(now: number): boolean {
-    return this.history.isAmongLosses(now, (task, life) => this.hasCharge(task, life));
+  private hasUnexplainedLosses(now: number): boolean {
+    return this.history.hasUnexplainedLosses(now, (task, life) => this.hasCrash(task, life));
   }
 
-  private hasCharge(owner: TaskRef, life: EndpointIncarnation): boolean {
-    return this.readCrashes(owner).some(({ endpoint }) => endpoint === life);
+  private hasCrash(owner: TaskRef, life: EndpointIncarnation): boolean {
+    return this.listCrashes(owner).some(({ endpoint }) => endpoint === life);
   }
 
   /** What a task is charged with; nothing once its job has ended. */
-  private readCrashes({ job, address }: TaskRef): readonly TaskCrash[] {
+  private listCrashes({ job, address }: TaskRef): readonly TaskCrash[] {
     return this.options.jobs.get(job)?.progress.getTask(address)?.crashes ?? [];
   }
 
   /** Ends the jobs with tasks that are not started any more, and forgets what is too old to tell anything. */
   applyCrashLimits(now: number, wallMs: number): void {
-    for (const [id, address] of this.givenUp) {
+    for (const [id, address] of this.tasksOverLimit) {
       const job = this.options.jobs.get(id);
       const crashes = job?.progress.getTask(address)?.crashes ?? [];
       // Another task that was given up may have explained some of them meanwhile.
-      if (job !== undefined && !job.progress.isEnded() && isGivenUp(crashes, this.isAmongLosses(now))) {
+      if (
+        job !== undefined &&
+        !job.progress.isEnded() &&
+        isOverCrashLimit(crashes, this.hasUnexplainedLosses(now))
+      ) {
         const task = toTaskName(id, address);
         this.options.ledger.sendLogLine('Task is given up: endpoints ended under it.', {
           job: id,
@@ -204,15 +208,15 @@
           crashes,
         });
         this.options.ledger.sendCount('tasksGivenUp');
-        this.history.recordGivenUp(id, now);
-        this.applyExplained({ job: id, address }, crashes, now);
+        this.history.recordOverLimit(id, now);
+        this.removeExplained({ job: id, address }, crashes, now);
         this.options.ledger.recordJobEnd(job, 'failed', wallMs);
       }
     }
-    this.givenUp.clear();
-    this.history.applyAge(now);
+    this.tasksOverLimit.clear();
+    this.history.removeOutdated(now);
     // Durable with the next change of the job: until then the next leader counts them, which is the safe side.
-    for (const { job, address, charge } of this.doubts.claimOutdated(now)) {
+    for (const { job, address, crash: charge } of this.unconfirmed.takeOutdated(now)) {
       this.options.jobs.get(job)?.progress.removeUnconfirmedCrash(address, charge.endpoint);
     }
   }
@@ -222,47 +226,47 @@
    * tasks among endpoints that are lost from outside would take sound jobs with them.
    * Those that had just begun there still count as present: harmful tasks that fall together would explain each other's crashes away.
    */
-  private applyExplained(guilty: TaskRef, crashes: readonly TaskCrash[], now: number): void {
+  private removeExplained(guilty: TaskRef, crashes: readonly TaskCrash[], now: number): void {
     for (const { endpoint, blame } of crashes) {
-      const charged = blame === 'sole' || blame === 'shared' ? this.history.readCharged(endpoint) : [];
+      const charged = blame === 'sole' || blame === 'shared' ? this.history.listImplicated(endpoint) : [];
       const others = charged.filter(
         ({ job, address }) =>
-          (job !== guilty.job || address !== guilty.address) && !this.hasSoleCharge({ job, address }),
+          (job !== guilty.job || address !== guilty.address) && !this.hasSoleBlame({ job, address }),
       );
-      const begun = others.filter((other) => this.applyPresence(other, endpoint, now));
+      const begun = others.filter((other) => this.setPresent(other, endpoint, now));
       const cleared = others.filter((other) => !begun.includes(other));
-      this.revokeCharges(endpoint, cleared, 'explained by a task that was given up', now);
+      this.removeCrashes(endpoint, cleared, 'explained by a task that was given up', now);
     }
   }
 
   /** Leaves a charge of a run that had just begun as one of presence. Returns false when there is none. */
-  private applyPresence({ job: id, address }: TaskRef, endpoint: EndpointIncarnation, now: number): boolean {
+  private setPresent({ job: id, address }: TaskRef, endpoint: EndpointIncarnation, now: number): boolean {
     const job = this.options.jobs.get(id);
     const known = job?.progress.getTask(address)?.crashes.find((crash) => crash.endpoint === endpoint);
-    if (job === undefined || known === undefined || known.ageMs >= crashLimits.provenAgeMs) {
+    if (job === undefined || known === undefined || known.ageMs >= crashLimits.startupMs) {
       return false;
     }
     if (known.blame !== 'present') {
       job.progress.recordCrash(address, { ...known, blame: 'present' });
       this.options.handleChanged(id);
-      this.applyCharges(job, address, now);
+      this.applyCrashes(job, address, now);
     }
     return true;
   }
 
   /** One that was once the only one to blame may well be harmful too. */
-  private hasSoleCharge(owner: TaskRef): boolean {
-    return this.readCrashes(owner).some(({ blame }) => blame === 'sole');
+  private hasSoleBlame(owner: TaskRef): boolean {
+    return this.listCrashes(owner).some(({ blame }) => blame === 'sole');
   }
 
   /** Charges for the end of an endpoint; an order that still waits for its record cannot have ended anything. */
-  private readCharges(book: EndpointState, runs: readonly PlacedRun[]): ReturnType<typeof chooseBlames> {
+  private chooseBlames(book: EndpointState, runs: readonly PlacedRun[]): ReturnType<typeof chooseBlames> {
     const { jobs } = this.options;
     return chooseBlames({
       runs: runs.filter(({ stage }) => stage !== 'recording'),
       isOutage: this.outages.isPartOfOutage(book),
       isSuspect: (run) => isCrashSuspect(jobs.get(run.job)?.progress.getTask(run.address)?.crashes ?? []),
-      toGroup: ({ job, address, task }) => {
+      getGroup: ({ job, address, task }) => {
         const isGang = jobs.get(job)?.definition.steps[address.step]?.isGang === true;
         return isGang ? `${job}.${address.time}.${address.step}` : task;
       },
@@ -270,17 +274,17 @@
   }
 
   /** How long a run had worked for certain when it was last heard of. */
-  private readAgeMs(run: PlacedRun): number {
+  private getAgeMs(run: PlacedRun): number {
     return run.stage === 'unconfirmed' ? crashLimits.unknownAgeMs : Math.round(run.seenAt - run.confirmedAt);
   }
 
-  private revokeCharges(
+  private removeCrashes(
     revoked: EndpointIncarnation,
     owners: readonly TaskRef[],
     reason: RevocationReason,
     now: number,
   ): void {
-    const tasks = owners.filter((owner) => this.revokeCharge(owner, revoked, now));
+    const tasks = owners.filter((owner) => this.removeCrash(owner, revoked, now));
     if (tasks.length > 0) {
       const names = tasks.slice(0, MAX_NAMED_TASKS).map(({ job, address }) => toTaskName(job, address));
       const fields = { endpoint: revoked, reason, count: tasks.length, tasks: names };
@@ -289,14 +293,14 @@
   }
 
   /** Returns false when the task had no such charge. */
-  private revokeCharge({ job: id, address }: TaskRef, revoked: EndpointIncarnation, now: number): boolean {
+  private removeCrash({ job: id, address }: TaskRef, revoked: EndpointIncarnation, now: number): boolean {
     const job = this.options.jobs.get(id);
     const isRevoked = ({ endpoint }: TaskCrash): boolean => endpoint === revoked;
     if (job?.progress.removeCrashes(address, isRevoked) !== true) {
       return false;
     }
     this.options.handleChanged(id);
-    this.applyCharges(job, address, now);
+    this.applyCrashes(job, address, now);
     return true;
   }
 
@@ -309,7 +313,7 @@
     this.options.ledger.sendLogLine('Crash is charged.', {
       endpoint,
       count: recorded.length,
-      tasks: recorded.slice(0, MAX_NAMED_TASKS).map(({ job, address, charge }) => ({
+      tasks: recorded.slice(0, MAX_NAMED_TASKS).map(({ job, address, crash: charge }) => ({
         task: toTaskName(job, address),
         blame: charge.blame,
         ageMs: charge.ageMs,
@@ -319,33 +323,33 @@
   }
 
   /** Returns false when the task is done, or its job has ended. */
-  private recordCrash({ job: id, address, charge }: CrashRecord, now: number): boolean {
+  private recordCrash({ job: id, address, crash: charge }: CrashRecord, now: number): boolean {
     const job = this.options.jobs.get(id);
     const task = job?.progress.getTask(address);
     if (job === undefined || task === undefined || task.phase === 'done' || job.progress.isEnded()) {
       return false;
     }
     job.progress.recordCrash(address, charge);
-    this.history.recordCharged(charge.endpoint, {
+    this.history.recordImplicated(charge.endpoint, {
       job: id,
       address,
       isBlamed: charge.blame !== 'present',
       since: now,
     });
     this.options.handleChanged(id);
-    this.applyCharges(job, address, now);
+    this.applyCrashes(job, address, now);
     return true;
   }
 
   /** Draws the consequences of a task's charges: a pause before its next start, or none any more. */
-  private applyCharges(job: LiveJob, address: TaskAddress, now: number): void {
+  private applyCrashes(job: LiveJob, address: TaskAddress, now: number): void {
     const { crashes } = job.progress.getTask(address)!;
-    const pauseMs = readPauseMs(crashes);
+    const pauseMs = computeBackoffMs(crashes);
     if (pauseMs > 0) {
       job.recordBackoff(address, now + pauseMs);
     }
-    if (isGivenUp(crashes, this.isAmongLosses(now))) {
-      this.givenUp.set(job.definition.id, address);
+    if (isOverCrashLimit(crashes, this.hasUnexplainedLosses(now))) {
+      this.tasksOverLimit.set(job.definition.id, address);
     }
   }
 }
--- a/packages/dispatch/crashes/chooseBlames.ts
+++ b/packages/dispatch/crashes/chooseBlames.ts
@@ -2,7 +2,7 @@
 import type { PlacedRun } from '../runs/PlacedRun';
 import { isPastStartup } from './isPastStartup';
 
-interface Charge {
+interface RunBlame {
   readonly run: PlacedRun;
   readonly blame: CrashBlame;
 }
@@ -15,7 +15,7 @@
   /** Tells whether the run's task is under suspicion for an earlier crash. */
   readonly isSuspect: (run: PlacedRun) => boolean;
   /** Members of a gang start together and count as one. */
-  readonly toGroup: (run: PlacedRun) => string;
+  readonly getGroup: (run: PlacedRun) => string;
 }
 
 /**
@@ -24,17 +24,22 @@
  * late or was beside a likelier one each time; in an outage these are all. Whoever charges all that ran there gives up sound work: see
  * docs/decisions/0015.
  */
-export const chooseBlames = ({ runs, isOutage, isSuspect, toGroup }: BlamesInput): readonly Charge[] => {
+export const chooseBlames = ({
+  runs,
+  isOutage,
+  isSuspect,
+  getGroup: toGroup,
+}: BlamesInput): readonly RunBlame[] => {
   const begun = isOutage ? [] : runs.filter((run) => !isPastStartup(run));
   const suspects = begun.filter(isSuspect);
   const likely = suspects.length > 0 ? suspects : begun;
   const blame = new Set(likely.map(toGroup)).size === 1 ? 'sole' : 'shared';
-  const charges = likely.map((run): Charge => ({
+  const charges = likely.map((run): RunBlame => ({
     run,
     blame: run.stage === 'unconfirmed' ? 'inherited' : blame,
   }));
   const present = runs
     .filter((run) => !likely.includes(run))
-    .map((run): Charge => ({ run, blame: 'present' }));
+    .map((run): RunBlame => ({ run, blame: 'present' }));
   return [...charges, ...present];
 };
--- a/packages/dispatch/crashes/isCrashSuspect.ts
+++ b/packages/dispatch/crashes/isCrashSuspect.ts
@@ -10,4 +10,4 @@
  * found one by one, and be given up with them.
  */
 export const isCrashSuspect = (crashes: readonly TaskCrash[]): boolean =>
-  crashes.length >= crashLimits.maxTogether || crashes.some(({ blame }) => SUSPICIOUS.has(blame));
+  crashes.length >= crashLimits.isolatedAfterCrashes || crashes.some(({ blame }) => SUSPICIOUS.has(blame));
--- a/packages/dispatch/crashes/isGivenUp.ts
+++ b/packages/dispatch/crashes/isOverCrashLimit.ts
@@ -8,10 +8,10 @@
  * True when so many endpoints have ended under a task that it is not started any more; one more is borne while endpoints are lost for which no
  * start can be blamed.
  */
-export const isGivenUp = (crashes: readonly TaskCrash[], isAmongLosses: boolean): boolean => {
+export const isOverCrashLimit = (crashes: readonly TaskCrash[], isAmongLosses: boolean): boolean => {
   const soleCount = crashes.filter(({ blame }) => blame === 'sole').length;
   const likelyCount = crashes.filter(({ blame }) => LIKELY.has(blame)).length;
-  const { maxSole, maxSoleAmongLosses, maxLikely, maxAll } = crashLimits;
+  const { maxSole, maxSoleDuringLosses: maxSoleAmongLosses, maxLikely, maxAll } = crashLimits;
   const borne = isAmongLosses ? maxSoleAmongLosses : maxSole;
   return soleCount >= borne || likelyCount >= maxLikely || crashes.length >= maxAll;
 };
--- a/packages/dispatch/crashes/isPastStartup.ts
+++ b/packages/dispatch/crashes/isPastStartup.ts
@@ -3,4 +3,4 @@
 
 /** True when a look has listed the run long enough after its start: its start has not ended its endpoint. */
 export const isPastStartup = (run: PlacedRun): boolean =>
-  run.seenAt - run.confirmedAt >= crashLimits.provenAgeMs;
+  run.seenAt - run.confirmedAt >= crashLimits.startupMs;
--- a/packages/dispatch/endpoints/CommandResult.ts
+++ b/packages/dispatch/endpoints/CommandResult.ts
@@ -1,16 +1,16 @@
-/** Why an endpoint did not do what it was told. */
-type OrderRejection = 'fence' | 'old' | 'late' | 'room' | 'ticket' | 'malformed';
+/** Reason why an endpoint rejected a command. */
+type CommandRejection = 'fence' | 'old' | 'late' | 'room' | 'ticket' | 'malformed';
 
 /**
- * How an order ended.
- * - `done`: carried out.
- * - `rejected`: not carried out, with the endpoint's reason.
- * - `unhealthy`: not carried out.
- * - `gone`: the address belongs to another life; this one has ended.
- * - `undelivered`: no connection was made, so that nothing was sent.
- * - `unanswered`: may have been carried out, or may be later.
+ * Result of a start or stop command.
+ * - `done`: the endpoint has executed it.
+ * - `rejected`: the endpoint has rejected it, for the reason given.
+ * - `unhealthy`: the endpoint has rejected it, being unhealthy.
+ * - `gone`: the incarnation has ended; its address belongs to another.
+ * - `undelivered`: nothing was sent, since no connection could be made.
+ * - `unanswered`: no response came; the endpoint may have executed it, or may yet.
  */
 export type CommandResult =
   | { readonly kind: 'done' | 'unhealthy' | 'gone' }
-  | { readonly kind: 'rejected'; readonly reason: OrderRejection }
+  | { readonly kind: 'rejected'; readonly reason: CommandRejection }
   | { readonly kind: 'undelivered' | 'unanswered'; readonly detail: string };
--- a/packages/dispatch/endpoints/CommandSender.ts
+++ b/packages/dispatch/endpoints/CommandSender.ts
@@ -14,40 +14,40 @@
 type StartEffect = Extract<DispatchEffect, { kind: 'start' }>;
 type StopEffect = Extract<DispatchEffect, { kind: 'stop' }>;
 
-interface OrderSenderOptions {
+interface CommandSenderOptions {
   readonly clock: Clock;
   readonly dispatcher: Dispatcher;
   readonly endpoints: EndpointSessions;
   readonly lines: LineBatcher;
-  /** True once this leader gives no more orders. */
+  /** Returns true once this leader sends no more commands. */
   readonly isStopped: () => boolean;
-  /** True while this leader may give leases. */
+  /** Returns true while this leader may grant leases. */
   readonly isRenewing: () => boolean;
   readonly recordCount: (name: 'starts' | 'stops') => void;
   readonly recordTime: (name: LeaderDurationName, valueMs: number) => void;
-  /** A start of a job is sent. */
+  /** Called before a start command of a job is sent. */
   readonly handleStarted: (job: JobId) => void;
-  /** An order, or its answer, has changed what may be placed. */
+  /** Called when a command or its result has changed what can be placed. */
   readonly handleChanged: () => void;
   readonly handleDeposed: (detail: string) => void;
 }
 
 const WAIT_CAUSES = Object.keys(waitMetricNames) as WaitCause[];
-/** Time for the answer to a stop that had none before: the endpoint may be slow, and only an answer frees the task. */
+/** Time limit for a repeated stop command: the endpoint may be slow, and the task can't start elsewhere before a response. */
 const REPEATED_STOP_TIMEOUT_MS = 500;
 
-/** Sends the leader's orders to endpoints and hands their answers to the dispatcher. */
+/** Sends the leader's commands to endpoints and hands the results to the dispatcher. */
 export class CommandSender {
   private readonly timeout = new ResponseTimeout();
 
-  constructor(private readonly options: OrderSenderOptions) {}
+  constructor(private readonly options: CommandSenderOptions) {}
 
-  /** Sends a start whose record is durable, if it is still wanted. */
+  /** Sends a start command whose record is durable, unless the run isn't wanted any more. */
   async sendStart(effect: StartEffect): Promise<void> {
     const { clock, dispatcher, endpoints, isStopped, isRenewing, handleChanged } = this.options;
     const session = endpoints.getSession(effect.endpoint);
     const isWanted = !isStopped() && dispatcher.handleStartRecorded(effect, clock.readNow());
-    // A start grants a lease too.
+    // A start command grants a lease too.
     if (session === undefined || !isWanted || !isRenewing()) {
       if (isWanted) {
         dispatcher.handleStartUnsent(effect, clock.readNow());
@@ -59,27 +59,28 @@
     const sentAt = clock.readNow();
     session.recordLease(sentAt);
     const timeoutMs = this.timeout.computeTimeoutMs();
-    const answer = await session.readClient().sendStart(effect.command, leaderTimings.leaseMs, timeoutMs);
+    const result = await session.getClient().sendStart(effect.command, leaderTimings.leaseMs, timeoutMs);
     if (endpoints.getSession(effect.endpoint) !== session) {
-      // The life is over, and what became of its orders is for the next one to show; that turns them down without another leader.
+      // The incarnation has ended: polls of the next one show whether it got the command. A rejection from there is no proof of a newer leader.
       return;
     }
-    this.handleStartAnswer(effect, answer, sentAt);
+    this.handleStartResult(effect, result, sentAt);
   }
 
+  /** Sends a stop command, with a longer time limit when it is repeated. */
   async sendStop(effect: StopEffect): Promise<void> {
     const { clock, dispatcher, endpoints, recordCount, handleChanged } = this.options;
     const { endpoint, task, run, isRepeated } = effect;
     const timeoutMs = isRepeated ? REPEATED_STOP_TIMEOUT_MS : this.timeout.computeTimeoutMs();
     recordCount('stops');
     const session = endpoints.getSession(endpoint);
-    const answer = await session?.readClient().sendStop(task, run, timeoutMs);
-    if (answer === undefined || endpoints.getSession(endpoint) !== session || this.isOver(answer)) {
+    const result = await session?.getClient().sendStop(task, run, timeoutMs);
+    if (result === undefined || endpoints.getSession(endpoint) !== session || this.isLeadershipOver(result)) {
       return;
     }
-    dispatcher.handleStopResult(endpoint, task, run, answer, clock.readNow());
-    if (answer.kind === 'done' || answer.kind === 'rejected') {
-      // Only a look that is sent after the stop was answered can prove that the run is not there.
+    dispatcher.handleStopResult(endpoint, task, run, result, clock.readNow());
+    if (result.kind === 'done' || result.kind === 'rejected') {
+      // Only a poll that is sent after this response can prove that the run has ended.
       void session?.sendExtraPoll();
     }
     handleChanged();
@@ -92,36 +93,36 @@
     WAIT_CAUSES.forEach((cause) => recordTime(waitMetricNames[cause], waits[cause]));
   }
 
-  private handleStartAnswer(effect: StartEffect, answer: CommandResult, sentAt: number): void {
+  private handleStartResult(effect: StartEffect, result: CommandResult, sentAt: number): void {
     const { clock, dispatcher, lines, recordTime, handleChanged } = this.options;
-    const { job, endpoint, command: order } = effect;
-    const { task, run } = order;
+    const { job, endpoint, command } = effect;
+    const { task, run } = command;
     const now = clock.readNow();
-    this.recordTimeout(answer, now - sentAt);
+    this.recordResponseTime(result, now - sentAt);
     recordTime('startMs', now - sentAt);
-    if (answer.kind !== 'done') {
-      lines.recordLine('Start not confirmed.', { job, task, run, endpoint, ...answer }, now);
+    if (result.kind !== 'done') {
+      lines.recordLine('Start not confirmed.', { job, task, run, endpoint, ...result }, now);
     }
-    if (this.isOver(answer)) {
+    if (this.isLeadershipOver(result)) {
       return;
     }
-    dispatcher.handleStartResult(endpoint, task, run, answer, now);
+    dispatcher.handleStartResult(endpoint, task, run, result, now);
     handleChanged();
   }
 
-  private recordTimeout(answer: CommandResult, tookMs: number): void {
-    if (answer.kind === 'unanswered') {
+  private recordResponseTime(result: CommandResult, tookMs: number): void {
+    if (result.kind === 'unanswered') {
       this.timeout.recordTimeout(tookMs);
     } else {
       this.timeout.recordAnswer(tookMs);
     }
   }
 
-  /** True when this leader gives no more orders; an endpoint that obeys a newer one shows that. */
-  private isOver(answer: CommandResult): boolean {
-    const isFenced = answer.kind === 'rejected' && answer.reason === 'fence';
+  /** Returns true when this leader sends no more commands. An endpoint that has seen the token of a newer leader proves that. */
+  private isLeadershipOver(result: CommandResult): boolean {
+    const isFenced = result.kind === 'rejected' && result.reason === 'fence';
     if (isFenced) {
-      this.options.handleDeposed('an endpoint obeys a newer leader');
+      this.options.handleDeposed('an endpoint has accepted a newer leader');
     }
     return isFenced || this.options.isStopped();
   }
--- a/packages/dispatch/endpoints/EndedTaskStatus.ts
+++ b/packages/dispatch/endpoints/EndedTaskStatus.ts
@@ -1,8 +1,8 @@
 import type { TaskName } from '../../jobs/TaskName';
 
-/** One end that an endpoint reports until it is acknowledged. */
+/** An ended run in the status of an endpoint, which lists it until it is acknowledged. */
 export interface EndedTaskStatus {
-  /** Rising number of the end within the endpoint's life. */
+  /** Sequence number of the end, unique and rising within one incarnation of the endpoint. */
   readonly number: number;
   readonly task: TaskName;
   readonly run: number;
@@ -10,5 +10,10 @@
   readonly checkpoint: string;
 }
 
-/** `broken`: another member of its gang ended; `alone`: the gang was never complete; `lapsed`: its lease ran out. */
+/**
+ * How a run ended.
+ * - `lapsed`: its lease expired.
+ * - `broken`: another member of its gang ended.
+ * - `alone`: its gang was never complete.
+ */
 type EndKind = 'done' | 'failed' | 'stopped' | 'lapsed' | 'broken' | 'alone';
--- a/packages/dispatch/endpoints/EndpointClient.ts
+++ b/packages/dispatch/endpoints/EndpointClient.ts
@@ -3,24 +3,25 @@
 import type { CommandResult } from './CommandResult';
 import type { StartCommand } from './StartCommand';
 
-interface HoldRequest {
-  /** Ends up to this number are durable and may be forgotten. */
+interface PollRequest {
+  /** Acknowledges ends up to this sequence number, which the endpoint may forget; 0 acknowledges none. */
   readonly lastSeen: number;
-  /** New lease from now on; undefined looks without renewing. */
+  /** Length of the new lease, in milliseconds; undefined doesn't renew the lease. */
   readonly leaseMs: number | undefined;
-  /** The answer may wait this long for an end. */
+  /** Longest time that the endpoint may delay its response until a run ends, in milliseconds. */
   readonly waitMs: number;
   readonly timeoutMs: number;
-  /** The look acknowledges what the last answer listed: it goes to the process that gave it, over the same connection, or is not sent. */
+  /** Sends the poll only over the connection of the last response: it acknowledges what that process listed. */
   readonly isContinued?: boolean;
-  /** The look goes beside the loop of looks. It must not acknowledge anything. */
+  /** The poll is sent beside the poll loop, and acknowledges nothing. */
   readonly isExtra?: boolean;
 }
 
-/** What the product needs of one endpoint. Every call carries the caller's fencing token. */
+/** Calls to one incarnation of an endpoint. Each carries the leader's fencing token. */
 export interface EndpointClient {
-  sendStart(order: StartCommand, leaseMs: number, timeoutMs: number): Promise<CommandResult>;
+  sendStart(command: StartCommand, leaseMs: number, timeoutMs: number): Promise<CommandResult>;
   sendStop(task: TaskName, run: number, timeoutMs: number): Promise<CommandResult>;
-  sendPoll(request: HoldRequest): Promise<PollResult>;
+  /** Renews the lease, acknowledges ends and requests the status. */
+  sendPoll(request: PollRequest): Promise<PollResult>;
   stop(): Promise<void>;
 }
--- a/packages/dispatch/endpoints/EndpointFence.ts
+++ b/packages/dispatch/endpoints/EndpointFence.ts
@@ -1,26 +1,26 @@
-/** Lives of one endpoint that a leader can tell apart by its tokens; the tokens of the next leader begin above them. */
-const LIVES_PER_EPOCH = 1_000_000;
+/** Number of tokens of one leader; those of the next leader are higher. */
+const INCARNATIONS_PER_EPOCH = 1_000_000;
 
 /**
- * The fencing token of one leader at one endpoint. It rises with each life that the endpoint begins, as it does with each leader: an order to the
- * life before that is still on its way would be carried out by the next one, which has seen no token. Once a life has answered a call with
- * a token of its own, all that was meant for those before is turned down there.
+ * Fencing token of one leader for one endpoint. It rises with each leader and with each incarnation of the endpoint, since a new incarnation has
+ * seen no token and would accept a delayed command to the previous one. Once it has seen its own token, it rejects such commands.
  */
 export class EndpointFence {
-  private lives = 0;
+  private incarnations = 0;
 
   constructor(private readonly epoch: number) {}
 
-  readToken(): number {
-    return this.epoch * LIVES_PER_EPOCH + Math.min(this.lives, LIVES_PER_EPOCH - 1);
+  getToken(): number {
+    return this.epoch * INCARNATIONS_PER_EPOCH + Math.min(this.incarnations, INCARNATIONS_PER_EPOCH - 1);
   }
 
+  /** Returns true once the leader has seen more than one incarnation. */
   hasRisen(): boolean {
-    return this.lives > 0;
+    return this.incarnations > 0;
   }
 
-  /** The endpoint has begun another life: later calls shut out those that were sent before. */
-  recordNextLife(): void {
-    this.lives += 1;
+  /** Raises the token for a new incarnation of the endpoint. */
+  recordNextIncarnation(): void {
+    this.incarnations += 1;
   }
 }
--- a/packages/dispatch/endpoints/EndpointLossHandler.ts
+++ b/packages/dispatch/endpoints/EndpointLossHandler.ts
@@ -4,9 +4,9 @@
 import type { RunEnd } from '../runs/RunEnd';
 import type { RunTracker } from '../runs/RunTracker';
 import type { EndpointState } from './EndpointState';
-import { formatLifeEnd } from './formatLifeEnd';
+import { formatIncarnationEnd } from './formatIncarnationEnd';
 
-interface LifeEndsOptions {
+interface EndpointLossHandlerOptions {
   readonly books: Map<EndpointIncarnation, EndpointState>;
   readonly ledger: RunTracker;
   readonly crashes: CrashTracker;
@@ -14,57 +14,57 @@
   readonly longestLeaseMs: number;
 }
 
-const LIFE_OVER: RunEnd = { outcome: 'interrupted', cause: 'lifeOver', checkpoint: '' };
-const LEASE_OVER: RunEnd = { outcome: 'interrupted', cause: 'leaseOver', checkpoint: '' };
+const INCARNATION_OVER: RunEnd = { outcome: 'interrupted', cause: 'lifeOver', checkpoint: '' };
+const LEASE_EXPIRED: RunEnd = { outcome: 'interrupted', cause: 'leaseOver', checkpoint: '' };
 
-/** Ends what ran on endpoints whose life or lease is over. */
+/** Ends the runs of endpoints whose incarnation has ended or whose lease has expired. */
 export class EndpointLossHandler {
-  constructor(private readonly options: LifeEndsOptions) {}
+  constructor(private readonly options: EndpointLossHandlerOptions) {}
 
   /**
-   * A life is over, so that nothing that it has listed runs any more. What was sent to it and never listed may have reached the life after it,
-   * or reach it still: it goes into that life's books, and the first look there that shuts out earlier orders tells what became of it.
+   * Ends the runs of an incarnation that has ended. Runs that were sent to it but never listed may have reached the `next` incarnation, or may still
+   * reach it: these are transferred there, until a poll with the new fencing token shows whether they run.
    */
-  handleIncarnationEnd(life: EndpointIncarnation, now: number, next?: EndpointIncarnation): void {
-    const { books, ledger, crashes } = this.options;
-    const book = books.get(life);
-    if (book === undefined) {
+  handleIncarnationEnd(incarnation: EndpointIncarnation, now: number, next?: EndpointIncarnation): void {
+    const { books: endpoints, ledger: tracker, crashes } = this.options;
+    const endpoint = endpoints.get(incarnation);
+    if (endpoint === undefined) {
       return;
     }
-    const runs = [...book.getRuns()];
-    const nextBook = next === undefined ? undefined : books.get(next);
-    const carried =
-      nextBook === undefined ? [] : runs.filter((run) => run.stage !== 'recording' && !run.isListed);
-    const fields = formatLifeEnd(book, runs, now, { next, carriedCount: carried.length });
-    ledger.sendLogLine('Endpoint life is over.', fields);
-    ledger.sendCount('lifeEnds');
-    ledger.sendCount('runsLost', runs.length - carried.length);
-    crashes.handleIncarnationEnd(book, runs, now);
+    const runs = [...endpoint.getRuns()];
+    const nextEndpoint = next === undefined ? undefined : endpoints.get(next);
+    const transferred =
+      nextEndpoint === undefined ? [] : runs.filter((run) => run.stage !== 'recording' && !run.isListed);
+    const fields = formatIncarnationEnd(endpoint, runs, now, { next, carriedCount: transferred.length });
+    tracker.sendLogLine('Endpoint incarnation has ended.', fields);
+    tracker.sendCount('lifeEnds');
+    tracker.sendCount('runsLost', runs.length - transferred.length);
+    crashes.handleIncarnationEnd(endpoint, runs, now);
     for (const run of runs) {
-      if (nextBook !== undefined && carried.includes(run)) {
-        ledger.recordTransfer(book, nextBook, run);
+      if (nextEndpoint !== undefined && transferred.includes(run)) {
+        tracker.recordTransfer(endpoint, nextEndpoint, run);
       } else {
-        ledger.recordRunEnd(book, run, LIFE_OVER, now);
+        tracker.recordRunEnd(endpoint, run, INCARNATION_OVER, now);
       }
     }
-    // A call to the life before may have given the next one a lease by another clock: at most the longest there is.
+    // A poll of the previous incarnation may have given the next one a lease by another clock, limited by the longest that is granted.
     const { clockDriftShare, marginMs } = leaderTimings;
-    nextBook?.recordLease(now + this.options.longestLeaseMs * (1 + clockDriftShare) + marginMs);
-    books.delete(life);
+    nextEndpoint?.recordLease(now + this.options.longestLeaseMs * (1 + clockDriftShare) + marginMs);
+    endpoints.delete(incarnation);
   }
 
-  /** Lets time pass for an endpoint: where it has not been heard, all that was leased there ends with the lease. */
-  checkLease(book: EndpointState, now: number): void {
-    const isUnheard = book.getUnreachableSince() !== undefined || !book.isSynced();
-    if (!isUnheard || now <= book.readLeasedUntil()) {
+  /** Ends the runs of an endpoint that is unreachable, or not yet synced, once its lease has expired. */
+  checkLease(endpoint: EndpointState, now: number): void {
+    const isUnreachable = endpoint.getUnreachableSince() !== undefined || !endpoint.isSynced();
+    if (!isUnreachable || now <= endpoint.getLeasedUntil()) {
       return;
     }
-    const { ledger, crashes } = this.options;
-    const runs = [...book.getRuns()].filter(({ stage }) => stage !== 'recording');
-    crashes.handleLapse(book, runs, now);
+    const { ledger: tracker, crashes } = this.options;
+    const runs = [...endpoint.getRuns()].filter(({ stage }) => stage !== 'recording');
+    crashes.handleLeaseExpiry(endpoint, runs, now);
     for (const run of runs) {
-      ledger.sendCount('runsLapsed');
-      ledger.recordRunEnd(book, run, LEASE_OVER, now);
+      tracker.sendCount('runsLapsed');
+      tracker.recordRunEnd(endpoint, run, LEASE_EXPIRED, now);
     }
   }
 }
--- a/packages/dispatch/endpoints/EndpointProfile.ts
+++ b/packages/dispatch/endpoints/EndpointProfile.ts
@@ -3,19 +3,19 @@
 import type { ServiceName } from '../../jobs/ServiceName';
 import type { TaskDemand } from '../../jobs/TaskDemand';
 
-/** What an endpoint's record says of it. */
+/** Contents of an endpoint's record in the log. */
 export interface EndpointProfile {
   readonly id: EndpointId;
-  /** The life that wrote the record. */
+  /** Incarnation that wrote the record. */
   readonly incarnation: EndpointIncarnation;
   readonly service: ServiceName;
   /** Host and port. */
   readonly address: string;
   readonly hall: string;
   readonly capacity: TaskDemand;
-  /** Kind and rack. */
+  /** Kind and rack of the machine. */
   readonly labels: readonly string[];
   readonly isDraining: boolean;
-  /** While it drains: the least time that remains, in milliseconds from the record on. */
+  /** Least time until a draining endpoint stops, in milliseconds from its record on. */
   readonly remainingMs: number;
 }
--- a/packages/dispatch/endpoints/EndpointRecords.ts
+++ b/packages/dispatch/endpoints/EndpointRecords.ts
@@ -11,42 +11,40 @@
 
 interface EndpointRecordsOptions {
   readonly client: LogClient;
-  /** Topic in which endpoints keep a record of themselves. */
+  /** Topic with the endpoints' records. */
   readonly topic: string;
   readonly clock: Clock;
   readonly random: Random;
   readonly logger: Logger;
-  /** On failure says what is wrong with the record. */
+  /** Parses the record of an endpoint; the error names the problem. */
   readonly parseEndpoint: (id: string, text: string) => Result<EndpointProfile, string>;
-  /** The newest record of an endpoint, for a new one or a changed one. */
+  /** Called with the newest record of a new or changed endpoint. */
   readonly handleRecord: (profile: EndpointProfile) => void;
-  /** The endpoint has no record any more that names it. */
+  /** Called when the endpoint has no valid record any more. */
   readonly handleRemoval: (id: EndpointId) => void;
-  /** A record was passed over, since it does not tell what an endpoint's record has to tell. */
-  readonly handleRefusal: () => void;
-  /** All records of a read have been handled. */
+  /** Called when an invalid record was ignored. */
+  readonly handleInvalidRecord: () => void;
+  /** Called when all records of a read have been handled. */
   readonly handleRead: () => void;
-  /** The log has answered, after it had not, a call that was sent at a monotonic time. */
+  /** Called when the log has recovered, with the monotonic time at which the call that it responded to was sent. */
   readonly handleLogBack: (answeredSentAt: number) => void;
 }
 
-const PAUSE_MS = 300;
+const RETRY_DELAY_MS = 300;
 const POLL_MS = 1000;
-/** Records that lapsed while the log was away are back within this time of its return, if their endpoints live. */
-const RELISTING_MS = 2000;
+/** Endpoints whose records expired while the log was unavailable register again within this time of its recovery. */
+const REREGISTRATION_MS = 2000;
 
-/**
- * Follows the records that endpoints keep of themselves. What another writer has put there names no endpoint: without that check records with
- * no state, no room or a negative one counted as endpoints to use (trial with records of both kinds).
- */
+/** Follows the topic in which endpoints register. Invalid records, such as those of other writers, are ignored. */
 export class EndpointRecords {
-  private readonly known = new Set<EndpointId>();
+  /** Endpoints with a valid record. */
+  private readonly registered = new Set<EndpointId>();
   private readonly follower: LogFollower;
-  /** Records that went while the log was away, and may come back. */
-  private readonly lapsed = new Set<EndpointId>();
-  /** Monotonic time of the log's newest return. */
-  private returnedAt = -Infinity;
-  private lapseTimer: NodeJS.Timeout | undefined;
+  /** Endpoints whose records were removed while the log was unavailable, and may come back. */
+  private readonly expired = new Set<EndpointId>();
+  /** Monotonic time of the log's newest recovery. */
+  private logRecoveredAt = -Infinity;
+  private removalTimer: NodeJS.Timeout | undefined;
 
   constructor(private readonly options: EndpointRecordsOptions) {
     const { client, topic, clock, random } = options;
@@ -55,7 +53,7 @@
       topic,
       clock,
       random,
-      pauseMs: PAUSE_MS,
+      pauseMs: RETRY_DELAY_MS,
       pollMs: POLL_MS,
       handleRecords: (records) => this.handleRecords(records),
       handleConnection: (isConnected, detail, sentAt) => this.handleConnection(isConnected, detail, sentAt),
@@ -67,29 +65,30 @@
   }
 
   stop(): void {
-    clearTimeout(this.lapseTimer);
+    clearTimeout(this.removalTimer);
     this.follower.stop();
   }
 
-  /** The log answers again: reads the records anew where the read under way may have gone into the outage. */
-  startAgain(answeredSentAt: number): void {
+  /** Repeats a pending read that was sent before the log's outage ended. */
+  retryPending(answeredSentAt: number): void {
     this.follower.retryPending(answeredSentAt);
   }
 
-  /** True once all records have been read. */
+  /** Returns true once all records have been read. */
   hasReadAll(): boolean {
     return this.follower.getOffset() !== undefined;
   }
 
-  readCount(): number {
-    return this.known.size;
+  /** Returns the number of endpoints with a valid record. */
+  countEndpoints(): number {
+    return this.registered.size;
   }
 
   private handleRecords(records: readonly LogRecord[]): void {
     for (const { key, value } of records) {
       const id = toId<EndpointId>(key);
       if (value === '') {
-        this.handleAbsence(id);
+        this.handleDeletion(id);
       } else {
         this.applyRecord(id, value);
       }
@@ -100,13 +99,13 @@
   private applyRecord(id: EndpointId, value: string): void {
     const parsed = this.options.parseEndpoint(id, value);
     if (!parsed.ok) {
-      this.options.logger.warn('Endpoint record is passed over.', { endpoint: id, reason: parsed.error });
-      this.options.handleRefusal();
-      this.applyRemoval(id);
+      this.options.logger.warn('Invalid endpoint record is ignored.', { endpoint: id, reason: parsed.error });
+      this.options.handleInvalidRecord();
+      this.removeEndpoint(id);
       return;
     }
-    this.known.add(id);
-    this.lapsed.delete(id);
+    this.registered.add(id);
+    this.expired.delete(id);
     this.options.handleRecord(parsed.value);
   }
 
@@ -114,52 +113,52 @@
     const { logger, topic } = this.options;
     logger.info(isConnected ? 'Topic can be read.' : 'Topic cannot be read.', { topic, detail });
     if (isConnected) {
-      this.returnedAt = this.options.clock.readNow();
-      this.startLapseTimer(RELISTING_MS);
+      this.logRecoveredAt = this.options.clock.readNow();
+      this.scheduleRemoval(REREGISTRATION_MS);
       this.options.handleLogBack(sentAt);
     }
   }
 
-  private startLapseTimer(waitMs: number): void {
-    clearTimeout(this.lapseTimer);
-    this.lapseTimer = setTimeout(() => this.applyLapsed(), waitMs);
+  private scheduleRemoval(waitMs: number): void {
+    clearTimeout(this.removalTimer);
+    this.removalTimer = setTimeout(() => this.removeExpired(), waitMs);
   }
 
-  /** Takes the endpoints whose records have not come back as gone. While the log is away again, its next return decides. */
-  private applyLapsed(): void {
+  /** Removes the endpoints whose records have not come back. While the log is unavailable again, its next recovery decides. */
+  private removeExpired(): void {
     if (!this.follower.isFollowing()) {
       return;
     }
-    const leftMs = this.returnedAt + RELISTING_MS - this.options.clock.readNow();
-    if (leftMs > 0) {
-      // Timers may fire early by the clock, when the process was busy as it set them.
-      this.startLapseTimer(leftMs);
+    const remainingMs = this.logRecoveredAt + REREGISTRATION_MS - this.options.clock.readNow();
+    if (remainingMs > 0) {
+      // The timer may fire early by the clock.
+      this.scheduleRemoval(remainingMs);
       return;
     }
-    for (const id of [...this.lapsed]) {
-      this.applyRemoval(id);
+    for (const id of [...this.expired]) {
+      this.removeEndpoint(id);
     }
   }
 
-  /** True until the log has answered long enough for records that lapsed meanwhile to be back. */
-  private isLogReturning(): boolean {
-    const answeredMs = this.options.clock.readNow() - this.returnedAt;
-    return !this.follower.isFollowing() || answeredMs < RELISTING_MS;
+  /** Returns true until the log has been available long enough for endpoints to register again. */
+  private isLogRecovering(): boolean {
+    const reachableMs = this.options.clock.readNow() - this.logRecoveredAt;
+    return !this.follower.isFollowing() || reachableMs < REREGISTRATION_MS;
   }
 
-  private handleAbsence(id: EndpointId): void {
-    if (this.known.has(id) && this.isLogReturning()) {
-      this.options.logger.info('Endpoint record lapsed while the log was away.', { endpoint: id });
-      this.lapsed.add(id);
+  private handleDeletion(id: EndpointId): void {
+    if (this.registered.has(id) && this.isLogRecovering()) {
+      this.options.logger.info('Endpoint record expired while the log was unavailable.', { endpoint: id });
+      this.expired.add(id);
     } else {
-      this.applyRemoval(id);
+      this.removeEndpoint(id);
     }
   }
 
-  private applyRemoval(id: EndpointId): void {
-    this.lapsed.delete(id);
-    if (this.known.delete(id)) {
-      this.options.logger.info('Endpoint left.', { endpoint: id });
+  private removeEndpoint(id: EndpointId): void {
+    this.expired.delete(id);
+    if (this.registered.delete(id)) {
+      this.options.logger.info('Endpoint deregistered.', { endpoint: id });
       this.options.handleRemoval(id);
     }
   }
--- a/packages/dispatch/endpoints/EndpointSession.ts
+++ b/packages/dispatch/endpoints/EndpointSession.ts
@@ -7,91 +7,90 @@
 import type { EndpointClient } from './EndpointClient';
 import type { PollResult } from './PollResult';
 
-type Held = Extract<PollResult, { kind: 'held' }>;
+type HeldResult = Extract<PollResult, { kind: 'held' }>;
 
 interface EndpointSessionOptions {
-  readonly book: EndpointState;
+  readonly endpoint: EndpointState;
   readonly client: EndpointClient;
   readonly clock: Clock;
-  /** True while this leader may give leases. */
+  /** Returns true while this leader may grant leases. */
   readonly isRenewing: () => boolean;
-  /** The life has answered a look that was sent at a time. False when the answer must not be taken in. */
-  readonly handleAnswered: (sentAt: number) => boolean;
-  /** Another life of the endpoint has answered a look that was sent at a time. */
-  readonly handleOtherLife: (life: EndpointIncarnation, sentAt: number) => void;
+  /** Called when the incarnation has responded to a poll. Returns false when the status must be ignored. */
+  readonly handleResponse: (sentAt: number) => boolean;
+  /** Called when another incarnation of the endpoint has responded to a poll. */
+  readonly handleOtherIncarnation: (incarnation: EndpointIncarnation, sentAt: number) => void;
   /**
-   * Takes an answer in; resolves once the ends in it are durable. Rejects when this leader is deposed. An end comes again with
-   * each answer until it has been acknowledged; `newEndCount` of them come for the first time.
+   * Applies a status; resolves once its ends are durable. Rejects when this leader has lost its leadership. A status repeats an end until it is
+   * acknowledged; `newEndCount` of its ends are new.
    */
-  readonly handleHeld: (answer: Held, sentAt: number, newEndCount: number) => Promise<void>;
-  readonly handleSilence: (detail: string) => void;
+  readonly handleStatus: (result: HeldResult, sentAt: number, newEndCount: number) => Promise<void>;
+  readonly handleUnreachable: (detail: string) => void;
   readonly handleGone: () => void;
   readonly handleFenced: () => void;
 }
 
-/** Short, because an end is not heard of while the answer to a look is lost. */
-const LOOK_WAIT_MS = 400;
-/** Where nothing runs there is no end to miss. */
-const IDLE_LOOK_WAIT_MS = 1000;
-/** Beyond the wait. A look that is given up too soon costs another; one given up late, all that is placed there meanwhile. */
-const ANSWER_TIMEOUT_MS = 300;
-/** The time limit doubles with each look without an answer, up to this: an endpoint may be slow and yet work. */
-const MAX_ANSWER_TIMEOUT_MS = 1200;
+/** Longest delay of a response. A lost response delays the ends in it by as much. */
+const POLL_WAIT_MS = 400;
+/** The same while no task runs on the endpoint. */
+const IDLE_POLL_WAIT_MS = 1000;
+/** Time limit for a response, beyond the wait of the poll. */
+const RESPONSE_TIMEOUT_MS = 300;
+/** The time limit doubles with each poll without a response, up to this value. */
+const MAX_RESPONSE_TIMEOUT_MS = 1200;
 const RETRY_DELAY_MS = 100;
 const MAX_RETRY_DELAY_MS = 500;
 /**
- * Longest wait for an end to be durable before the next look. While the log is out the looks go on and renew the lease, else all
- * that runs beside one end is killed after 4 s; each of them brings the same end again, so they are spaced like usual looks.
+ * Longest wait for ends to be durable before the next poll. Polls continue while the log is unavailable, so that the lease doesn't expire. Each
+ * response then comes at once, with the same ends, so that the wait has to space the polls.
  */
-const DURABLE_WAIT_MS = LOOK_WAIT_MS;
+const DURABLE_WAIT_MS = POLL_WAIT_MS;
 
 /**
- * Keeps one life of an endpoint leased and watched: one long poll at a time, which answers as soon as a run ends.
- * An end is acknowledged only once it is durable, which may take several looks. An endpoint that does not answer is looked at without
- * a new lease, so that the time by which all its work has ended stays known.
+ * Renews the lease of one incarnation of an endpoint and follows its status, by one long poll at a time that returns when a run ends. Ends are
+ * acknowledged only once they are durable. An unreachable endpoint gets no new lease, so that the time by which its runs have ended stays known.
  */
 export class EndpointSession {
-  /** Ends up to this number are durable. */
-  private lastSeen = 0;
-  /** Ends up to this number have been taken in. */
-  private lastTaken = 0;
+  /** Ends up to this sequence number are durable, and acknowledged by the next poll. */
+  private lastAcknowledged = 0;
+  /** Ends up to this sequence number have been received. */
+  private lastReceived = 0;
   private isStopped = false;
-  private isLookingExtra = false;
+  private isExtraPollPending = false;
   private failures = 0;
-  /** The newest look of the loop was answered by the life, so that its connection leads there. */
-  private isLifeConnected = false;
+  /** True when the incarnation responded to the newest poll of the loop, so that the connection leads to it. */
+  private isConnected = false;
 
   constructor(private readonly options: EndpointSessionOptions) {}
 
-  /** Looks once beside the loop, without a lease: for something that the look under way cannot show any more. */
+  /** Polls once beside the loop, without a lease, for a change that the response to the pending poll may not show. */
   async sendExtraPoll(): Promise<void> {
-    if (this.isStopped || this.isLookingExtra) {
+    if (this.isStopped || this.isExtraPollPending) {
       return;
     }
-    this.isLookingExtra = true;
+    this.isExtraPollPending = true;
     const sentAt = this.options.clock.readNow();
     const { client } = this.options;
-    const answer = await client.sendPoll({
+    const result = await client.sendPoll({
       lastSeen: 0,
       leaseMs: undefined,
       waitMs: 0,
-      timeoutMs: ANSWER_TIMEOUT_MS,
+      timeoutMs: RESPONSE_TIMEOUT_MS,
       isExtra: true,
     });
-    this.isLookingExtra = false;
-    if (!this.isStopped && answer.kind === 'otherLife') {
-      this.options.handleOtherLife(answer.life, sentAt);
+    this.isExtraPollPending = false;
+    if (!this.isStopped && result.kind === 'otherLife') {
+      this.options.handleOtherIncarnation(result.life, sentAt);
     }
-    // Silence is the loop's to judge, and ends are the loop's to acknowledge.
-    if (!this.isStopped && answer.kind === 'held' && this.options.handleAnswered(sentAt)) {
-      await this.sendHeld(answer, sentAt).catch(() => undefined);
+    // Only the poll loop handles missing responses and acknowledges ends.
+    if (!this.isStopped && result.kind === 'held' && this.options.handleResponse(sentAt)) {
+      await this.applyStatus(result, sentAt).catch(() => undefined);
     }
   }
 
-  /** Runs until `stop`, or until the endpoint's life is over. */
+  /** Polls until `stop` is called, or until the incarnation has ended. */
   async run(): Promise<void> {
     while (!this.isStopped) {
-      await this.sendLook();
+      await this.sendPoll();
     }
   }
 
@@ -100,52 +99,52 @@
     void this.options.client.stop();
   }
 
-  /** Ends up to this number have been acknowledged. */
-  readAcknowledged(): number {
-    return this.lastSeen;
+  /** Returns the sequence number up to which ends are durable, and acknowledged by the next poll. */
+  getLastAcknowledged(): number {
+    return this.lastAcknowledged;
   }
 
-  readClient(): EndpointClient {
+  getClient(): EndpointClient {
     return this.options.client;
   }
 
-  private async sendLook(): Promise<void> {
-    const { client, clock, book, isRenewing } = this.options;
-    const isSilent = book.getUnreachableSince() !== undefined;
-    const isAnswering = book.isSynced() && !isSilent;
-    const leaseMs = isAnswering && isRenewing() ? leaderTimings.leaseMs : undefined;
-    const usualWaitMs = book.countRuns() === 0 ? IDLE_LOOK_WAIT_MS : LOOK_WAIT_MS;
-    const waitMs = isAnswering ? usualWaitMs : 0;
+  private async sendPoll(): Promise<void> {
+    const { client, clock, endpoint, isRenewing } = this.options;
+    const isUnreachable = endpoint.getUnreachableSince() !== undefined;
+    const isResponding = endpoint.isSynced() && !isUnreachable;
+    const leaseMs = isResponding && isRenewing() ? leaderTimings.leaseMs : undefined;
+    const usualWaitMs = endpoint.countRuns() === 0 ? IDLE_POLL_WAIT_MS : POLL_WAIT_MS;
+    const waitMs = isResponding ? usualWaitMs : 0;
     const sentAt = clock.readNow();
     if (leaseMs !== undefined) {
       this.recordLease(sentAt);
     }
-    // Another life may answer after a silence, and on any new connection. It must not forget ends that it has not listed, or tasks
-    // that are done would run again.
-    const lastSeen = isSilent || !this.isLifeConnected ? 0 : this.lastSeen;
-    const answer = await client.sendPoll({
+    // Another incarnation may respond on a new connection. It must not forget ends that it hasn't listed, or tasks that are done
+    // would run again.
+    const lastSeen = isUnreachable || !this.isConnected ? 0 : this.lastAcknowledged;
+    const result = await client.sendPoll({
       lastSeen,
       isContinued: lastSeen > 0,
       leaseMs,
       waitMs,
-      timeoutMs: waitMs + Math.min(MAX_ANSWER_TIMEOUT_MS, ANSWER_TIMEOUT_MS * 2 ** this.failures),
+      timeoutMs: waitMs + Math.min(MAX_RESPONSE_TIMEOUT_MS, RESPONSE_TIMEOUT_MS * 2 ** this.failures),
     });
     if (!this.isStopped) {
-      await this.handleAnswer(answer, sentAt);
+      await this.handleResult(result, sentAt);
     }
   }
 
-  /** Notes a lease given at a time, whether or not it arrives. */
+  /** Records a lease that is sent at a time, whether or not it arrives. */
   recordLease(sentAt: number): void {
     const { leaseMs, clockDriftShare, marginMs } = leaderTimings;
-    this.options.book.recordLease(sentAt + leaseMs * (1 + clockDriftShare) + marginMs);
+    this.options.endpoint.recordLease(sentAt + leaseMs * (1 + clockDriftShare) + marginMs);
   }
 
-  private async handleAnswer(answer: PollResult, sentAt: number): Promise<void> {
-    this.isLifeConnected = answer.kind === 'held';
-    switch (answer.kind) {
+  private async handleResult(result: PollResult, sentAt: number): Promise<void> {
+    this.isConnected = result.kind === 'held';
+    switch (result.kind) {
       case 'held':
-        await this.handleHeld(answer, sentAt);
+        await this.handleStatus(result, sentAt);
         return;
       case 'fenced':
         this.isStopped = true;
@@ -156,50 +155,50 @@
         this.options.handleGone();
         return;
       case 'otherLife':
-        this.options.handleOtherLife(answer.life, sentAt);
-        await this.startRetryDelay();
+        this.options.handleOtherIncarnation(result.life, sentAt);
+        await this.waitForRetry();
         return;
       case 'disconnected':
         return;
       case 'unanswered':
-        this.options.handleSilence(answer.detail);
-        await this.startRetryDelay();
+        this.options.handleUnreachable(result.detail);
+        await this.waitForRetry();
         return;
     }
   }
 
-  private async startRetryDelay(): Promise<void> {
+  private async waitForRetry(): Promise<void> {
     this.failures += 1;
     await startDelay(Math.min(MAX_RETRY_DELAY_MS, RETRY_DELAY_MS * (this.failures - 1)));
   }
 
-  private async handleHeld(answer: Held, sentAt: number): Promise<void> {
+  private async handleStatus(result: HeldResult, sentAt: number): Promise<void> {
     this.failures = 0;
-    if (!this.options.handleAnswered(sentAt)) {
+    if (!this.options.handleResponse(sentAt)) {
       return;
     }
-    const noted = this.startNoting(answer, sentAt);
-    await startBounded(noted, DURABLE_WAIT_MS, undefined);
+    const acknowledged = this.applyAndAcknowledge(result, sentAt);
+    await startBounded(acknowledged, DURABLE_WAIT_MS, undefined);
   }
 
-  /** Takes an answer in, and acknowledges its ends once they are durable. */
-  private async startNoting(answer: Held, sentAt: number): Promise<void> {
+  /** Applies a status, and acknowledges its ends once they are durable. */
+  private async applyAndAcknowledge(result: HeldResult, sentAt: number): Promise<void> {
     try {
-      await this.sendHeld(answer, sentAt);
+      await this.applyStatus(result, sentAt);
     } catch {
       this.isStopped = true;
       return;
     }
-    this.lastSeen = this.readNewestEnd(answer, this.lastSeen);
+    this.lastAcknowledged = this.getNewestEnd(result, this.lastAcknowledged);
   }
 
-  private sendHeld(answer: Held, sentAt: number): Promise<void> {
-    const newEndCount = answer.ended.filter(({ number }) => number > this.lastTaken).length;
-    this.lastTaken = this.readNewestEnd(answer, this.lastTaken);
-    return this.options.handleHeld(answer, sentAt, newEndCount);
+  private applyStatus(result: HeldResult, sentAt: number): Promise<void> {
+    const newEndCount = result.ended.filter(({ number }) => number > this.lastReceived).length;
+    this.lastReceived = this.getNewestEnd(result, this.lastReceived);
+    return this.options.handleStatus(result, sentAt, newEndCount);
   }
 
-  private readNewestEnd({ ended }: Held, atLeast: number): number {
+  private getNewestEnd({ ended }: HeldResult, atLeast: number): number {
     return ended.reduce((newest, { number }) => Math.max(newest, number), atLeast);
   }
 }
--- a/packages/dispatch/endpoints/EndpointSessions.ts
+++ b/packages/dispatch/endpoints/EndpointSessions.ts
@@ -18,12 +18,12 @@
 import type { PollResult } from './PollResult';
 import type { KnownEndpoint } from './KnownEndpoint';
 
-type Held = Extract<PollResult, { kind: 'held' }>;
+type HeldResult = Extract<PollResult, { kind: 'held' }>;
 
 interface EndpointSessionsOptions {
   readonly epoch: number;
   readonly client: LogClient;
-  /** Topic in which endpoints keep a record of themselves. */
+  /** Topic with the endpoints' records. */
   readonly topic: string;
   readonly clock: Clock;
   readonly random: Random;
@@ -31,96 +31,98 @@
   readonly dispatcher: Dispatcher;
   readonly parseEndpoint: (id: string, text: string) => Result<EndpointProfile, string>;
   readonly createEndpointClient: (profile: EndpointProfile, readToken: () => number) => EndpointClient;
-  /** True for a service that some queue uses; no other endpoint is called. */
+  /** Returns true for a service that some queue uses. Endpoints of other services are not polled. */
   readonly isServiceUsed: (service: ServiceName) => boolean;
-  /** True while this leader may give leases. */
+  /** Returns true while this leader may grant leases. */
   readonly isRenewing: () => boolean;
-  /** The dispatcher has taken in what an endpoint answered, with so many new ends. */
+  /** Called when the dispatcher has applied a status, with the number of ends that are new. */
   readonly handleLooked: (newEndCount: number) => void;
-  /** Resolves once all ends taken in so far are durable. */
+  /** Resolves once all ends applied so far are durable. */
   readonly startFlush: () => Promise<void>;
   readonly recordCount: (name: 'unanswered' | 'livesBegun' | 'recordsRefused') => void;
-  /** Something has changed that may let work start. */
+  /** Called when a change may let tasks start. */
   readonly handleChanged: () => void;
   readonly handleFenced: (detail: string) => void;
-  /** The log has answered, after it had not, a call that was sent at a monotonic time. */
+  /** Called when the log has recovered, with the monotonic time at which the call that it responded to was sent. */
   readonly handleLogBack: (answeredSentAt: number) => void;
 }
 
-const isSameRoom = (left: TaskDemand, right: TaskDemand): boolean =>
+const isSameCapacity = (left: TaskDemand, right: TaskDemand): boolean =>
   resourceMath.isWithin(left, right) && resourceMath.isWithin(right, left);
 
 /**
- * Knows the endpoints by their records and their lives by their answers, and keeps a session with each life once the leader has taken over.
- * Whatever is kept of an endpoint belongs to one life: an endpoint that had started again under its id was acknowledged ends that no answer had
- * listed, and 173 runs of 300 tasks were begun again after they were done (tests/serve/lives).
+ * Finds endpoints by their records and their incarnations by responses, and keeps a session with each incarnation once the leader has taken over.
+ * Sequence numbers, leases and clocks belong to one incarnation: if they carried over to the next, ends that it has never listed would be
+ * acknowledged, and tasks that are done would run again.
  */
 export class EndpointSessions {
   private readonly endpoints = new Map<EndpointId, KnownEndpoint>();
   private readonly sessions = new Map<EndpointIncarnation, EndpointSession>();
   private readonly records: EndpointRecords;
   /** Endpoints of services that no queue uses. */
-  private readonly unused = new Set<EndpointId>();
-  private isOpen = false;
+  private readonly unusedEndpoints = new Set<EndpointId>();
+  /** True once sessions may be started. */
+  private isPolling = false;
 
   constructor(private readonly options: EndpointSessionsOptions) {
     this.records = new EndpointRecords({
       ...options,
       handleRecord: (profile) => this.handleRecord(profile),
       handleRemoval: (id) => this.handleRemoval(id),
-      handleRefusal: () => options.recordCount('recordsRefused'),
+      handleInvalidRecord: () => options.recordCount('recordsRefused'),
       handleRead: () => options.handleChanged(),
     });
   }
 
-  /** Begins to read the endpoints' records. */
+  /** Starts to read the endpoints' records. */
   start(): void {
     this.records.start();
   }
 
-  /** Begins to look at the endpoints, those known and those to come. */
+  /** Starts to poll the known endpoints, and each new one from then on. */
   startSessions(): void {
-    this.isOpen = true;
+    this.isPolling = true;
     for (const id of this.endpoints.keys()) {
-      this.startSessionsOf(id);
+      this.startSessionsFor(id);
     }
   }
 
   stop(): void {
-    this.isOpen = false;
+    this.isPolling = false;
     this.records.stop();
     for (const session of this.sessions.values()) {
       session.stop();
     }
   }
 
-  /** The log answers again: reads the records anew where the read under way may have gone into the outage. */
+  /** Repeats a pending read of the records that was sent before the log's outage ended. */
   retryPending(answeredSentAt: number): void {
-    this.records.startAgain(answeredSentAt);
+    this.records.retryPending(answeredSentAt);
   }
 
-  /** Begins sessions with endpoints whose service has come into use. */
+  /** Starts sessions with endpoints whose service a queue uses now. */
   startPendingSessions(): void {
-    for (const id of [...this.unused]) {
-      this.startSessionsOf(id);
+    for (const id of [...this.unusedEndpoints]) {
+      this.startSessionsFor(id);
     }
   }
 
-  /** True once all records have been read. */
+  /** Returns true once all records have been read. */
   hasReadAll(): boolean {
     return this.records.hasReadAll();
   }
 
+  /** Returns the number of endpoints with a valid record. */
   countEndpoints(): number {
-    return this.records.readCount();
+    return this.records.countEndpoints();
   }
 
-  /** The session with a life; undefined before the first look, and once the life is known to be over. */
-  getSession(life: EndpointIncarnation): EndpointSession | undefined {
-    return this.sessions.get(life);
+  /** Returns the session with an incarnation; undefined before its start, and once the incarnation has ended. */
+  getSession(incarnation: EndpointIncarnation): EndpointSession | undefined {
+    return this.sessions.get(incarnation);
   }
 
-  private readKnown(id: EndpointId): KnownEndpoint {
+  private getKnown(id: EndpointId): KnownEndpoint {
     const known = this.endpoints.get(id) ?? {
       fence: new EndpointFence(this.options.epoch),
       record: undefined,
@@ -131,56 +133,64 @@
     return known;
   }
 
-  /** Takes in the newest record of an endpoint. One that names another life than the last answered says where to look, and proves nothing. */
+  /** Applies the newest record of an endpoint. If it names a new incarnation, that one is polled, but only a response proves that it runs. */
   private handleRecord(profile: EndpointProfile): void {
     const { dispatcher } = this.options;
-    const known = this.readKnown(profile.id);
+    const known = this.getKnown(profile.id);
     const before = known.record;
     known.record = profile;
     if (before !== undefined && before.incarnation !== profile.incarnation) {
       dispatcher.handleEndpointDeregistered(before.incarnation);
     }
     dispatcher.handleEndpointProfile(profile);
-    this.sendProfileLine(before, profile);
-    this.startSessionsOf(profile.id);
+    this.logProfile(before, profile);
+    this.startSessionsFor(profile.id);
     if (before !== undefined && before.incarnation !== profile.incarnation) {
-      this.applyUnneeded(before.incarnation);
+      this.removeIfUnneeded(before.incarnation);
     }
   }
 
-  private sendProfileLine(before: EndpointProfile | undefined, profile: EndpointProfile): void {
+  private logProfile(before: EndpointProfile | undefined, profile: EndpointProfile): void {
     const { logger } = this.options;
-    const { incarnation: life, service, isDraining, remainingMs, capacity: room, hall, labels } = profile;
-    if (before === undefined || before.incarnation !== life || before.isDraining !== isDraining) {
-      logger.info('Endpoint seen.', { endpoint: life, service, hall, labels, room, isDraining, remainingMs });
-    } else if (!isSameRoom(before.capacity, room)) {
-      logger.info('Endpoint room changed.', { endpoint: life, room, before: before.capacity });
+    const { incarnation, service, isDraining, remainingMs, capacity: room, hall, labels } = profile;
+    if (before === undefined || before.incarnation !== incarnation || before.isDraining !== isDraining) {
+      logger.info('Endpoint seen.', {
+        endpoint: incarnation,
+        service,
+        hall,
+        labels,
+        room,
+        isDraining,
+        remainingMs,
+      });
+    } else if (!isSameCapacity(before.capacity, room)) {
+      logger.info('Endpoint capacity changed.', { endpoint: incarnation, room, before: before.capacity });
     }
   }
 
   private handleRemoval(id: EndpointId): void {
-    const known = this.readKnown(id);
+    const known = this.getKnown(id);
     const { record } = known;
     known.record = undefined;
-    this.unused.delete(id);
+    this.unusedEndpoints.delete(id);
     if (record !== undefined) {
       this.options.dispatcher.handleEndpointDeregistered(record.incarnation);
-      this.applyUnneeded(record.incarnation);
+      this.removeIfUnneeded(record.incarnation);
     }
   }
 
-  /** Keeps a session with the life that answers, and with the one that the newest record names. */
-  private startSessionsOf(id: EndpointId): void {
-    const { record, current } = this.readKnown(id);
-    if (!this.isOpen || record === undefined) {
+  /** Starts the missing sessions with the current incarnation and with the one that the newest record names. */
+  private startSessionsFor(id: EndpointId): void {
+    const { record, current } = this.getKnown(id);
+    if (!this.isPolling || record === undefined) {
       return;
     }
     const isUsed = current !== undefined || this.options.isServiceUsed(record.service);
     if (!isUsed) {
-      this.unused.add(id);
+      this.unusedEndpoints.add(id);
       return;
     }
-    this.unused.delete(id);
+    this.unusedEndpoints.delete(id);
     this.startSession(record);
     if (current !== undefined && current !== record.incarnation) {
       this.startSession({ ...record, incarnation: current });
@@ -189,165 +199,174 @@
 
   private startSession(profile: EndpointProfile): void {
     const { clock, dispatcher, isRenewing, createEndpointClient, handleFenced } = this.options;
-    const { id, incarnation: life } = profile;
-    const book = dispatcher.getEndpointState(life);
-    if (!this.isOpen || this.sessions.has(life) || book === undefined) {
+    const { id, incarnation } = profile;
+    const endpoint = dispatcher.getEndpointState(incarnation);
+    if (!this.isPolling || this.sessions.has(incarnation) || endpoint === undefined) {
       return;
     }
-    const { fence } = this.readKnown(id);
+    const { fence } = this.getKnown(id);
     const session = new EndpointSession({
-      book,
-      client: createEndpointClient(profile, () => fence.readToken()),
+      endpoint,
+      client: createEndpointClient(profile, () => fence.getToken()),
       clock,
       isRenewing,
-      handleAnswered: (sentAt) => this.handleAnswered(profile, life, sentAt),
-      handleHeld: (answer, sentAt, newEndCount) => this.handleHeld(life, answer, sentAt, newEndCount),
-      handleOtherLife: (other, sentAt) => this.handleOtherLife(profile, other, sentAt),
-      handleSilence: (detail) => this.handleSilence(life, detail),
-      handleGone: () => this.handleGone(life),
-      handleFenced: () => handleFenced(`endpoint ${life} obeys a newer leader`),
+      handleResponse: (sentAt) => this.handleResponse(profile, incarnation, sentAt),
+      handleStatus: (result, sentAt, newEndCount) =>
+        this.handleStatus(incarnation, result, sentAt, newEndCount),
+      handleOtherIncarnation: (other, sentAt) => this.handleOtherIncarnation(profile, other, sentAt),
+      handleUnreachable: (detail) => this.handleUnreachable(incarnation, detail),
+      handleGone: () => this.handleGone(incarnation),
+      handleFenced: () => handleFenced(`endpoint ${incarnation} has accepted a newer leader`),
     });
-    this.sessions.set(life, session);
+    this.sessions.set(incarnation, session);
     void session.run();
   }
 
-  private stopSession(life: EndpointIncarnation): void {
-    this.sessions.get(life)?.stop();
-    this.sessions.delete(life);
+  private stopSession(incarnation: EndpointIncarnation): void {
+    this.sessions.get(incarnation)?.stop();
+    this.sessions.delete(incarnation);
   }
 
   /**
-   * A life has answered a look that was sent at a time. Returns false when its answer must not be taken in: orders that were meant for the life
-   * before are shut out only from the next look on.
+   * Handles the response of an incarnation to a poll that was sent at a time. Returns false when its status must be ignored: a new incarnation rejects
+   * commands to the previous one only from its next poll on, which carries the new fencing token.
    */
-  private handleAnswered(profile: EndpointProfile, life: EndpointIncarnation, sentAt: number): boolean {
-    const known = this.readKnown(profile.id);
+  private handleResponse(
+    profile: EndpointProfile,
+    incarnation: EndpointIncarnation,
+    sentAt: number,
+  ): boolean {
+    const known = this.getKnown(profile.id);
     const before = known.current;
-    if (before === life) {
+    if (before === incarnation) {
       return sentAt >= known.fencedFrom;
     }
-    const heardAt =
-      before === undefined ? undefined : this.options.dispatcher.getEndpointState(before)?.readAnsweredAt();
-    if (heardAt !== undefined && heardAt > sentAt) {
-      // Both have answered since: which of them came later shows with the next look.
+    const respondedAt =
+      before === undefined ? undefined : this.options.dispatcher.getEndpointState(before)?.getRespondedAt();
+    if (respondedAt !== undefined && respondedAt > sentAt) {
+      // The previous incarnation has responded since the poll was sent. The next polls show which one runs.
       return false;
     }
-    this.applyNextLife(known, profile, life);
+    this.applyNextIncarnation(known, profile, incarnation);
     return before === undefined;
   }
 
-  /** A life is the one that is there now; all others of its endpoint that are known are over. */
-  private applyNextLife(known: KnownEndpoint, profile: EndpointProfile, life: EndpointIncarnation): void {
+  /** Makes an incarnation the current one of its endpoint, and ends all others that are known. */
+  private applyNextIncarnation(
+    known: KnownEndpoint,
+    profile: EndpointProfile,
+    incarnation: EndpointIncarnation,
+  ): void {
     const { dispatcher, clock, logger, recordCount, handleChanged } = this.options;
     const { current: before, record } = known;
-    known.current = life;
+    known.current = incarnation;
     if (before !== undefined) {
-      known.fence.recordNextLife();
+      known.fence.recordNextIncarnation();
       known.fencedFrom = clock.readNow();
     }
-    if (dispatcher.getEndpointState(life) === undefined) {
-      dispatcher.handleEndpointProfile({ ...profile, incarnation: life });
+    if (dispatcher.getEndpointState(incarnation) === undefined) {
+      dispatcher.handleEndpointProfile({ ...profile, incarnation });
     }
-    if (record?.incarnation !== life) {
-      // Its room and kind may be others than those of the life before: nothing is started there until its record has come.
-      dispatcher.handleEndpointDeregistered(life);
+    if (record?.incarnation !== incarnation) {
+      // Its capacity and kind are unknown until its record has come, and nothing is placed there before.
+      dispatcher.handleEndpointDeregistered(incarnation);
     }
-    for (const earlier of dispatcher.listOtherIncarnations(life)) {
+    for (const earlier of dispatcher.listOtherIncarnations(incarnation)) {
       logger.info('Endpoint has started again under its id.', {
-        endpoint: life,
+        endpoint: incarnation,
         before: earlier,
-        acknowledged: this.sessions.get(earlier)?.readAcknowledged() ?? 0,
-        hasRecord: record?.incarnation === life,
-        token: known.fence.readToken(),
+        acknowledged: this.sessions.get(earlier)?.getLastAcknowledged() ?? 0,
+        hasRecord: record?.incarnation === incarnation,
+        token: known.fence.getToken(),
       });
       this.stopSession(earlier);
-      dispatcher.handleIncarnationEnd(earlier, clock.readNow(), life);
+      dispatcher.handleIncarnationEnd(earlier, clock.readNow(), incarnation);
       recordCount('livesBegun');
     }
-    this.startSession(record?.incarnation === life ? record : { ...profile, incarnation: life });
-    if (record !== undefined && record.incarnation !== life) {
-      // It may be early, and name the life after this one.
+    this.startSession(record?.incarnation === incarnation ? record : { ...profile, incarnation });
+    if (record !== undefined && record.incarnation !== incarnation) {
+      // The record may name a later incarnation.
       dispatcher.handleEndpointProfile(record);
       this.startSession(record);
     }
     handleChanged();
   }
 
-  /** Another life has answered where one was asked. */
-  private handleOtherLife(profile: EndpointProfile, other: EndpointIncarnation, sentAt: number): void {
-    this.handleAnswered(profile, other, sentAt);
+  /** Handles a response of another incarnation than the polled one. */
+  private handleOtherIncarnation(profile: EndpointProfile, other: EndpointIncarnation, sentAt: number): void {
+    this.handleResponse(profile, other, sentAt);
     if (this.sessions.has(profile.incarnation)) {
-      this.handleSilence(profile.incarnation, `${other} answered`);
+      this.handleUnreachable(profile.incarnation, `${other} responded`);
     }
   }
 
-  private handleHeld(
-    life: EndpointIncarnation,
-    answer: Held,
+  private handleStatus(
+    incarnation: EndpointIncarnation,
+    result: HeldResult,
     sentAt: number,
     newEndCount: number,
   ): Promise<void> {
     const { clock, dispatcher, logger, handleLooked, startFlush } = this.options;
-    const book = dispatcher.getEndpointState(life);
-    if (book !== undefined && (book.getUnreachableSince() !== undefined || !book.isSynced())) {
-      const { hall, labels } = book.getProfile();
+    const endpoint = dispatcher.getEndpointState(incarnation);
+    if (endpoint !== undefined && (endpoint.getUnreachableSince() !== undefined || !endpoint.isSynced())) {
+      const { hall, labels } = endpoint.getProfile();
       logger.info('Endpoint answers.', {
-        endpoint: life,
+        endpoint: incarnation,
         hall,
         labels,
-        running: answer.running.length,
-        ended: answer.ended.length,
+        running: result.running.length,
+        ended: result.ended.length,
       });
     }
-    const input = { endpoint: life, running: answer.running, ended: answer.ended, sentAt };
-    dispatcher.handleStatus(input, clock.readNow(), clock.readWall());
+    const status = { endpoint: incarnation, running: result.running, ended: result.ended, sentAt };
+    dispatcher.handleStatus(status, clock.readNow(), clock.readWall());
     handleLooked(newEndCount);
-    // Another look may have brought the same ends before: they are durable only once its records are.
-    return answer.ended.length === 0 ? Promise.resolve() : startFlush();
+    // An earlier status may have brought the same ends, whose records may not be durable yet.
+    return result.ended.length === 0 ? Promise.resolve() : startFlush();
   }
 
-  private handleSilence(life: EndpointIncarnation, detail: string): void {
+  private handleUnreachable(incarnation: EndpointIncarnation, detail: string): void {
     const { clock, dispatcher, logger, recordCount } = this.options;
-    const book = dispatcher.getEndpointState(life);
-    if (book !== undefined && book.getUnreachableSince() === undefined) {
-      logger.info('Endpoint does not answer.', { endpoint: life, detail });
+    const endpoint = dispatcher.getEndpointState(incarnation);
+    if (endpoint !== undefined && endpoint.getUnreachableSince() === undefined) {
+      logger.info('Endpoint does not answer.', { endpoint: incarnation, detail });
     }
     recordCount('unanswered');
-    dispatcher.handleUnreachable(life, clock.readNow());
-    this.applyUnneeded(life);
+    dispatcher.handleUnreachable(incarnation, clock.readNow());
+    this.removeIfUnneeded(incarnation);
   }
 
-  /** A life that has left, does not answer and runs nothing any more needs no look, unless it may have crashed. */
-  private applyUnneeded(life: EndpointIncarnation): void {
+  /** Removes an incarnation that has no record, no runs and no response, unless a poll may still confirm that it has crashed. */
+  private removeIfUnneeded(incarnation: EndpointIncarnation): void {
     const { clock, dispatcher } = this.options;
-    const id = endpointIncarnations.readEndpoint(life);
-    const { record, current, fence } = this.readKnown(id);
-    const book = dispatcher.getEndpointState(life);
-    const isAnswering = life === current && book?.getUnreachableSince() === undefined;
-    const hasRuns = (book?.countRuns() ?? 0) > 0;
+    const id = endpointIncarnations.readEndpoint(incarnation);
+    const { record, current, fence } = this.getKnown(id);
+    const endpoint = dispatcher.getEndpointState(incarnation);
+    const isResponding = incarnation === current && endpoint?.getUnreachableSince() === undefined;
+    const hasRuns = (endpoint?.countRuns() ?? 0) > 0;
     if (
-      record?.incarnation === life ||
-      isAnswering ||
+      record?.incarnation === incarnation ||
+      isResponding ||
       hasRuns ||
-      dispatcher.isCrashUnconfirmed(life, clock.readNow())
+      dispatcher.isCrashUnconfirmed(incarnation, clock.readNow())
     ) {
       return;
     }
-    this.stopSession(life);
-    dispatcher.removeEndpointState(life);
-    // A token that has risen is kept: to a life that is back after a silence a lower one would look like an earlier leader's.
-    if (record === undefined && !fence.hasRisen() && (current === undefined || current === life)) {
+    this.stopSession(incarnation);
+    dispatcher.removeEndpointState(incarnation);
+    // A fencing token that has risen is kept: an incarnation that becomes reachable again would reject a lower one.
+    if (record === undefined && !fence.hasRisen() && (current === undefined || current === incarnation)) {
       this.endpoints.delete(id);
     }
   }
 
-  private handleGone(life: EndpointIncarnation): void {
-    const known = this.readKnown(endpointIncarnations.readEndpoint(life));
-    this.stopSession(life);
-    if (known.current === life) {
+  private handleGone(incarnation: EndpointIncarnation): void {
+    const known = this.getKnown(endpointIncarnations.readEndpoint(incarnation));
+    this.stopSession(incarnation);
+    if (known.current === incarnation) {
       known.current = undefined;
     }
-    this.options.dispatcher.handleIncarnationEnd(life, this.options.clock.readNow());
+    this.options.dispatcher.handleIncarnationEnd(incarnation, this.options.clock.readNow());
     this.options.handleChanged();
   }
 }
--- a/packages/dispatch/endpoints/EndpointState.ts
+++ b/packages/dispatch/endpoints/EndpointState.ts
@@ -6,47 +6,50 @@
 import type { PlacedRun } from '../runs/PlacedRun';
 import { FailureStreak } from '../stops/FailureStreak';
 
-/** Weight of the newest run in the failure rate. */
+/** Weight of the newest run in the moving average of failures. */
 const FAILURE_WEIGHT = 0.25;
-/** The failure rate halves in this time without runs, so that an endpoint is tried again. */
+/** Half-life of the failure rate while no run ends, so that the endpoint is tried again. */
 const FAILURE_HALF_LIFE_MS = 6000;
-const SUSPECT_FAILURE_RATE = 0.4;
-/** Weight of the newest comparison in the slowness, which falls back to 1 by half in the time below. */
-const SLOWNESS_WEIGHT = 0.3;
-const SLOWNESS_HALF_LIFE_MS = 4000;
-const SLOW_RATIO = 1.8;
-/** A single comparison counts at most so much. */
-const MAX_SLOWNESS = 8;
-
-/** The books of one endpoint: what it can hold, what may run there, and whether it is to be trusted. */
+/** Failure rate from which an endpoint counts as failing. */
+const FAILING_RATE = 0.4;
+/** Weight of the newest value in the moving average of the slowdown. */
+const SLOWDOWN_WEIGHT = 0.3;
+/** Half-life of the slowdown's distance from 1 while no value is recorded. */
+const SLOWDOWN_HALF_LIFE_MS = 4000;
+/** Slowdown above which an endpoint counts as degraded. */
+const DEGRADED_SLOWDOWN = 1.8;
+/** Limit on a single recorded value. */
+const MAX_SLOWDOWN = 8;
+
+/** The leader's view of one incarnation of an endpoint: capacity, runs, leases, reachability and health. */
 export class EndpointState {
   private readonly runs = new Map<string, PlacedRun>();
   private used: TaskDemand = resourceMath.NOTHING;
   private failureRate = 0;
   private failureRateAt = 0;
-  /** How much longer runs take there than their siblings elsewhere; 1 is usual. */
-  private slowness = 1;
-  private slownessAt = 0;
+  /** How many times longer runs take there than the same step's runs elsewhere; 1 is normal. */
+  private slowdown = 1;
+  private slowdownAt = 0;
   private drainingSince: number | undefined;
-  /** True once the endpoint has answered this leader, so that no older leader's order can reach it any more. */
-  private settled = false;
-  private isListed = true;
-  /** The endpoint has answered a look after its record had gone. */
-  private hasAnsweredUnlisted = false;
-  /** Runs of tasks under suspicion that are not proven yet. */
-  private readonly probation = new Set<PlacedRun>();
+  /** True once the endpoint has responded to this leader, so that it rejects commands of earlier leaders. */
+  private synced = false;
+  private registered = true;
+  /** True when the endpoint has responded to a poll after its record was removed. */
+  private hasRespondedDeregistered = false;
+  /** Runs of crash suspects that are not past their startup. */
+  private readonly startingSuspects = new Set<PlacedRun>();
   private readonly failureStreak = new FailureStreak();
-  /** Since when the endpoint has not answered; undefined while it does. */
-  private silentSince: number | undefined;
-  /** Monotonic time of the newest answer to a look; undefined before the first. */
-  private answeredAt: number | undefined;
-  /** Monotonic time after which nothing that was ever leased there can run. */
+  /** Monotonic time of the first poll without a response; undefined while the endpoint responds. */
+  private unreachableSince: number | undefined;
+  /** Monotonic time of the newest response to a poll; undefined before the first. */
+  private respondedAt: number | undefined;
+  /** Monotonic time by which all leases that were given there have expired. */
   private leasedUntil: number;
 
   constructor(
     private profile: EndpointProfile,
     leasedUntil: number,
-    /** Told of each run that takes or frees room. */
+    /** Updated with each run that is added or removed. */
     private readonly usage: CustomerUsage,
   ) {
     this.leasedUntil = leasedUntil;
@@ -58,13 +61,13 @@
 
   applyProfile(profile: EndpointProfile): void {
     this.profile = profile;
-    this.isListed = true;
-    this.hasAnsweredUnlisted = false;
+    this.registered = true;
+    this.hasRespondedDeregistered = false;
   }
 
-  /** The endpoint's record has gone. What runs there may go on, since the record alone tells little. */
+  /** Records that the endpoint's record was removed. Its runs go on: the endpoint may still be alive. */
   recordDeregistration(): void {
-    this.isListed = false;
+    this.registered = false;
   }
 
   getRun(task: TaskName, run: number): PlacedRun | undefined {
@@ -79,33 +82,33 @@
     return this.runs.size;
   }
 
-  /** Takes room for a run, here and in its customer's usage. */
+  /** Adds a run, and reserves its demand here and in its customer's usage. */
   addRun(run: PlacedRun): void {
     this.runs.set(`${run.task}#${run.run}`, run);
     this.used = resourceMath.toSum(this.used, run.demand);
     this.usage.recordRun(run);
     if (run.isCrashSuspect) {
-      this.probation.add(run);
+      this.startingSuspects.add(run);
     }
   }
 
-  /** Frees the room of a run that is known to have ended. */
+  /** Removes a run that has certainly ended, and releases its demand. */
   removeRun(run: PlacedRun): void {
-    this.probation.delete(run);
+    this.startingSuspects.delete(run);
     if (this.runs.delete(`${run.task}#${run.run}`)) {
       this.used = resourceMath.toDifference(this.used, run.demand);
       this.usage.recordRunEnd(run);
     }
   }
 
-  /** Runs of tasks under suspicion whose start may still end the endpoint. */
+  /** Returns the runs of crash suspects that are not past their startup, and may still crash the endpoint. */
   getStartingSuspects(): ReadonlySet<PlacedRun> {
-    return this.probation;
+    return this.startingSuspects;
   }
 
-  /** A look has listed a run long enough after its start. */
-  recordProven(run: PlacedRun): void {
-    this.probation.delete(run);
+  /** Records that a run is past its startup. */
+  recordStartupPassed(run: PlacedRun): void {
+    this.startingSuspects.delete(run);
   }
 
   getFreeCapacity(): TaskDemand {
@@ -125,102 +128,107 @@
     );
   }
 
-  /** True when all that may run there takes more than the endpoint has room for: its room has shrunk. */
+  /** Returns true when the runs take more than the capacity, which has shrunk since they were placed. */
   isOvercommitted(): boolean {
     return !resourceMath.isWithin(this.used, this.profile.capacity);
   }
 
-  /** True when new work may be started there. */
+  /** Returns true when new runs may be placed on the endpoint. */
   isSchedulable(): boolean {
-    return this.isListed && this.settled && this.silentSince === undefined && !this.profile.isDraining;
+    return this.registered && this.synced && this.unreachableSince === undefined && !this.profile.isDraining;
   }
 
-  /** False once the endpoint's record has gone. */
-  hasRecord(): boolean {
-    return this.isListed;
+  /** Returns false once the endpoint's record was removed. */
+  isRegistered(): boolean {
+    return this.registered;
   }
 
   /**
-   * True when the end of the endpoint is planned: it has said that it drains, or serves on without a record. One that crashes falls silent
-   * before its record goes.
+   * Returns true when the removal of the endpoint is planned: it drains, or still responds without a record. A crashed endpoint becomes unreachable
+   * before its record is removed.
    */
-  isLeaving(): boolean {
-    return this.profile.isDraining || this.hasAnsweredUnlisted;
+  isRemovalPlanned(): boolean {
+    return this.profile.isDraining || this.hasRespondedDeregistered;
   }
 
+  /** Returns true once the endpoint has responded to this leader. */
   isSynced(): boolean {
-    return this.settled;
+    return this.synced;
   }
 
-  readAnsweredAt(): number | undefined {
-    return this.answeredAt;
+  /** Returns the monotonic time of the newest response to a poll; undefined before the first. */
+  getRespondedAt(): number | undefined {
+    return this.respondedAt;
   }
 
+  /** Returns the monotonic time of the first poll without a response; undefined while the endpoint responds. */
   getUnreachableSince(): number | undefined {
-    return this.silentSince;
+    return this.unreachableSince;
   }
 
-  /** Records an answer to a look. */
-  recordAnswer(now: number): void {
-    this.answeredAt = now;
-    this.hasAnsweredUnlisted ||= !this.isListed;
-    this.settled = true;
-    this.silentSince = undefined;
+  /** Records a response to a poll. */
+  recordResponse(now: number): void {
+    this.respondedAt = now;
+    this.hasRespondedDeregistered ||= !this.registered;
+    this.synced = true;
+    this.unreachableSince = undefined;
   }
 
-  /** Records that a look had no answer. */
+  /** Records that a poll had no response. */
   recordUnreachable(now: number): void {
-    this.silentSince ??= now;
+    this.unreachableSince ??= now;
   }
 
-  /** Records a lease that was sent, whether or not it arrived. */
+  /** Records a lease that was sent, whether or not it arrived; it expires by the monotonic time `until`. */
   recordLease(until: number): void {
     this.leasedUntil = Math.max(this.leasedUntil, until);
   }
 
-  readLeasedUntil(): number {
+  /** Returns the monotonic time by which all leases that were given there have expired. */
+  getLeasedUntil(): number {
     return this.leasedUntil;
   }
 
+  /** Records whether a run that has ended had failed. */
   recordOutcome(isFailure: boolean, now: number): void {
     const rate = this.computeFailureRate(now);
     this.failureRate = rate + FAILURE_WEIGHT * ((isFailure ? 1 : 0) - rate);
     this.failureRateAt = now;
   }
 
-  /** Whether all fails that is started there. */
   getFailureStreak(): FailureStreak {
     return this.failureStreak;
   }
 
-  /** Recent share of runs that failed, decaying with time. */
+  /** Computes the moving average of failed runs, 0 to 1, which decays with time. */
   computeFailureRate(now: number): number {
     return this.failureRate * 0.5 ** ((now - this.failureRateAt) / FAILURE_HALF_LIFE_MS);
   }
 
-  /** Records how much longer a run takes than its siblings. */
+  /** Records how many times longer a run takes than the same step's runs elsewhere. */
   recordSlowness(ratio: number, now: number): void {
-    const known = this.readSlowness(now);
-    this.slowness = known + SLOWNESS_WEIGHT * (Math.min(MAX_SLOWNESS, ratio) - known);
-    this.slownessAt = now;
+    const current = this.computeSlowdown(now);
+    this.slowdown = current + SLOWDOWN_WEIGHT * (Math.min(MAX_SLOWDOWN, ratio) - current);
+    this.slowdownAt = now;
   }
 
-  readSlowness(now: number): number {
-    return 1 + (this.slowness - 1) * 0.5 ** ((now - this.slownessAt) / SLOWNESS_HALF_LIFE_MS);
+  /** Computes the moving average of the slowdown, which decays to 1 with time. */
+  computeSlowdown(now: number): number {
+    return 1 + (this.slowdown - 1) * 0.5 ** ((now - this.slowdownAt) / SLOWDOWN_HALF_LIFE_MS);
   }
 
-  /** True when work there fails or takes long of late. */
+  /** Returns true when runs there have recently failed or been slow. */
   isDegraded(now: number): boolean {
-    return this.isFailing(now) || this.readSlowness(now) > SLOW_RATIO;
+    return this.isFailing(now) || this.computeSlowdown(now) > DEGRADED_SLOWDOWN;
   }
 
-  /** Monotonic time until which a draining endpoint stays. */
+  /** Returns the monotonic time until which a draining endpoint stays. Its first call fixes the begin of the drain. */
   getDrainDeadline(now: number): number {
     this.drainingSince ??= now;
     return this.drainingSince + this.profile.remainingMs;
   }
 
   isFailing(now: number): boolean {
-    return this.computeFailureRate(now) >= SUSPECT_FAILURE_RATE;
+    return this.computeFailureRate(now) >= FAILING_RATE;
   }
 }
--- a/packages/dispatch/endpoints/KnownEndpoint.ts
+++ b/packages/dispatch/endpoints/KnownEndpoint.ts
@@ -3,15 +3,15 @@
 import type { EndpointProfile } from './EndpointProfile';
 
 /**
- * What a leader knows of the lives of one endpoint. A record may be late, or early; only an answer proves which life is there. An endpoint is
- * used while both name the same.
+ * Incarnations of one endpoint as a leader knows them. The record may name an earlier or a later incarnation than the one that runs, which only a
+ * response shows. Tasks are placed on the endpoint while both agree.
  */
 export interface KnownEndpoint {
   readonly fence: EndpointFence;
-  /** The newest record; undefined when there is none. */
+  /** Newest record; undefined while there is none. */
   record: EndpointProfile | undefined;
-  /** The life that has answered last; undefined before the first answer. */
+  /** Incarnation of the last response; undefined before the first. */
   current: EndpointIncarnation | undefined;
-  /** Monotonic time from which looks shut out what was sent to earlier lives. */
+  /** Monotonic time from which polls carry the current incarnation's token, so that it rejects commands to earlier ones. */
   fencedFrom: number;
 }
--- a/packages/dispatch/endpoints/PollResult.ts
+++ b/packages/dispatch/endpoints/PollResult.ts
@@ -3,12 +3,13 @@
 import type { RunningTaskStatus } from './RunningTaskStatus';
 
 /**
- * Answer to a call that renews an endpoint's lease and looks at it.
- * - `held`: the life that was asked has answered.
- * - `otherLife`: another life of the endpoint has answered; what it lists is not taken from here.
- * - `fenced`: the endpoint obeys a newer leader.
+ * Result of a status poll.
+ * - `held`: the polled incarnation responded with its status.
+ * - `otherLife`: another incarnation of the endpoint responded; its status is ignored.
+ * - `fenced`: the endpoint has seen the token of a newer leader.
  * - `gone`: the address belongs to another endpoint.
- * - `disconnected`: the connection to the process that answered last is gone, so that nothing was sent.
+ * - `disconnected`: nothing was sent, since the connection of the last response is closed.
+ * - `unanswered`: no valid response came within the time limit.
  */
 export type PollResult =
   | {
--- a/packages/dispatch/endpoints/ResponseTimeout.ts
+++ b/packages/dispatch/endpoints/ResponseTimeout.ts
@@ -1,35 +1,33 @@
 import { SmoothedTime } from '../../common/SmoothedTime';
 
-/** An answer that did not come within the limit counts as one that took so many times as long, since a full link makes all answers late. */
-const UNANSWERED_FACTOR = 2;
-/** Bounds in milliseconds. The lower one is far above an answer within a region, the upper one holds until answers are known. */
+/** A command without a response counts as one whose response took this many times the time limit. */
+const TIMEOUT_FACTOR = 2;
+/** Bounds of the time limit. The upper one also applies until a response time is known. */
 const MIN_MS = 120;
 const MAX_MS = 500;
 
-/**
- * How long to wait for an endpoint's answer to an order, estimated from the answers that came, as TCP does for its
- * retransmissions. An order without an answer is cleared up by a stop and a look: the sooner, the less its task waits.
- */
+/** Adaptive time limit for responses to commands, estimated from earlier response times as TCP's retransmission timeout is. */
 export class ResponseTimeout {
-  private readonly answers = new SmoothedTime();
+  private readonly responseTime = new SmoothedTime();
 
+  /** Records the time that a response took, in milliseconds. */
   recordAnswer(tookMs: number): void {
-    this.answers.recordTime(tookMs);
+    this.responseTime.recordTime(tookMs);
   }
 
   /**
-   * No answer came in a time: without it the limit would follow the quick answers alone, and strike ever sooner. A connection that was reset at once
-   * tells nothing of how long answers take.
+   * Records that no response came within a time, in milliseconds, so that the limit doesn't adapt to fast responses alone. Shorter waits than
+   * the lower bound are ignored: such a connection was reset, and shows nothing of response times.
    */
   recordTimeout(waitedMs: number): void {
     if (waitedMs >= MIN_MS) {
-      this.recordAnswer(waitedMs * UNANSWERED_FACTOR);
+      this.recordAnswer(waitedMs * TIMEOUT_FACTOR);
     }
   }
 
-  /** Time to wait, in milliseconds. */
+  /** Computes the time limit for the next command, in milliseconds. */
   computeTimeoutMs(): number {
-    const limitMs = this.answers.readLimitMs();
+    const limitMs = this.responseTime.readLimitMs();
     return limitMs === undefined ? MAX_MS : Math.min(MAX_MS, Math.max(MIN_MS, limitMs));
   }
 }
--- a/packages/dispatch/endpoints/RunningTaskStatus.ts
+++ b/packages/dispatch/endpoints/RunningTaskStatus.ts
@@ -1,12 +1,12 @@
 import type { TaskName } from '../../jobs/TaskName';
 
-/** One task that an endpoint says it runs. */
+/** A running task in the status of an endpoint. */
 export interface RunningTaskStatus {
   readonly task: TaskName;
   readonly run: number;
   readonly checkpoint: string;
-  /** Share of the work done, 0 to 100. */
+  /** Completed share of the work, 0 to 100. */
   readonly percent: number;
-  /** For a serving task its tail latency in milliseconds, otherwise the processor time in use; 0 when not given. */
+  /** Tail latency of a serving task in milliseconds, or the processor time in use of any other; 0 when not reported. */
   readonly load: number;
 }
--- a/packages/dispatch/endpoints/StatusReconciler.ts
+++ b/packages/dispatch/endpoints/StatusReconciler.ts
@@ -16,7 +16,7 @@
 import type { RunLearner } from '../speeds/RunLearner';
 import type { RunningTaskStatus } from './RunningTaskStatus';
 
-interface LookReaderOptions {
+interface StatusReconcilerOptions {
   readonly jobs: ReadonlyMap<JobId, LiveJob>;
   readonly ledger: RunTracker;
   readonly learner: RunLearner;
@@ -25,7 +25,7 @@
   readonly readDefinition: (id: JobId) => JobDefinition | undefined;
 }
 
-/** How an end changes a job's progress. */
+/** Outcome of a run for its job's progress, by the end that the endpoint reported. */
 const OUTCOMES: Readonly<Record<EndedTaskStatus['how'], RunOutcome>> = {
   done: 'done',
   failed: 'failed',
@@ -35,77 +35,82 @@
   alone: 'interrupted',
 };
 const NOT_LISTED: RunEnd = { outcome: 'interrupted', cause: 'notListed', checkpoint: '' };
-const WITH_LIFE_BEFORE: RunEnd = { outcome: 'interrupted', cause: 'lifeOver', checkpoint: '' };
-/** An endpoint gives at most so many ends in one answer; a full list may not be the whole. */
-const FULL_END_LIST = 500;
+const ENDED_WITH_INCARNATION: RunEnd = { outcome: 'interrupted', cause: 'lifeOver', checkpoint: '' };
+/** Highest number of ends in one status; a list of this length may be incomplete. */
+const MAX_LISTED_ENDS = 500;
 
-/** Compares what an endpoint says it runs with its books. */
+/** Compares the status of an endpoint with the runs that the leader expects there, and updates these. */
 export class StatusReconciler {
-  constructor(private readonly options: LookReaderOptions) {}
+  constructor(private readonly options: StatusReconcilerOptions) {}
 
-  /** Takes an answer in: ends first, then what runs, then what is proved not to run. */
-  applyStatus(book: EndpointState, answer: EndpointStatus, now: number, wallMs: number): void {
-    book.recordAnswer(now);
-    this.options.crashes.handleHeard(answer.endpoint, now);
-    for (const row of answer.ended) {
-      this.handleEnd(book, row, now, wallMs);
+  /** Applies a status: first its ended tasks, then the running ones, then the expected runs that it doesn't list. */
+  applyStatus(endpoint: EndpointState, status: EndpointStatus, now: number, wallMs: number): void {
+    endpoint.recordResponse(now);
+    this.options.crashes.handleReachable(status.endpoint, now);
+    for (const row of status.ended) {
+      this.applyEnd(endpoint, row, now, wallMs);
     }
     const listed = new Set<PlacedRun>();
-    for (const row of answer.running) {
-      listed.add(this.recordRunning(book, row, now));
+    for (const row of status.running) {
+      listed.add(this.applyRunning(endpoint, row, now));
     }
-    if (answer.ended.length < FULL_END_LIST) {
-      this.checkUnlisted(book, listed, answer.sentAt, now);
+    if (status.ended.length < MAX_LISTED_ENDS) {
+      this.checkMissing(endpoint, listed, status.sentAt, now);
     }
   }
 
-  private handleEnd(book: EndpointState, row: EndedTaskStatus, now: number, wallMs: number): void {
-    const run = book.getRun(row.task, row.run);
+  private applyEnd(endpoint: EndpointState, row: EndedTaskStatus, now: number, wallMs: number): void {
+    const run = endpoint.getRun(row.task, row.run);
     if (run === undefined) {
       return;
     }
-    this.checkCarried(run, now);
+    this.checkTransferred(run, now);
     const outcome = OUTCOMES[row.how];
-    book.recordOutcome(outcome === 'failed', now);
-    this.recordStreak(book, outcome, now);
+    endpoint.recordOutcome(outcome === 'failed', now);
+    this.updateFailureStreak(endpoint, outcome, now);
     if (outcome === 'done') {
-      this.options.learner.recordCompletion(book, run, now);
+      this.options.learner.recordCompletion(endpoint, run, now);
     }
     this.options.ledger.recordRunEnd(
-      book,
+      endpoint,
       run,
       { outcome, cause: 'listed', checkpoint: row.checkpoint, reportedEnd: row.how },
       now,
     );
     const job = this.options.jobs.get(run.job);
     if (job !== undefined) {
-      this.options.ledger.checkJobEnd(job, run, outcome, book.getProfile().incarnation, wallMs);
+      this.options.ledger.checkJobEnd(job, run, outcome, endpoint.getProfile().incarnation, wallMs);
     }
   }
 
-  private recordRunning(book: EndpointState, row: RunningTaskStatus, now: number): PlacedRun {
-    const run = book.getRun(row.task, row.run) ?? this.recordStray(book, row, now);
+  private applyRunning(endpoint: EndpointState, row: RunningTaskStatus, now: number): PlacedRun {
+    const run = endpoint.getRun(row.task, row.run) ?? this.stopOrphan(endpoint, row, now);
     if (run.stage === 'ordered' || run.stage === 'unconfirmed') {
       run.stage = 'running';
-      // Also where its answer was missed: it may have begun just now, and counts as proven only once it has worked for long enough for certain.
+      // A run whose start had no response may have begun just now, so that its startup is counted from here.
       run.confirmedAt = now;
       if (run.unansweredAt !== undefined) {
-        this.sendDoubtTell('Run is there, though its start had no answer.', book, run, now);
+        this.logLateConfirmation(
+          'Run has started, though its start command had no response.',
+          endpoint,
+          run,
+          now,
+        );
         run.unansweredAt = undefined;
       }
     }
-    this.checkCarried(run, now);
+    this.checkTransferred(run, now);
     run.isListed = true;
     run.seenAt = now;
     if (isPastStartup(run)) {
-      book.recordProven(run);
-      this.options.crashes.handleListed(run);
+      endpoint.recordStartupPassed(run);
+      this.options.crashes.handleRunListed(run);
     }
     if (row.percent > run.percent) {
       run.percent = row.percent;
       run.progressedAt = now;
     }
-    this.options.learner.recordRun(book, run, now);
+    this.options.learner.recordRun(endpoint, run, now);
     if (row.checkpoint !== '' && row.checkpoint !== run.checkpoint) {
       run.checkpoint = row.checkpoint;
       run.checkpointedAt = now;
@@ -114,36 +119,36 @@
     return run;
   }
 
-  private sendDoubtTell(sentence: string, book: EndpointState, run: PlacedRun, now: number): void {
-    this.options.ledger.sendLogLine(sentence, {
+  private logLateConfirmation(message: string, endpoint: EndpointState, run: PlacedRun, now: number): void {
+    this.options.ledger.sendLogLine(message, {
       job: run.job,
       task: run.task,
       run: run.run,
-      endpoint: book.getProfile().incarnation,
+      endpoint: endpoint.getProfile().incarnation,
       doubtedMs: Math.round(now - (run.unansweredAt ?? now)),
     });
   }
 
-  private recordStreak(book: EndpointState, outcome: RunOutcome, now: number): void {
-    const streak = book.getFailureStreak();
-    const wasBroken = streak.isFailing();
+  private updateFailureStreak(endpoint: EndpointState, outcome: RunOutcome, now: number): void {
+    const streak = endpoint.getFailureStreak();
+    const wasFailing = streak.isFailing();
     streak.recordEnd(outcome, now);
-    if (streak.isFailing() !== wasBroken) {
-      const sentence = wasBroken ? 'Endpoint works again.' : 'Endpoint fails what it starts.';
-      this.options.ledger.sendLogLine(sentence, { endpoint: book.getProfile().incarnation });
+    if (streak.isFailing() !== wasFailing) {
+      const message = wasFailing ? 'Endpoint has recovered from failures.' : 'Endpoint fails all its runs.';
+      this.options.ledger.sendLogLine(message, { endpoint: endpoint.getProfile().incarnation });
     }
   }
 
-  /** A run that began on this life cannot have ended the one before. */
-  private checkCarried(run: PlacedRun, now: number): void {
+  /** Clears the task of a transferred run of the crash of the previous incarnation, since the run began on this one. */
+  private checkTransferred(run: PlacedRun, now: number): void {
     if (run.transferredFrom !== undefined) {
-      this.options.crashes.handleBegunElsewhere(run, run.transferredFrom, now);
+      this.options.crashes.handleTransferConfirmed(run, run.transferredFrom, now);
       run.transferredFrom = undefined;
     }
   }
 
-  /** Takes into the books a run that this leader does not want, and stops it. */
-  private recordStray(book: EndpointState, row: RunningTaskStatus, now: number): PlacedRun {
+  /** Adds a run that this leader has not placed, and stops it. */
+  private stopOrphan(endpoint: EndpointState, row: RunningTaskStatus, now: number): PlacedRun {
     const parsed = parseTaskName(row.task);
     const definition = parsed === undefined ? undefined : this.options.readDefinition(parsed.job);
     const isKnown = parsed !== undefined && definition?.steps[parsed.address.step] !== undefined;
@@ -151,46 +156,52 @@
       ? createPlacedRun(definition!, parsed.address, row.run, now)
       : createOrphanRun(row, now);
     run.stage = 'running';
-    book.addRun(run);
-    this.options.ledger.sendStop(book, run, 'notWanted');
+    endpoint.addRun(run);
+    this.options.ledger.sendStop(endpoint, run, 'notWanted');
     this.options.ledger.sendLogLine('Stopping a run that is not wanted.', {
       job: run.job,
       task: row.task,
       run: row.run,
-      endpoint: book.getProfile().incarnation,
+      endpoint: endpoint.getProfile().incarnation,
     });
     return run;
   }
 
-  private checkUnlisted(
-    book: EndpointState,
+  private checkMissing(
+    endpoint: EndpointState,
     listed: ReadonlySet<PlacedRun>,
     sentAt: number,
     now: number,
   ): void {
-    for (const run of [...book.getRuns()]) {
+    for (const run of [...endpoint.getRuns()]) {
       if (listed.has(run)) {
         continue;
       }
-      if (this.isProvedAbsent(run, sentAt)) {
-        this.recordAbsence(book, run, now);
+      if (this.isCertainlyMissing(run, sentAt)) {
+        this.recordMissing(endpoint, run, now);
       } else if (run.stage === 'ordered' && sentAt >= (run.unansweredAt ?? Infinity)) {
-        // It is not there, but its order may still arrive: only a stop shuts that out.
-        this.options.ledger.sendStop(book, run, 'unanswered');
+        // The start command may still arrive, unless a stop precedes it.
+        this.options.ledger.sendStop(endpoint, run, 'unanswered');
       }
     }
   }
 
-  /** One that was sent to the life before, and is not here, ended with it. */
-  private recordAbsence(book: EndpointState, run: PlacedRun, now: number): void {
-    const { ledger } = this.options;
+  /** Ends a run that the endpoint doesn't run. A transferred one ended with the incarnation that it was sent to. */
+  private recordMissing(endpoint: EndpointState, run: PlacedRun, now: number): void {
+    const { ledger: tracker } = this.options;
     if (run.transferredFrom !== undefined) {
-      ledger.sendCount('runsLost');
+      tracker.sendCount('runsLost');
     }
-    ledger.recordRunEnd(book, run, run.transferredFrom === undefined ? NOT_LISTED : WITH_LIFE_BEFORE, now);
+    tracker.recordRunEnd(
+      endpoint,
+      run,
+      run.transferredFrom === undefined ? NOT_LISTED : ENDED_WITH_INCARNATION,
+      now,
+    );
   }
 
-  private isProvedAbsent(run: PlacedRun, sentAt: number): boolean {
+  /** Returns true when a run that a status doesn't list has ended, or never began, by the time its poll was sent. */
+  private isCertainlyMissing(run: PlacedRun, sentAt: number): boolean {
     switch (run.stage) {
       case 'recording':
       case 'ordered':
--- a/packages/dispatch/endpoints/createDeregisteredProfile.ts
+++ b/packages/dispatch/endpoints/createDeregisteredProfile.ts
@@ -4,13 +4,13 @@
 import { endpointIncarnations } from '../../jobs/endpointIncarnations';
 import type { EndpointProfile } from './EndpointProfile';
 
-/** The profile of a life whose record is gone: it has no address and no room, and may still run what it was given. */
+/** Creates the profile of an incarnation without a record: it has no address and no capacity, but its runs may go on. */
 export const createDeregisteredProfile = (
-  life: EndpointIncarnation,
+  incarnation: EndpointIncarnation,
   service: ServiceName,
 ): EndpointProfile => ({
-  id: endpointIncarnations.readEndpoint(life),
-  incarnation: life,
+  id: endpointIncarnations.readEndpoint(incarnation),
+  incarnation,
   service,
   address: '',
   hall: '',
--- a/packages/dispatch/endpoints/formatLifeEnd.ts
+++ b/packages/dispatch/endpoints/formatIncarnationEnd.ts
@@ -2,25 +2,25 @@
 import type { PlacedRun } from '../runs/PlacedRun';
 import type { EndpointState } from './EndpointState';
 
-/** A line names at most so many runs; the count is that of all. */
+/** Highest number of runs listed in one log line; `runCount` counts all. */
 const MAX_NAMED_RUNS = 20;
 
-/** Fields of the line about a life that is over: what was known of it, how old that is, what ran there, and what may have reached the next. */
-export const formatLifeEnd = (
-  book: EndpointState,
+/** Formats the log fields of an incarnation that has ended: its last known state, its runs, and how many of these the next one may have got. */
+export const formatIncarnationEnd = (
+  state: EndpointState,
   runs: readonly PlacedRun[],
   now: number,
   { next, carriedCount }: { readonly next: EndpointIncarnation | undefined; readonly carriedCount: number },
 ): Readonly<Record<string, unknown>> => {
-  const { incarnation: life, isDraining } = book.getProfile();
-  const answeredAt = book.readAnsweredAt();
-  const silentSince = book.getUnreachableSince();
+  const { incarnation, isDraining } = state.getProfile();
+  const respondedAt = state.getRespondedAt();
+  const unreachableSince = state.getUnreachableSince();
   return {
-    endpoint: life,
+    endpoint: incarnation,
     isDraining,
-    hasRecord: book.hasRecord(),
-    unheardMs: answeredAt === undefined ? 'never heard' : Math.round(now - answeredAt),
-    silentMs: silentSince === undefined ? 0 : Math.round(now - silentSince),
+    hasRecord: state.isRegistered(),
+    unheardMs: respondedAt === undefined ? 'never heard' : Math.round(now - respondedAt),
+    silentMs: unreachableSince === undefined ? 0 : Math.round(now - unreachableSince),
     next: next ?? 'not known',
     runCount: runs.length,
     carriedCount,
--- a/tests/acknowledgedLives.test.ts
+++ b/tests/acknowledgedLives.test.ts
@@ -77,17 +77,17 @@
     const life = endpointIncarnations.toLife(ID, FIRST_MS);
     const book = new EndpointState(createProfile(ID, { incarnation: life, address }), 0, new CustomerUsage());
     const session = new EndpointSession({
-      book,
+      endpoint: book,
       client,
       clock: systemClock,
       isRenewing: () => true,
-      handleAnswered: () => {
-        book.recordAnswer(systemClock.readNow());
+      handleResponse: () => {
+        book.recordResponse(systemClock.readNow());
         return true;
       },
-      handleOtherLife: () => undefined,
-      handleHeld,
-      handleSilence: () => book.recordUnreachable(systemClock.readNow()),
+      handleOtherIncarnation: () => undefined,
+      handleStatus: handleHeld,
+      handleUnreachable: () => book.recordUnreachable(systemClock.readNow()),
       handleGone: () => undefined,
       handleFenced: () => undefined,
     });
--- a/tests/endedLives.test.ts
+++ b/tests/endedLives.test.ts
@@ -37,7 +37,7 @@
     dispatcher.handleUnreachable(ENDPOINT, 100);
     dispatcher.handleIncarnationEnd(ENDPOINT, 3100);
     const effects = dispatcher.takeEffects();
-    expect(readTell(effects, 'Endpoint life is over.')).toMatchObject({
+    expect(readTell(effects, 'Endpoint incarnation has ended.')).toMatchObject({
       unheardMs: 3100,
       silentMs: 3000,
       isDraining: false,
--- a/tests/endpointSession.test.ts
+++ b/tests/endpointSession.test.ts
@@ -10,7 +10,7 @@
 import { createProfile } from './helpers/createProfile';
 
 type HoldRequest = Parameters<EndpointClient['sendPoll']>[0];
-type HeldHandler = ConstructorParameters<typeof EndpointSession>[0]['handleHeld'];
+type HeldHandler = ConstructorParameters<typeof EndpointSession>[0]['handleStatus'];
 
 /** An endpoint takes so long for each answer. */
 const ANSWER_MS = 700;
@@ -27,7 +27,7 @@
   handleHeld: HeldHandler,
 ): EndpointSession =>
   new EndpointSession({
-    book,
+    endpoint: book,
     client: {
       sendStart: () => Promise.resolve({ kind: 'done' }),
       sendStop: () => Promise.resolve({ kind: 'done' }),
@@ -36,10 +36,10 @@
     },
     clock: systemClock,
     isRenewing: () => true,
-    handleAnswered: () => true,
-    handleHeld,
-    handleOtherLife: () => undefined,
-    handleSilence: () => undefined,
+    handleResponse: () => true,
+    handleStatus: handleHeld,
+    handleOtherIncarnation: () => undefined,
+    handleUnreachable: () => undefined,
     handleGone: () => undefined,
     handleFenced: () => undefined,
   });
@@ -73,7 +73,7 @@
 describe('the session with an endpoint whose end is not durable yet', () => {
   it('goes on renewing the lease, acknowledges nothing before, and tells the end once', async () => {
     const book = createBook();
-    book.recordAnswer(0);
+    book.recordResponse(0);
     const looks: { readonly request: HoldRequest; readonly at: number }[] = [];
     const newEnds: number[] = [];
     let startDurable: () => void = () => undefined;
--- a/tests/lapsedRecords.test.ts
+++ b/tests/lapsedRecords.test.ts
@@ -70,7 +70,7 @@
     sessions.start();
     await new Promise((resolve) => setTimeout(resolve, RELISTING_MS * 1.5));
     sessions.stop();
-    expect(messages).toContain('Endpoint record lapsed while the log was away.');
-    expect(messages).toContain('Endpoint left.');
+    expect(messages).toContain('Endpoint record expired while the log was unavailable.');
+    expect(messages).toContain('Endpoint deregistered.');
   });
 });
