--- a/packages/dispatch/crashes/CrashHistory.ts
+++ b/packages/dispatch/crashes/CrashHistory.ts
@@ -3,7 +3,7 @@
 import type { ImplicatedTask } from './ImplicatedTask';
 import { crashLimits } from './crashLimits';
 
-/** Longer than it takes until a harmful task has been started so often that it is given up. */
+/** Longer than a task that crashes its endpoints takes to reach the crash limit. */
 const RETENTION_MS = 120_000;
 
 const removeOutdated = <Key>(times: Map<Key, number>, keptMs: number, now: number): void => {
@@ -14,83 +14,83 @@
   }
 };
 
-/** What the newest ends of endpoints were put down to: tells losses from outside from the harm that tasks do. */
+/** Recent crashes of endpoints with their implicated tasks. Separates crashes with an external cause from those that tasks cause. */
 export class CrashHistory {
   private readonly implicated = new Map<EndpointIncarnation, readonly ImplicatedTask[]>();
-  /** When machines last crashed, by address. */
+  /** Monotonic time of the newest crash of each machine, by address. */
   private readonly machineCrashedAt = new Map<string, number>();
-  /** Jobs that were given up, with the monotonic time of it: other tasks of theirs may still end endpoints. */
+  /** Jobs with a task over the crash limit, with the monotonic time of that: their other tasks may still crash endpoints. */
   private readonly jobsOverLimit = new Map<JobId, number>();
-  /** Lives whose end is put down to a task that was given up. */
+  /** Incarnations whose crash is explained by a task over the crash limit. */
   private readonly explained = new Set<EndpointIncarnation>();
-  /** Monotonic time at which an endpoint was last lost with no start to blame. */
+  /** Monotonic time of the newest crash that no task is to blame for. */
   private unexplainedAt = -Infinity;
 
-  recordImplicated(life: EndpointIncarnation, task: ImplicatedTask): void {
-    this.implicated.set(life, [...this.listImplicated(life), task]);
+  recordImplicated(endpoint: EndpointIncarnation, task: ImplicatedTask): void {
+    this.implicated.set(endpoint, [...this.listImplicated(endpoint), task]);
   }
 
-  /** Tasks that were charged with the end of an endpoint. */
-  listImplicated(life: EndpointIncarnation): readonly ImplicatedTask[] {
-    return this.implicated.get(life) ?? [];
+  /** Returns the tasks that the crash of an endpoint was put down to. */
+  listImplicated(endpoint: EndpointIncarnation): readonly ImplicatedTask[] {
+    return this.implicated.get(endpoint) ?? [];
   }
 
   recordMachineCrash(address: string, now: number): void {
     this.machineCrashedAt.set(address, now);
   }
 
-  /** Tells whether a machine has crashed so lately that the next crash there would tell little of a task. */
+  /** Returns true when the machine has crashed so recently that another crash there is weak evidence against a task. */
   hasCrashedRecently(address: string, now: number): boolean {
     return now - (this.machineCrashedAt.get(address) ?? -Infinity) < crashLimits.recentCrashMs;
   }
 
-  /** Notes whether an endpoint that was lost has some start to blame, or one whose job has been given up already. */
-  recordLoss(life: EndpointIncarnation, blamed: readonly JobId[], now: number): void {
+  /** Records whether a crash has no job to blame, or is explained by a job that is already over the crash limit. */
+  recordLoss(endpoint: EndpointIncarnation, blamed: readonly JobId[], now: number): void {
     if (blamed.length === 0) {
       this.unexplainedAt = now;
     }
     if (blamed.some((job) => this.jobsOverLimit.has(job))) {
-      this.explained.add(life);
+      this.explained.add(endpoint);
     }
   }
 
-  /** Tasks of one job are alike: what was put down to any of them is explained too, or half the harm of a wide step would look like losses. */
-  recordOverLimit(guilty: JobId, now: number): void {
-    this.jobsOverLimit.set(guilty, now);
-    for (const [life, tasks] of this.implicated) {
-      if (tasks.some(({ job, isBlamed }) => job === guilty && isBlamed)) {
-        this.explained.add(life);
+  /** Records that a job is over the crash limit. This explains all crashes that any of its tasks is to blame for, since they are alike. */
+  recordOverLimit(jobOverLimit: JobId, now: number): void {
+    this.jobsOverLimit.set(jobOverLimit, now);
+    for (const [endpoint, tasks] of this.implicated) {
+      if (tasks.some(({ job, isBlamed }) => job === jobOverLimit && isBlamed)) {
+        this.explained.add(endpoint);
       }
     }
   }
 
-  /** True while endpoints are lost that nothing had just begun on, or for which all that had has been done since. */
+  /** Returns true while there are recent crashes for which no task is, or still is, to blame. */
   hasUnexplainedLosses(
     now: number,
-    hasCharge: (task: ImplicatedTask, life: EndpointIncarnation) => boolean,
+    hasCrash: (task: ImplicatedTask, endpoint: EndpointIncarnation) => boolean,
   ): boolean {
     const { unexplainedLossMs } = crashLimits;
-    const isLoss = (life: EndpointIncarnation, tasks: readonly ImplicatedTask[]): boolean =>
-      !this.explained.has(life) &&
+    const isLoss = (endpoint: EndpointIncarnation, tasks: readonly ImplicatedTask[]): boolean =>
+      !this.explained.has(endpoint) &&
       tasks.every(
-        (task) => now - task.since < unexplainedLossMs && !(task.isBlamed && hasCharge(task, life)),
+        (task) => now - task.since < unexplainedLossMs && !(task.isBlamed && hasCrash(task, endpoint)),
       );
     return (
       now - this.unexplainedAt < unexplainedLossMs ||
-      [...this.implicated].some(([life, tasks]) => isLoss(life, tasks))
+      [...this.implicated].some(([endpoint, tasks]) => isLoss(endpoint, tasks))
     );
   }
 
-  /** Forgets what is too old to tell anything. */
+  /** Removes outdated crashes. */
   removeOutdated(now: number): void {
-    for (const [life, tasks] of this.implicated) {
+    for (const [endpoint, tasks] of this.implicated) {
       if (tasks.every(({ since }) => now - since >= RETENTION_MS)) {
-        this.implicated.delete(life);
+        this.implicated.delete(endpoint);
       }
     }
-    for (const life of this.explained) {
-      if (!this.implicated.has(life)) {
-        this.explained.delete(life);
+    for (const endpoint of this.explained) {
+      if (!this.implicated.has(endpoint)) {
+        this.explained.delete(endpoint);
       }
     }
     removeOutdated(this.jobsOverLimit, RETENTION_MS, now);
--- a/packages/dispatch/crashes/CrashRecord.ts
+++ b/packages/dispatch/crashes/CrashRecord.ts
@@ -1,7 +1,7 @@
 import type { TaskCrash } from '../../jobs/TaskCrash';
 import type { TaskRef } from './TaskRef';
 
-/** The end of an endpoint, charged to one task. */
+/** The crash of an endpoint, put down to one task. */
 export interface CrashRecord extends TaskRef {
   readonly crash: TaskCrash;
 }
--- a/packages/dispatch/crashes/CrashTracker.ts
+++ b/packages/dispatch/crashes/CrashTracker.ts
@@ -22,31 +22,30 @@
 interface CrashTrackerOptions {
   readonly jobs: ReadonlyMap<JobId, LiveJob>;
   readonly ledger: RunTracker;
-  /** The progress of a job has changed and must be recorded. */
+  /** Called when the progress of a job has changed and must be recorded. */
   readonly handleChanged: (job: JobId) => void;
 }
 
-type RevocationReason =
+type RemovalReason =
   'left by plan' | 'heard again' | 'explained by a task that was given up' | 'its run began on the next life';
 
-/** A line names at most so many tasks; the count is that of all. */
+/** Highest number of tasks named in one log line; `count` counts all. */
 const MAX_NAMED_TASKS = 20;
 
 /**
- * Endpoints that ended, charged to the tasks that may have ended them. An end of an endpoint counts unless it was planned: a task that
- * ends its endpoint leaves nobody to say that it failed, and would be started without end if such ends counted against nothing.
- * The charges are part of a job's progress, so that each leader goes on from those of the one before.
+ * Puts crashes of endpoints down to the tasks that may have caused them, so that a task that crashes its endpoints is not retried without limit.
+ * An incarnation that ends without a planned removal counts as crashed. Crash records are part of a job's progress, and survive a change of leader.
  */
 export class CrashTracker {
   private readonly unconfirmed = new UnconfirmedCrashes();
   private readonly history = new CrashHistory();
   private readonly outages = new OutageDetector();
-  /** Jobs with a task that is not started any more. */
+  /** Tasks that may be over the crash limit, by job, until the next check of the limits. */
   private readonly tasksOverLimit = new Map<JobId, TaskAddress>();
 
   constructor(private readonly options: CrashTrackerOptions) {}
 
-  /** Takes in the charges of a job that earlier leaders left: waits begin anew, and doubts go on. */
+  /** Applies the crash records of a task that earlier leaders left: backoffs start again, and unconfirmed crashes stay so. */
   applyRecoveredCrashes(job: LiveJob, address: TaskAddress, now: number): void {
     this.applyRecoveredUnconfirmed(job, address);
     const crashes = job.progress.getTask(address)?.crashes ?? [];
@@ -61,59 +60,59 @@
         since: now,
       });
       if (blame === 'unproved') {
-        const charge = { endpoint, blame: 'inherited', ageMs } as const;
-        this.unconfirmed.addCrash({ job: job.definition.id, address, since: now, crash: charge });
+        const crash = { endpoint, blame: 'inherited', ageMs } as const;
+        this.unconfirmed.addCrash({ job: job.definition.id, address, since: now, crash });
       }
     }
     this.applyCrashes(job, address, now);
   }
 
   /**
-   * What an earlier leader waited to see is charged now: this one does not know the endpoint's address, and may never see it. Without this a
-   * change of leader would let a harmful task off, and it would be started more often than it may be.
+   * Records the unconfirmed crashes that an earlier leader noted. This one may never confirm them, as it doesn't know the endpoint's address, and
+   * must not drop them, or a task could exceed its crash limit across changes of leader.
    */
   private applyRecoveredUnconfirmed(job: LiveJob, address: TaskAddress): void {
-    for (const doubt of job.progress.getTask(address)?.doubts ?? []) {
-      job.progress.recordCrash(address, { ...doubt, blame: 'unproved' });
+    for (const crash of job.progress.getTask(address)?.doubts ?? []) {
+      job.progress.recordCrash(address, { ...crash, blame: 'unproved' });
       this.options.handleChanged(job.definition.id);
     }
   }
 
-  /** An endpoint's life is over; `runs` were there, or may have been. */
-  handleIncarnationEnd(book: EndpointState, runs: readonly PlacedRun[], now: number): void {
-    const { incarnation: id, address } = book.getProfile();
-    const doubts = this.unconfirmed.takeAll(id);
-    if (book.isRemovalPlanned()) {
-      this.removeCrashes(id, doubts, 'left by plan', now);
+  /** Puts the end of an incarnation down to `runs`, which were there or may have been, unless its removal was planned. */
+  handleIncarnationEnd(endpoint: EndpointState, runs: readonly PlacedRun[], now: number): void {
+    const { incarnation: id, address } = endpoint.getProfile();
+    const unconfirmed = this.unconfirmed.takeAll(id);
+    if (endpoint.isRemovalPlanned()) {
+      this.removeCrashes(id, unconfirmed, 'left by plan', now);
       return;
     }
     this.history.recordMachineCrash(address, now);
-    const charges = this.chooseBlames(book, runs).map(({ run, blame }) => ({
+    const records = this.listBlames(endpoint, runs).map(({ run, blame }) => ({
       job: run.job,
       address: run.address,
       crash: { endpoint: id, blame, ageMs: this.getAgeMs(run) },
     }));
-    const all = [...doubts, ...charges];
-    const blamed = all.filter(({ crash: charge }) => charge.blame !== 'present').map(({ job }) => job);
+    const all = [...unconfirmed, ...records];
+    const blamed = all.filter(({ crash }) => crash.blame !== 'present').map(({ job }) => job);
     this.history.recordLoss(id, blamed, now);
     this.recordCrashes(id, all, now);
   }
 
-  /** The lease of an endpoint that was silent has run out, and with it `runs`: it crashed, or is cut off. */
-  handleLeaseExpiry(book: EndpointState, runs: readonly PlacedRun[], now: number): void {
-    if (book.isRemovalPlanned()) {
+  /** Handles the expiry of an unreachable endpoint's lease, which has ended `runs`: the endpoint has crashed, or is cut off. */
+  handleLeaseExpiry(endpoint: EndpointState, runs: readonly PlacedRun[], now: number): void {
+    if (endpoint.isRemovalPlanned()) {
       return;
     }
-    const { incarnation: id } = book.getProfile();
+    const { incarnation: id } = endpoint.getProfile();
     const unproved: CrashRecord[] = [];
-    for (const { run, blame } of this.chooseBlames(book, runs)) {
+    for (const { run, blame } of this.listBlames(endpoint, runs)) {
       const { job, address } = run;
-      const charge = { endpoint: id, blame, ageMs: this.getAgeMs(run) };
-      this.unconfirmed.addCrash({ job, address, since: now, crash: charge });
+      const crash = { endpoint: id, blame, ageMs: this.getAgeMs(run) };
+      this.unconfirmed.addCrash({ job, address, since: now, crash });
       if (blame !== 'present' || this.isOneCrashBelowLimit(run)) {
-        unproved.push({ job, address, crash: { ...charge, blame: 'unproved' } });
+        unproved.push({ job, address, crash: { ...crash, blame: 'unproved' } });
       } else if (!isPastStartup(run)) {
-        this.options.jobs.get(job)?.progress.recordUnconfirmedCrash(address, charge);
+        this.options.jobs.get(job)?.progress.recordUnconfirmedCrash(address, crash);
         this.options.handleChanged(job);
       }
     }
@@ -121,30 +120,30 @@
   }
 
   /**
-   * True for a run that had just begun, and whose task is given up with one charge more: its next start must not leave before that is known.
-   * To charge every such run would hold up sound work beside harmful tasks.
+   * Returns true for a run in its startup whose task is over the crash limit with one record more: its next start must not be sent before the crash
+   * is confirmed or refuted. Recording every such run would delay healthy tasks.
    */
   private isOneCrashBelowLimit(run: PlacedRun): boolean {
     return !isPastStartup(run) && this.listCrashes(run).length >= crashLimits.maxAll - 1;
   }
 
-  /** An endpoint that answered until now has fallen silent. */
-  handleUnreachable(book: EndpointState, now: number): void {
-    this.outages.handleUnreachable(book, now);
+  /** Handles the first poll of an endpoint without a response. */
+  handleUnreachable(endpoint: EndpointState, now: number): void {
+    this.outages.handleUnreachable(endpoint, now);
   }
 
-  /** The endpoint is heard: it has not crashed. */
+  /** Removes the unconfirmed crashes of an endpoint that responds. */
   handleReachable(id: EndpointIncarnation, now: number): void {
     this.outages.handleReachable(id);
     this.removeCrashes(id, this.unconfirmed.takeAll(id), 'heard again', now);
   }
 
-  /** A run that was sent to a life which is over has begun on the next one: its task had no part in that end. */
+  /** Clears the task of a run that was sent to an earlier incarnation, but began on the next one, of the crash of the earlier. */
   handleTransferConfirmed({ job, address }: PlacedRun, before: EndpointIncarnation, now: number): void {
     this.removeCrashes(before, [{ job, address }], 'its run began on the next life', now);
   }
 
-  /** A look has listed a run: one that has worked for much longer than those that were lost clears its task. */
+  /** Clears the task of a listed run of the crashes in which its runs were much younger. */
   handleRunListed(run: PlacedRun): void {
     const { progress } = this.options.jobs.get(run.job) ?? {};
     const { crashes = [], doubts = [] } = progress?.getTask(run.address) ?? {};
@@ -166,36 +165,36 @@
     }
   }
 
-  /** True while it is worth asking at the address of an endpoint that fell silent for good. */
+  /** Returns true while a poll of the endpoint's address may still confirm that it has crashed. */
   isCrashUnconfirmed(id: EndpointIncarnation, now: number): boolean {
     return this.unconfirmed.isCrashUnconfirmed(id, now);
   }
 
-  /** Tells whether a machine has crashed so lately that the next crash there would tell little of a task. */
+  /** Returns true when the machine has crashed so recently that another crash there is weak evidence against a task. */
   hasCrashedRecently(address: string, now: number): boolean {
     return this.history.hasCrashedRecently(address, now);
   }
 
-  /** True while endpoints are lost that nothing had just begun on, or for which all that had has been done since. */
+  /** Returns true while there are recent crashes for which no task is, or still is, to blame. */
   private hasUnexplainedLosses(now: number): boolean {
-    return this.history.hasUnexplainedLosses(now, (task, life) => this.hasCrash(task, life));
+    return this.history.hasUnexplainedLosses(now, (task, endpoint) => this.hasCrash(task, endpoint));
   }
 
-  private hasCrash(owner: TaskRef, life: EndpointIncarnation): boolean {
-    return this.listCrashes(owner).some(({ endpoint }) => endpoint === life);
+  private hasCrash(task: TaskRef, crashed: EndpointIncarnation): boolean {
+    return this.listCrashes(task).some(({ endpoint }) => endpoint === crashed);
   }
 
-  /** What a task is charged with; nothing once its job has ended. */
+  /** Returns the crash records of a task; none once its job has ended. */
   private listCrashes({ job, address }: TaskRef): readonly TaskCrash[] {
     return this.options.jobs.get(job)?.progress.getTask(address)?.crashes ?? [];
   }
 
-  /** Ends the jobs with tasks that are not started any more, and forgets what is too old to tell anything. */
+  /** Fails the jobs with a task over the crash limit, and removes outdated crashes. */
   applyCrashLimits(now: number, wallMs: number): void {
     for (const [id, address] of this.tasksOverLimit) {
       const job = this.options.jobs.get(id);
       const crashes = job?.progress.getTask(address)?.crashes ?? [];
-      // Another task that was given up may have explained some of them meanwhile.
+      // The check is repeated, since another task over the limit may have explained some of the crashes.
       if (
         job !== undefined &&
         !job.progress.isEnded() &&
@@ -215,31 +214,31 @@
     }
     this.tasksOverLimit.clear();
     this.history.removeOutdated(now);
-    // Durable with the next change of the job: until then the next leader counts them, which is the safe side.
-    for (const { job, address, crash: charge } of this.unconfirmed.takeOutdated(now)) {
-      this.options.jobs.get(job)?.progress.removeUnconfirmedCrash(address, charge.endpoint);
+    // This becomes durable with the job's next change. Until then a new leader would count these crashes, which is safe.
+    for (const { job, address, crash } of this.unconfirmed.takeOutdated(now)) {
+      this.options.jobs.get(job)?.progress.removeUnconfirmedCrash(address, crash.endpoint);
     }
   }
 
   /**
-   * What a task has been given up for needs no other explanation: those that were charged with the same crashes are cleared of them, or harmful
-   * tasks among endpoints that are lost from outside would take sound jobs with them.
-   * Those that had just begun there still count as present: harmful tasks that fall together would explain each other's crashes away.
+   * Clears other tasks of the crashes that a task over the limit explains, so that healthy jobs don't fail with it. Tasks whose runs were in their
+   * startup still count as present: several tasks that crash the same endpoints would otherwise clear each other.
    */
-  private removeExplained(guilty: TaskRef, crashes: readonly TaskCrash[], now: number): void {
+  private removeExplained(taskOverLimit: TaskRef, crashes: readonly TaskCrash[], now: number): void {
     for (const { endpoint, blame } of crashes) {
-      const charged = blame === 'sole' || blame === 'shared' ? this.history.listImplicated(endpoint) : [];
-      const others = charged.filter(
+      const implicated = blame === 'sole' || blame === 'shared' ? this.history.listImplicated(endpoint) : [];
+      const others = implicated.filter(
         ({ job, address }) =>
-          (job !== guilty.job || address !== guilty.address) && !this.hasSoleBlame({ job, address }),
+          (job !== taskOverLimit.job || address !== taskOverLimit.address) &&
+          !this.hasSoleBlame({ job, address }),
       );
-      const begun = others.filter((other) => this.setPresent(other, endpoint, now));
-      const cleared = others.filter((other) => !begun.includes(other));
+      const present = others.filter((other) => this.setPresent(other, endpoint, now));
+      const cleared = others.filter((other) => !present.includes(other));
       this.removeCrashes(endpoint, cleared, 'explained by a task that was given up', now);
     }
   }
 
-  /** Leaves a charge of a run that had just begun as one of presence. Returns false when there is none. */
+  /** Reduces the blame of a task whose run was in its startup to `present`. Returns false when it has no such crash record. */
   private setPresent({ job: id, address }: TaskRef, endpoint: EndpointIncarnation, now: number): boolean {
     const job = this.options.jobs.get(id);
     const known = job?.progress.getTask(address)?.crashes.find((crash) => crash.endpoint === endpoint);
@@ -254,17 +253,17 @@
     return true;
   }
 
-  /** One that was once the only one to blame may well be harmful too. */
-  private hasSoleBlame(owner: TaskRef): boolean {
-    return this.listCrashes(owner).some(({ blame }) => blame === 'sole');
+  /** Returns true when a task has the sole blame for some crash, and so may have caused others. */
+  private hasSoleBlame(task: TaskRef): boolean {
+    return this.listCrashes(task).some(({ blame }) => blame === 'sole');
   }
 
-  /** Charges for the end of an endpoint; an order that still waits for its record cannot have ended anything. */
-  private chooseBlames(book: EndpointState, runs: readonly PlacedRun[]): ReturnType<typeof chooseBlames> {
+  /** Chooses the blame of each run for a crash. Runs whose start command isn't sent yet are left out. */
+  private listBlames(endpoint: EndpointState, runs: readonly PlacedRun[]): ReturnType<typeof chooseBlames> {
     const { jobs } = this.options;
     return chooseBlames({
       runs: runs.filter(({ stage }) => stage !== 'recording'),
-      isOutage: this.outages.isPartOfOutage(book),
+      isOutage: this.outages.isPartOfOutage(endpoint),
       isSuspect: (run) => isCrashSuspect(jobs.get(run.job)?.progress.getTask(run.address)?.crashes ?? []),
       getGroup: ({ job, address, task }) => {
         const isGang = jobs.get(job)?.definition.steps[address.step]?.isGang === true;
@@ -273,30 +272,30 @@
     });
   }
 
-  /** How long a run had worked for certain when it was last heard of. */
+  /** Returns how long a run had certainly run when a poll last listed it, in milliseconds; assumed for one that an earlier leader placed. */
   private getAgeMs(run: PlacedRun): number {
     return run.stage === 'unconfirmed' ? crashLimits.unknownAgeMs : Math.round(run.seenAt - run.confirmedAt);
   }
 
   private removeCrashes(
-    revoked: EndpointIncarnation,
-    owners: readonly TaskRef[],
-    reason: RevocationReason,
+    crashed: EndpointIncarnation,
+    tasks: readonly TaskRef[],
+    reason: RemovalReason,
     now: number,
   ): void {
-    const tasks = owners.filter((owner) => this.removeCrash(owner, revoked, now));
-    if (tasks.length > 0) {
-      const names = tasks.slice(0, MAX_NAMED_TASKS).map(({ job, address }) => toTaskName(job, address));
-      const fields = { endpoint: revoked, reason, count: tasks.length, tasks: names };
+    const cleared = tasks.filter((task) => this.removeCrash(task, crashed, now));
+    if (cleared.length > 0) {
+      const names = cleared.slice(0, MAX_NAMED_TASKS).map(({ job, address }) => toTaskName(job, address));
+      const fields = { endpoint: crashed, reason, count: cleared.length, tasks: names };
       this.options.ledger.sendLogLine('Charges of a crash are taken back.', fields);
     }
   }
 
-  /** Returns false when the task had no such charge. */
-  private removeCrash({ job: id, address }: TaskRef, revoked: EndpointIncarnation, now: number): boolean {
+  /** Removes a task's record of a crash. Returns false when there is none. */
+  private removeCrash({ job: id, address }: TaskRef, crashed: EndpointIncarnation, now: number): boolean {
     const job = this.options.jobs.get(id);
-    const isRevoked = ({ endpoint }: TaskCrash): boolean => endpoint === revoked;
-    if (job?.progress.removeCrashes(address, isRevoked) !== true) {
+    const isRemoved = ({ endpoint }: TaskCrash): boolean => endpoint === crashed;
+    if (job?.progress.removeCrashes(address, isRemoved) !== true) {
       return false;
     }
     this.options.handleChanged(id);
@@ -304,8 +303,8 @@
     return true;
   }
 
-  private recordCrashes(endpoint: EndpointIncarnation, charges: readonly CrashRecord[], now: number): void {
-    const recorded = charges.filter((charge) => this.recordCrash(charge, now));
+  private recordCrashes(endpoint: EndpointIncarnation, records: readonly CrashRecord[], now: number): void {
+    const recorded = records.filter((record) => this.recordCrash(record, now));
     if (recorded.length === 0) {
       return;
     }
@@ -313,27 +312,27 @@
     this.options.ledger.sendLogLine('Crash is charged.', {
       endpoint,
       count: recorded.length,
-      tasks: recorded.slice(0, MAX_NAMED_TASKS).map(({ job, address, crash: charge }) => ({
+      tasks: recorded.slice(0, MAX_NAMED_TASKS).map(({ job, address, crash }) => ({
         task: toTaskName(job, address),
-        blame: charge.blame,
-        ageMs: charge.ageMs,
+        blame: crash.blame,
+        ageMs: crash.ageMs,
         charged: this.options.jobs.get(job)?.progress.getTask(address)?.crashes.length,
       })),
     });
   }
 
-  /** Returns false when the task is done, or its job has ended. */
-  private recordCrash({ job: id, address, crash: charge }: CrashRecord, now: number): boolean {
+  /** Records a crash. Returns false when the task is done, or its job has ended. */
+  private recordCrash({ job: id, address, crash }: CrashRecord, now: number): boolean {
     const job = this.options.jobs.get(id);
     const task = job?.progress.getTask(address);
     if (job === undefined || task === undefined || task.phase === 'done' || job.progress.isEnded()) {
       return false;
     }
-    job.progress.recordCrash(address, charge);
-    this.history.recordImplicated(charge.endpoint, {
+    job.progress.recordCrash(address, crash);
+    this.history.recordImplicated(crash.endpoint, {
       job: id,
       address,
-      isBlamed: charge.blame !== 'present',
+      isBlamed: crash.blame !== 'present',
       since: now,
     });
     this.options.handleChanged(id);
@@ -341,12 +340,12 @@
     return true;
   }
 
-  /** Draws the consequences of a task's charges: a pause before its next start, or none any more. */
+  /** Applies a task's crash records: sets the backoff before its next start, and notes when it is over the crash limit. */
   private applyCrashes(job: LiveJob, address: TaskAddress, now: number): void {
     const { crashes } = job.progress.getTask(address)!;
-    const pauseMs = computeBackoffMs(crashes);
-    if (pauseMs > 0) {
-      job.recordBackoff(address, now + pauseMs);
+    const backoffMs = computeBackoffMs(crashes);
+    if (backoffMs > 0) {
+      job.recordBackoff(address, now + backoffMs);
     }
     if (isOverCrashLimit(crashes, this.hasUnexplainedLosses(now))) {
       this.tasksOverLimit.set(job.definition.id, address);
--- a/packages/dispatch/crashes/ImplicatedTask.ts
+++ b/packages/dispatch/crashes/ImplicatedTask.ts
@@ -1,9 +1,9 @@
 import type { TaskRef } from './TaskRef';
 
-/** A task that was charged with the end of an endpoint, for as long as that is remembered. */
+/** A task that the crash of an endpoint was put down to, kept until the crash is outdated. */
 export interface ImplicatedTask extends TaskRef {
-  /** It may have ended the endpoint, rather than only been there. */
+  /** True when the task may have crashed the endpoint, false when it only ran there. */
   readonly isBlamed: boolean;
-  /** Monotonic time of the charge. */
+  /** Monotonic time at which the crash was recorded. */
   readonly since: number;
 }
--- a/packages/dispatch/crashes/OutageDetector.ts
+++ b/packages/dispatch/crashes/OutageDetector.ts
@@ -2,55 +2,58 @@
 import type { EndpointState } from '../endpoints/EndpointState';
 import { isPastStartup } from './isPastStartup';
 
+/** An endpoint that became unreachable. */
 interface UnreachableEvent {
-  /** Monotonic time at which it was noticed. */
+  /** Monotonic time of the first poll without a response. */
   readonly at: number;
-  /** Some run had just begun there, and may be its cause. */
+  /** True when a run was in its startup there, and may be the cause. */
   readonly hasStartingRun: boolean;
 }
 
-/** Endpoints that are ended together are noticed within this time: a look waits up to 400 ms, and refused ones show at once. */
+/** Longest difference between the first unanswered polls of endpoints that fail together. */
 const COINCIDENCE_MS = 300;
-/** Longer than it takes until the end of an endpoint is known: its machine is back, or its lease has run out. */
+/** Longer than it takes to know that an endpoint has ended: its machine is back, or its lease has expired. */
 const RETENTION_MS = 60_000;
 
 /**
- * Tells outages that strike several endpoints from endpoints that a task has ended: where another one fell silent at the same moment on
- * which nothing had just begun, the cause lies outside.
+ * Detects outages that hit several endpoints. If another endpoint became unreachable at the same time without a starting run, the cause is external,
+ * and not a task.
  */
 export class OutageDetector {
-  /** The newest silence of each endpoint that has not been heard since. */
+  /** Newest event of each endpoint that has not responded since. */
   private readonly events = new Map<EndpointIncarnation, UnreachableEvent>();
 
-  /** An endpoint has fallen silent. When that was is known only of one that this leader has heard. */
-  handleUnreachable(book: EndpointState, now: number): void {
-    if (book.getRespondedAt() === undefined) {
+  /** Records that an endpoint became unreachable. Ignores one that has never responded to this leader, as the time is unknown. */
+  handleUnreachable(endpoint: EndpointState, now: number): void {
+    if (endpoint.getRespondedAt() === undefined) {
       return;
     }
-    for (const [id, { at }] of this.events) {
+    for (const [incarnation, { at }] of this.events) {
       if (now - at >= RETENTION_MS) {
-        this.events.delete(id);
+        this.events.delete(incarnation);
       }
     }
-    const hasBegunRun = [...book.getRuns()].some((run) => run.stage !== 'recording' && !isPastStartup(run));
-    this.events.set(book.getProfile().incarnation, { at: now, hasStartingRun: hasBegunRun });
+    const hasStartingRun = [...endpoint.getRuns()].some(
+      (run) => run.stage !== 'recording' && !isPastStartup(run),
+    );
+    this.events.set(endpoint.getProfile().incarnation, { at: now, hasStartingRun });
   }
 
-  /** The endpoint is heard again: its silence was none that ended it. */
-  handleReachable(id: EndpointIncarnation): void {
-    this.events.delete(id);
+  /** Removes the event of an endpoint that responds again, and has not crashed. */
+  handleReachable(incarnation: EndpointIncarnation): void {
+    this.events.delete(incarnation);
   }
 
-  /** True when the endpoint fell silent with others in an outage. */
-  isPartOfOutage(book: EndpointState): boolean {
-    const { incarnation: id } = book.getProfile();
-    const silentSince = book.getUnreachableSince();
-    if (silentSince === undefined || book.getRespondedAt() === undefined) {
+  /** Returns true when the endpoint became unreachable in an outage. */
+  isPartOfOutage(endpoint: EndpointState): boolean {
+    const { incarnation } = endpoint.getProfile();
+    const unreachableSince = endpoint.getUnreachableSince();
+    if (unreachableSince === undefined || endpoint.getRespondedAt() === undefined) {
       return false;
     }
     return [...this.events].some(
-      ([endpoint, { at, hasStartingRun: hasBegunRun }]) =>
-        endpoint !== id && !hasBegunRun && Math.abs(at - silentSince) <= COINCIDENCE_MS,
+      ([other, { at, hasStartingRun }]) =>
+        other !== incarnation && !hasStartingRun && Math.abs(at - unreachableSince) <= COINCIDENCE_MS,
     );
   }
 }
--- a/packages/dispatch/crashes/TaskRef.ts
+++ b/packages/dispatch/crashes/TaskRef.ts
@@ -1,7 +1,7 @@
 import type { JobId } from '../../jobs/JobId';
 import type { TaskAddress } from '../../jobs/TaskAddress';
 
-/** A task that is charged with the end of an endpoint. */
+/** Reference to a task, by its job and its address within the job. */
 export interface TaskRef {
   readonly job: JobId;
   readonly address: TaskAddress;
--- a/packages/dispatch/crashes/UnconfirmedCrash.ts
+++ b/packages/dispatch/crashes/UnconfirmedCrash.ts
@@ -1,7 +1,7 @@
 import type { CrashRecord } from './CrashRecord';
 
-/** What a task is charged with once an endpoint that has not been heard since its lease ran out is known to have crashed. */
+/** The record that a task gets if an endpoint, unreachable since before its lease expired, proves to have crashed. */
 export interface UnconfirmedCrash extends CrashRecord {
-  /** Monotonic time from which nothing has been known. */
+  /** Monotonic time at which the expiry of the lease was noticed, or the record was recovered. */
   readonly since: number;
 }
--- a/packages/dispatch/crashes/UnconfirmedCrashes.ts
+++ b/packages/dispatch/crashes/UnconfirmedCrashes.ts
@@ -2,30 +2,30 @@
 import type { UnconfirmedCrash } from './UnconfirmedCrash';
 import { crashLimits } from './crashLimits';
 
-/** Endpoints that were silent when their leases ran out, with what their end would be charged to. */
+/** Endpoints that were unreachable when their leases expired, with the tasks to blame if they have crashed. */
 export class UnconfirmedCrashes {
   private readonly crashes = new Map<EndpointIncarnation, readonly UnconfirmedCrash[]>();
 
-  addCrash(doubt: UnconfirmedCrash): void {
-    const { endpoint } = doubt.crash;
-    this.crashes.set(endpoint, [...(this.crashes.get(endpoint) ?? []), doubt]);
+  addCrash(record: UnconfirmedCrash): void {
+    const { endpoint } = record.crash;
+    this.crashes.set(endpoint, [...(this.crashes.get(endpoint) ?? []), record]);
   }
 
-  /** Gives what was doubted of an endpoint of which more is known now, and forgets it. */
-  takeAll(life: EndpointIncarnation): readonly UnconfirmedCrash[] {
-    const doubts = this.crashes.get(life) ?? [];
-    this.crashes.delete(life);
-    return doubts;
+  /** Removes and returns the unconfirmed crashes of an endpoint. */
+  takeAll(endpoint: EndpointIncarnation): readonly UnconfirmedCrash[] {
+    const crashes = this.crashes.get(endpoint) ?? [];
+    this.crashes.delete(endpoint);
+    return crashes;
   }
 
-  /** True while it is worth asking at the address of an endpoint that fell silent for good. */
-  isCrashUnconfirmed(life: EndpointIncarnation, now: number): boolean {
-    return this.crashes.get(life)?.some(({ since }) => now - since < crashLimits.confirmationMs) ?? false;
+  /** Returns true while a poll of the endpoint's address may still confirm that it has crashed. */
+  isCrashUnconfirmed(endpoint: EndpointIncarnation, now: number): boolean {
+    return this.crashes.get(endpoint)?.some(({ since }) => now - since < crashLimits.confirmationMs) ?? false;
   }
 
-  /** Forgets the doubts that nothing will settle any more, and gives them. */
+  /** Removes and returns the crashes that can't be confirmed any more. */
   takeOutdated(now: number): readonly UnconfirmedCrash[] {
-    const outdated = [...this.crashes.keys()].filter((life) => !this.isCrashUnconfirmed(life, now));
-    return outdated.flatMap((life) => this.takeAll(life));
+    const outdated = [...this.crashes.keys()].filter((endpoint) => !this.isCrashUnconfirmed(endpoint, now));
+    return outdated.flatMap((endpoint) => this.takeAll(endpoint));
   }
 }
--- a/packages/dispatch/crashes/chooseBlames.ts
+++ b/packages/dispatch/crashes/chooseBlames.ts
@@ -8,38 +8,32 @@
 }
 
 interface BlamesInput {
-  /** All that may have run on the endpoint when it ended. */
+  /** Runs that may have been on the endpoint when it crashed. */
   readonly runs: readonly PlacedRun[];
-  /** Others that nothing had just begun on fell silent at the same moment. */
+  /** True when the endpoint became unreachable in an outage. */
   readonly isOutage: boolean;
-  /** Tells whether the run's task is under suspicion for an earlier crash. */
+  /** Returns true when the run's task is a crash suspect. */
   readonly isSuspect: (run: PlacedRun) => boolean;
-  /** Members of a gang start together and count as one. */
+  /** Returns a key that the members of a gang share: they start together, and count as one. */
   readonly getGroup: (run: PlacedRun) => string;
 }
 
 /**
- * Shares out the blame for an endpoint that ended. Tasks end their endpoints as they start, and are rare: of the runs that had just begun
- * those under suspicion are likelier than the others. All that are not likely are noted as present, for the task that ends its endpoint
- * late or was beside a likelier one each time; in an outage these are all. Whoever charges all that ran there gives up sound work: see
- * docs/decisions/0015.
+ * Chooses the degree of blame of each run for the crash of its endpoint. A task that crashes its endpoint usually does so during startup: the
+ * crash suspects among the starting runs are to blame, or all starting runs when there is no suspect among them. All others, and in an
+ * outage all runs, only count as present.
  */
-export const chooseBlames = ({
-  runs,
-  isOutage,
-  isSuspect,
-  getGroup: toGroup,
-}: BlamesInput): readonly RunBlame[] => {
-  const begun = isOutage ? [] : runs.filter((run) => !isPastStartup(run));
-  const suspects = begun.filter(isSuspect);
-  const likely = suspects.length > 0 ? suspects : begun;
-  const blame = new Set(likely.map(toGroup)).size === 1 ? 'sole' : 'shared';
-  const charges = likely.map((run): RunBlame => ({
+export const chooseBlames = ({ runs, isOutage, isSuspect, getGroup }: BlamesInput): readonly RunBlame[] => {
+  const starting = isOutage ? [] : runs.filter((run) => !isPastStartup(run));
+  const suspects = starting.filter(isSuspect);
+  const likely = suspects.length > 0 ? suspects : starting;
+  const blame = new Set(likely.map(getGroup)).size === 1 ? 'sole' : 'shared';
+  const blamed = likely.map((run): RunBlame => ({
     run,
     blame: run.stage === 'unconfirmed' ? 'inherited' : blame,
   }));
   const present = runs
     .filter((run) => !likely.includes(run))
     .map((run): RunBlame => ({ run, blame: 'present' }));
-  return [...charges, ...present];
+  return [...blamed, ...present];
 };
--- a/packages/dispatch/crashes/isCrashSuspect.ts
+++ b/packages/dispatch/crashes/isCrashSuspect.ts
@@ -5,9 +5,8 @@
 const SUSPICIOUS: ReadonlySet<CrashBlame> = new Set<CrashBlame>(['sole', 'shared', 'inherited']);
 
 /**
- * True when an endpoint has certainly ended under a task that had, or may have, just begun there, or so many have ended while it was there that
- * it has to be told from those that it was beside: it is started apart from them. Else sound tasks would go down with the harmful ones that are
- * found one by one, and be given up with them.
+ * Returns true when a task may be to blame for a confirmed crash, or was present at several. Crash suspects are started on different endpoints, so
+ * that a healthy task doesn't share the crashes of another.
  */
 export const isCrashSuspect = (crashes: readonly TaskCrash[]): boolean =>
   crashes.length >= crashLimits.isolatedAfterCrashes || crashes.some(({ blame }) => SUSPICIOUS.has(blame));
--- a/packages/dispatch/crashes/isOverCrashLimit.ts
+++ b/packages/dispatch/crashes/isOverCrashLimit.ts
@@ -5,13 +5,13 @@
 const LIKELY: ReadonlySet<CrashBlame> = new Set<CrashBlame>(['sole', 'shared']);
 
 /**
- * True when so many endpoints have ended under a task that it is not started any more; one more is borne while endpoints are lost for which no
- * start can be blamed.
+ * Returns true when a task has so many crash records that it must not be started again. While there are unexplained losses, one crash more with sole
+ * blame is tolerated.
  */
-export const isOverCrashLimit = (crashes: readonly TaskCrash[], isAmongLosses: boolean): boolean => {
+export const isOverCrashLimit = (crashes: readonly TaskCrash[], hasUnexplainedLosses: boolean): boolean => {
   const soleCount = crashes.filter(({ blame }) => blame === 'sole').length;
   const likelyCount = crashes.filter(({ blame }) => LIKELY.has(blame)).length;
-  const { maxSole, maxSoleDuringLosses: maxSoleAmongLosses, maxLikely, maxAll } = crashLimits;
-  const borne = isAmongLosses ? maxSoleAmongLosses : maxSole;
-  return soleCount >= borne || likelyCount >= maxLikely || crashes.length >= maxAll;
+  const { maxSole, maxSoleDuringLosses, maxLikely, maxAll } = crashLimits;
+  const soleLimit = hasUnexplainedLosses ? maxSoleDuringLosses : maxSole;
+  return soleCount >= soleLimit || likelyCount >= maxLikely || crashes.length >= maxAll;
 };
--- a/packages/dispatch/crashes/isPastStartup.ts
+++ b/packages/dispatch/crashes/isPastStartup.ts
@@ -1,6 +1,6 @@
 import type { PlacedRun } from '../runs/PlacedRun';
 import { crashLimits } from './crashLimits';
 
-/** True when a look has listed the run long enough after its start: its start has not ended its endpoint. */
+/** Returns true when a poll has listed the run long enough after its start that the startup can't crash the endpoint any more. */
 export const isPastStartup = (run: PlacedRun): boolean =>
   run.seenAt - run.confirmedAt >= crashLimits.startupMs;
--- a/packages/dispatch/endpoints/EndpointSessions.ts
+++ b/packages/dispatch/endpoints/EndpointSessions.ts
@@ -228,8 +228,8 @@
   }
 
   /**
-   * Handles the response of an incarnation to a poll that was sent at a time. Returns false when its status must be ignored: a new incarnation rejects
-   * commands to the previous one only from its next poll on, which carries the new fencing token.
+   * Handles the response of an incarnation to a poll that was sent at a time. Returns false when its status must be ignored: a new incarnation
+   * rejects commands to the previous one only from its next poll on, which carries the new fencing token.
    */
   private handleResponse(
     profile: EndpointProfile,
--- a/tests/crashCharges.test.ts
+++ b/tests/crashCharges.test.ts
@@ -189,7 +189,7 @@
       expect(progress.getState()).toBe('failed');
       expect(effects).toContainEqual(
         expect.objectContaining({
-          sentence: 'Task is given up: endpoints ended under it.',
+          message: 'Task is given up: endpoints ended under it.',
           fields: expect.objectContaining({
             job: job.id,
             crashes: ended.map((endpoint) => ({ endpoint, blame: 'sole', ageMs: 0 })),
