--- a/tests/helpers/SimulatedIncarnation.ts
+++ b/tests/helpers/SimulatedIncarnation.ts
@@ -4,38 +4,38 @@
 import type { TaskName } from '../../packages/jobs/TaskName';
 import type { RunWitness } from '../../packages/standins/platform/RunWitness';
 
-interface ModelRun {
+interface SimulatedRun {
   readonly run: number;
   readonly startedAt: number;
   readonly runMs: number;
   readonly timer: NodeJS.Timeout | undefined;
 }
 
-interface ModelLifeOptions {
+interface SimulatedIncarnationOptions {
   readonly life: EndpointIncarnation;
   readonly witness: RunWitness;
-  /** A task ends the life. */
+  /** Called when a task crashes the incarnation. */
   readonly handleCrash: () => void;
 }
 
-/** What a start answers. */
+/** Result of a start command. */
 type StartResult = 'done' | 'fence' | 'old' | 'late';
 
 const CRASHING = 'crashes';
 const CRASH_AFTER_MS = 10;
-const MAX_HOLD_MS = 10_000;
+const MAX_LEASE_MS = 10_000;
 
 /**
- * One life of an endpoint on virtual time. It knows nothing of the life before: its clock and its numbers of ends begin anew, it has seen no
+ * One incarnation of an endpoint on virtual time. It has no state of earlier ones: its clock and sequence numbers start at zero, it has seen no
  * token, and no run has ended or was stopped there.
  */
 export class SimulatedIncarnation {
   private readonly startedAt = performance.now();
-  private readonly runs = new Map<TaskName, ModelRun>();
+  private readonly runs = new Map<TaskName, SimulatedRun>();
   private readonly stopped = new Map<TaskName, number>();
   private ends: EndedTaskStatus[] = [];
   private endCount = 0;
-  private lapsedUpTo = 0;
+  private expiredUpTo = 0;
   private listedUpTo = 0;
   private token = 0;
   private expiresAt = -Infinity;
@@ -43,14 +43,14 @@
   private endWaiters: (() => void)[] = [];
   isOver = false;
 
-  constructor(private readonly options: ModelLifeOptions) {}
+  constructor(private readonly options: SimulatedIncarnationOptions) {}
 
-  /** The life's own clock. */
+  /** Returns the incarnation's own clock, in milliseconds. */
   getClock(): number {
     return performance.now() - this.startedAt;
   }
 
-  /** Takes a call's token; false when a higher one has been seen. */
+  /** Records the token of a call. Returns false when a higher one has been seen. */
   checkToken(token: number): boolean {
     if (token < this.token) {
       return false;
@@ -83,14 +83,14 @@
     }
   }
 
-  /** Forgets ends up to a number, and takes a lease. */
+  /** Forgets the ends up to a sequence number, and renews the lease. */
   handlePoll(lastSeen: number, expiresMs: number | undefined): void {
     const { life, witness } = this.options;
     for (const { number, task, run, how } of this.ends) {
       if (number <= lastSeen && number > this.listedUpTo) {
         witness.recordUnlistedNote(life, task, run);
       }
-      if (number <= lastSeen && number > this.lapsedUpTo && how === 'done') {
+      if (number <= lastSeen && number > this.expiredUpTo && how === 'done') {
         witness.recordNoted(task, run);
       }
     }
@@ -100,7 +100,7 @@
     }
   }
 
-  /** Resolves when there is an end to list, or after a time. */
+  /** Resolves when there is an end to list, or after a time, in milliseconds. */
   async waitForEnd(waitMs: number): Promise<void> {
     if (waitMs <= 0 || this.ends.length > 0) {
       return;
@@ -129,7 +129,7 @@
     return { running, ended: [...this.ends] };
   }
 
-  /** Ends the life with all that runs there. */
+  /** Ends the incarnation with its runs. */
   stop(): void {
     this.isOver = true;
     clearTimeout(this.leaseTimer);
@@ -163,19 +163,19 @@
     this.endWaiters.splice(0).forEach((wake) => wake());
   }
 
-  /** A lease is never shortened, and never longer than the endpoint grants. */
+  /** Renews the lease, which is never shortened, and limited to the longest one. */
   private applyLease(expiresMs: number): void {
-    const until = Math.min(expiresMs, this.getClock() + MAX_HOLD_MS);
+    const until = Math.min(expiresMs, this.getClock() + MAX_LEASE_MS);
     if (until <= this.expiresAt) {
       return;
     }
     this.expiresAt = until;
     clearTimeout(this.leaseTimer);
-    this.leaseTimer = setTimeout(() => this.applyLapse(), Math.max(0, until - this.getClock()));
+    this.leaseTimer = setTimeout(() => this.handleLeaseExpiry(), Math.max(0, until - this.getClock()));
   }
 
-  private applyLapse(): void {
-    this.lapsedUpTo = this.endCount;
+  private handleLeaseExpiry(): void {
+    this.expiredUpTo = this.endCount;
     [...this.runs.keys()].forEach((task) => this.recordEnd(task, 'lapsed'));
   }
 }
--- a/tests/helpers/createProfile.ts
+++ b/tests/helpers/createProfile.ts
@@ -4,7 +4,7 @@
 import type { EndpointIncarnation } from '../../packages/jobs/EndpointIncarnation';
 import type { ServiceName } from '../../packages/jobs/ServiceName';
 
-/** An endpoint of four cores, or what the fields say. */
+/** Creates the profile of an endpoint with four cores, overridden by `fields`. */
 export const createProfile = (id: string, fields: Partial<EndpointProfile> = {}): EndpointProfile => ({
   id: toId<EndpointId>(id),
   incarnation: toId<EndpointIncarnation>(id),
