--- a/tests/acknowledgedLives.test.ts
+++ b/tests/acknowledgedLives.test.ts
@@ -1,13 +1,6 @@
 /*
- * What a soak saw: three tasks that were done ran again ("end acknowledged before it was listed", then "run 2 after run 1 was done"), on an
- * endpoint that had started again at once under its id.
- *
- * Order of events: a life of the endpoint lists ends, and the leader acknowledges them by number with its next looks. The life ends and the next one
- * is there before a look has failed. The next look opens a new connection, reaches the new life, and acknowledges numbers of the one before: the
- * new life forgets ends that it has not listed. A look that then lists neither these runs nor their ends is taken as proof that they don't run.
- *
- * Cause: a look acknowledges what one life has listed, and nothing but the connection tells which life a request reaches. After a failed look the
- * session acknowledged nothing; a look beside the loop did even then, and a connection that was closed between two looks was opened again unseen.
+ * Guards against acknowledging ends to another incarnation than the one that listed them: it would forget its own ends, and tasks that are done
+ * would run again. A new connection may lead to a new incarnation even when no poll has failed.
  */
 import { afterEach, beforeEach, describe, expect, it } from 'vitest';
 import { chooseFreePorts } from '../dev/fleet/chooseFreePorts';
@@ -27,35 +20,42 @@
 import { createProfile } from './helpers/createProfile';
 
 const ID = toId<EndpointId>('i-0');
-const FIRST_MS = 1_775_000_000_000;
+const STARTED_AT_MS = 1_775_000_000_000;
 const RUN_MS = 20;
-const ROOM = 8;
+const CAPACITY = 8;
 const TASKS = 3;
 
 const toTask = (number: number): TaskName => toId<TaskName>(`000000000000000${number}.0.0.0`);
 
-describe('ends of a life that is over', () => {
+describe('ends of an incarnation that has ended', () => {
   let address: string;
   let witness: RunWitness;
   let standin: ExecutorStandin;
   const clients: PlatformEndpoint[] = [];
   const sessions: EndpointSession[] = [];
 
-  const startLife = async (bornAtMs: number): Promise<void> => {
-    standin = new ExecutorStandin({ id: ID, bornAtMs, address, witness });
+  const startIncarnation = async (startedAtMs: number): Promise<void> => {
+    standin = new ExecutorStandin({ id: ID, bornAtMs: startedAtMs, address, witness });
     await standin.start();
   };
 
-  const createClient = (bornAtMs: number): PlatformEndpoint => {
-    const life = endpointIncarnations.toLife(ID, bornAtMs);
+  const createClient = (startedAtMs: number): PlatformEndpoint => {
+    const incarnation = endpointIncarnations.toLife(ID, startedAtMs);
     const readNow = (): number => performance.now();
-    const client = new PlatformEndpoint({ address, id: ID, life, readToken: () => 7, readNow, clockMs: 0 });
+    const client = new PlatformEndpoint({
+      address,
+      id: ID,
+      life: incarnation,
+      readToken: () => 7,
+      readNow,
+      clockMs: 0,
+    });
     clients.push(client);
     return client;
   };
 
-  /** Has an endpoint run some tasks to their ends, which nobody has listed yet. */
-  const startEnds = async (client: PlatformEndpoint, first: number): Promise<void> => {
+  /** Runs some tasks to their ends, which no poll has listed yet. */
+  const runToEnds = async (client: PlatformEndpoint, first: number): Promise<void> => {
     await client.sendPoll({ lastSeen: 0, leaseMs: 4000, waitMs: 0, timeoutMs: 500 });
     for (let number = first; number < first + TASKS; number += 1) {
       const order = { task: toTask(number), run: 1, spec: String(RUN_MS), checkpoint: '', ticket: '' };
@@ -64,30 +64,30 @@
     await startDelay(3 * RUN_MS);
   };
 
-  /** One life ends and the next one is there at once, with ends that nobody has listed. */
-  const startNextLife = async (): Promise<PlatformEndpoint> => {
+  /** Ends the incarnation and starts the next one at once, with ends that no poll has listed. */
+  const startNextIncarnation = async (): Promise<PlatformEndpoint> => {
     await standin.stop();
-    await startLife(FIRST_MS + 1);
-    const next = createClient(FIRST_MS + 1);
-    await startEnds(next, 1 + TASKS);
+    await startIncarnation(STARTED_AT_MS + 1);
+    const next = createClient(STARTED_AT_MS + 1);
+    await runToEnds(next, 1 + TASKS);
     return next;
   };
 
   const createSession = (client: PlatformEndpoint, handleHeld: () => Promise<void>): EndpointSession => {
-    const life = endpointIncarnations.toLife(ID, FIRST_MS);
-    const book = new EndpointState(createProfile(ID, { incarnation: life, address }), 0, new CustomerUsage());
+    const incarnation = endpointIncarnations.toLife(ID, STARTED_AT_MS);
+    const endpoint = new EndpointState(createProfile(ID, { incarnation, address }), 0, new CustomerUsage());
     const session = new EndpointSession({
-      endpoint: book,
+      endpoint,
       client,
       clock: systemClock,
       isRenewing: () => true,
       handleResponse: () => {
-        book.recordResponse(systemClock.readNow());
+        endpoint.recordResponse(systemClock.readNow());
         return true;
       },
       handleOtherIncarnation: () => undefined,
       handleStatus: handleHeld,
-      handleUnreachable: () => book.recordUnreachable(systemClock.readNow()),
+      handleUnreachable: () => endpoint.recordUnreachable(systemClock.readNow()),
       handleGone: () => undefined,
       handleFenced: () => undefined,
     });
@@ -95,21 +95,21 @@
     return session;
   };
 
-  const readEnds = async (client: PlatformEndpoint): Promise<number> => {
-    const answer: PollResult = await client.sendPoll({
+  const countEnds = async (client: PlatformEndpoint): Promise<number> => {
+    const result: PollResult = await client.sendPoll({
       lastSeen: 0,
       leaseMs: undefined,
       waitMs: 0,
       timeoutMs: 500,
     });
-    return answer.kind === 'held' ? answer.ended.length : -1;
+    return result.kind === 'held' ? result.ended.length : -1;
   };
 
   beforeEach(async () => {
     const [port] = await chooseFreePorts(1);
     address = `127.0.0.1:${port}`;
-    witness = new RunWitness(ROOM);
-    await startLife(FIRST_MS);
+    witness = new RunWitness(CAPACITY);
+    await startIncarnation(STARTED_AT_MS);
   });
 
   afterEach(async () => {
@@ -118,32 +118,32 @@
     await standin.stop();
   });
 
-  it('are not acknowledged to the next one where no look has failed in between', async () => {
-    const client = createClient(FIRST_MS);
-    await startEnds(client, 1);
-    let goOn: () => void = () => undefined;
-    const looks: string[] = [];
+  it('are not acknowledged to the next one when no poll has failed in between', async () => {
+    const client = createClient(STARTED_AT_MS);
+    await runToEnds(client, 1);
+    let resume: () => void = () => undefined;
+    const polls: string[] = [];
     const session = createSession(client, async () => {
-      looks.push('held');
-      if (looks.length === 2) {
-        // The session is between two looks while one life ends and the next one begins.
-        await new Promise<void>((resolve) => (goOn = resolve));
+      polls.push('held');
+      if (polls.length === 2) {
+        // Keeps the session between two polls while one incarnation ends and the next one starts.
+        await new Promise<void>((resolve) => (resume = resolve));
       }
     });
     void session.run();
-    while (looks.length < 2) {
+    while (polls.length < 2) {
       await startDelay(5);
     }
-    const next = await startNextLife();
-    goOn();
+    const next = await startNextIncarnation();
+    resume();
     await startDelay(700);
     expect(witness.readProblems()).toEqual([]);
-    expect(await readEnds(next)).toBe(TASKS);
+    expect(await countEnds(next)).toBe(TASKS);
   });
 
-  it('are not acknowledged by a look beside the loop', async () => {
-    const client = createClient(FIRST_MS);
-    await startEnds(client, 1);
+  it('are not acknowledged by a poll beside the loop', async () => {
+    const client = createClient(STARTED_AT_MS);
+    await runToEnds(client, 1);
     let count = 0;
     const session = createSession(client, async () => {
       count += 1;
@@ -155,9 +155,9 @@
     while (count < 2) {
       await startDelay(5);
     }
-    const next = await startNextLife();
+    const next = await startNextIncarnation();
     await session.sendExtraPoll();
     expect(witness.readProblems()).toEqual([]);
-    expect(await readEnds(next)).toBe(TASKS);
+    expect(await countEnds(next)).toBe(TASKS);
   });
 });
--- a/tests/crashCharges.test.ts
+++ b/tests/crashCharges.test.ts
@@ -18,29 +18,29 @@
 const createJob = (fields: Partial<JobStep> = {}): JobDefinition =>
   createJobDefinition(1, [createStep({ count: 1, ...fields })]);
 
-describe('the end of an endpoint', () => {
+describe('the crash of an endpoint', () => {
   let dispatcher: Dispatcher;
   let now: number;
-  let lifeCount: number;
+  let endpointCount: number;
   let effects: DispatchEffect[];
 
   beforeEach(() => {
     dispatcher = new Dispatcher({ getDefinition: () => undefined, earlierLeasesEndAt: 0 });
     now = 0;
-    lifeCount = 0;
+    endpointCount = 0;
     effects = [];
   });
 
-  /** An endpoint that has answered a look. */
+  /** Starts an endpoint, which responds to a poll. */
   const startEndpoint = (): EndpointIncarnation => {
-    lifeCount += 1;
-    const id = toId<EndpointIncarnation>(`i-${lifeCount}`);
+    endpointCount += 1;
+    const id = toId<EndpointIncarnation>(`i-${endpointCount}`);
     dispatcher.handleEndpointProfile(createProfile(id));
-    sendLook(id);
+    sendStatus(id);
     return id;
   };
 
-  const sendLook = (id: EndpointIncarnation): void => {
+  const sendStatus = (id: EndpointIncarnation): void => {
     const running = [...(dispatcher.getEndpointState(id)?.getRuns() ?? [])].map(({ task, run }) => ({
       task,
       run,
@@ -51,7 +51,7 @@
     dispatcher.handleStatus({ endpoint: id, running, ended: [], sentAt: now }, now, now);
   };
 
-  /** Places what waits, and lets every start be confirmed. */
+  /** Places the waiting tasks, and confirms each start. */
   const startRuns = (): void => {
     dispatcher.handleTick(now);
     dispatcher.placeWaiting(now, now);
@@ -73,8 +73,8 @@
     dispatcher.handleIncarnationEnd(id, now);
   };
 
-  /** A run on an endpoint that falls silent until its lease has run out; gives the endpoint. */
-  const startLapsedRun = (): EndpointIncarnation => {
+  /** Starts a run on an endpoint that becomes unreachable until its lease has expired. Returns the endpoint. */
+  const startExpiredRun = (): EndpointIncarnation => {
     const id = startEndpoint();
     sendJob(createJob());
     startRuns();
@@ -85,44 +85,44 @@
     return id;
   };
 
-  const readCrashes = (definition: JobDefinition): readonly Pick<TaskCrash, 'endpoint' | 'blame'>[] =>
+  const listCrashes = (definition: JobDefinition): readonly Pick<TaskCrash, 'endpoint' | 'blame'>[] =>
     dispatcher
       .getJob(definition.id)!
       .progress.getTask(FIRST_TASK)!
       .crashes.map(({ endpoint, blame }) => ({ endpoint, blame }));
 
-  it('is charged to the run that had just begun there, and to none that is not recorded', () => {
+  it('is put down to the run in its startup there, and to none whose record is not durable', () => {
     const id = startEndpoint();
-    const [begun, unrecorded] = [createJob(), { ...createJob(), id: createJobDefinition(2, []).id }];
-    sendJob(begun);
+    const [starting, unrecorded] = [createJob(), { ...createJob(), id: createJobDefinition(2, []).id }];
+    sendJob(starting);
     startRuns();
     sendJob(unrecorded);
     dispatcher.placeWaiting(now, now);
     stopEndpoint(id);
-    expect(readCrashes(begun)).toEqual([{ endpoint: id, blame: 'sole' }]);
-    expect(readCrashes(unrecorded)).toEqual([]);
+    expect(listCrashes(starting)).toEqual([{ endpoint: id, blame: 'sole' }]);
+    expect(listCrashes(unrecorded)).toEqual([]);
   });
 
-  it('is not charged when the endpoint had said that it leaves', () => {
+  it('is put down to no task when the endpoint was draining', () => {
     const id = startEndpoint();
     sendJob(createJob());
     startRuns();
     dispatcher.handleEndpointProfile(createProfile(id, { isDraining: true, remainingMs: 0 }));
     stopEndpoint(id);
-    expect(readCrashes(createJob())).toEqual([]);
+    expect(listCrashes(createJob())).toEqual([]);
   });
 
-  it('is not charged when the endpoint served on without a record', () => {
+  it('is put down to no task when the endpoint responded after its record was removed', () => {
     const id = startEndpoint();
     sendJob(createJob());
     startRuns();
     dispatcher.handleEndpointDeregistered(id);
-    sendLook(id);
+    sendStatus(id);
     stopEndpoint(id);
-    expect(readCrashes(createJob())).toEqual([]);
+    expect(listCrashes(createJob())).toEqual([]);
   });
 
-  it('is not charged to a start that was never delivered, whose task starts elsewhere at once', () => {
+  it('is not put down to a start that was never delivered, whose task starts elsewhere at once', () => {
     const [id] = [startEndpoint(), startEndpoint()];
     sendJob(createJob());
     dispatcher.placeWaiting(now, now);
@@ -135,24 +135,24 @@
     expect(again.endpoint).not.toBe(start.endpoint);
     stopEndpoint(start.endpoint);
     expect([id, 'i-2']).toContain(start.endpoint);
-    expect(readCrashes(createJob())).toEqual([]);
+    expect(listCrashes(createJob())).toEqual([]);
   });
 
-  it('is not known while an endpoint is only silent: heard again it takes nothing with it', () => {
-    const id = startLapsedRun();
-    expect(readCrashes(createJob())).toEqual([{ endpoint: id, blame: 'unproved' }]);
-    sendLook(id);
-    expect(readCrashes(createJob())).toEqual([]);
+  it('is unconfirmed while the endpoint is only unreachable, and its records are removed when it responds again', () => {
+    const id = startExpiredRun();
+    expect(listCrashes(createJob())).toEqual([{ endpoint: id, blame: 'unproved' }]);
+    sendStatus(id);
+    expect(listCrashes(createJob())).toEqual([]);
   });
 
-  it('is known later where another life answers after the lease has run out', () => {
-    const id = startLapsedRun();
+  it('is confirmed when another incarnation responds after the lease has expired', () => {
+    const id = startExpiredRun();
     expect(dispatcher.isCrashUnconfirmed(id, now)).toBe(true);
     dispatcher.handleIncarnationEnd(id, now);
-    expect(readCrashes(createJob())).toEqual([{ endpoint: id, blame: 'sole' }]);
+    expect(listCrashes(createJob())).toEqual([{ endpoint: id, blame: 'sole' }]);
   });
 
-  it('makes its task wait before the next start, longer each time, and no sibling', () => {
+  it('delays the next start of its task, and of no other task of the step', () => {
     const job = createJob({ count: 2, demand: { cpuMillis: 3000, memoryMb: 100, accelerators: 0 } });
     const first = startEndpoint();
     sendJob(job);
@@ -161,20 +161,20 @@
     startEndpoint();
     startRuns();
     const { progress } = dispatcher.getJob(job.id)!;
-    const readPhases = (): readonly string[] => progress.listTasks(0, 0).map(({ phase }) => phase);
-    expect(readPhases()).toEqual(['waiting', 'placed']);
+    const listPhases = (): readonly string[] => progress.listTasks(0, 0).map(({ phase }) => phase);
+    expect(listPhases()).toEqual(['waiting', 'placed']);
     startEndpoint();
     now += 400;
     startRuns();
-    expect(readPhases()[0]).toBe('waiting');
+    expect(listPhases()[0]).toBe('waiting');
     now += 200;
     startRuns();
-    expect(readPhases()[0]).toBe('placed');
+    expect(listPhases()[0]).toBe('placed');
   });
 
-  it('ends the job of a task that ended two, with the reason and the endpoints in the log', () => {
+  it('fails the job of a task with two crashes, with the reason and the endpoints in the log', () => {
     for (const fields of [{}, { isLongRunning: true }, { allowsDuplicates: true }, { isGang: true }]) {
-      const job = { ...createJob(fields), id: createJobDefinition(lifeCount + 1, []).id };
+      const job = { ...createJob(fields), id: createJobDefinition(endpointCount + 1, []).id };
       const ended: EndpointIncarnation[] = [];
       sendJob(job);
       for (let count = 0; count < 2; count += 1) {
@@ -199,26 +199,26 @@
     }
   });
 
-  it('is forgiven once a run of the task has worked for much longer than the one that was lost', () => {
+  it('is removed from a task once a run of it has lasted much longer than the lost one', () => {
     const job = createJob({ isLongRunning: true });
     const first = startEndpoint();
     sendJob(job);
     startRuns();
     now += 700;
-    sendLook(first);
+    sendStatus(first);
     stopEndpoint(first);
-    expect(readCrashes(job)).toEqual([{ endpoint: first, blame: 'present' }]);
+    expect(listCrashes(job)).toEqual([{ endpoint: first, blame: 'present' }]);
     const second = startEndpoint();
     startRuns();
     now += 2300;
-    sendLook(second);
-    expect(readCrashes(job)).toHaveLength(1);
+    sendStatus(second);
+    expect(listCrashes(job)).toHaveLength(1);
     now += 200;
-    sendLook(second);
-    expect(readCrashes(job)).toEqual([]);
+    sendStatus(second);
+    expect(listCrashes(job)).toEqual([]);
   });
 
-  it('is kept with the progress of the job, and records without it have none', () => {
+  it('is stored with the progress of the job, which older records lack', () => {
     const job = createJob();
     const progress = new JobProgress(job);
     progress.recordPlaced(FIRST_TASK, 1, toId<EndpointIncarnation>('i-1'));
--- a/tests/endedLives.test.ts
+++ b/tests/endedLives.test.ts
@@ -8,12 +8,12 @@
 import { createProfile } from './helpers/createProfile';
 import { createStep } from './helpers/createStep';
 
-type Tell = Extract<DispatchEffect, { kind: 'tell' }>;
+type LogEffect = Extract<DispatchEffect, { kind: 'tell' }>;
 
 const ENDPOINT = toId<EndpointIncarnation>('i-0');
 const JOB = createJobDefinition(1, [createStep({ count: 1 })]);
 
-describe('what the log tells of a run that was lost', () => {
+describe('log lines of lost runs', () => {
   let dispatcher: Dispatcher;
 
   beforeEach(() => {
@@ -30,30 +30,37 @@
     }
   });
 
-  const readTell = (effects: readonly DispatchEffect[], sentence: string): Tell['fields'] | undefined =>
-    effects.find((effect): effect is Tell => effect.kind === 'tell' && effect.message === sentence)?.fields;
+  const findLogFields = (
+    effects: readonly DispatchEffect[],
+    message: string,
+  ): LogEffect['fields'] | undefined =>
+    effects.find((effect): effect is LogEffect => effect.kind === 'tell' && effect.message === message)
+      ?.fields;
 
-  it('names the end of the endpoint, how long it was unheard, and what ran there', () => {
+  it('include the end of the incarnation, the age of its last status and its runs', () => {
     dispatcher.handleUnreachable(ENDPOINT, 100);
     dispatcher.handleIncarnationEnd(ENDPOINT, 3100);
     const effects = dispatcher.takeEffects();
-    expect(readTell(effects, 'Endpoint incarnation has ended.')).toMatchObject({
+    expect(findLogFields(effects, 'Endpoint incarnation has ended.')).toMatchObject({
       unheardMs: 3100,
       silentMs: 3000,
       isDraining: false,
       hasRecord: true,
       runs: [{ task: `${JOB.id}.0.0.0`, run: 1, stage: 'running', ageMs: 3080 }],
     });
-    expect(readTell(effects, 'Run ended.')).toMatchObject({ outcome: 'interrupted', cause: 'lifeOver' });
+    expect(findLogFields(effects, 'Run ended.')).toMatchObject({ outcome: 'interrupted', cause: 'lifeOver' });
     expect(effects).toContainEqual({ kind: 'count', name: 'runsLost', amount: 1 });
   });
 
-  it('tells a lease that ran out from the end of the endpoint', () => {
+  it('distinguish an expired lease from the end of the incarnation', () => {
     dispatcher.getEndpointState(ENDPOINT)!.recordLease(4000);
     dispatcher.handleUnreachable(ENDPOINT, 100);
     dispatcher.handleTick(4100);
     const effects = dispatcher.takeEffects();
-    expect(readTell(effects, 'Run ended.')).toMatchObject({ outcome: 'interrupted', cause: 'leaseOver' });
+    expect(findLogFields(effects, 'Run ended.')).toMatchObject({
+      outcome: 'interrupted',
+      cause: 'leaseOver',
+    });
     expect(effects).toContainEqual({ kind: 'count', name: 'runsLapsed', amount: 1 });
   });
 });
--- a/tests/lapsedRecords.test.ts
+++ b/tests/lapsedRecords.test.ts
@@ -8,19 +8,19 @@
 import { createProfile } from './helpers/createProfile';
 
 const ENDPOINT = toId<EndpointIncarnation>('i-0');
-/** Timers fire a little early by the clock, as they do when a process was busy as it set them. */
+/** Makes timers fire a little early by the clock. */
 const CLOCK_SHARE = 0.99;
-const RELISTING_MS = 2000;
+const REREGISTRATION_MS = 2000;
 const POLL_MS = 20;
 
-const noEndpoint: EndpointClient = {
+const unhealthyEndpoint: EndpointClient = {
   sendStart: () => Promise.resolve({ kind: 'unhealthy' }),
   sendStop: () => Promise.resolve({ kind: 'unhealthy' }),
   sendPoll: () => new Promise(() => undefined),
   stop: () => Promise.resolve(),
 };
 
-/** A log that gives one endpoint's record, fails once, and then says that the record has gone. */
+/** Creates a log that returns the record of one endpoint, fails once, and then returns its removal. */
 const createLog = (): LogClient => {
   let reads = 0;
   return {
@@ -43,8 +43,8 @@
   };
 };
 
-describe('a record that lapsed while the log was away', () => {
-  it('is taken as gone when it has not come back, also where the timer fires early by the clock', async () => {
+describe('a record that expired while the log was unavailable', () => {
+  it('removes its endpoint when it has not come back, also when the timer fires early by the clock', async () => {
     const messages: string[] = [];
     const record = (message: string): void => void messages.push(message);
     const dispatcher = new Dispatcher({ getDefinition: () => undefined, earlierLeasesEndAt: 0 });
@@ -57,7 +57,7 @@
       dispatcher,
       epoch: 1,
       parseEndpoint: (id) => ({ ok: true, value: createProfile(id) }),
-      createEndpointClient: () => noEndpoint,
+      createEndpointClient: () => unhealthyEndpoint,
       isServiceUsed: () => true,
       isRenewing: () => true,
       handleLooked: () => undefined,
@@ -68,7 +68,7 @@
       handleLogBack: () => undefined,
     });
     sessions.start();
-    await new Promise((resolve) => setTimeout(resolve, RELISTING_MS * 1.5));
+    await new Promise((resolve) => setTimeout(resolve, REREGISTRATION_MS * 1.5));
     sessions.stop();
     expect(messages).toContain('Endpoint record expired while the log was unavailable.');
     expect(messages).toContain('Endpoint deregistered.');
--- a/tests/platformEndpoint.test.ts
+++ b/tests/platformEndpoint.test.ts
@@ -8,31 +8,31 @@
 import { PlatformEndpoint } from '../platform/PlatformEndpoint';
 
 const ID = toId<EndpointId>('i-0');
-const BORN_AT_MS = 1_775_000_000_000;
+const STARTED_AT_MS = 1_775_000_000_000;
 const TASK = toId<TaskName>('0000000000000001.0.0.0');
 const ORDER = { task: TASK, run: 1, spec: '', checkpoint: '', ticket: '' };
-const LOOK = { lastSeen: 3, leaseMs: 4000, waitMs: 0, timeoutMs: 1000 };
+const POLL = { lastSeen: 3, leaseMs: 4000, waitMs: 0, timeoutMs: 1000 };
 
-/** What the endpoint answers next. */
-interface Scripted {
+/** Response of the endpoint to one call. */
+interface ScriptedResponse {
   readonly status?: number;
   readonly body: unknown;
 }
 
-describe('the client of one life of an endpoint', () => {
+describe('the client of one incarnation of an endpoint', () => {
   let server: Server;
-  let answers: Scripted[];
+  let responses: ScriptedResponse[];
   let calls: Record<string, unknown>[];
   let endpoint: PlatformEndpoint;
   let token: number;
   let now: number;
 
-  const startClient = (bornAtMs: number | undefined): void => {
+  const startClient = (startedAtMs: number | undefined): void => {
     const { port } = server.address() as AddressInfo;
     endpoint = new PlatformEndpoint({
       address: `127.0.0.1:${port}`,
       id: ID,
-      life: endpointIncarnations.toLife(ID, bornAtMs),
+      life: endpointIncarnations.toLife(ID, startedAtMs),
       readToken: () => token,
       readNow: () => now,
       clockMs: undefined,
@@ -40,7 +40,7 @@
   };
 
   beforeEach(async () => {
-    answers = [];
+    responses = [];
     calls = [];
     token = 7;
     now = 1000;
@@ -49,12 +49,12 @@
       request.on('data', (chunk: Buffer) => chunks.push(chunk));
       request.on('end', () => {
         calls.push(JSON.parse(Buffer.concat(chunks).toString('utf8')) as Record<string, unknown>);
-        const { status = 200, body } = answers.shift()!;
+        const { status = 200, body } = responses.shift()!;
         response.writeHead(status).end(typeof body === 'string' ? body : JSON.stringify(body));
       });
     });
     await new Promise<void>((resolve) => server.listen(0, '127.0.0.1', resolve));
-    startClient(BORN_AT_MS);
+    startClient(STARTED_AT_MS);
   });
 
   afterEach(async () => {
@@ -62,60 +62,63 @@
     await new Promise((resolve) => server.close(resolve));
   });
 
-  const sendLook = async (body: unknown, status = 200): ReturnType<PlatformEndpoint['sendPoll']> => {
-    answers.push({ status, body });
-    return endpoint.sendPoll(LOOK);
+  const sendPoll = async (body: unknown, status = 200): ReturnType<PlatformEndpoint['sendPoll']> => {
+    responses.push({ status, body });
+    return endpoint.sendPoll(POLL);
   };
 
-  const createList = (born: unknown): object => ({
+  const createStatus = (born: unknown): object => ({
     ...(born === undefined ? {} : { born }),
     'clock-ms': 500,
     running: [[TASK, 1, '', 40, 0]],
     'end-time': [[1, TASK, 2, 'done', '']],
   });
 
-  it('takes the lists of its own life', async () => {
-    expect(await sendLook(createList(BORN_AT_MS))).toMatchObject({
+  it('returns the status of its own incarnation', async () => {
+    expect(await sendPoll(createStatus(STARTED_AT_MS))).toMatchObject({
       kind: 'held',
       running: [{ run: 1 }],
       ended: [{ run: 2 }],
     });
   });
 
-  it('takes nothing from another life, whether it began later or earlier, but says which it is', async () => {
-    for (const born of [BORN_AT_MS + 5, BORN_AT_MS - 5]) {
-      expect(await sendLook(createList(born))).toEqual({ kind: 'otherLife', life: `i-0@${born}` });
+  it('ignores the status of an earlier or later incarnation, but returns its name', async () => {
+    for (const born of [STARTED_AT_MS + 5, STARTED_AT_MS - 5]) {
+      expect(await sendPoll(createStatus(born))).toEqual({ kind: 'otherLife', life: `i-0@${born}` });
     }
   });
 
   it.each([
     ['no start', undefined],
-    ['a text', String(BORN_AT_MS)],
+    ['a text', String(STARTED_AT_MS)],
     ['a broken number', 1.5],
     ['nothing', null],
-  ])('takes nothing from a list with %s in the place of its start', async (_name, born) => {
-    expect((await sendLook(createList(born))).kind).toBe('unanswered');
+  ])('rejects a status with %s in the place of its start', async (_name, born) => {
+    expect((await sendPoll(createStatus(born))).kind).toBe('unanswered');
   });
 
-  it('takes nothing from an answer that is no list', async () => {
-    expect((await sendLook('{')).kind).toBe('unanswered');
+  it('rejects a response that is no status', async () => {
+    expect((await sendPoll('{')).kind).toBe('unanswered');
   });
 
-  it('takes lists without a start where the record had none', async () => {
+  it('returns a status without a start where the record had none', async () => {
     startClient(undefined);
-    expect((await sendLook(createList(undefined))).kind).toBe('held');
-    expect(await sendLook(createList(BORN_AT_MS))).toEqual({ kind: 'otherLife', life: `i-0@${BORN_AT_MS}` });
+    expect((await sendPoll(createStatus(undefined))).kind).toBe('held');
+    expect(await sendPoll(createStatus(STARTED_AT_MS))).toEqual({
+      kind: 'otherLife',
+      life: `i-0@${STARTED_AT_MS}`,
+    });
   });
 
-  it('gives leases by the clock of its own life alone, and reads the token with each call', async () => {
-    await sendLook(createList(BORN_AT_MS));
+  it('grants leases by the clock of its own incarnation alone, and reads the token with each call', async () => {
+    await sendPoll(createStatus(STARTED_AT_MS));
     expect(calls[0]).toMatchObject({ 'fencing-token': 7, 'last-seen': 3 });
     expect(calls[0]).not.toHaveProperty('expires-ms');
-    await sendLook({ ...createList(BORN_AT_MS + 5), 'clock-ms': 900_000 });
-    answers.push({ body: { 'clock-ms': 900_000 } });
+    await sendPoll({ ...createStatus(STARTED_AT_MS + 5), 'clock-ms': 900_000 });
+    responses.push({ body: { 'clock-ms': 900_000 } });
     token = 8;
     await endpoint.sendStart(ORDER, 4000, 1000);
-    await sendLook(createList(BORN_AT_MS));
+    await sendPoll(createStatus(STARTED_AT_MS));
     expect(calls[1]).toMatchObject({ 'expires-ms': 4500 });
     expect(calls[2]).toMatchObject({ 'expires-ms': 4500, 'fencing-token': 8 });
     expect(calls[3]).toMatchObject({ 'expires-ms': 4500, 'fencing-token': 8 });
