--- /dev/null
+++ b/packages/dispatch/crashes/computeBackoffMs.ts
@@ -0,0 +1,12 @@
+import type { TaskCrash } from '../../jobs/TaskCrash';
+import { crashLimits } from './crashLimits';
+
+/**
+ * Computes the backoff before a task's next start, in milliseconds, from the crashes that it has the sole blame for. Shared blame causes no backoff,
+ * since all but one of the tasks are healthy.
+ */
+export const computeBackoffMs = (crashes: readonly TaskCrash[]): number => {
+  const soleCount = crashes.filter(({ blame }) => blame === 'sole').length;
+  const { initialBackoffMs, maxBackoffMs } = crashLimits;
+  return soleCount === 0 ? 0 : Math.min(maxBackoffMs, initialBackoffMs * 2 ** (soleCount - 1));
+};
