--- a/packages/dispatch/advice/AdviceBalancer.ts
+++ b/packages/dispatch/advice/AdviceBalancer.ts
@@ -1,11 +1,11 @@
 import type { DispatchEffect } from '../DispatchEffect';
 import type { AdviceSlots } from './AdviceSlots';
 
-/** Spreads questions to the advice service over the boxes, since the service takes those of one box in turn: one at a time each. */
+/** Distributes advice requests over the boxes, since the service handles the requests of one box sequentially. */
 export interface AdviceBalancer {
-  /** How many questions could be asked now. */
+  /** Returns how many requests can be sent now. */
   getFreeSlots(): AdviceSlots;
-  /** Asks a question for which there is a turn. */
-  sendRequest(question: Extract<DispatchEffect, { kind: 'advise' }>): Promise<void>;
+  /** Sends a request over a free channel. Resolves once its response has been handled, or the lack of one. */
+  sendRequest(request: Extract<DispatchEffect, { kind: 'advise' }>): Promise<void>;
   stop(): void;
 }
--- a/packages/dispatch/advice/AdviceBalancerOptions.ts
+++ b/packages/dispatch/advice/AdviceBalancerOptions.ts
@@ -3,15 +3,15 @@
 import type { DispatchEffect } from '../DispatchEffect';
 import type { AdviceChannel } from './AdviceChannel';
 
-/** What a desk is made of. */
+/** Dependencies of an advice balancer. */
 export interface AdviceBalancerOptions {
   readonly clock: Clock;
-  /** The boxes that can ask, this one first. Read anew for each question. */
+  /** Returns the boxes that can send requests now, the own box first. */
   readonly listChannels: () => readonly AdviceChannel[];
-  /** Tickets hold for one life of an endpoint; undefined when the service gave no answer. */
+  /** Handles the tickets of a response; `undefined` when there was no response. */
   readonly handleResponse: (
-    question: Extract<DispatchEffect, { kind: 'advise' }>,
-    answer: ReadonlyMap<EndpointIncarnation, string> | undefined,
+    request: Extract<DispatchEffect, { kind: 'advise' }>,
+    tickets: ReadonlyMap<EndpointIncarnation, string> | undefined,
     tookMs: number,
   ) => void;
 }
--- a/packages/dispatch/advice/AdviceChannel.ts
+++ b/packages/dispatch/advice/AdviceChannel.ts
@@ -1,8 +1,9 @@
 import type { AdviceClient } from './AdviceClient';
 
-/** A box that can ask the advice service, one question at a time. */
+/** A box that sends advice requests to the service, one at a time. */
 export interface AdviceChannel {
   readonly box: string;
+  /** The leader runs on this box. */
   readonly isOwn: boolean;
   readonly client: AdviceClient;
 }
--- a/packages/dispatch/advice/AdviceClient.ts
+++ b/packages/dispatch/advice/AdviceClient.ts
@@ -1,8 +1,8 @@
 import type { EndpointId } from '../../jobs/EndpointId';
 
-/** Asks the advice service which of some endpoints may run a step. */
+/** Requests advice from the service: which of some endpoints may run a step. */
 export interface AdviceClient {
-  /** Gives the ticket of each endpoint that may; undefined when the service gave no answer. */
+  /** Resolves to the ticket of each allowed endpoint; to undefined when there was no response. */
   requestAdvice(
     step: string,
     endpoints: readonly EndpointId[],
--- a/packages/dispatch/advice/AdviceMetrics.ts
+++ b/packages/dispatch/advice/AdviceMetrics.ts
@@ -1,61 +1,61 @@
 import type { DispatchCounterName } from '../DispatchCounterName';
 import type { AdviceRequestReason } from './AdviceRequestReason';
 
-/** A question with an answer, until a start uses it or its tickets have run out. */
-interface AnsweredQuestion {
+/** A request with a response, until a start uses one of its tickets or they expire. */
+interface AnsweredRequest {
   readonly tookMs: number;
-  /** Monotonic time at which its tickets run out. */
-  readonly until: number;
+  /** Monotonic time at which its tickets expire. */
+  readonly expiresAt: number;
   isUsed: boolean;
 }
 
-const CAUSE_COUNTS = {
+const REASON_COUNTERS = {
   first: 'questionsFirst',
   more: 'questionsMore',
   again: 'questionsAgain',
   early: 'questionsEarly',
 } as const satisfies Readonly<Record<AdviceRequestReason, DispatchCounterName>>;
 
-/** Counts for what turns at the advice service were taken, and whether a start made use of the answer. */
+/** Counts advice requests by reason, and whether a start used their responses. */
 export class AdviceMetrics {
-  /** In the order of the answers. Bounded by the life of tickets. */
-  private open: AnsweredQuestion[] = [];
+  /** Answered requests that are not counted yet, in the order of their responses. Bounded by the validity of tickets. */
+  private pending: AnsweredRequest[] = [];
 
   constructor(private readonly sendCount: (name: DispatchCounterName, amount: number) => void) {}
 
-  recordQuestion(cause: AdviceRequestReason): void {
-    this.sendCount(CAUSE_COUNTS[cause], 1);
+  recordRequest(reason: AdviceRequestReason): void {
+    this.sendCount(REASON_COUNTERS[reason], 1);
   }
 
-  /** Records that a question had no answer. */
+  /** Counts a request without a response. */
   recordFailure(tookMs: number): void {
     this.sendCount('turnsUnanswered', 1);
     this.sendCount('turnUnansweredMs', Math.round(tookMs));
   }
 
-  /** Records an answer; what it allows is marked with the value returned, for `recordUse`. */
-  recordResponse(tookMs: number, until: number): AnsweredQuestion {
-    const question = { tookMs, until, isUsed: false };
-    this.open.push(question);
-    return question;
+  /** Records a response. Its tickets keep the returned value for `recordTicketUse`. */
+  recordResponse(tookMs: number, expiresAt: number): AnsweredRequest {
+    const request = { tookMs, expiresAt, isUsed: false };
+    this.pending.push(request);
+    return request;
   }
 
-  /** A start uses a ticket of the answer. */
-  recordUse(question: AnsweredQuestion): void {
-    if (!question.isUsed) {
-      question.isUsed = true;
+  /** Counts a request as used, once a start uses one of its tickets. */
+  recordTicketUse(request: AnsweredRequest): void {
+    if (!request.isUsed) {
+      request.isUsed = true;
       this.sendCount('turnsUsed', 1);
-      this.sendCount('turnUsedMs', Math.round(question.tookMs));
+      this.sendCount('turnUsedMs', Math.round(request.tookMs));
     }
   }
 
-  /** Counts what has run out without use. */
+  /** Counts requests whose tickets have expired unused. */
   handleTick(now: number): void {
-    const over = this.open.filter(({ until, isUsed }) => !isUsed && until <= now);
-    this.open = this.open.filter(({ until, isUsed }) => !isUsed && until > now);
-    if (over.length > 0) {
-      this.sendCount('turnsWasted', over.length);
-      this.sendCount('turnWastedMs', Math.round(over.reduce((sum, { tookMs }) => sum + tookMs, 0)));
+    const expired = this.pending.filter(({ expiresAt, isUsed }) => !isUsed && expiresAt <= now);
+    this.pending = this.pending.filter(({ expiresAt, isUsed }) => !isUsed && expiresAt > now);
+    if (expired.length > 0) {
+      this.sendCount('turnsWasted', expired.length);
+      this.sendCount('turnWastedMs', Math.round(expired.reduce((sum, { tookMs }) => sum + tookMs, 0)));
     }
   }
 }
--- a/packages/dispatch/advice/AdvicePolicy.ts
+++ b/packages/dispatch/advice/AdvicePolicy.ts
@@ -5,20 +5,20 @@
 import type { Preemptor } from '../placing/Preemptor';
 import type { CapacityView } from '../placing/CapacityView';
 
-interface CandidateParts {
+interface SelectorDependencies {
   readonly room: CapacityView;
   readonly preemptor: Preemptor;
   readonly history: AdviceStats;
   readonly preference: EndpointPreference;
 }
 
-/** One way of taking turns at the advice service. */
+/** Decides when to send advice requests, and which of them are long. */
 export interface AdvicePolicy {
-  /** Most endpoints in one question. */
-  readonly maxNamed: number;
-  /** After no question was worth its turn, it is worked out anew so much later, in milliseconds. */
-  readonly readIdleMs: (advice: NonNullable<JobQueue['advice']>) => number;
-  /** True for questions that keep off the boxes that are kept for short ones. */
+  /** Maximum number of endpoints in one request. */
+  readonly maxCandidates: number;
+  /** Returns for how long requests for a step are deferred, in milliseconds, when one would not have been useful. */
+  readonly computeDeferralMs: (advice: NonNullable<JobQueue['advice']>) => number;
+  /** Returns whether requests of the queue are long. Long ones do not use the channels that are reserved for short ones. */
   readonly isLong: (advice: NonNullable<JobQueue['advice']>, isMostUrgent: boolean) => boolean;
-  readonly createSelector: (parts: CandidateParts) => CandidateSelector;
+  readonly createSelector: (dependencies: SelectorDependencies) => CandidateSelector;
 }
--- a/packages/dispatch/advice/AdvicePolicyName.ts
+++ b/packages/dispatch/advice/AdvicePolicyName.ts
@@ -1,6 +1,6 @@
 /**
- * When turns at the advice service are taken.
- * - `asked`: whenever a step lacks a ticket and a box is free to ask.
- * - `planned`: when the answer is expected to find room.
+ * Name of a policy for advice requests.
+ * - `asked`: sends a request whenever a step lacks tickets and a channel is free.
+ * - `planned`: sends a request when its response is expected to find free capacity.
  */
 export type AdvicePolicyName = 'asked' | 'planned';
--- a/packages/dispatch/advice/AdviceRequestReason.ts
+++ b/packages/dispatch/advice/AdviceRequestReason.ts
@@ -1,8 +1,8 @@
 /**
- * Why a question is asked.
- * - `first`: nothing was asked for the step before.
- * - `more`: what the step may use by earlier answers is not enough.
- * - `again`: the step may use the endpoints, but its tickets have run out.
- * - `early`: the step is not ready yet.
+ * Why an advice request is sent.
+ * - `first`: no ticket or refusal is known for the step.
+ * - `more`: the endpoints allowed by earlier responses do not suffice.
+ * - `again`: all its candidates were allowed before, but their tickets have expired.
+ * - `early`: it is sent before the step is ready.
  */
 export type AdviceRequestReason = 'first' | 'more' | 'again' | 'early';
--- a/packages/dispatch/advice/AdviceRequester.ts
+++ b/packages/dispatch/advice/AdviceRequester.ts
@@ -17,12 +17,13 @@
 import type { WaitCause } from '../waiting/WaitCause';
 import type { WaitingStep } from '../waiting/WaitingStep';
 
-/** A question that names so many endpoints is counted in a job's objective; the time of its answer is foreseen for that. */
-const MAX_NAMED = 30;
-/** From the answer to a question to a start that uses it. */
-const USE_ANSWER_MS = 120;
-/** A question for a later step is sent so long before it is expected to be ready, beyond the question's own time. */
+/** Number of candidates in the request that a job's objective allows time for. */
+const BUDGETED_CANDIDATES = 30;
+/** Delay from a response to the starts that use it. */
+const START_DELAY_MS = 120;
+/** Time between the expected response to an early request and the moment at which its step becomes ready. */
 const EARLY_MARGIN_MS = 150;
+
 interface AdviceRequesterOptions {
   readonly books: ReadonlyMap<EndpointIncarnation, EndpointState>;
   readonly room: CapacityView;
@@ -34,24 +35,24 @@
   readonly sendEffect: (effect: Extract<DispatchEffect, { kind: 'advise' }>) => void;
 }
 
-/** Decides when to ask the advice service, and about which endpoints. */
+/** Decides when to request advice for a step, and about which endpoints. */
 export class AdviceRequester {
-  private turns: AdviceSlots = { all: 0, long: 0 };
+  private slots: AdviceSlots = { all: 0, long: 0 };
 
   constructor(private readonly options: AdviceRequesterOptions) {}
 
   /**
-   * Sets how many questions this round may ask. What finds no turn is asked in a later round if it still has to be, in the order
-   * of placement: a queue of questions would grow old, and be worked through although its steps had been served.
+   * Sets how many requests this round may send. Requests without a slot are not queued: a later round decides anew, in placement order,
+   * whether they are still needed.
    */
-  startRound(turns: AdviceSlots): void {
-    this.turns = turns;
+  startRound(slots: AdviceSlots): void {
+    this.slots = slots;
     this.options.selector.startRound();
   }
 
   /**
-   * Asks about endpoints for the tasks of a step that found none with a ticket that holds until `neededUntil`. Returns what the
-   * tasks wait for from now on.
+   * Requests advice for the tasks of a step that found no endpoint with a ticket valid until `neededUntil`, if that is useful now.
+   * Returns what the tasks wait for.
    */
   requestAdvice(
     step: WaitingStep,
@@ -62,81 +63,85 @@
     isEarly = false,
   ): WaitCause {
     const { advice } = step.job.definition.queue;
-    const book = step.job.getAdvice(step.time, step.step);
+    const stepAdvice = step.job.getAdvice(step.time, step.step);
     if (!isEarly) {
       this.options.selector.recordStep(step, missing);
     }
-    if (advice === undefined || book.isIdle(now)) {
+    if (advice === undefined || stepAdvice.isDeferred(now)) {
       return 'room';
     }
-    if (!book.isAskable(now)) {
+    if (!stepAdvice.canRequest(now)) {
       return 'answer';
     }
-    const { room, policy: way, selector: candidates } = this.options;
-    const isLong = way.isLong(advice, room.isMostUrgent(step.job.definition.queue));
-    if (!this.hasTurn(isLong)) {
+    const { room: capacity, policy, selector } = this.options;
+    const isLong = policy.isLong(advice, capacity.isMostUrgent(step.job.definition.queue));
+    if (!this.hasSlot(isLong)) {
       return 'turn';
     }
-    const named = candidates.chooseNamed(step, eligible, missing, neededUntil, now).slice(0, way.maxNamed);
-    if (named.length === 0) {
-      book.recordIdle(now, now + way.readIdleMs(advice));
+    const candidates = selector
+      .chooseEndpoints(step, eligible, missing, neededUntil, now)
+      .slice(0, policy.maxCandidates);
+    if (candidates.length === 0) {
+      stepAdvice.recordDeferral(now, now + policy.computeDeferralMs(advice));
       return 'room';
     }
-    this.turns = { all: this.turns.all - 1, long: this.turns.long - (isLong ? 1 : 0) };
-    const endpoints = named.map((endpoint) => endpoint.getProfile().incarnation);
-    const cause = isEarly ? 'early' : this.readCause(book, endpoints);
+    this.slots = { all: this.slots.all - 1, long: this.slots.long - (isLong ? 1 : 0) };
+    const endpoints = candidates.map((endpoint) => endpoint.getProfile().incarnation);
+    const cause = isEarly ? 'early' : this.getReason(stepAdvice, endpoints);
     const name = toStepName(step);
-    const { stats: history, metrics: account, sendEffect } = this.options;
-    book.recordQuestion(now);
-    history.recordQuestion(endpoints);
-    account.recordQuestion(cause);
-    const expectedMs = advice.decisionMs + advice.perEndpointMs * named.length;
+    const { stats, metrics, sendEffect } = this.options;
+    stepAdvice.recordRequest(now);
+    stats.recordRequest(endpoints);
+    metrics.recordRequest(cause);
+    const expectedMs = advice.decisionMs + advice.perEndpointMs * candidates.length;
     sendEffect({ kind: 'advise', step: name, endpoints, expectedMs, isLong, cause });
     return 'answer';
   }
 
-  private readCause(book: StepAdvice, endpoints: readonly EndpointIncarnation[]): AdviceRequestReason {
-    if (!book.isAnswered()) {
+  private getReason(advice: StepAdvice, endpoints: readonly EndpointIncarnation[]): AdviceRequestReason {
+    if (!advice.hasResponse()) {
       return 'first';
     }
-    return endpoints.every((life) => book.hasBeenAllowed(life)) ? 'again' : 'more';
+    return endpoints.every((endpoint) => advice.hasBeenAllowed(endpoint)) ? 'again' : 'more';
   }
 
-  /** A task of the step is started on an endpoint, with the ticket for it if it needs one. */
+  /** Records that a task of the step is started on an endpoint, with its ticket if one is needed. */
   recordTicketUse({ job, time, step }: WaitingStep, endpoint: EndpointIncarnation): void {
-    const source = job.getAdvice(time, step).readSource(endpoint);
+    const source = job.getAdvice(time, step).getSource(endpoint);
     if (source !== undefined) {
-      this.options.metrics.recordUse(source);
+      this.options.metrics.recordTicketUse(source);
     }
   }
 
-  /** Time from a question about the step to its answer, in milliseconds; 0 where none is needed. */
+  /** Returns the expected time from a request for the step to the starts that use its response, in milliseconds; 0 if no advice is needed. */
   estimateResponseMs({ job }: WaitingStep): number {
     const { advice } = job.definition.queue;
-    return advice === undefined ? 0 : advice.decisionMs + advice.perEndpointMs * MAX_NAMED + USE_ANSWER_MS;
+    return advice === undefined
+      ? 0
+      : advice.decisionMs + advice.perEndpointMs * BUDGETED_CANDIDATES + START_DELAY_MS;
   }
 
-  private hasTurn(isLong: boolean): boolean {
-    return this.turns.all > 0 && (!isLong || this.turns.long > 0);
+  private hasSlot(isLong: boolean): boolean {
+    return this.slots.all > 0 && (!isLong || this.slots.long > 0);
   }
 
-  /** Asks for advice on steps that are about to become ready. */
+  /** Requests advice for later steps of a job that are about to become ready. */
   sendEarlyRequests(job: LiveJob, now: number, wallMs: number): void {
     const { definition, progress } = job;
     const { advice } = definition.queue;
-    if (advice === undefined || progress.isEnded() || definition.steps.length === 1 || this.turns.all === 0) {
+    if (advice === undefined || progress.isEnded() || definition.steps.length === 1 || this.slots.all === 0) {
       return;
     }
     for (let time = 0; time < definition.times && job.getDueAtMs(time) <= wallMs; time += 1) {
       for (const [step, shape] of definition.steps.entries()) {
         const isLater = shape.dependsOn.length > 0 && !progress.isStepReady(time, step);
-        if (!isLater || job.getAdvice(time, step).isBusy()) {
+        if (!isLater || job.getAdvice(time, step).isRequestPending()) {
           continue;
         }
-        const leadMs = advice.decisionMs + advice.perEndpointMs * MAX_NAMED + EARLY_MARGIN_MS;
-        if (this.readReadyInMs(job, time, step, now) <= leadMs) {
+        const leadMs = advice.decisionMs + advice.perEndpointMs * BUDGETED_CANDIDATES + EARLY_MARGIN_MS;
+        if (this.estimateReadyInMs(job, time, step, now) <= leadMs) {
           const indexes = progress.listTasks(time, step).map((_task, index) => index);
-          this.sendEarlyQuestion(
+          this.sendEarlyRequest(
             { job, time, step, shape, indexes, objectiveAtMs: job.getObjectiveAtMs(time) },
             now,
           );
@@ -145,16 +150,16 @@
     }
   }
 
-  private sendEarlyQuestion(whole: WaitingStep, now: number): void {
-    const { limits, room } = this.options;
+  private sendEarlyRequest(whole: WaitingStep, now: number): void {
+    const { limits, room: capacity } = this.options;
     const step = limits.computeMaxStartable(whole);
     if (step !== undefined) {
-      this.requestAdvice(step, room.listEligible(step), step.indexes.length, now, now, true);
+      this.requestAdvice(step, capacity.listEligible(step), step.indexes.length, now, now, true);
     }
   }
 
-  /** Estimated time until a later step becomes ready; Infinity while an earlier one has not started. */
-  private readReadyInMs(job: LiveJob, time: number, step: number, now: number): number {
+  /** Returns the estimated time until a later step becomes ready, in milliseconds; Infinity while a task that it depends on waits. */
+  private estimateReadyInMs(job: LiveJob, time: number, step: number, now: number): number {
     let readyInMs = 0;
     for (const earlier of job.definition.steps[step]!.dependsOn) {
       for (const [index, task] of job.progress.listTasks(time, earlier).entries()) {
--- a/packages/dispatch/advice/AdviceSlots.ts
+++ b/packages/dispatch/advice/AdviceSlots.ts
@@ -1,7 +1,7 @@
-/** How many more questions the advice service could be asked at once. */
+/** Numbers of advice requests that can be sent now. */
 export interface AdviceSlots {
-  /** Questions of any length. */
+  /** Requests of any length. */
   readonly all: number;
-  /** Of these, long ones: they stay off the leader's own box, which keeps it free for short ones. */
+  /** The part of them that may be long; some channels are reserved for short requests. */
   readonly long: number;
 }
--- a/packages/dispatch/advice/AdviceStats.ts
+++ b/packages/dispatch/advice/AdviceStats.ts
@@ -1,51 +1,51 @@
 import type { EndpointIncarnation } from '../../jobs/EndpointIncarnation';
 
-/** Share of the endpoints named that may run a step, before any answer was seen. */
-const FIRST_SHARE = 0.5;
-/** Weight of the newest answer in that share. */
-const ANSWER_WEIGHT = 0.1;
-/** Answers may all be refusals for a while; the share stays usable as a divisor. */
+/** Share of candidates that are expected to be allowed before the first response. */
+const INITIAL_SHARE = 0.5;
+/** Weight of the latest response in the moving average of that share. */
+const RESPONSE_WEIGHT = 0.1;
+/** Lower bound, since callers divide by the share. */
 const MIN_SHARE = 0.1;
 
-/** What questions to the advice service have shown over all steps: how many endpoints a queue may use, and which are asked about now. */
+/** Statistics of advice requests over all steps: the allowed share by queue, and the pending requests by endpoint. */
 export class AdviceStats {
-  private readonly shares = new Map<string, number>();
-  private readonly underWay = new Map<EndpointIncarnation, number>();
+  private readonly allowedShares = new Map<string, number>();
+  private readonly pending = new Map<EndpointIncarnation, number>();
 
-  /** Expected share of the endpoints named that a step of the queue may use. */
-  readShare(queue: string): number {
-    return this.shares.get(queue) ?? FIRST_SHARE;
+  /** Returns the share of candidates, 0 to 1, that the service is expected to allow for a step of the queue. */
+  getAllowedShare(queue: string): number {
+    return this.allowedShares.get(queue) ?? INITIAL_SHARE;
   }
 
-  /** Questions under way that name the endpoint: the steps that they are for may take its room. */
-  readUnderWay(endpoint: EndpointIncarnation): number {
-    return this.underWay.get(endpoint) ?? 0;
+  /** Returns how many pending requests have the endpoint among their candidates. Their steps may take its free capacity. */
+  countPending(endpoint: EndpointIncarnation): number {
+    return this.pending.get(endpoint) ?? 0;
   }
 
-  recordQuestion(endpoints: readonly EndpointIncarnation[]): void {
-    for (const endpoint of endpoints) {
-      this.underWay.set(endpoint, this.readUnderWay(endpoint) + 1);
+  recordRequest(candidates: readonly EndpointIncarnation[]): void {
+    for (const endpoint of candidates) {
+      this.pending.set(endpoint, this.countPending(endpoint) + 1);
     }
   }
 
-  /** Records an answer; `allowed` is undefined where there was none. */
+  /** Records the end of a request, and how many candidates were allowed; undefined when there was no response. */
   recordResponse(
     queue: string,
-    endpoints: readonly EndpointIncarnation[],
-    allowed: number | undefined,
+    candidates: readonly EndpointIncarnation[],
+    allowedCount: number | undefined,
   ): void {
-    for (const endpoint of endpoints) {
-      const left = this.readUnderWay(endpoint) - 1;
+    for (const endpoint of candidates) {
+      const left = this.countPending(endpoint) - 1;
       if (left > 0) {
-        this.underWay.set(endpoint, left);
+        this.pending.set(endpoint, left);
       } else {
-        this.underWay.delete(endpoint);
+        this.pending.delete(endpoint);
       }
     }
-    if (allowed !== undefined && endpoints.length > 0) {
-      const before = this.readShare(queue);
-      const share = before + ANSWER_WEIGHT * (allowed / endpoints.length - before);
-      this.shares.set(queue, Math.max(MIN_SHARE, share));
+    if (allowedCount !== undefined && candidates.length > 0) {
+      const before = this.getAllowedShare(queue);
+      const share = before + RESPONSE_WEIGHT * (allowedCount / candidates.length - before);
+      this.allowedShares.set(queue, Math.max(MIN_SHARE, share));
     }
   }
 }
--- a/packages/dispatch/advice/CandidateSelector.ts
+++ b/packages/dispatch/advice/CandidateSelector.ts
@@ -2,19 +2,19 @@
 import type { EndpointState } from '../endpoints/EndpointState';
 import type { WaitingStep } from '../waiting/WaitingStep';
 
-/** Chooses the endpoints about which the advice service is asked for a step, the most useful first. */
+/** Chooses the endpoints to request advice on for a step, the most useful first. */
 export interface CandidateSelector {
-  /** A round of placement begins. */
+  /** Begins a round of placement. */
   startRound(): void;
 
-  /** Notes the next step, in the order of placement, that has not found all it needs. */
+  /** Records the next step, in placement order, with the number of its tasks that lack tickets. */
   recordStep(step: WaitingStep, missing: number): void;
 
   /**
-   * The endpoints to name for `missing` tasks that lack tickets which hold until `neededUntil`; none when a question is not worth
-   * its turn. They are asked about at once.
+   * Returns the endpoints to request advice on for `missing` tasks that lack tickets valid until `neededUntil`; empty when a request
+   * would not be useful. The caller sends the request at once.
    */
-  chooseNamed(
+  chooseEndpoints(
     step: WaitingStep,
     eligible: readonly EndpointState[],
     missing: number,
@@ -22,6 +22,6 @@
     now: number,
   ): readonly EndpointState[];
 
-  /** The question about these endpoints for a step (`JOB.TIME.STEP`) has its answer, or will have none. */
-  recordResponse(step: string, named: readonly EndpointIncarnation[]): void;
+  /** Handles the end of a request for a step (`JOB.TIME.STEP`), with or without a response. */
+  recordResponse(step: string, candidates: readonly EndpointIncarnation[]): void;
 }
--- /dev/null
+++ b/packages/dispatch/advice/FirstFreeBalancer.ts
@@ -0,0 +1,71 @@
+import type { AdviceChannel } from './AdviceChannel';
+import type { AdviceSlots } from './AdviceSlots';
+import type { AdviceBalancer } from './AdviceBalancer';
+import type { AdviceBalancerOptions } from './AdviceBalancerOptions';
+import { sendAdviceRequest } from './sendAdviceRequest';
+import type { DispatchEffect } from '../DispatchEffect';
+
+type AdviceRequest = Extract<DispatchEffect, { kind: 'advise' }>;
+
+interface ChannelState {
+  isBusy: boolean;
+  /** Monotonic time until which the channel is not used, after a request without a response. */
+  quarantinedUntil: number;
+}
+
+/** Time allowed for a response beyond the expected time. */
+const TIMEOUT_MARGIN_MS = 1200;
+const QUARANTINE_MS = 2500;
+
+/** Sends each request over the first free channel, and reserves the leader's own box for short ones. */
+export class FirstFreeBalancer implements AdviceBalancer {
+  private readonly states = new Map<string, ChannelState>();
+  private isStopped = false;
+
+  constructor(private readonly options: AdviceBalancerOptions) {}
+
+  getFreeSlots(): AdviceSlots {
+    const channels = this.options.listChannels();
+    const free = channels.filter((channel) => this.isFree(channel));
+    // The own box takes long requests too while there is no other one.
+    const hasOthers = channels.some(({ box, isOwn }) => !isOwn && !this.isQuarantined(box));
+    return { all: free.length, long: hasOthers ? free.filter(({ isOwn }) => !isOwn).length : free.length };
+  }
+
+  async sendRequest(request: AdviceRequest): Promise<void> {
+    const free = this.options.listChannels().filter((channel) => this.isFree(channel));
+    const channel = request.isLong ? free[free.length - 1] : free[0];
+    if (channel === undefined) {
+      this.options.handleResponse(request, undefined, 0);
+      return;
+    }
+    const state = this.states.get(channel.box) ?? { isBusy: false, quarantinedUntil: 0 };
+    this.states.set(channel.box, state);
+    state.isBusy = true;
+    const requestedAt = this.options.clock.readNow();
+    const timeoutMs = request.expectedMs + TIMEOUT_MARGIN_MS;
+    const tickets = await sendAdviceRequest(channel, request, timeoutMs);
+    state.isBusy = false;
+    if (this.isStopped) {
+      return;
+    }
+    const now = this.options.clock.readNow();
+    if (tickets === undefined) {
+      state.quarantinedUntil = now + QUARANTINE_MS;
+    }
+    this.options.handleResponse(request, tickets, Math.round(now - requestedAt));
+  }
+
+  /** Discards the responses of pending requests. */
+  stop(): void {
+    this.isStopped = true;
+  }
+
+  private isFree({ box }: AdviceChannel): boolean {
+    return this.states.get(box)?.isBusy !== true && !this.isQuarantined(box);
+  }
+
+  private isQuarantined(box: string): boolean {
+    return (this.states.get(box)?.quarantinedUntil ?? 0) > this.options.clock.readNow();
+  }
+}
--- a/packages/dispatch/advice/StepAdvice.ts
+++ b/packages/dispatch/advice/StepAdvice.ts
@@ -1,138 +1,142 @@
 import type { EndpointIncarnation } from '../../jobs/EndpointIncarnation';
 import type { AdviceMetrics } from './AdviceMetrics';
 
-type AnsweredQuestion = ReturnType<AdviceMetrics['recordResponse']>;
+type AnsweredRequest = ReturnType<AdviceMetrics['recordResponse']>;
 
 interface Ticket {
   readonly text: string;
-  /** Monotonic time after which it is not used any more. */
+  /** Monotonic time after which no start is chosen with it. */
   readonly usableUntil: number;
-  /** The question that gave it. */
-  readonly source: AnsweredQuestion | undefined;
+  /** The request whose response contained it. */
+  readonly source: AnsweredRequest | undefined;
 }
 
-/** Time that a start takes from its choice to the endpoint, taken off a ticket's life. */
-const USE_MARGIN_MS = 250;
-/** The part of it that a start takes once it is recorded. */
-const SEND_MARGIN_MS = 100;
-/** A question without an answer is asked again after so long: the service, or the way to it, is not well. */
-const RETRY_MS = 120;
+/** Time from the choice of an endpoint until the start arrives there; a ticket has to be valid until then. */
+const START_LATENCY_MS = 250;
+/** Part of `START_LATENCY_MS` that is left once the start has been recorded. */
+const SEND_LATENCY_MS = 100;
+/** Delay before a request without a response is repeated. */
+const RETRY_DELAY_MS = 120;
 
-/** What the advice service has said of one step: tickets, which run out, and refusals, which stand. */
+/** Advice received for one step: tickets, which expire, and refusals, which are final. */
 export class StepAdvice {
   private readonly tickets = new Map<EndpointIncarnation, Ticket>();
   private readonly refused = new Set<EndpointIncarnation>();
-  private isAsking = false;
-  /** Monotonic time from which the next question may be asked. */
-  private askableFrom = -Infinity;
-  /** Monotonic time before which it is not worked out again whether a question is worth its turn. */
-  private idleUntil = -Infinity;
-  /** Monotonic time since which no question was worth its turn; undefined when the last one was. */
-  private idleSince: number | undefined;
-  /** Monotonic time of the newest question. */
-  private askedAt = 0;
-  /** Monotonic time of the newest answer. */
-  private answeredAt = -Infinity;
-
-  /** The ticket for an endpoint, or undefined when there is none that holds long enough. */
+  private hasPendingRequest = false;
+  /** Monotonic time from which the next request may be sent. */
+  private nextRequestAt = -Infinity;
+  /** Monotonic time until which no request is considered. */
+  private deferredUntil = -Infinity;
+  /** Monotonic time since which requests have been deferred; undefined when the latest one was sent. */
+  private deferredSince: number | undefined;
+  /** Monotonic time of the latest request. */
+  private requestedAt = 0;
+  /** Monotonic time of the latest response. */
+  private respondedAt = -Infinity;
+
+  /** Returns the ticket for an endpoint; undefined when there is none, or when it expires before a start could arrive. */
   getTicket(endpoint: EndpointIncarnation, now: number): string | undefined {
     const ticket = this.tickets.get(endpoint);
     return ticket !== undefined && ticket.usableUntil > now ? ticket.text : undefined;
   }
 
-  /** True when a ticket would still hold at the endpoint for a start that is sent now. */
+  /** Returns whether a recorded start that is sent now would arrive before its ticket expires. */
   hasSendableTicket(endpoint: EndpointIncarnation, now: number): boolean {
     const ticket = this.tickets.get(endpoint);
-    return ticket !== undefined && ticket.usableUntil + USE_MARGIN_MS - SEND_MARGIN_MS > now;
+    return ticket !== undefined && ticket.usableUntil + START_LATENCY_MS - SEND_LATENCY_MS > now;
   }
 
   isRefused(endpoint: EndpointIncarnation): boolean {
     return this.refused.has(endpoint);
   }
 
-  /** True when the endpoint was allowed before, whether or not its ticket still holds. */
+  /** Returns whether the service has allowed the endpoint, even if the ticket has expired since. */
   hasBeenAllowed(endpoint: EndpointIncarnation): boolean {
     return this.tickets.has(endpoint);
   }
 
-  /** True while a question is under way. */
-  isBusy(): boolean {
-    return this.isAsking;
+  isRequestPending(): boolean {
+    return this.hasPendingRequest;
   }
 
   /**
-   * True when a question may be asked. After an answer at once: what has been answered is not asked again, so that there is an
-   * end to it, and each wait of 0.1 s is a tenth of an urgent job's time.
+   * Returns whether a request may be sent. There is no delay after a response: no endpoint is asked about again while its ticket or
+   * refusal stands, so the number of requests is bounded.
    */
-  isAskable(now: number): boolean {
-    return !this.isAsking && now >= this.askableFrom;
+  canRequest(now: number): boolean {
+    return !this.hasPendingRequest && now >= this.nextRequestAt;
   }
 
-  /** True once the service has said something of the step. */
-  isAnswered(): boolean {
+  /** Returns whether any ticket or refusal is known. */
+  hasResponse(): boolean {
     return this.tickets.size > 0 || this.refused.size > 0;
   }
 
-  /** True for a while after no question was worth its turn. */
-  isIdle(now: number): boolean {
-    return now < this.idleUntil;
+  /** Returns whether requests are deferred since a recent one would not have been useful. */
+  isDeferred(now: number): boolean {
+    return now < this.deferredUntil;
   }
 
-  recordIdle(now: number, until: number): void {
-    this.idleSince ??= now;
-    this.idleUntil = until;
+  /** Defers requests until a monotonic time. */
+  recordDeferral(now: number, until: number): void {
+    this.deferredSince ??= now;
+    this.deferredUntil = until;
   }
 
-  /** For how long no question has been worth its turn, in milliseconds. */
-  readIdleMs(now: number): number {
-    return this.idleSince === undefined ? 0 : now - this.idleSince;
+  /** Returns for how long requests have been deferred without interruption, in milliseconds. */
+  getDeferredMs(now: number): number {
+    return this.deferredSince === undefined ? 0 : now - this.deferredSince;
   }
 
-  recordQuestion(now: number): void {
-    this.isAsking = true;
-    this.idleSince = undefined;
-    this.askedAt = now;
+  recordRequest(now: number): void {
+    this.hasPendingRequest = true;
+    this.deferredSince = undefined;
+    this.requestedAt = now;
   }
 
-  /** Monotonic time of the newest question. */
+  /** Returns the monotonic time of the latest request. */
   getRequestedAt(): number {
-    return this.askedAt;
+    return this.requestedAt;
   }
 
-  /** Monotonic time of the newest answer; -Infinity before the first. */
-  readAnsweredAt(): number {
-    return this.answeredAt;
+  /** Returns the monotonic time of the latest response; -Infinity before the first. */
+  getRespondedAt(): number {
+    return this.respondedAt;
   }
 
-  /** The question that gave the ticket for an endpoint. */
-  readSource(endpoint: EndpointIncarnation): AnsweredQuestion | undefined {
+  /** Returns the request whose response contained the ticket for an endpoint; undefined when there is no ticket. */
+  getSource(endpoint: EndpointIncarnation): AnsweredRequest | undefined {
     return this.tickets.get(endpoint)?.source;
   }
 
+  /**
+   * Stores the tickets of a response; candidates without one are refused. `tickets` is undefined when there was no response, after which
+   * the request may be repeated.
+   */
   recordResponse(
-    asked: readonly EndpointIncarnation[],
-    good: ReadonlyMap<EndpointIncarnation, string> | undefined,
+    candidates: readonly EndpointIncarnation[],
+    tickets: ReadonlyMap<EndpointIncarnation, string> | undefined,
     now: number,
     validityMs: number,
-    source?: AnsweredQuestion,
+    source?: AnsweredRequest,
   ): void {
-    this.isAsking = false;
-    if (good === undefined) {
-      this.askableFrom = now + RETRY_MS;
+    this.hasPendingRequest = false;
+    if (tickets === undefined) {
+      this.nextRequestAt = now + RETRY_DELAY_MS;
       return;
     }
-    this.answeredAt = now;
-    for (const endpoint of asked) {
-      const text = good.get(endpoint);
+    this.respondedAt = now;
+    for (const endpoint of candidates) {
+      const text = tickets.get(endpoint);
       if (text === undefined) {
         this.refused.add(endpoint);
       } else {
-        this.tickets.set(endpoint, { text, usableUntil: now + validityMs - USE_MARGIN_MS, source });
+        this.tickets.set(endpoint, { text, usableUntil: now + validityMs - START_LATENCY_MS, source });
       }
     }
   }
 
-  /** Drops a ticket that an endpoint did not take. */
+  /** Removes a ticket that an endpoint rejected. */
   removeTicket(endpoint: EndpointIncarnation): void {
     this.tickets.delete(endpoint);
   }
--- a/packages/dispatch/advice/advicePolicies.ts
+++ b/packages/dispatch/advice/advicePolicies.ts
@@ -1,33 +1,33 @@
-import { AdviceCandidates } from './AdviceCandidates';
-import { PlannedCandidates } from './PlannedCandidates';
+import { EagerCandidateSelector } from './EagerCandidateSelector';
+import { PlannedCandidateSelector } from './PlannedCandidateSelector';
 import type { AdvicePolicyName } from './AdvicePolicyName';
 import type { AdvicePolicy } from './AdvicePolicy';
 
-/** Endpoints named in one question; so many are counted in a job's objective. */
-const COUNTED_NAMED = 30;
-/** Most endpoints that the service takes in one call. */
-const LARGEST_CALL = 100;
-/** Questions longer than this are long ones. */
-const LONG_QUESTION_MS = 150;
-/** Rounds follow each message; the room that a question needs does not come with every one of them. */
-const LEAST_IDLE_MS = 20;
-/** Part of a question's time that it may begin later, so that rounds stay short while many steps wait. */
-const IDLE_SHARE = 0.1;
+/** Number of candidates in the request that a job's objective allows time for. */
+const BUDGETED_CANDIDATES = 30;
+/** Maximum number of endpoints that the service accepts in one request. */
+const MAX_CANDIDATES = 100;
+/** Requests with a longer expected response time are long. */
+const LONG_REQUEST_MS = 150;
+/** Lower bound on a deferral: rounds follow each message, and few of them free capacity that a request needs. */
+const MIN_DEFERRAL_MS = 20;
+/** Deferral as a share of the decision time. It keeps rounds short while many steps wait. */
+const DEFERRAL_SHARE = 0.1;
 
-/** Ways of taking turns, by choice. */
+/** Policies for advice requests, by name. */
 export const advicePolicies: Readonly<Record<AdvicePolicyName, AdvicePolicy>> = {
   asked: {
-    maxNamed: COUNTED_NAMED,
-    readIdleMs: () => 0,
-    isLong: (advice) => advice.decisionMs + advice.perEndpointMs * COUNTED_NAMED > LONG_QUESTION_MS,
+    maxCandidates: BUDGETED_CANDIDATES,
+    computeDeferralMs: () => 0,
+    isLong: (advice) => advice.decisionMs + advice.perEndpointMs * BUDGETED_CANDIDATES > LONG_REQUEST_MS,
     createSelector: ({ room, preemptor, history, preference }) =>
-      new AdviceCandidates(room, preemptor, history, preference),
+      new EagerCandidateSelector(room, preemptor, history, preference),
   },
   planned: {
-    maxNamed: LARGEST_CALL,
-    readIdleMs: ({ decisionMs }) => Math.max(LEAST_IDLE_MS, decisionMs * IDLE_SHARE),
+    maxCandidates: MAX_CANDIDATES,
+    computeDeferralMs: ({ decisionMs }) => Math.max(MIN_DEFERRAL_MS, decisionMs * DEFERRAL_SHARE),
     isLong: (advice, isMostUrgent) =>
-      !isMostUrgent || advice.decisionMs + advice.perEndpointMs * COUNTED_NAMED > LONG_QUESTION_MS,
-    createSelector: (parts) => new PlannedCandidates(parts),
+      !isMostUrgent || advice.decisionMs + advice.perEndpointMs * BUDGETED_CANDIDATES > LONG_REQUEST_MS,
+    createSelector: (dependencies) => new PlannedCandidateSelector(dependencies),
   },
 };
--- a/packages/dispatch/advice/noopAdviceClient.ts
+++ b/packages/dispatch/advice/noopAdviceClient.ts
@@ -1,6 +1,6 @@
 import type { AdviceClient } from './AdviceClient';
 
-/** The advice client where there is no advice service: no question is ever answered. */
+/** Client for clusters without an advice service: no request has a response. */
 export const noopAdviceClient: AdviceClient = {
   requestAdvice: () => Promise.resolve(undefined),
   stop: () => Promise.resolve(),
--- a/packages/dispatch/advice/parseTickets.ts
+++ b/packages/dispatch/advice/parseTickets.ts
@@ -1,12 +1,14 @@
 import { toId } from '../../common/toId';
 import type { EndpointId } from '../../jobs/EndpointId';
 
-interface GoodAnswer {
+interface AdviceResponse {
   readonly good?: readonly (readonly [id: string, ticket: string])[];
 }
 
-/** The ticket of each endpoint in an answer to a question for advice; undefined when there was no answer. */
-export const parseTickets = (answer: unknown): ReadonlyMap<EndpointId, string> | undefined =>
-  answer === undefined
+/** Returns the ticket of each allowed endpoint in a response of the advice service; undefined when there was no response. */
+export const parseTickets = (response: unknown): ReadonlyMap<EndpointId, string> | undefined =>
+  response === undefined
     ? undefined
-    : new Map(((answer as GoodAnswer).good ?? []).map(([id, ticket]) => [toId<EndpointId>(id), ticket]));
+    : new Map(
+        ((response as AdviceResponse).good ?? []).map(([id, ticket]) => [toId<EndpointId>(id), ticket]),
+      );
--- a/tests/adviceTurns.test.ts
+++ b/tests/adviceTurns.test.ts
@@ -1,7 +1,7 @@
 import { afterEach, beforeEach, describe, expect, it, vi } from 'vitest';
-import { chooseQuestionSize } from '../packages/dispatch/advice/chooseQuestionSize';
-import { RoomAhead } from '../packages/dispatch/advice/RoomAhead';
-import { ShortTurns } from '../packages/dispatch/advice/ShortTurns';
+import { chooseRequestSize } from '../packages/dispatch/advice/chooseRequestSize';
+import { DemandAhead } from '../packages/dispatch/advice/DemandAhead';
+import { ShortRequestReserve } from '../packages/dispatch/advice/ShortRequestReserve';
 import type { AdvicePolicyName } from '../packages/dispatch/advice/AdvicePolicyName';
 import { EndpointState } from '../packages/dispatch/endpoints/EndpointState';
 import { CustomerUsage } from '../packages/customers/CustomerUsage';
@@ -220,11 +220,11 @@
 });
 
 describe('the size of a question', () => {
-  const OFFERS = Array.from({ length: 200 }, () => ({ places: 1, chance: 0.35 }));
+  const OFFERS = Array.from({ length: 200 }, () => ({ tasks: 1, chance: 0.35 }));
 
   it('grows until another round is unlikely, the more the dearer a round is beside an endpoint', () => {
-    const dear = chooseQuestionSize(OFFERS, 10, { roundMs: 500, perEndpointMs: 7, maxNamed: 100 });
-    const cheap = chooseQuestionSize(OFFERS, 10, { roundMs: 20, perEndpointMs: 7, maxNamed: 100 });
+    const dear = chooseRequestSize(OFFERS, 10, { roundMs: 500, perEndpointMs: 7, maxCandidates: 100 });
+    const cheap = chooseRequestSize(OFFERS, 10, { roundMs: 20, perEndpointMs: 7, maxCandidates: 100 });
     // Ten of 35 in a hundred are 29 in the mean.
     expect(cheap).toBe(28);
     expect(dear).toBeGreaterThan(36);
@@ -232,31 +232,31 @@
   });
 
   it('is bounded, and no greater than what there is', () => {
-    expect(chooseQuestionSize(OFFERS, 90, { roundMs: 500, perEndpointMs: 7, maxNamed: 100 })).toBe(100);
+    expect(chooseRequestSize(OFFERS, 90, { roundMs: 500, perEndpointMs: 7, maxCandidates: 100 })).toBe(100);
     expect(
-      chooseQuestionSize(OFFERS.slice(0, 7), 10, { roundMs: 500, perEndpointMs: 7, maxNamed: 100 }),
+      chooseRequestSize(OFFERS.slice(0, 7), 10, { roundMs: 500, perEndpointMs: 7, maxCandidates: 100 }),
     ).toBe(7);
   });
 });
 
 describe('boxes kept for short questions', () => {
   it('are a quarter for a new leader, then as many as its short questions use with some to spare, half at most', () => {
-    const turns = new ShortTurns();
-    expect(turns.readKept(40, 0)).toBe(10);
-    expect(turns.readKept(40, 3000)).toBe(1);
+    const turns = new ShortRequestReserve();
+    expect(turns.computeReserved(40, 0)).toBe(10);
+    expect(turns.computeReserved(40, 3000)).toBe(1);
     // 50 questions a second of 80 ms each are four at once.
     for (let now = 3000; now < 13_000; now += 20) {
-      turns.recordQuestion(80, now);
+      turns.recordRequest(80, now);
     }
-    expect(turns.readKept(40, 13_000)).toBe(8);
-    expect(turns.readKept(10, 13_000)).toBe(5);
-    expect(turns.readKept(40, 33_000)).toBe(1);
+    expect(turns.computeReserved(40, 13_000)).toBe(8);
+    expect(turns.computeReserved(10, 13_000)).toBe(5);
+    expect(turns.computeReserved(40, 33_000)).toBe(1);
   });
 
   it('are one of two, and none where there is only one', () => {
-    const turns = new ShortTurns();
-    expect(turns.readKept(2, 0)).toBe(1);
-    expect(turns.readKept(1, 0)).toBe(0);
+    const turns = new ShortRequestReserve();
+    expect(turns.computeReserved(2, 0)).toBe(1);
+    expect(turns.computeReserved(1, 0)).toBe(0);
   });
 });
 
@@ -266,13 +266,13 @@
       { length: 10 },
       (_none, number) => new EndpointState(createProfile(`i-${number}`), 0, new CustomerUsage()),
     );
-    const ahead = new RoomAhead();
+    const ahead = new DemandAhead();
     const readAsking = (): number => {
       ahead.startRound();
       return Array.from({ length: 100 }, (_none, number) => {
         const step = createGang(number + 1);
         ahead.recordStep(step, step.indexes.length);
-        return ahead.isTaken(step, books, true);
+        return ahead.isExceedingCapacity(step, books, true);
       }).filter((isTaken) => !isTaken).length;
     };
     // Ten endpoints of four cores hold five gangs of eight cores; of those ahead some may not run there.
