--- a/packages/dispatch/speeds/EndpointSpeeds.ts
+++ b/packages/dispatch/speeds/EndpointSpeeds.ts
@@ -5,194 +5,196 @@
 import type { SpeedClass } from './SpeedClass';
 import type { SpeedEstimate } from './SpeedEstimate';
 import { SpeedGroups } from './SpeedGroups';
-import { SpeedTrack } from './SpeedTrack';
+import { SpeedEstimator } from './SpeedEstimator';
 
-type Evidence = Parameters<SpeedTrack['recordRun']>[0];
+type SpeedSample = Parameters<SpeedEstimator['addSample']>[0];
 
-/** One endpoint as it is known. */
-interface KnownSpeed {
-  readonly track: SpeedTrack;
+interface EndpointSpeed {
+  readonly estimator: SpeedEstimator;
   readonly service: ServiceName;
   readonly groups: readonly string[];
-  /** Worked out when evidence comes in, since it is read for each endpoint of each step that is placed. */
+  /** The significant ratio, cached since it is read for each endpoint of each step that is placed. */
   ratio: number;
-  /** The class last told of. */
-  told: SpeedClass;
+  /** The class last returned by `takeChanges`. */
+  reportedClass: SpeedClass;
 }
 
 /** An endpoint whose class has changed. */
 interface ClassChange {
-  readonly life: EndpointIncarnation;
+  readonly endpoint: EndpointIncarnation;
   readonly speedClass: SpeedClass;
   readonly estimate: SpeedEstimate;
   readonly samples: number;
-  /** When the newest of the samples came in. */
-  readonly recordedAt: number;
+  /** Monotonic time of the latest sample. */
+  readonly updatedAt: number;
 }
 
-/** Runs of fewer steps than this, since the endpoint last seemed to have changed, tell nothing: long ones may follow each other. */
-const MIN_STEPS = 2;
-/** An endpoint is unlike a usual one when it is so by `MIN_UNLIKE` beyond so many standard deviations. */
-const SURE_DEVIATIONS = 2.5;
-const MIN_UNLIKE = Math.log(1.1);
-/** Natural logarithm of a tenth: known ratios are rounded to steps of it, so that endpoints of one kind stay like each other. */
+/** Minimum number of steps since the latest change of speed for an endpoint's own samples to count. */
+const MIN_STABLE_STEPS = 2;
+/** A ratio is significant when it differs from 1 by more than `MIN_DIFFERENCE` plus this many standard deviations. */
+const SIGNIFICANT_DEVIATIONS = 2.5;
+/** Natural logarithm of a ratio. */
+const MIN_DIFFERENCE = Math.log(1.1);
+/** Significant ratios are rounded to powers of 1.1, so that similar endpoints compare equal. */
 const RATIO_STEP = Math.log(1.1);
 
-/** Whose speed is asked for, and what is known of it. */
-type Asked = Pick<KnownSpeed, 'service' | 'groups'> & { readonly track?: SpeedTrack };
+/** What the estimate of an endpoint's speed depends on; without an estimator it is that of its group. */
+type SpeedQuery = Pick<EndpointSpeed, 'service' | 'groups'> & { readonly estimator?: SpeedEstimator };
 
-const toGroups = ({ labels, hall }: EndpointProfile): readonly string[] => [...labels, `hall ${hall}`];
+const listGroups = ({ labels, hall }: EndpointProfile): readonly string[] => [...labels, `hall ${hall}`];
 
 /**
- * Learns how fast each endpoint is, from how long runs take there by their usual time. An endpoint with few runs is taken to be like
- * others of its label or hall; all are compared with the median endpoint of their service.
+ * Estimates the speed of each endpoint by how long runs take there, as a ratio to their baseline time. Endpoints with few runs are
+ * estimated by their label or hall. The baseline of a service is its median endpoint.
  */
 export class EndpointSpeeds {
-  private readonly known = new Map<EndpointIncarnation, KnownSpeed>();
+  private readonly speeds = new Map<EndpointIncarnation, EndpointSpeed>();
   private readonly groups = new Map<ServiceName, SpeedGroups>();
 
-  /** Takes in the time of one run on an endpoint by its usual time. */
-  recordRun(profile: EndpointProfile, evidence: Evidence, now: number): void {
-    const speed = this.readOrCreate(profile);
-    speed.track.recordRun(evidence, this.readGroups(speed.service).readPrior(speed.groups), now);
-    speed.ratio = this.toKnownRatio(speed);
+  /** Records how long a run took on an endpoint. */
+  recordRun(profile: EndpointProfile, sample: SpeedSample, now: number): void {
+    const speed = this.getOrCreate(profile);
+    speed.estimator.addSample(sample, this.getGroups(speed.service).choosePrior(speed.groups), now);
+    speed.ratio = this.computeRatio(speed);
   }
 
   /**
-   * Takes in the time of a gang. It runs at its slowest member: that one is as slow as the gang, and none is slower. A member that is
-   * known to be faster is not slowed by it.
+   * Records how long a gang took. A gang runs at the speed of its slowest member, so the sample counts for the member estimated to be
+   * slowest, and for those estimated to be slower than the gang was. It says nothing about faster ones.
    */
-  recordGang(members: readonly EndpointProfile[], evidence: Evidence, now: number): void {
+  recordGang(members: readonly EndpointProfile[], sample: SpeedSample, now: number): void {
     const logRatios = members.map((member) => Math.log(this.getEstimate(member).ratio));
     const slowest = Math.max(...logRatios);
-    const bound = members.filter(
-      (_, index) => logRatios[index] === slowest || logRatios[index]! > evidence.logRatio,
+    const limiting = members.filter(
+      (_, index) => logRatios[index] === slowest || logRatios[index]! > sample.logRatio,
     );
-    const byLife = new Map(bound.map((member) => [member.incarnation, member]));
-    // Members that are equally slow share the evidence: any one of them may be what holds the gang up.
-    const variance = evidence.variance * (evidence.logRatio > slowest ? byLife.size : 1);
-    byLife.forEach((member) => this.recordRun(member, { ...evidence, variance }, now));
+    const byIncarnation = new Map(limiting.map((member) => [member.incarnation, member]));
+    // Any one of the slowest members may have slowed the gang down, so each gets a part of the evidence.
+    const variance = sample.variance * (sample.logRatio > slowest ? byIncarnation.size : 1);
+    byIncarnation.forEach((member) => this.recordRun(member, { ...sample, variance }, now));
   }
 
-  /** What is known of an endpoint, by its own runs and its group. */
+  /** Returns the estimate for an endpoint, by its own runs and its groups. */
   getEstimate(profile: EndpointProfile): SpeedEstimate {
-    return this.toEstimate(this.known.get(profile.incarnation) ?? this.toAsked(profile));
+    return this.computeEstimate(this.speeds.get(profile.incarnation) ?? this.toQuery(profile));
   }
 
-  /** What is known of a life that may have run something; else what is expected of any endpoint of its service. */
-  readLifeEstimate(life: EndpointIncarnation, service: ServiceName): SpeedEstimate {
-    return this.toEstimate(this.known.get(life) ?? { service, groups: [] });
+  /** Returns the estimate for an incarnation whose profile may be gone; that of its whole service if it has no samples. */
+  getIncarnationEstimate(incarnation: EndpointIncarnation, service: ServiceName): SpeedEstimate {
+    return this.computeEstimate(this.speeds.get(incarnation) ?? { service, groups: [] });
   }
 
-  /** The ratio of an endpoint as far as it certainly differs from a usual one, in steps of a tenth; else 1. */
+  /** Returns the ratio of an endpoint's run times to the baseline, rounded to a power of 1.1; 1 unless it is significant. */
   getSignificantRatio(profile: EndpointProfile): number {
-    return this.known.get(profile.incarnation)?.ratio ?? this.toSureRatio(this.toAsked(profile));
+    return this.speeds.get(profile.incarnation)?.ratio ?? this.computeSignificantRatio(this.toQuery(profile));
   }
 
-  /** Lets time pass: what is known fades, and groups and the usual endpoint are worked out anew. */
-  applyTime(now: number, isPresent: (life: EndpointIncarnation) => boolean): void {
-    for (const [life, { track }] of this.known) {
-      if (isPresent(life)) {
-        track.applyFading(now);
+  /** Decays samples, forgets absent incarnations, and updates the groups and baselines. */
+  handleTick(now: number, isPresent: (incarnation: EndpointIncarnation) => boolean): void {
+    for (const [incarnation, { estimator }] of this.speeds) {
+      if (isPresent(incarnation)) {
+        estimator.applyDecay(now);
       } else {
-        this.known.delete(life);
+        this.speeds.delete(incarnation);
       }
     }
-    this.applyGroups();
-    for (const speed of this.known.values()) {
-      speed.ratio = this.toKnownRatio(speed);
+    this.updateGroups();
+    for (const speed of this.speeds.values()) {
+      speed.ratio = this.computeRatio(speed);
     }
   }
 
-  /** How many endpoints are known to be of a class. */
+  /** Returns the number of endpoints of each class. */
   countByClass(): Readonly<Record<SpeedClass, number>> {
     const counts = { slow: 0, usual: 0, fast: 0 };
-    for (const { ratio } of this.known.values()) {
-      counts[this.toClass(ratio)] += 1;
+    for (const { ratio } of this.speeds.values()) {
+      counts[this.getClass(ratio)] += 1;
     }
     return counts;
   }
 
-  /** Gives endpoints whose class has changed since they were last given, at most so many. */
-  claimChanges(limit: number): readonly ClassChange[] {
+  /** Returns at most `limit` endpoints whose class has changed since it was last returned. */
+  takeChanges(limit: number): readonly ClassChange[] {
     const changes: ClassChange[] = [];
-    for (const [life, speed] of this.known) {
-      const speedClass = this.toClass(speed.ratio);
-      if (speedClass !== speed.told && changes.length < limit) {
-        speed.told = speedClass;
-        const estimate = this.toEstimate(speed);
+    for (const [endpoint, speed] of this.speeds) {
+      const speedClass = this.getClass(speed.ratio);
+      if (speedClass !== speed.reportedClass && changes.length < limit) {
+        speed.reportedClass = speedClass;
+        const estimate = this.computeEstimate(speed);
         changes.push({
-          life,
+          endpoint,
           speedClass,
           estimate,
-          samples: speed.track.readCount(),
-          recordedAt: speed.track.readRecordedAt(),
+          samples: speed.estimator.countSamples(),
+          updatedAt: speed.estimator.getUpdatedAt(),
         });
       }
     }
     return changes;
   }
 
-  private applyGroups(): void {
-    const byService = new Map<ServiceName, KnownSpeed[]>();
-    for (const speed of this.known.values()) {
+  private updateGroups(): void {
+    const byService = new Map<ServiceName, EndpointSpeed[]>();
+    for (const speed of this.speeds.values()) {
       appendTo(byService, speed.service, speed);
     }
     for (const [service, speeds] of byService) {
-      const members = speeds.flatMap(({ track, groups }) => {
-        const own = track.readSteadyCount() >= MIN_STEPS ? track.readOwn() : undefined;
+      const members = speeds.flatMap(({ estimator, groups }) => {
+        const own =
+          estimator.countStableSteps() >= MIN_STABLE_STEPS ? estimator.computeOwnEstimate() : undefined;
         return own === undefined ? [] : [{ ...own, groups }];
       });
-      this.readGroups(service).applyMembers(members, speeds.length);
+      this.getGroups(service).updatePriors(members, speeds.length);
     }
   }
 
-  private readGroups(service: ServiceName): SpeedGroups {
-    const known = this.groups.get(service) ?? new SpeedGroups();
-    this.groups.set(service, known);
-    return known;
+  private getGroups(service: ServiceName): SpeedGroups {
+    const groups = this.groups.get(service) ?? new SpeedGroups();
+    this.groups.set(service, groups);
+    return groups;
   }
 
-  private readOrCreate(profile: EndpointProfile): KnownSpeed {
-    const known = this.known.get(profile.incarnation);
+  private getOrCreate(profile: EndpointProfile): EndpointSpeed {
+    const known = this.speeds.get(profile.incarnation);
     if (known !== undefined) {
       return known;
     }
-    const created: KnownSpeed = {
-      ...this.toAsked(profile),
-      track: new SpeedTrack(),
+    const created: EndpointSpeed = {
+      ...this.toQuery(profile),
+      estimator: new SpeedEstimator(),
       ratio: 1,
-      told: 'usual',
+      reportedClass: 'usual',
     };
-    this.known.set(profile.incarnation, created);
+    this.speeds.set(profile.incarnation, created);
     return created;
   }
 
-  private toAsked(profile: EndpointProfile): Asked {
-    return { service: profile.service, groups: toGroups(profile) };
+  private toQuery(profile: EndpointProfile): SpeedQuery {
+    return { service: profile.service, groups: listGroups(profile) };
   }
 
-  private toEstimate({ service, groups, track }: Asked): SpeedEstimate {
-    const peers = this.readGroups(service);
-    const prior = peers.readPrior(groups);
-    const { mean, variance } = track?.readBelief(prior) ?? prior;
-    return { ratio: Math.exp(mean - peers.readCentre()), spread: Math.sqrt(variance) };
+  private computeEstimate({ service, groups, estimator }: SpeedQuery): SpeedEstimate {
+    const serviceGroups = this.getGroups(service);
+    const prior = serviceGroups.choosePrior(groups);
+    const { mean, variance } = estimator?.computePosterior(prior) ?? prior;
+    return { ratio: Math.exp(mean - serviceGroups.getBaseline()), spread: Math.sqrt(variance) };
   }
 
-  private toKnownRatio({ service, groups, track }: KnownSpeed): number {
-    const isSteady = track.readSteadyCount() >= MIN_STEPS;
-    return this.toSureRatio(isSteady ? { service, groups, track } : { service, groups });
+  private computeRatio({ service, groups, estimator }: EndpointSpeed): number {
+    const isStable = estimator.countStableSteps() >= MIN_STABLE_STEPS;
+    return this.computeSignificantRatio(isStable ? { service, groups, estimator } : { service, groups });
   }
 
-  private toSureRatio(asked: Asked): number {
-    const { ratio, spread } = this.toEstimate(asked);
-    const log = Math.log(ratio);
-    const isKnown = this.readGroups(asked.service).isKnown();
-    const isSure = isKnown && Math.abs(log) - SURE_DEVIATIONS * spread > MIN_UNLIKE;
-    return isSure ? Math.exp(RATIO_STEP * Math.round(log / RATIO_STEP)) : 1;
+  private computeSignificantRatio(query: SpeedQuery): number {
+    const { ratio, spread } = this.computeEstimate(query);
+    const logRatio = Math.log(ratio);
+    const hasBaseline = this.getGroups(query.service).hasBaseline();
+    const isSignificant =
+      hasBaseline && Math.abs(logRatio) - SIGNIFICANT_DEVIATIONS * spread > MIN_DIFFERENCE;
+    return isSignificant ? Math.exp(RATIO_STEP * Math.round(logRatio / RATIO_STEP)) : 1;
   }
 
-  private toClass(ratio: number): SpeedClass {
+  private getClass(ratio: number): SpeedClass {
     return ratio === 1 ? 'usual' : ratio > 1 ? 'slow' : 'fast';
   }
 }
--- a/packages/dispatch/speeds/RunLearner.ts
+++ b/packages/dispatch/speeds/RunLearner.ts
@@ -10,7 +10,7 @@
 import type { EndpointSpeeds } from './EndpointSpeeds';
 import type { RunTimes } from './RunTimes';
 import type { StepRunTimes } from './StepRunTimes';
-import { toUsualStepTime } from './toUsualStepTime';
+import { estimateStepTime } from './estimateStepTime';
 
 interface RunLearnerOptions {
   readonly books: ReadonlyMap<EndpointIncarnation, EndpointState>;
@@ -19,194 +19,201 @@
   readonly speeds: EndpointSpeeds;
   readonly times: RunTimes;
   readonly speedChoice: SpeedPolicyName;
-  readonly sendTell: (sentence: string, fields: Readonly<Record<string, unknown>>) => void;
+  readonly sendTell: (message: string, fields: Readonly<Record<string, unknown>>) => void;
 }
 
-/** A run with the step that it belongs to. */
-interface Measured {
-  readonly book: EndpointState;
+/** A run whose time is informative, with its step and endpoint. */
+interface Measurement {
+  readonly endpoint: EndpointState;
   readonly run: PlacedRun;
   readonly job: LiveJob;
   readonly shape: JobStep;
 }
 
-/** The pace of a run says something from this age on. */
-const KNOWN_AFTER_MS = 250;
-/** From so many percent on, rounding to whole ones hardly changes a time. */
-const KNOWN_PERCENT = 4;
-/** Tasks of one step share what its estimate is off by: more of them do not tell more of their queue. */
-const TELLING_TASKS = 2;
-/** Siblings on fewer endpoints than this do not tell the usual time of a step alone. */
+/** Minimum age of a run for its pace to be informative. */
+const MIN_AGE_MS = 250;
+/** Progress from which the rounding to whole percents is negligible. */
+const MIN_PERCENT = 4;
+/** Maximum number of tasks of a step that count for its kind, since they share the error of the step's estimate. */
+const MAX_STEP_SAMPLES = 2;
+/** Minimum number of other endpoints whose runs determine the baseline time of a step without a learnt distribution. */
 const MIN_SIBLINGS = 2;
-/** Members of a gang are confirmed one after the other, and work once all are there. */
-const KNOWN_GANG_PERCENT = 20;
-const WHOLE = 100;
-/** An endpoint on which runs take longer than this is sick, however long it has been so. */
-const MAX_USUAL_RATIO = 3;
-/** Speeds are worked out anew so often. */
-const REFRESH_MS = 500;
-/** Lines about endpoints at each refresh; the rest come with the next. */
-const MAX_LINES = 5;
-
-/** Learns from the runs that looks show: how long tasks take, and how fast endpoints are. */
+/** The same as `MIN_PERCENT` for gangs, whose members are confirmed one by one but start together. */
+const MIN_GANG_PERCENT = 20;
+const FULL_PERCENT = 100;
+/** Upper bound on the ratio that counts as an endpoint's normal speed. Endpoints that are slower still are degraded. */
+const MAX_OWN_RATIO = 3;
+const REFRESH_INTERVAL_MS = 500;
+/** Maximum number of log lines about endpoints in one refresh; the rest follow in the next. */
+const MAX_LOG_LINES = 5;
+
+/** Learns run times of tasks and speeds of endpoints from the reported progress of runs. */
 export class RunLearner {
-  /** Runs that have told what they tell. */
-  private readonly measured = new WeakSet<PlacedRun>();
+  /** Runs whose time has been recorded. */
+  private readonly measuredRuns = new WeakSet<PlacedRun>();
   private refreshedAt = -Infinity;
 
   constructor(private readonly options: RunLearnerOptions) {}
 
-  /** Takes in what a look showed of a run. */
-  recordRun(book: EndpointState, run: PlacedRun, now: number): void {
+  /** Records the progress of a run, as reported by a poll. */
+  recordRun(endpoint: EndpointState, run: PlacedRun, now: number): void {
     const ageMs = now - run.confirmedAt;
-    const measured = ageMs >= KNOWN_AFTER_MS ? this.readMeasured(book, run) : undefined;
-    if (measured === undefined) {
+    const measurement = ageMs >= MIN_AGE_MS ? this.createMeasurement(endpoint, run) : undefined;
+    if (measurement === undefined) {
       return;
     }
-    this.recordPace(measured, ageMs / Math.max(1, run.percent), now);
-    if (run.stage === 'running' && !this.measured.has(run) && this.isTelling(measured, ageMs)) {
-      // A look gives whole percents, rounded down.
-      this.recordTime(measured, (ageMs * WHOLE) / (run.percent + 0.5), now);
+    this.recordPace(measurement, ageMs / Math.max(1, run.percent), now);
+    if (
+      run.stage === 'running' &&
+      !this.measuredRuns.has(run) &&
+      this.isTimePredictable(measurement, ageMs)
+    ) {
+      // Polls report whole percents, rounded down.
+      this.recordTime(measurement, (ageMs * FULL_PERCENT) / (run.percent + 0.5), now);
     }
   }
 
-  /** Takes in that a run was done. */
-  recordCompletion(book: EndpointState, run: PlacedRun, now: number): void {
-    const measured = this.readMeasured(book, run);
-    if (measured === undefined) {
+  /** Records that a run is done. */
+  recordCompletion(endpoint: EndpointState, run: PlacedRun, now: number): void {
+    const measurement = this.createMeasurement(endpoint, run);
+    if (measurement === undefined) {
       return;
     }
-    const wholeMs = now - run.confirmedAt;
-    this.recordPace(measured, wholeMs / WHOLE, now);
-    this.recordKind(measured, wholeMs / WHOLE);
-    if (!this.measured.has(run)) {
-      this.recordTime(measured, wholeMs, now);
+    const runMs = now - run.confirmedAt;
+    this.recordPace(measurement, runMs / FULL_PERCENT, now);
+    this.recordKindPace(measurement, runMs / FULL_PERCENT);
+    if (!this.measuredRuns.has(run)) {
+      this.recordTime(measurement, runMs, now);
     }
   }
 
-  /** Lets time pass: what is known of endpoints fades, and changes are told of. */
+  /** Refreshes the speeds of endpoints, and logs changes. */
   handleTick(now: number): void {
-    if (now - this.refreshedAt < REFRESH_MS) {
+    if (now - this.refreshedAt < REFRESH_INTERVAL_MS) {
       return;
     }
     this.refreshedAt = now;
-    const { speeds, books } = this.options;
-    speeds.applyTime(now, (life) => books.has(life));
-    for (const { life, speedClass, estimate, samples, recordedAt } of speeds.claimChanges(MAX_LINES)) {
-      const profile = books.get(life)?.getProfile();
+    const { speeds, books: endpoints } = this.options;
+    speeds.handleTick(now, (incarnation) => endpoints.has(incarnation));
+    for (const { endpoint, speedClass, estimate, samples, updatedAt } of speeds.takeChanges(MAX_LOG_LINES)) {
+      const profile = endpoints.get(endpoint)?.getProfile();
       this.options.sendTell("Endpoint's speed has changed.", {
-        endpoint: life,
+        endpoint,
         speed: speedClass,
         ratio: Number(estimate.ratio.toFixed(2)),
         spread: Number(estimate.spread.toFixed(2)),
         samples,
-        newestMs: Math.round(now - recordedAt),
+        newestMs: Math.round(now - updatedAt),
         labels: profile?.labels,
         hall: profile?.hall,
       });
     }
   }
 
-  private recordPace({ book, run, job, shape }: Measured, pace: number, now: number): void {
-    const paces = job.getSpeeds(run.address.time, run.address.step);
-    const profile = book.getProfile();
-    // Members of a gang work at one pace, wherever they are.
-    const ownRatio = shape.isGang ? 1 : this.readOwnRatio(profile);
-    paces.recordPace(run.address.index, pace, pace / ownRatio);
-    const median = paces.getNormalizedMedian();
+  private recordPace({ endpoint, run, job, shape }: Measurement, pace: number, now: number): void {
+    const stepSpeeds = job.getSpeeds(run.address.time, run.address.step);
+    const profile = endpoint.getProfile();
+    // The members of a gang run at one pace on all endpoints.
+    const ownRatio = shape.isGang ? 1 : this.getOwnRatio(profile);
+    stepSpeeds.recordPace(run.address.index, pace, pace / ownRatio);
+    const median = stepSpeeds.getNormalizedMedian();
     if (median !== undefined) {
-      // An endpoint that is always slow, or one of a slow kind, is slow, not sick.
-      const usualRatio = ownRatio === 1 ? this.options.kinds.getSlowdown(profile.labels) : ownRatio;
-      book.recordSlowness(pace / median / usualRatio, now);
+      // An endpoint that is always slow, or of a slow kind, is not degraded.
+      const baselineRatio = ownRatio === 1 ? this.options.kinds.getSlowdown(profile.labels) : ownRatio;
+      endpoint.recordSlowness(pace / median / baselineRatio, now);
     }
   }
 
-  /** How much longer runs usually take on the endpoint, as far as it is learnt by itself. */
-  private readOwnRatio(profile: EndpointProfile): number {
+  /** Returns the bounded ratio learnt for the endpoint itself; 1 under policies that do not use it. */
+  private getOwnRatio(profile: EndpointProfile): number {
     const { speeds, speedChoice } = this.options;
-    return speedChoice === 'endpoints' ? Math.min(MAX_USUAL_RATIO, speeds.getSignificantRatio(profile)) : 1;
+    return speedChoice === 'endpoints' ? Math.min(MAX_OWN_RATIO, speeds.getSignificantRatio(profile)) : 1;
   }
 
-  /** Only whole runs tell of an endpoint's kind: the pace of a run under way is rough. */
-  private recordKind({ book, run, job }: Measured, pace: number): void {
+  /** Records the pace of a run that is done for the kind of its endpoint; that of a running one is too imprecise. */
+  private recordKindPace({ endpoint, run, job }: Measurement, pace: number): void {
     const median = job.getSpeeds(run.address.time, run.address.step).getMedian();
     if (median !== undefined && median > 0) {
-      this.options.kinds.recordRun(book.getProfile().labels, pace / median);
+      this.options.kinds.recordRun(endpoint.getProfile().labels, pace / median);
     }
   }
 
-  /** True once a run has come so far, or taken so long without, that its whole time can be told. */
-  private isTelling({ run, job, shape }: Measured, ageMs: number): boolean {
+  /** Returns whether the run's time can be extrapolated: it has made enough progress, or exceeds the median time without. */
+  private isTimePredictable({ run, job, shape }: Measurement, ageMs: number): boolean {
     if (shape.isGang) {
-      return run.percent >= KNOWN_GANG_PERCENT;
+      return run.percent >= MIN_GANG_PERCENT;
     }
     return (
-      run.percent >= KNOWN_PERCENT ||
+      run.percent >= MIN_PERCENT ||
       ageMs >= this.options.times.getEstimate(job.definition.queue.name, shape).medianMs
     );
   }
 
-  private recordTime(measured: Measured, wholeMs: number, now: number): void {
-    const { run, job, shape } = measured;
+  private recordTime(measurement: Measurement, runMs: number, now: number): void {
+    const { run, job, shape } = measurement;
     const times = job.getTimes(run.address.time, run.address.step);
-    this.measured.add(run);
-    if (wholeMs <= 0 || !this.isAtUsualPace(measured)) {
+    this.measuredRuns.add(run);
+    if (runMs <= 0 || !this.isAtBaselinePace(measurement)) {
       return;
     }
     if (!shape.isGang) {
-      this.recordTaskTime(measured, times, Math.log(wholeMs), now);
+      this.recordTaskTime(measurement, times, Math.log(runMs), now);
     } else if (times.claimGangRun(run.run)) {
-      this.recordGangTime(measured, Math.log(wholeMs), now);
+      this.recordGangTime(measurement, Math.log(runMs), now);
     }
   }
 
   private recordTaskTime(
-    { book, run, job, shape }: Measured,
+    { endpoint, run, job, shape }: Measurement,
     stepTimes: StepRunTimes,
     logMs: number,
     now: number,
   ): void {
     const { speeds, times } = this.options;
-    const profile = book.getProfile();
+    const profile = endpoint.getProfile();
     const queue = job.definition.queue.name;
-    const usual = times.readUsual(queue, shape);
-    const siblings = stepTimes.readSiblings(profile.incarnation, (life) =>
-      speeds.readLifeEstimate(life, profile.service),
+    const distribution = times.getDistribution(queue, shape);
+    const siblings = stepTimes.listSiblingTimes(profile.incarnation, (incarnation) =>
+      speeds.getIncarnationEstimate(incarnation, profile.service),
     );
-    const step = toUsualStepTime(usual, siblings);
+    const stepTime = estimateStepTime(distribution, siblings);
     stepTimes.recordTime(run.address.index, profile.incarnation, logMs);
-    if (usual.isLearnt || siblings.length >= MIN_SIBLINGS) {
-      // Tasks of one step on one endpoint share what is not known of their step: together they tell little more than one.
-      const shared = step.variance * stepTimes.readCountOn(profile.incarnation) ** 2;
-      const variance = usual.taskSpread ** 2 + shared;
-      speeds.recordRun(profile, { logRatio: logMs - step.logMs, variance, step: this.toStepKey(run) }, now);
-    }
-    const logUsualMs = logMs - Math.log(speeds.getEstimate(profile).ratio);
-    if (stepTimes.readCount() <= TELLING_TASKS) {
-      times.recordRun(queue, shape, logUsualMs);
+    if (distribution.isLearnt || siblings.length >= MIN_SIBLINGS) {
+      // The tasks of a step on one endpoint share the error of the step's estimate, so together they count little more than one.
+      const sharedVariance = stepTime.variance * stepTimes.countTasksOn(profile.incarnation) ** 2;
+      const variance = distribution.taskSpread ** 2 + sharedVariance;
+      speeds.recordRun(
+        profile,
+        { logRatio: logMs - stepTime.logMs, variance, step: this.toStepKey(run) },
+        now,
+      );
+    }
+    const logBaselineMs = logMs - Math.log(speeds.getEstimate(profile).ratio);
+    if (stepTimes.countTasks() <= MAX_STEP_SAMPLES) {
+      times.recordRun(queue, shape, logBaselineMs);
     }
     if (siblings.length >= MIN_SIBLINGS) {
-      times.recordDeviation(queue, shape, logUsualMs - step.logMs);
+      times.recordDeviation(queue, shape, logBaselineMs - stepTime.logMs);
     }
   }
 
-  private recordGangTime({ run, job, shape }: Measured, logMs: number, now: number): void {
-    const { speeds, times, books } = this.options;
+  private recordGangTime({ run, job, shape }: Measurement, logMs: number, now: number): void {
+    const { speeds, times, books: endpoints } = this.options;
     const queue = job.definition.queue.name;
-    const usual = times.readUsual(queue, shape);
+    const distribution = times.getDistribution(queue, shape);
     const members = job.progress
       .listTasks(run.address.time, run.address.step)
-      .flatMap(({ endpoint }) => books.get(endpoint)?.getProfile() ?? []);
+      .flatMap(({ endpoint }) => endpoints.get(endpoint)?.getProfile() ?? []);
     if (members.length < shape.count) {
       return;
     }
-    const evidence = {
-      logRatio: logMs - usual.logMs,
-      variance: usual.spread ** 2,
+    const sample = {
+      logRatio: logMs - distribution.logMs,
+      variance: distribution.spread ** 2,
       step: this.toStepKey(run),
     };
-    if (usual.isLearnt) {
-      speeds.recordGang(members, evidence, now);
+    if (distribution.isLearnt) {
+      speeds.recordGang(members, sample, now);
     }
     const slowest = Math.max(...members.map((member) => Math.log(speeds.getEstimate(member).ratio)));
     times.recordRun(queue, shape, logMs - slowest);
@@ -216,17 +223,17 @@
     return `${job}.${address.time}.${address.step}`;
   }
 
-  /** Away from its data, or from the rack of the rest of its gang, work takes longer on any endpoint. */
-  private isAtUsualPace({ book, shape }: Measured): boolean {
-    const isNearData = shape.dataRack === '' || book.getProfile().labels.includes(shape.dataRack);
+  /** Returns false for runs that may be slowed down by their distance from their data or from the rest of their gang. */
+  private isAtBaselinePace({ endpoint, shape }: Measurement): boolean {
+    const isNearData = shape.dataRack === '' || endpoint.getProfile().labels.includes(shape.dataRack);
     return isNearData && !shape.isSameRack;
   }
 
   /**
-   * Undefined for runs whose time tells nothing: fillers work at what is left over, and a run from a checkpoint does not begin at
-   * nothing.
+   * Returns undefined for runs whose time is not informative, such as fillers, which run on spare resources, and runs that continue from
+   * a checkpoint.
    */
-  private readMeasured(book: EndpointState, run: PlacedRun): Measured | undefined {
+  private createMeasurement(endpoint: EndpointState, run: PlacedRun): Measurement | undefined {
     if (run.isFiller || run.isServing || !run.isFromStart) {
       return undefined;
     }
@@ -234,6 +241,6 @@
     const shape = job?.definition.steps[run.address.step];
     return job === undefined || shape === undefined || shape.isLongRunning
       ? undefined
-      : { book, run, job, shape };
+      : { endpoint, run, job, shape };
   }
 }
--- a/packages/dispatch/speeds/RunTimeEstimate.ts
+++ b/packages/dispatch/speeds/RunTimeEstimate.ts
@@ -1,9 +1,9 @@
-/** How long one task is expected to run on a usual endpoint. */
+/** Expected run time of one task on a baseline endpoint. */
 export interface RunTimeEstimate {
-  /** Half of such tasks take less, in milliseconds. */
+  /** Median, in milliseconds. */
   readonly medianMs: number;
-  /** Nine tenths of such tasks take less, in milliseconds. */
+  /** 90th percentile, in milliseconds. */
   readonly p90Ms: number;
-  /** False while only the caller's own estimate is known. */
+  /** False while only the caller's estimate is known. */
   readonly isLearnt: boolean;
 }
--- a/packages/dispatch/speeds/RunTimes.ts
+++ b/packages/dispatch/speeds/RunTimes.ts
@@ -1,120 +1,120 @@
 import type { JobStep } from '../../jobs/JobStep';
 import type { RunTimeEstimate } from './RunTimeEstimate';
 import { SampleWindow } from './SampleWindow';
-import type { UsualTime } from './UsualTime';
+import type { RunTimeDistribution } from './RunTimeDistribution';
 
-/** What was seen of the tasks of one kind. Values are natural logarithms. */
-interface KnownTimes {
-  /** Time on a usual endpoint by the caller's estimate. */
+/** Run times of the tasks of one kind. Values are natural logarithms of ratios. */
+interface KindTimes {
+  /** Ratio of the baseline time to the caller's estimate. */
   readonly ratios: SampleWindow;
-  /** Time of a task by the usual time of its step. */
+  /** Ratio of a task's baseline time to that of its step. */
   readonly deviations: SampleWindow;
 }
 
-/** Fewer runs than this tell less than the caller's estimate. */
+/** Minimum number of samples for a window to be used. */
 const MIN_SAMPLES = 16;
-/** Kinds of tasks kept; the one of which nothing was seen for longest goes. */
+/** Maximum number of kinds; the least recently updated one is evicted. */
 const MAX_KINDS = 200;
-/** Of callers' estimates, while nothing is known of how far they are off. */
-const ESTIMATE_SPREAD = 0.6;
-/** Of the tasks of one step, while nothing is known of them. */
-const TASK_SPREAD = 0.3;
-/** Windows whose values happen to agree do not make a single run prove anything: another kind of work may come any time. */
+/** Spread of the run times around callers' estimates before enough samples are known. */
+const DEFAULT_SPREAD = 0.6;
+/** Spread of the run times within a step before enough samples are known. */
+const DEFAULT_TASK_SPREAD = 0.3;
+/** Lower bound on a learned spread, since the samples in a window may agree by chance. */
 const MIN_SPREAD = 0.2;
-const TAIL_SHARE = 0.9;
-/** Standard deviations between the median and the tail of normal values. */
+const TAIL_QUANTILE = 0.9;
+/** Standard deviations between the median and `TAIL_QUANTILE` of a normal distribution. */
 const TAIL_DEVIATIONS = 1.28;
 
-const readSpread = (window: SampleWindow): number => Math.max(MIN_SPREAD, window.readSpread());
+const computeSpread = (window: SampleWindow): number => Math.max(MIN_SPREAD, window.computeSpread());
 
-const toBaseMs = (shape: JobStep): number => Math.max(1, shape.estimatedMs);
+const getBaseMs = (shape: JobStep): number => Math.max(1, shape.estimatedMs);
 
 /**
- * Learns how long tasks run, by queue and image, against what callers estimate. Steps without an estimate and gangs are kinds of
- * their own: a gang runs as long as its longest member.
+ * Learns the distribution of run times relative to callers' estimates, by queue and image. Steps without an estimate are kinds of their
+ * own, and so are gangs, which run as long as their longest member.
  */
 export class RunTimes {
-  private readonly kinds = new Map<string, KnownTimes>();
+  private readonly kinds = new Map<string, KindTimes>();
 
-  /** Takes in the natural logarithm of the milliseconds that a task, or a whole gang, takes on a usual endpoint. */
+  /** Records the baseline time of a task or a whole gang, as the natural logarithm of milliseconds. */
   recordRun(queue: string, shape: JobStep, logMs: number): void {
-    for (const key of this.toKeys(queue, shape)) {
-      this.readOrCreate(key).ratios.recordValue(logMs - Math.log(toBaseMs(shape)));
+    for (const key of this.listKeys(queue, shape)) {
+      this.getOrCreate(key).ratios.addValue(logMs - Math.log(getBaseMs(shape)));
     }
   }
 
-  /** Takes in the natural logarithm of a task's time by the usual time of its step. */
+  /** Records the natural logarithm of the ratio of a task's baseline time to that of its step. */
   recordDeviation(queue: string, shape: JobStep, deviation: number): void {
-    for (const key of this.toKeys(queue, shape)) {
-      this.readOrCreate(key).deviations.recordValue(deviation);
+    for (const key of this.listKeys(queue, shape)) {
+      this.getOrCreate(key).deviations.addValue(deviation);
     }
   }
 
-  /** The expected time of one task of a step, or of the whole gang. */
+  /** Returns the expected run time of a task of a step, or of the whole gang. */
   getEstimate(queue: string, shape: JobStep): RunTimeEstimate {
-    const baseMs = toBaseMs(shape);
-    const ratios = this.readLearnt(queue, shape);
+    const baseMs = getBaseMs(shape);
+    const ratios = this.findRatios(queue, shape);
     if (ratios === undefined) {
-      const tailMs = baseMs * Math.exp(TAIL_DEVIATIONS * ESTIMATE_SPREAD);
-      return { medianMs: baseMs, p90Ms: tailMs, isLearnt: false };
+      const p90Ms = baseMs * Math.exp(TAIL_DEVIATIONS * DEFAULT_SPREAD);
+      return { medianMs: baseMs, p90Ms, isLearnt: false };
     }
     return {
-      medianMs: baseMs * Math.exp(ratios.readQuantile(0.5)),
-      p90Ms: baseMs * Math.exp(ratios.readQuantile(TAIL_SHARE)),
+      medianMs: baseMs * Math.exp(ratios.computeQuantile(0.5)),
+      p90Ms: baseMs * Math.exp(ratios.computeQuantile(TAIL_QUANTILE)),
       isLearnt: true,
     };
   }
 
-  /** What is known of the time of one task of a step, before any of the step has run. */
-  readUsual(queue: string, shape: JobStep): UsualTime {
-    const ratios = this.readLearnt(queue, shape);
-    const deviations = this.readKnown(queue, shape, (known) => known.deviations);
+  /** Returns the distribution of run times for a step, regardless of its own runs. */
+  getDistribution(queue: string, shape: JobStep): RunTimeDistribution {
+    const ratios = this.findRatios(queue, shape);
+    const deviations = this.findWindow(queue, shape, (kind) => kind.deviations);
     return {
-      logMs: Math.log(toBaseMs(shape)) + (ratios?.readQuantile(0.5) ?? 0),
+      logMs: Math.log(getBaseMs(shape)) + (ratios?.computeQuantile(0.5) ?? 0),
       isLearnt: ratios !== undefined,
-      spread: ratios === undefined ? ESTIMATE_SPREAD : readSpread(ratios),
-      taskSpread: deviations === undefined ? TASK_SPREAD : readSpread(deviations),
+      spread: ratios === undefined ? DEFAULT_SPREAD : computeSpread(ratios),
+      taskSpread: deviations === undefined ? DEFAULT_TASK_SPREAD : computeSpread(deviations),
     };
   }
 
-  readKindCount(): number {
+  countKinds(): number {
     return this.kinds.size;
   }
 
-  private readLearnt(queue: string, shape: JobStep): SampleWindow | undefined {
-    return this.readKnown(queue, shape, (known) => known.ratios);
+  private findRatios(queue: string, shape: JobStep): SampleWindow | undefined {
+    return this.findWindow(queue, shape, (kind) => kind.ratios);
   }
 
-  /** The window of the narrowest kind that has enough samples. */
-  private readKnown(
+  /** Returns the window of the narrowest kind that has enough samples; undefined when none has. */
+  private findWindow(
     queue: string,
     shape: JobStep,
-    readWindow: (known: KnownTimes) => SampleWindow,
+    getWindow: (kind: KindTimes) => SampleWindow,
   ): SampleWindow | undefined {
-    for (const key of this.toKeys(queue, shape)) {
-      const known = this.kinds.get(key);
-      const window = known === undefined ? undefined : readWindow(known);
-      if (window !== undefined && window.readCount() >= MIN_SAMPLES) {
+    for (const key of this.listKeys(queue, shape)) {
+      const kind = this.kinds.get(key);
+      const window = kind === undefined ? undefined : getWindow(kind);
+      if (window !== undefined && window.countValues() >= MIN_SAMPLES) {
         return window;
       }
     }
     return undefined;
   }
 
-  /** Gives a kind, and puts it last among those that may go. */
-  private readOrCreate(key: string): KnownTimes {
-    const known = this.kinds.get(key) ?? { ratios: new SampleWindow(), deviations: new SampleWindow() };
+  /** Returns a kind, marked as the most recently updated one. */
+  private getOrCreate(key: string): KindTimes {
+    const kind = this.kinds.get(key) ?? { ratios: new SampleWindow(), deviations: new SampleWindow() };
     this.kinds.delete(key);
-    const [first] = this.kinds.keys();
-    if (first !== undefined && this.kinds.size >= MAX_KINDS) {
-      this.kinds.delete(first);
+    const [oldest] = this.kinds.keys();
+    if (oldest !== undefined && this.kinds.size >= MAX_KINDS) {
+      this.kinds.delete(oldest);
     }
-    this.kinds.set(key, known);
-    return known;
+    this.kinds.set(key, kind);
+    return kind;
   }
 
-  /** Kinds that a step belongs to, the narrowest first. */
-  private toKeys(queue: string, shape: JobStep): readonly string[] {
+  /** Returns the keys of the kinds that a step belongs to, the narrowest first. */
+  private listKeys(queue: string, shape: JobStep): readonly string[] {
     const wide = `${queue} ${shape.estimatedMs > 0 ? 'estimated' : 'open'} ${shape.isGang ? 'gang' : 'task'}`;
     return shape.image === '' ? [wide] : [`${wide} ${shape.image}`, wide];
   }
--- a/packages/dispatch/speeds/SiblingTime.ts
+++ b/packages/dispatch/speeds/SiblingTime.ts
@@ -1,7 +1,7 @@
-/** What the tasks of a step on one other endpoint tell of its usual time. */
+/** Baseline time of a step's tasks, estimated from those on one endpoint. */
 export interface SiblingTime {
-  /** Natural logarithm of milliseconds, corrected for the endpoint. */
+  /** Natural logarithm of milliseconds, corrected by the speed of the endpoint. */
   readonly logMs: number;
-  /** How much of the correction is not known. */
+  /** Uncertainty of the correction. */
   readonly variance: number;
 }
--- a/packages/dispatch/speeds/SpeedGroups.ts
+++ b/packages/dispatch/speeds/SpeedGroups.ts
@@ -7,72 +7,72 @@
 interface GroupMember {
   /** Labels and hall of an endpoint. */
   readonly groups: readonly string[];
-  /** What its own runs tell. */
+  /** Mean and variance of the logarithmic ratio, by its own samples. */
   readonly mean: number;
   readonly variance: number;
 }
 
-/** Of endpoints of which nothing is known: one in three takes up to half as long again, or less. */
-const UNKNOWN: SpeedPrior = { mean: 0, variance: 0.35 ** 2 };
-/** Fewer endpoints than this do not tell what their group is like. */
-const MIN_MEMBERS = 8;
-/** Of all, where they are fewer: so many tell what is usual. */
-const MIN_ALL = 4;
-/** Endpoints of a group are not taken to be more alike than this. */
+/** Prior while no baseline is known: for two thirds of the endpoints, run times are within a factor of 1.4. */
+const DEFAULT_PRIOR: SpeedPrior = { mean: 0, variance: 0.35 ** 2 };
+/** Minimum number of members for a group to have a prior of its own. */
+const MIN_GROUP_MEMBERS = 8;
+/** Minimum number of members for a baseline. */
+const MIN_BASELINE_MEMBERS = 4;
+/** Lower bound on the variance between the members of a group. */
 const MIN_VARIANCE = 0.06 ** 2;
-/** A group is unlike the rest when its median is further off than so many standard errors: many groups are compared. */
-const UNLIKE_ERRORS = 4;
+/** Standard errors by which the median of a distinct group differs from the baseline; high since many groups are compared. */
+const DISTINCT_ERRORS = 4;
 
-/** How far chance in the members' own runs moves them. */
-const measureNoise = (members: readonly GroupMember[]): number =>
+/** Returns the part of the variance between members that is due to chance in their samples. */
+const computeNoise = (members: readonly GroupMember[]): number =>
   members.reduce((sum, { variance }) => sum + variance, 0) / members.length;
 
-const toPrior = (members: readonly GroupMember[]): SpeedPrior => {
+const computePrior = (members: readonly GroupMember[]): SpeedPrior => {
   const means = toSorted(members.map(({ mean }) => mean));
   const spread = measureSpread(means);
   return {
     mean: readQuantile(means, 0.5) ?? 0,
-    variance: Math.max(MIN_VARIANCE, spread ** 2 - measureNoise(members)),
+    variance: Math.max(MIN_VARIANCE, spread ** 2 - computeNoise(members)),
   };
 };
 
-/** What the known endpoints tell of others with the same label or in the same hall. */
+/** Priors for the speed of endpoints of one service, by their labels and hall. */
 export class SpeedGroups {
-  private all: SpeedPrior = UNKNOWN;
-  private unlike: ReadonlyMap<string, SpeedPrior> = new Map();
+  private overall: SpeedPrior = DEFAULT_PRIOR;
+  /** Priors of the groups that differ significantly from the baseline. */
+  private distinct: ReadonlyMap<string, SpeedPrior> = new Map();
+  private isBaselineKnown = false;
 
-  private isAllKnown = false;
-
-  /** Works out the groups anew, from those of so many endpoints that have run enough. */
-  applyMembers(members: readonly GroupMember[], endpointCount: number): void {
-    this.isAllKnown = members.length >= Math.max(MIN_ALL, endpointCount / 2);
-    this.all = this.isAllKnown ? toPrior(members) : UNKNOWN;
-    const unlike = new Map<string, SpeedPrior>();
-    for (const [group, own] of this.toGroups(members)) {
-      if (own.length >= MIN_MEMBERS) {
-        const prior = toPrior(own);
-        const error = Math.sqrt((prior.variance + measureNoise(own)) / own.length);
-        if (Math.abs(prior.mean - this.all.mean) > UNLIKE_ERRORS * error) {
-          unlike.set(group, prior);
+  /** Computes the priors anew from the members, which are those of `endpointCount` endpoints that have enough samples. */
+  updatePriors(members: readonly GroupMember[], endpointCount: number): void {
+    this.isBaselineKnown = members.length >= Math.max(MIN_BASELINE_MEMBERS, endpointCount / 2);
+    this.overall = this.isBaselineKnown ? computePrior(members) : DEFAULT_PRIOR;
+    const distinct = new Map<string, SpeedPrior>();
+    for (const [group, groupMembers] of this.listByGroup(members)) {
+      if (groupMembers.length >= MIN_GROUP_MEMBERS) {
+        const prior = computePrior(groupMembers);
+        const error = Math.sqrt((prior.variance + computeNoise(groupMembers)) / groupMembers.length);
+        if (Math.abs(prior.mean - this.overall.mean) > DISTINCT_ERRORS * error) {
+          distinct.set(group, prior);
         }
       }
     }
-    this.unlike = unlike;
+    this.distinct = distinct;
   }
 
-  /** True once enough endpoints are known to say what is usual, and how far chance moves them. */
-  isKnown(): boolean {
-    return this.isAllKnown;
+  /** Returns whether enough endpoints have samples for a baseline. */
+  hasBaseline(): boolean {
+    return this.isBaselineKnown;
   }
 
-  /** What to expect of an endpoint: of its groups that are unlike the rest the one whose members are most alike. */
-  readPrior(groups: readonly string[]): SpeedPrior {
-    let best = this.all;
-    if (this.unlike.size === 0) {
+  /** Returns the prior of the most uniform distinct group of an endpoint; the overall prior if none is more uniform. */
+  choosePrior(groups: readonly string[]): SpeedPrior {
+    let best = this.overall;
+    if (this.distinct.size === 0) {
       return best;
     }
     for (const group of groups) {
-      const prior = this.unlike.get(group);
+      const prior = this.distinct.get(group);
       if (prior !== undefined && prior.variance < best.variance) {
         best = prior;
       }
@@ -80,12 +80,12 @@
     return best;
   }
 
-  /** The median of all known endpoints, which is the usual one. */
-  readCentre(): number {
-    return this.all.mean;
+  /** Returns the logarithmic ratio of the median endpoint. */
+  getBaseline(): number {
+    return this.overall.mean;
   }
 
-  private toGroups(members: readonly GroupMember[]): ReadonlyMap<string, readonly GroupMember[]> {
+  private listByGroup(members: readonly GroupMember[]): ReadonlyMap<string, readonly GroupMember[]> {
     const byGroup = new Map<string, GroupMember[]>();
     for (const member of members) {
       for (const group of member.groups) {
--- a/packages/dispatch/speeds/SpeedPrior.ts
+++ b/packages/dispatch/speeds/SpeedPrior.ts
@@ -1,6 +1,6 @@
-/** What to expect of an endpoint before it has run anything; natural logarithms of ratios. */
+/** Distribution of the natural logarithm of the ratio over the endpoints of a group. */
 export interface SpeedPrior {
   readonly mean: number;
-  /** How far endpoints of the group differ from each other. */
+  /** Variance between the endpoints of the group. */
   readonly variance: number;
 }
--- a/packages/dispatch/speeds/StepRunTimes.ts
+++ b/packages/dispatch/speeds/StepRunTimes.ts
@@ -1,61 +1,59 @@
 import { appendTo } from '../../common/appendTo';
 import type { EndpointIncarnation } from '../../jobs/EndpointIncarnation';
-import { readMedian } from './readMedian';
+import { computeMedian } from './computeMedian';
 import type { SiblingTime } from './SiblingTime';
 import type { SpeedEstimate } from './SpeedEstimate';
 
 interface TaskTime {
-  readonly life: EndpointIncarnation;
-  /** Natural logarithm of the whole time in milliseconds, as it was expected when the run was measured. */
+  readonly endpoint: EndpointIncarnation;
+  /** Natural logarithm of the run time in milliseconds, extrapolated if the run had not ended. */
   readonly logMs: number;
 }
 
-/** How long the tasks of one step take, each measured once. */
+/** Run times of the tasks of one step. */
 export class StepRunTimes {
   private readonly tasks = new Map<number, TaskTime>();
-  private measuredGangRun = 0;
+  private latestGangRun = 0;
 
-  /** Takes in the time of a task; that of its newest run counts. */
-  recordTime(index: number, life: EndpointIncarnation, logMs: number): void {
-    this.tasks.set(index, { life, logMs });
+  /** Records the time of a task, in place of that of its earlier run. */
+  recordTime(index: number, endpoint: EndpointIncarnation, logMs: number): void {
+    this.tasks.set(index, { endpoint, logMs });
   }
 
-  readCount(): number {
+  countTasks(): number {
     return this.tasks.size;
   }
 
-  /** How many tasks were measured on an endpoint. */
-  readCountOn(life: EndpointIncarnation): number {
+  /** Returns how many tasks have a recorded time on an endpoint. */
+  countTasksOn(endpoint: EndpointIncarnation): number {
     let count = 0;
     for (const task of this.tasks.values()) {
-      count += task.life === life ? 1 : 0;
+      count += task.endpoint === endpoint ? 1 : 0;
     }
     return count;
   }
 
-  /**
-   * The times elsewhere than on one endpoint, one for each other endpoint. What ran on the endpoint itself cannot tell how fast it is.
-   */
-  readSiblings(
-    except: EndpointIncarnation,
-    readEstimate: (life: EndpointIncarnation) => SpeedEstimate,
+  /** Returns the median time on each other endpoint than `excluded`, corrected by its estimated speed. */
+  listSiblingTimes(
+    excluded: EndpointIncarnation,
+    getEstimate: (endpoint: EndpointIncarnation) => SpeedEstimate,
   ): readonly SiblingTime[] {
-    const byLife = new Map<EndpointIncarnation, number[]>();
-    for (const { life, logMs } of this.tasks.values()) {
-      if (life !== except) {
-        appendTo(byLife, life, logMs);
+    const byEndpoint = new Map<EndpointIncarnation, number[]>();
+    for (const { endpoint, logMs } of this.tasks.values()) {
+      if (endpoint !== excluded) {
+        appendTo(byEndpoint, endpoint, logMs);
       }
     }
-    return [...byLife].map(([life, times]) => {
-      const { ratio, spread } = readEstimate(life);
-      return { logMs: readMedian(times) - Math.log(ratio), variance: spread ** 2 };
+    return [...byEndpoint].map(([endpoint, times]) => {
+      const { ratio, spread } = getEstimate(endpoint);
+      return { logMs: computeMedian(times) - Math.log(ratio), variance: spread ** 2 };
     });
   }
 
-  /** True for the first member of a gang's run that asks: one speaks for all. */
+  /** Returns true once for each run of a gang, since one member's time stands for all. */
   claimGangRun(run: number): boolean {
-    const isFirst = run > this.measuredGangRun;
-    this.measuredGangRun = Math.max(run, this.measuredGangRun);
+    const isFirst = run > this.latestGangRun;
+    this.latestGangRun = Math.max(run, this.latestGangRun);
     return isFirst;
   }
 }
--- a/packages/dispatch/speeds/readMedian.ts
+++ b/packages/dispatch/speeds/computeMedian.ts
@@ -1,7 +1,7 @@
 import { toSorted } from '../../common/toSorted';
 
-/** The median of some values, at least one; the mean of the middle two where they are even in number. */
-export const readMedian = (values: readonly number[]): number => {
+/** Returns the median of one or more values; the mean of the middle two for an even number. */
+export const computeMedian = (values: readonly number[]): number => {
   const sorted = toSorted(values);
   return (sorted[Math.floor((sorted.length - 1) / 2)]! + sorted[Math.floor(sorted.length / 2)]!) / 2;
 };
--- a/packages/dispatch/speeds/createCompletionTimeCost.ts
+++ b/packages/dispatch/speeds/createCompletionTimeCost.ts
@@ -1,26 +1,26 @@
 import type { EndpointState } from '../endpoints/EndpointState';
 import type { SpeedSources } from '../placing/SpeedSources';
 import type { WaitingStep } from '../waiting/WaitingStep';
-import { measureLateChance } from './measureLateChance';
+import { computeLateChance } from './computeLateChance';
 
-/** Cost of being late for sure: less than a rack without the data (100), where work takes longer for sure. */
+/** Cost of a certain lateness; less than that of a rack without the data, where runs take longer in any case. */
 const LATE_COST = 80;
-/** Cost for the most urgent work of a time that is e times as long: an end that comes sooner is better also within the objective. */
-const SLOW_COST = 8;
-/** Cost for other work of an endpoint that is e times as fast: a chance of being late that is higher by a sixth is borne for it. */
-const FAST_COST = 14;
+/** Cost of an e-fold run time for the most urgent queue, which benefits from an early completion also within the objective. */
+const URGENT_SLOWDOWN_COST = 8;
+/** Cost of an e-fold speed for other queues, which leave fast endpoints to the most urgent one. */
+const FAST_ENDPOINT_COST = 14;
 
-/** How many members of a gang find room at each known ratio, the fastest first. */
-const readGangRoom = (
+/** Returns how many members of a gang fit on the endpoints of each ratio, the fastest first. */
+const listGangCapacity = (
   step: WaitingStep,
-  { speeds, room }: SpeedSources,
+  { speeds, room: capacity }: SpeedSources,
   endpoints: readonly EndpointState[],
 ): readonly (readonly [ratio: number, count: number])[] => {
   const counts = new Map<number, number>();
-  for (const book of endpoints) {
-    const count = room.countFittingTasks(book.getFreeCapacity(), step.shape);
+  for (const endpoint of endpoints) {
+    const count = capacity.countFittingTasks(endpoint.getFreeCapacity(), step.shape);
     if (count > 0) {
-      const ratio = speeds.getSignificantRatio(book.getProfile());
+      const ratio = speeds.getSignificantRatio(endpoint.getProfile());
       counts.set(ratio, (counts.get(ratio) ?? 0) + count);
     }
   }
@@ -28,22 +28,22 @@
 };
 
 /**
- * A gang runs at its slowest member: the ratio that costs least among those up to which all members find room. Undefined when no
- * endpoints have room for all.
+ * Returns the ratio of a gang's slowest member that costs least, among those at which all members fit on endpoints of this or a lower
+ * ratio; undefined when they do not all fit.
  */
 const chooseGangRatio = (
   step: WaitingStep,
   sources: SpeedSources,
   endpoints: readonly EndpointState[],
-  measureCost: (ratio: number) => number,
+  computeCost: (ratio: number) => number,
 ): number | undefined => {
-  let room = 0;
+  let fitCount = 0;
   let best: number | undefined;
   let bestCost = Infinity;
-  for (const [ratio, count] of readGangRoom(step, sources, endpoints)) {
-    room += count;
-    const cost = measureCost(ratio);
-    if (room >= step.indexes.length && cost < bestCost) {
+  for (const [ratio, count] of listGangCapacity(step, sources, endpoints)) {
+    fitCount += count;
+    const cost = computeCost(ratio);
+    if (fitCount >= step.indexes.length && cost < bestCost) {
       best = ratio;
       bestCost = cost;
     }
@@ -52,43 +52,43 @@
 };
 
 /**
- * Costs of endpoints by the expected end of a step's tasks there. The chance of being late counts first; what bears a slow endpoint
- * leaves fast ones to the most urgent. All are differences from a usual endpoint, which costs 0.
+ * Creates a function that returns the cost of an endpoint by the expected completion time of a step's tasks there, mainly by the
+ * probability of being late. Costs are relative to a baseline endpoint.
  */
 export const createCompletionTimeCost = (
   step: WaitingStep,
   sources: SpeedSources,
   endpoints: readonly EndpointState[],
   wallMs: number,
-): ((book: EndpointState) => number) => {
+): ((endpoint: EndpointState) => number) => {
   const { definition } = step.job;
-  const usual = sources.times.readUsual(definition.queue.name, step.shape);
-  // A gang is known as a whole.
+  const runTime = sources.times.getDistribution(definition.queue.name, step.shape);
+  // The run times of gangs are those of the whole gang.
   const count = step.shape.isGang ? 1 : step.shape.count;
   const leftMs = step.objectiveAtMs - wallMs - step.job.getCriticalPathAfterMs(step.step);
   const isMostUrgent = sources.room.isMostUrgent(definition.queue);
-  const usualChance = measureLateChance({ usual, count, ratio: 1, leftMs });
-  const measureCost = (ratio: number): number => {
-    const lateCost = LATE_COST * (measureLateChance({ usual, count, ratio, leftMs }) - usualChance);
-    return lateCost + (isMostUrgent ? SLOW_COST : -FAST_COST) * Math.log(ratio);
+  const baselineChance = computeLateChance({ runTime, count, ratio: 1, leftMs });
+  const computeCost = (ratio: number): number => {
+    const lateCost = LATE_COST * (computeLateChance({ runTime, count, ratio, leftMs }) - baselineChance);
+    return lateCost + (isMostUrgent ? URGENT_SLOWDOWN_COST : -FAST_ENDPOINT_COST) * Math.log(ratio);
   };
-  const gangRatio = step.shape.isGang ? chooseGangRatio(step, sources, endpoints, measureCost) : undefined;
-  const measureMemberCost = (ratio: number): number => {
+  const gangRatio = step.shape.isGang ? chooseGangRatio(step, sources, endpoints, computeCost) : undefined;
+  const computeMemberCost = (ratio: number): number => {
     if (gangRatio === undefined) {
-      return measureCost(ratio);
+      return computeCost(ratio);
     }
-    // Members that would wait for slower ones anyway leave fast endpoints to others; slower ones would hold all up.
+    // Faster members would wait for the slowest anyway, and take fast endpoints from others; slower ones would slow the gang down.
     const distance = Math.log(ratio / gangRatio);
-    return (distance > 0 ? LATE_COST : FAST_COST) * Math.abs(distance);
+    return (distance > 0 ? LATE_COST : FAST_ENDPOINT_COST) * Math.abs(distance);
   };
-  const costs = new Map<number, number>([[1, gangRatio === undefined ? 0 : measureMemberCost(1)]]);
-  return (book) => {
-    const ratio = sources.speeds.getSignificantRatio(book.getProfile());
+  const costs = new Map<number, number>([[1, gangRatio === undefined ? 0 : computeMemberCost(1)]]);
+  return (endpoint) => {
+    const ratio = sources.speeds.getSignificantRatio(endpoint.getProfile());
     const known = costs.get(ratio);
     if (known !== undefined) {
       return known;
     }
-    const cost = measureMemberCost(ratio);
+    const cost = computeMemberCost(ratio);
     costs.set(ratio, cost);
     return cost;
   };
--- a/tests/endpointSpeeds.test.ts
+++ b/tests/endpointSpeeds.test.ts
@@ -10,12 +10,12 @@
 import { JobProgress } from '../packages/jobs/JobProgress';
 import type { JobStep } from '../packages/jobs/JobStep';
 import { EndpointSpeeds } from '../packages/dispatch/speeds/EndpointSpeeds';
-import { measureLateChance } from '../packages/dispatch/speeds/measureLateChance';
+import { computeLateChance } from '../packages/dispatch/speeds/computeLateChance';
 import { RunTimes } from '../packages/dispatch/speeds/RunTimes';
 import { toId } from '../packages/common/toId';
 import type { ServiceName } from '../packages/jobs/ServiceName';
 import { StepRunTimes } from '../packages/dispatch/speeds/StepRunTimes';
-import { toUsualStepTime } from '../packages/dispatch/speeds/toUsualStepTime';
+import { estimateStepTime } from '../packages/dispatch/speeds/estimateStepTime';
 import type { EndpointIncarnation } from '../packages/jobs/EndpointIncarnation';
 import { createProfile } from './helpers/createProfile';
 import { createJobDefinition } from './helpers/createJobDefinition';
@@ -60,7 +60,7 @@
           this.now,
         );
       });
-      this.speeds.applyTime(this.now, () => true);
+      this.speeds.handleTick(this.now, () => true);
     }
   }
 
@@ -145,7 +145,7 @@
   it('forget lives that are gone', () => {
     const bench = new SpeedBench();
     bench.recordRuns(10, toSlowThird);
-    bench.speeds.applyTime(bench.now, (life) => life !== bench.readProfile(2).incarnation);
+    bench.speeds.handleTick(bench.now, (life) => life !== bench.readProfile(2).incarnation);
     expect(bench.readSlowNumbers()).toEqual(SLOW_THIRD.filter((number) => number !== 2));
   });
 
@@ -171,7 +171,7 @@
           } else {
             speeds.recordRun(profile, rest, now);
           }
-          speeds.applyTime(now, () => true);
+          speeds.handleTick(now, () => true);
           for (const known of profiles) {
             const { ratio, spread } = speeds.getEstimate(known);
             expect(Math.abs(Math.log(ratio))).toBeLessThanOrEqual(16);
@@ -214,7 +214,7 @@
     for (let image = 0; image < 1000; image += 1) {
       times.recordRun('q', createStep({ estimatedMs: 1000, image: `image-${image}` }), Math.log(3000));
     }
-    expect(times.readKindCount()).toBeLessThan(300);
+    expect(times.countKinds()).toBeLessThan(300);
     expect(times.getEstimate('q', step).isLearnt).toBe(true);
   });
 });
@@ -227,26 +227,26 @@
     times.recordTime(1, slow!, Math.log(2000));
     times.recordTime(2, slow!, Math.log(2000));
     times.recordTime(3, usual!, Math.log(1000));
-    const siblings = times.readSiblings(here!, (life) => ({ ratio: life === slow ? 2 : 1, spread: 0.1 }));
+    const siblings = times.listSiblingTimes(here!, (life) => ({ ratio: life === slow ? 2 : 1, spread: 0.1 }));
     expect(siblings.map(({ logMs }) => Math.round(Math.exp(logMs)))).toEqual([1000, 1000]);
     const known = { logMs: Math.log(4000), spread: 0.6, taskSpread: 0.2, isLearnt: true };
-    const step = toUsualStepTime(known, siblings);
+    const step = estimateStepTime(known, siblings);
     expect(Math.exp(step.logMs)).toBeGreaterThan(1000);
     expect(Math.exp(step.logMs)).toBeLessThan(1400);
-    expect(step.variance).toBeLessThan(toUsualStepTime(known, siblings.slice(1)).variance);
-    expect(toUsualStepTime(known, []).logMs).toBe(known.logMs);
+    expect(step.variance).toBeLessThan(estimateStepTime(known, siblings.slice(1)).variance);
+    expect(estimateStepTime(known, []).logMs).toBe(known.logMs);
   });
 });
 
 describe('the chance of being late', () => {
   it('rises with the ratio of the endpoint and the count of tasks, and falls with the time left', () => {
-    const usual = { logMs: Math.log(1000), spread: 0.5, taskSpread: 0.3, isLearnt: true };
-    const step = { usual, count: 1, ratio: 1, leftMs: 1000 };
-    expect(measureLateChance(step)).toBeCloseTo(0.5);
-    expect(measureLateChance({ ...step, leftMs: 1000 * Math.exp(1.28 * 0.4) })).toBeCloseTo(0.1, 1);
-    expect(measureLateChance({ ...step, ratio: 2, leftMs: 1600 })).toBeGreaterThan(0.7);
-    expect(measureLateChance({ ...step, count: 25, leftMs: 1600 })).toBeGreaterThan(0.5);
-    expect(measureLateChance({ ...step, leftMs: 0 })).toBe(1);
+    const runTime = { logMs: Math.log(1000), spread: 0.5, taskSpread: 0.3, isLearnt: true };
+    const step = { runTime, count: 1, ratio: 1, leftMs: 1000 };
+    expect(computeLateChance(step)).toBeCloseTo(0.5);
+    expect(computeLateChance({ ...step, leftMs: 1000 * Math.exp(1.28 * 0.4) })).toBeCloseTo(0.1, 1);
+    expect(computeLateChance({ ...step, ratio: 2, leftMs: 1600 })).toBeGreaterThan(0.7);
+    expect(computeLateChance({ ...step, count: 25, leftMs: 1600 })).toBeGreaterThan(0.5);
+    expect(computeLateChance({ ...step, leftMs: 0 })).toBe(1);
   });
 
   it('leaves time for the longest chain of later steps', () => {
@@ -280,11 +280,11 @@
     const indexes = Array.from({ length: steps[0]!.count }, (_, index) => index);
     const step = { job, time: 0, step: 0, shape: steps[0]!, indexes, objectiveAtMs: leftMs };
     const sources = {
-      speeds: { readKnownRatio: ({ id }: { id: string }) => ratios[id]! },
+      speeds: { getSignificantRatio: ({ id }: { id: string }) => ratios[id]! },
       times: new RunTimes(),
       room: {
         isMostUrgent: () => isMostUrgent,
-        measureFitCount: (free: { cpuMillis: number }) => Math.floor(free.cpuMillis / 1000),
+        countFittingTasks: (free: { cpuMillis: number }) => Math.floor(free.cpuMillis / 1000),
       },
     } as unknown as SpeedSources;
     const readCost = createCompletionTimeCost(step, sources, books, 0);
