--- a/tests/adviceQuestions.test.ts
+++ b/tests/adviceQuestions.test.ts
@@ -9,7 +9,7 @@
 import { createProfile } from './helpers/createProfile';
 import { createStep } from './helpers/createStep';
 
-type Question = Extract<DispatchEffect, { kind: 'advise' }>;
+type AdviceRequest = Extract<DispatchEffect, { kind: 'advise' }>;
 
 const ENDPOINTS = 24;
 
@@ -20,7 +20,7 @@
     { advice: { decisionMs: 30, perEndpointMs: 1, validityMs: 2500 } },
   );
 
-describe('questions to the advice service', () => {
+describe('advice requests', () => {
   let dispatcher: Dispatcher;
 
   beforeEach(() => {
@@ -38,25 +38,25 @@
     dispatcher.handleJob(definition, new JobProgress(definition), 0);
   };
 
-  const readQuestions = (now: number): readonly Question[] => {
+  const takeRequests = (now: number): readonly AdviceRequest[] => {
     dispatcher.placeWaiting(now, now);
-    return dispatcher.takeEffects().filter((effect): effect is Question => effect.kind === 'advise');
+    return dispatcher.takeEffects().filter((effect): effect is AdviceRequest => effect.kind === 'advise');
   };
 
-  it('name as many endpoints as the tasks are likely to need, and for another step others', () => {
+  it('have as many candidates as the tasks are likely to need, and different ones for another step', () => {
     sendJob(1);
     sendJob(2);
-    const [first, second] = readQuestions(0);
-    // Two tasks, half of the endpoints refused, twice the room: eight.
+    const [first, second] = takeRequests(0);
+    // Two tasks, with half of the endpoints refused and twice the capacity, need eight.
     expect(first!.endpoints).toHaveLength(8);
     expect(second!.endpoints).toHaveLength(8);
     expect(new Set([...first!.endpoints, ...second!.endpoints]).size).toBe(16);
   });
 
-  it('follow the share of endpoints that the queue may use', () => {
+  it('follow the share of endpoints that are allowed for the queue', () => {
     for (let number = 1; number < 40; number += 1) {
       sendJob(number);
-      for (const { step, endpoints } of readQuestions(number)) {
+      for (const { step, endpoints } of takeRequests(number)) {
         dispatcher.handleAdviceResponse(
           step,
           endpoints,
@@ -68,26 +68,26 @@
       dispatcher.handleTick(number);
     }
     sendJob(40);
-    const [last] = readQuestions(40);
-    // Nearly none is refused any more: four, and never fewer than five.
+    const [last] = takeRequests(40);
+    // With hardly any refusals four would do; the minimum is five.
     expect(last!.endpoints).toHaveLength(5);
   });
 
-  it('go on at once after an answer that was not enough, with endpoints that were not named before', () => {
+  it('are sent at once after a response that does not suffice, with new candidates', () => {
     sendJob(1);
-    const [first] = readQuestions(0);
+    const [first] = takeRequests(0);
     dispatcher.handleAdviceResponse(first!.step, first!.endpoints, new Map(), 40);
-    const [second] = readQuestions(41);
+    const [second] = takeRequests(41);
     expect(second!.endpoints.length).toBeGreaterThan(0);
     expect(second!.endpoints.filter((id) => first!.endpoints.includes(id))).toEqual([]);
   });
 
-  it('wait a little after a question that had no answer', () => {
+  it('are delayed after one without a response', () => {
     sendJob(1);
-    const [first] = readQuestions(0);
+    const [first] = takeRequests(0);
     dispatcher.handleAdviceResponse(first!.step, first!.endpoints, undefined, 40);
-    expect(readQuestions(41)).toEqual([]);
+    expect(takeRequests(41)).toEqual([]);
     dispatcher.handleTick(161);
-    expect(readQuestions(161)).toHaveLength(1);
+    expect(takeRequests(161)).toHaveLength(1);
   });
 });
--- a/tests/endpointSpeeds.test.ts
+++ b/tests/endpointSpeeds.test.ts
@@ -20,43 +20,43 @@
 import { createProfile } from './helpers/createProfile';
 import { createJobDefinition } from './helpers/createJobDefinition';
 import { createStep } from './helpers/createStep';
-import { UnlikeWorld, type QueueLoad } from './helpers/UnlikeWorld';
+import { HeterogeneousSimulation, type QueueLoad } from './helpers/HeterogeneousSimulation';
 
 const RUN_MS = 300;
-/** Chance in a run's time: as tasks of one step differ, and an estimate beside them. */
-const EVIDENCE_VARIANCE = 0.09;
+/** Variance of the logarithm of run times by chance. */
+const SAMPLE_VARIANCE = 0.09;
 
-/** Endpoints with runs drawn around true ratios; one run each `RUN_MS`, each of a step of its own. */
-class SpeedBench {
+/** Endpoints with random run times around known ratios. Each has a run of another step every `RUN_MS`. */
+class SpeedFixture {
   readonly speeds = new EndpointSpeeds();
   now = 0;
   private readonly random = createRandom(11);
   private readonly profiles: readonly ReturnType<typeof createProfile>[];
 
-  constructor(readLabel: (number: number) => string = () => 'a') {
+  constructor(getLabel: (number: number) => string = () => 'a') {
     this.profiles = Array.from({ length: 40 }, (_, number) =>
-      createProfile(`i-${number}`, { labels: [readLabel(number)] }),
+      createProfile(`i-${number}`, { labels: [getLabel(number)] }),
     );
   }
 
-  readProfile(number: number): ReturnType<typeof createProfile> {
+  getProfile(number: number): ReturnType<typeof createProfile> {
     return this.profiles[number]!;
   }
 
-  recordRuns(count: number, readRatio: (number: number) => number, tailShare = 0): void {
+  recordRuns(count: number, getRatio: (number: number) => number, tailShare = 0): void {
     for (let run = 0; run < count; run += 1) {
       this.now += RUN_MS;
       this.profiles.forEach((profile, number) => {
-        // The sum of twelve uniform values is close to a normal one of variance 1.
+        // The sum of twelve uniform values is approximately normal with variance 1.
         const normal = Array.from({ length: 12 }, () => this.random()).reduce(
           (sum, value) => sum + value,
           -6,
         );
         const tail = this.random() < tailShare ? Math.log(7) : 0;
-        const logRatio = Math.log(readRatio(number)) + tail + normal * Math.sqrt(EVIDENCE_VARIANCE);
+        const logRatio = Math.log(getRatio(number)) + tail + normal * Math.sqrt(SAMPLE_VARIANCE);
         this.speeds.recordRun(
           profile,
-          { logRatio, variance: EVIDENCE_VARIANCE, step: `${number}.${this.now}` },
+          { logRatio, variance: SAMPLE_VARIANCE, step: `${number}.${this.now}` },
           this.now,
         );
       });
@@ -64,93 +64,95 @@
     }
   }
 
-  readSlowNumbers(): readonly number[] {
+  listSlowNumbers(): readonly number[] {
     return this.profiles.flatMap((profile, number) =>
       this.speeds.getSignificantRatio(profile) > 1 ? [number] : [],
     );
   }
 }
 
-const toSlowThird = (number: number): number => (number % 3 === 2 ? 2 : 1);
+const getSlowThirdRatio = (number: number): number => (number % 3 === 2 ? 2 : 1);
 const SLOW_THIRD = Array.from({ length: 40 }, (_, number) => number).filter((number) => number % 3 === 2);
 
-describe('the speeds of endpoints', () => {
-  it('are told after about five runs where they differ by a factor of two, though labels tell nothing', () => {
-    const bench = new SpeedBench();
-    bench.recordRuns(5, toSlowThird);
-    expect(bench.readSlowNumbers().filter((number) => !SLOW_THIRD.includes(number))).toEqual([]);
-    expect(bench.readSlowNumbers().length).toBeGreaterThan(0.6 * SLOW_THIRD.length);
-    bench.recordRuns(4, toSlowThird);
-    expect(bench.readSlowNumbers()).toEqual(SLOW_THIRD);
+describe('the estimated speeds of endpoints', () => {
+  it('are significant after about five runs if they differ by a factor of two, regardless of labels', () => {
+    const fixture = new SpeedFixture();
+    fixture.recordRuns(5, getSlowThirdRatio);
+    expect(fixture.listSlowNumbers().filter((number) => !SLOW_THIRD.includes(number))).toEqual([]);
+    expect(fixture.listSlowNumbers().length).toBeGreaterThan(0.6 * SLOW_THIRD.length);
+    fixture.recordRuns(4, getSlowThirdRatio);
+    expect(fixture.listSlowNumbers()).toEqual(SLOW_THIRD);
   });
 
-  it('are all the same where endpoints are alike; of long runs only two in a row may mislead, for a few runs', () => {
-    const bench = new SpeedBench();
+  it('are equal for similar endpoints, except for a few runs after two consecutive long ones', () => {
+    const fixture = new SpeedFixture();
     for (let part = 0; part < 20; part += 1) {
-      bench.recordRuns(5, () => 1);
-      expect(bench.speeds.countByClass()).toEqual({ slow: 0, usual: 40, fast: 0 });
+      fixture.recordRuns(5, () => 1);
+      expect(fixture.speeds.countByClass()).toEqual({ slow: 0, usual: 40, fast: 0 });
     }
     let misled = 0;
     for (let run = 0; run < 100; run += 1) {
-      bench.recordRuns(1, () => 1, 0.03);
-      misled += bench.readSlowNumbers().length;
+      fixture.recordRuns(1, () => 1, 0.03);
+      misled += fixture.listSlowNumbers().length;
     }
     expect(misled).toBeLessThan(0.005 * 40 * 100);
   });
 
-  it('follow a fault that comes and passes within a few runs', () => {
-    const bench = new SpeedBench();
-    bench.recordRuns(20, () => 1);
-    bench.recordRuns(5, (number) => (number === 4 ? 5 : 1));
-    expect(bench.readSlowNumbers()).toEqual([4]);
-    bench.recordRuns(5, () => 1);
-    expect(bench.readSlowNumbers()).toEqual([]);
+  it('follow the start and end of a fault within a few runs', () => {
+    const fixture = new SpeedFixture();
+    fixture.recordRuns(20, () => 1);
+    fixture.recordRuns(5, (number) => (number === 4 ? 5 : 1));
+    expect(fixture.listSlowNumbers()).toEqual([4]);
+    fixture.recordRuns(5, () => 1);
+    expect(fixture.listSlowNumbers()).toEqual([]);
   });
 
-  it('are those of the label or the hall for one that has run nothing, where these tell', () => {
-    const bench = new SpeedBench((number) => (number % 3 === 2 ? 'b' : 'a'));
-    bench.recordRuns(12, toSlowThird);
-    expect(bench.speeds.getSignificantRatio(createProfile('new-b', { labels: ['b'] }))).toBeGreaterThan(1.6);
-    expect(bench.speeds.getSignificantRatio(createProfile('new-a', { labels: ['a'] }))).toBe(1);
-    expect(bench.speeds.getSignificantRatio(createProfile('new-c', { labels: ['c'] }))).toBe(1);
+  it('are those of the label for an endpoint without runs, if the label is distinct', () => {
+    const fixture = new SpeedFixture((number) => (number % 3 === 2 ? 'b' : 'a'));
+    fixture.recordRuns(12, getSlowThirdRatio);
+    expect(fixture.speeds.getSignificantRatio(createProfile('new-b', { labels: ['b'] }))).toBeGreaterThan(
+      1.6,
+    );
+    expect(fixture.speeds.getSignificantRatio(createProfile('new-a', { labels: ['a'] }))).toBe(1);
+    expect(fixture.speeds.getSignificantRatio(createProfile('new-c', { labels: ['c'] }))).toBe(1);
   });
 
-  it('are learnt from gangs for the slowest member alone', () => {
-    const bench = new SpeedBench();
-    bench.recordRuns(10, toSlowThird);
+  it('are learnt from gangs only for the slowest member', () => {
+    const fixture = new SpeedFixture();
+    fixture.recordRuns(10, getSlowThirdRatio);
     for (let run = 0; run < 20; run += 1) {
-      const members = [0, 1, 2].map((number) => bench.readProfile(number));
-      const evidence = { logRatio: Math.log(2), variance: EVIDENCE_VARIANCE, step: `gang ${run}` };
-      bench.speeds.recordGang(members, evidence, bench.now + run);
+      const members = [0, 1, 2].map((number) => fixture.getProfile(number));
+      const sample = { logRatio: Math.log(2), variance: SAMPLE_VARIANCE, step: `gang ${run}` };
+      fixture.speeds.recordGang(members, sample, fixture.now + run);
     }
-    expect(bench.readSlowNumbers()).toEqual(SLOW_THIRD);
+    expect(fixture.listSlowNumbers()).toEqual(SLOW_THIRD);
   });
 
-  it('are compared within a service', () => {
-    const bench = new SpeedBench();
+  it('are relative to the baseline of the service', () => {
+    const fixture = new SpeedFixture();
     const others = Array.from({ length: 10 }, (_, number) =>
       createProfile(`other-${number}`, { service: toId<ServiceName>('service-b') }),
     );
     for (let run = 0; run < 10; run += 1) {
-      bench.recordRuns(1, toSlowThird);
+      fixture.recordRuns(1, getSlowThirdRatio);
       for (const profile of others) {
-        const evidence = { logRatio: Math.log(3), variance: EVIDENCE_VARIANCE, step: `other ${run}` };
-        bench.speeds.recordRun(profile, evidence, bench.now);
+        const sample = { logRatio: Math.log(3), variance: SAMPLE_VARIANCE, step: `other ${run}` };
+        fixture.speeds.recordRun(profile, sample, fixture.now);
       }
     }
-    expect(others.map((profile) => bench.speeds.getSignificantRatio(profile))).toEqual(others.map(() => 1));
-    expect(bench.readSlowNumbers()).toEqual(SLOW_THIRD);
+    expect(others.map((profile) => fixture.speeds.getSignificantRatio(profile))).toEqual(others.map(() => 1));
+    expect(fixture.listSlowNumbers()).toEqual(SLOW_THIRD);
   });
 
-  it('forget lives that are gone', () => {
-    const bench = new SpeedBench();
-    bench.recordRuns(10, toSlowThird);
-    bench.speeds.handleTick(bench.now, (life) => life !== bench.readProfile(2).incarnation);
-    expect(bench.readSlowNumbers()).toEqual(SLOW_THIRD.filter((number) => number !== 2));
+  it('are forgotten with the incarnation', () => {
+    const fixture = new SpeedFixture();
+    fixture.recordRuns(10, getSlowThirdRatio);
+    fixture.speeds.handleTick(fixture.now, (incarnation) => incarnation !== fixture.getProfile(2).incarnation);
+    expect(fixture.listSlowNumbers()).toEqual(SLOW_THIRD.filter((number) => number !== 2));
   });
 
-  it('stay finite, within what was seen, whatever comes in', () => {
-    const evidence = fc.record({
+  it('are finite and bounded for arbitrary samples', () => {
+    const samples = fc.record({
       endpoint: fc.nat(9),
       logRatio: fc.double({ min: -8, max: 8, noNaN: true }),
       variance: fc.double({ min: 0.04, max: 4, noNaN: true }),
@@ -159,7 +161,7 @@
       isGang: fc.boolean(),
     });
     fc.assert(
-      fc.property(fc.array(evidence, { maxLength: 80 }), (all) => {
+      fc.property(fc.array(samples, { maxLength: 80 }), (all) => {
         const speeds = new EndpointSpeeds();
         const profiles = Array.from({ length: 10 }, (_, number) => createProfile(`i-${number}`));
         let now = 0;
@@ -189,7 +191,7 @@
 });
 
 describe('run times', () => {
-  it('are learnt by image, else by queue, else the caller is believed', () => {
+  it('are learnt by image, or else by queue, with the estimate of the caller as the default', () => {
     const times = new RunTimes();
     const step = createStep({ estimatedMs: 1000, image: 'a' });
     expect(times.getEstimate('q', step)).toMatchObject({ medianMs: 1000, isLearnt: false });
@@ -204,7 +206,7 @@
     expect(times.getEstimate('other', step).isLearnt).toBe(false);
   });
 
-  it('follow a change, and stay bounded', () => {
+  it('follow a change, and are kept for a bounded number of kinds', () => {
     const times = new RunTimes();
     const step = createStep({ estimatedMs: 1000 });
     for (let run = 0; run < 200; run += 1) {
@@ -219,8 +221,8 @@
   });
 });
 
-describe('the usual time of a step', () => {
-  it('comes from siblings elsewhere, one for each endpoint, corrected for it', () => {
+describe('the baseline time of a step', () => {
+  it('is estimated from one time for each other endpoint, corrected by its speed', () => {
     const [here, slow, usual] = ['here', 'slow', 'usual'].map((name) => toId<EndpointIncarnation>(name));
     const times = new StepRunTimes();
     times.recordTime(0, here!, Math.log(9000));
@@ -238,8 +240,8 @@
   });
 });
 
-describe('the chance of being late', () => {
-  it('rises with the ratio of the endpoint and the count of tasks, and falls with the time left', () => {
+describe('the probability of being late', () => {
+  it('increases with the ratio of the endpoint and the number of tasks, and decreases with the time left', () => {
     const runTime = { logMs: Math.log(1000), spread: 0.5, taskSpread: 0.3, isLearnt: true };
     const step = { runTime, count: 1, ratio: 1, leftMs: 1000 };
     expect(computeLateChance(step)).toBeCloseTo(0.5);
@@ -249,7 +251,7 @@
     expect(computeLateChance({ ...step, leftMs: 0 })).toBe(1);
   });
 
-  it('leaves time for the longest chain of later steps', () => {
+  it('allows for the critical path of later steps', () => {
     const steps = [
       createStep({ estimatedMs: 100 }),
       createStep({ estimatedMs: 200, dependsOn: [0] }),
@@ -262,14 +264,18 @@
   });
 });
 
-describe('the cost of an endpoint by the expected end', () => {
-  const createBook = (id: string, freeCpuMillis: number): EndpointState => {
+describe('the cost of an endpoint by the expected completion time', () => {
+  const createEndpoint = (id: string, freeCpuMillis: number): EndpointState => {
     const capacity = { cpuMillis: freeCpuMillis, memoryMb: 64_000, accelerators: 0 };
     return new EndpointState(createProfile(id, { capacity }), 0, new CustomerUsage());
   };
   const ratios: Readonly<Record<string, number>> = { usual: 1, slow: 2, slower: 3 };
-  const books = [createBook('usual', 2000), createBook('slow', 4000), createBook('slower', 9000)];
-  const readCosts = (
+  const endpoints = [
+    createEndpoint('usual', 2000),
+    createEndpoint('slow', 4000),
+    createEndpoint('slower', 9000),
+  ];
+  const computeCosts = (
     shape: Partial<JobStep>,
     leftMs: number,
     isMostUrgent = false,
@@ -287,26 +293,26 @@
         countFittingTasks: (free: { cpuMillis: number }) => Math.floor(free.cpuMillis / 1000),
       },
     } as unknown as SpeedSources;
-    const readCost = createCompletionTimeCost(step, sources, books, 0);
-    return Object.fromEntries(books.map((book) => [book.getProfile().id, readCost(book)]));
+    const computeCost = createCompletionTimeCost(step, sources, endpoints, 0);
+    return Object.fromEntries(endpoints.map((endpoint) => [endpoint.getProfile().id, computeCost(endpoint)]));
   };
 
-  it('is higher where work would be late, and lower on slow endpoints for work that bears them', () => {
-    const tight = readCosts({}, 1500);
+  it('is higher where jobs would be late, and lower on slow endpoints for jobs with ample time', () => {
+    const tight = computeCosts({}, 1500);
     expect(tight['usual']).toBe(0);
     expect(tight['slow']).toBeGreaterThan(1);
     expect(tight['slower']).toBeGreaterThan(tight['slow']!);
-    const ample = readCosts({}, 20_000);
+    const ample = computeCosts({}, 20_000);
     expect(ample['slow']).toBeLessThan(-1);
-    expect(readCosts({}, 20_000, true)['slow']).toBeGreaterThan(1);
-    expect(readCosts({}, -1000, true)['slow']).toBeGreaterThan(1);
+    expect(computeCosts({}, 20_000, true)['slow']).toBeGreaterThan(1);
+    expect(computeCosts({}, -1000, true)['slow']).toBeGreaterThan(1);
   });
 
-  it('is for a gang that of its slowest member: like speeds first, no slower ones than it takes', () => {
-    const two = readCosts({ isGang: true, count: 2 }, 1500);
+  it('is based on the slowest member of a gang, and prefers similar speeds', () => {
+    const two = computeCosts({ isGang: true, count: 2 }, 1500);
     expect(two['usual']).toBe(0);
     expect(two['slow']).toBeGreaterThan(1);
-    const five = readCosts({ isGang: true, count: 5 }, 1500);
+    const five = computeCosts({ isGang: true, count: 5 }, 1500);
     expect(five['slow']).toBeLessThan(five['usual']!);
     expect(five['slower']).toBeGreaterThan(five['usual']!);
   });
@@ -316,18 +322,18 @@
 const WARM_UP_MS = 5000;
 const COUNTED_UNTIL_MS = 25_000;
 const LOAD_MS = 32_000;
-/** Urgent tasks of 3 take a tenth of all processors, batch steps of 25 a quarter, gangs of 20 a third. */
+/** Urgent jobs of 3 tasks use a tenth of the processors, gangs of 20 a third, batch jobs of 25 a quarter. */
 const QUEUES: readonly QueueLoad[] = [
   {
     name: 'urgent',
     priority: 0,
     stretch: 1.5,
     targetLatencyMs: 250,
-    everyMs: 70,
+    intervalMs: 70,
     count: 3,
     cpuMillis: 4950,
     meanMs: 850,
-    estimateOff: 0.2,
+    maxEstimateError: 0.2,
     gangShare: 0.3,
   },
   {
@@ -335,11 +341,11 @@
     priority: 1,
     stretch: 2.2,
     targetLatencyMs: 1000,
-    everyMs: 940,
+    intervalMs: 940,
     count: 20,
     cpuMillis: 9000,
     meanMs: 3400,
-    estimateOff: 0.5,
+    maxEstimateError: 0.5,
     gangShare: 1,
   },
   {
@@ -347,142 +353,146 @@
     priority: 2,
     stretch: 4,
     targetLatencyMs: 3000,
-    everyMs: 350,
+    intervalMs: 350,
     count: 25,
     cpuMillis: 3450,
     meanMs: 1900,
-    estimateOff: 0.9,
+    maxEstimateError: 0.9,
     gangShare: 0,
   },
 ];
-const TROUBLE = { tailShare: 0.03, failureShare: 0.02 };
+const FAULTS = { tailShare: 0.03, failureShare: 0.02 };
 
-type UnlikeOptions = ConstructorParameters<typeof UnlikeWorld>[0];
+type SimulationOptions = ConstructorParameters<typeof HeterogeneousSimulation>[0];
 
-const createUnlike = (
-  speedChoice: SpeedPolicyName,
+const createSimulation = (
+  speedPolicy: SpeedPolicyName,
   seed: number,
-  options: Partial<UnlikeOptions> = {},
-): UnlikeWorld =>
-  new UnlikeWorld({
-    speedChoice,
+  options: Partial<SimulationOptions> = {},
+): HeterogeneousSimulation =>
+  new HeterogeneousSimulation({
+    speedPolicy,
     seed,
     queues: QUEUES,
     endpoints: ENDPOINTS,
-    readSlowness: (endpoint) => (endpoint % 3 === 2 ? 1.7 : 0.7),
-    ...TROUBLE,
+    getSlowdown: (endpoint) => (endpoint % 3 === 2 ? 1.7 : 0.7),
+    ...FAULTS,
     ...options,
   });
 
-const startUnlike = (speedChoice: SpeedPolicyName, seed: number): UnlikeWorld => {
-  const world = createUnlike(speedChoice, seed);
-  world.start(LOAD_MS);
-  return world;
+const runSimulation = (speedPolicy: SpeedPolicyName, seed: number): HeterogeneousSimulation => {
+  const simulation = createSimulation(speedPolicy, seed);
+  simulation.runUntil(LOAD_MS);
+  return simulation;
 };
 
-const startAlike = (
-  speedChoice: SpeedPolicyName,
+const runUniformSimulation = (
+  speedPolicy: SpeedPolicyName,
   seed: number,
-  options: Partial<UnlikeOptions>,
-): UnlikeWorld => {
-  const world = createUnlike(speedChoice, seed, { readSlowness: () => 1, ...options });
-  world.start(COUNTED_UNTIL_MS);
-  return world;
+  options: Partial<SimulationOptions>,
+): HeterogeneousSimulation => {
+  const simulation = createSimulation(speedPolicy, seed, { getSlowdown: () => 1, ...options });
+  simulation.runUntil(COUNTED_UNTIL_MS);
+  return simulation;
 };
 
-describe('a load on endpoints of unlike speed, with labels that tell nothing', () => {
-  it('has urgent work in time, which is late when placed blind, and the least urgent bears it', () => {
-    const readShare = (world: UnlikeWorld, queue: string): number =>
-      world.readInTime(queue, WARM_UP_MS, COUNTED_UNTIL_MS);
+describe('the load on a heterogeneous cluster whose labels are unrelated to speeds', () => {
+  it('completes urgent jobs in time that would be late without regard to speeds, and keeps batch jobs in time', () => {
+    const computeShare = (simulation: HeterogeneousSimulation, queue: string): number =>
+      simulation.computeInTimeShare(queue, WARM_UP_MS, COUNTED_UNTIL_MS);
     for (const seed of [1, 2]) {
-      const blind = startUnlike('blind', seed);
-      const endpoints = startUnlike('endpoints', seed);
-      expect(readShare(endpoints, 'urgent')).toBeGreaterThanOrEqual(0.92);
-      expect(readShare(endpoints, 'batch')).toBeGreaterThanOrEqual(0.95);
-      expect(readShare(endpoints, 'gang')).toBeGreaterThan(readShare(blind, 'gang'));
-      expect(readShare(blind, 'urgent')).toBeLessThan(0.86);
+      const blind = runSimulation('blind', seed);
+      const endpoints = runSimulation('endpoints', seed);
+      expect(computeShare(endpoints, 'urgent')).toBeGreaterThanOrEqual(0.92);
+      expect(computeShare(endpoints, 'batch')).toBeGreaterThanOrEqual(0.95);
+      expect(computeShare(endpoints, 'gang')).toBeGreaterThan(computeShare(blind, 'gang'));
+      expect(computeShare(blind, 'urgent')).toBeLessThan(0.86);
       expect(endpoints.dispatcher.getSpeeds().countByClass()).toEqual({ slow: 20, usual: 40, fast: 0 });
     }
   }, 60_000);
 
-  it('is decided on endpoints that are alike exactly as it is when placed blind', () => {
+  it('is placed as without regard to speeds if all endpoints are equal', () => {
     for (const seed of [1, 2, 3]) {
-      const [blind, endpoints] = (['blind', 'endpoints'] as const).map((speedChoice) =>
-        startAlike(speedChoice, seed, { tailShare: 0, failureShare: 0 }),
+      const [blind, endpoints] = (['blind', 'endpoints'] as const).map((speedPolicy) =>
+        runUniformSimulation(speedPolicy, seed, { tailShare: 0, failureShare: 0 }),
       );
       expect(endpoints!.starts).toEqual(blind!.starts);
       expect(endpoints!.starts.length).toBeGreaterThan(2000);
     }
   }, 60_000);
 
-  it('has hardly an endpoint taken for another where all are alike, with long tails and failures', () => {
+  it('has hardly any misclassified endpoints if all are equal, despite long tails and failures', () => {
     for (const seed of [1, 2, 3]) {
-      const { dispatcher } = startAlike('endpoints', seed, {});
+      const { dispatcher } = runUniformSimulation('endpoints', seed, {});
       expect(dispatcher.getSpeeds().countByClass().usual).toBeGreaterThanOrEqual(ENDPOINTS - 3);
     }
   }, 60_000);
 
-  it('is known anew to a new leader within seconds, from nothing but what runs', () => {
-    const world = createUnlike('endpoints', 4);
-    world.start(12_000);
-    expect(world.dispatcher.getSpeeds().countByClass().slow).toBeGreaterThan(15);
-    world.startLeader();
-    expect(world.dispatcher.getSpeeds().countByClass()).toEqual({ slow: 0, usual: 0, fast: 0 });
-    world.start(24_000);
-    const { slow, fast } = world.dispatcher.getSpeeds().countByClass();
+  it('lets a new leader learn the speeds within seconds from running tasks', () => {
+    const simulation = createSimulation('endpoints', 4);
+    simulation.runUntil(12_000);
+    expect(simulation.dispatcher.getSpeeds().countByClass().slow).toBeGreaterThan(15);
+    simulation.startNextLeader();
+    expect(simulation.dispatcher.getSpeeds().countByClass()).toEqual({ slow: 0, usual: 0, fast: 0 });
+    simulation.runUntil(24_000);
+    const { slow, fast } = simulation.dispatcher.getSpeeds().countByClass();
     expect(slow).toBeGreaterThan(15);
     expect(slow + fast).toBeLessThan(25);
-    expect(world.readInTime('urgent', 17_000, 22_000)).toBeGreaterThanOrEqual(0.92);
+    expect(simulation.computeInTimeShare('urgent', 17_000, 22_000)).toBeGreaterThanOrEqual(0.92);
   }, 30_000);
 
-  it('has urgent work in time at least as often as by kinds where labels tell', () => {
-    const readShare = (speedChoice: SpeedPolicyName): number => {
-      const world = createUnlike(speedChoice, 5, {
-        readSlowness: (endpoint) => (endpoint % 3 === 2 ? 2 : 1),
-        readLabel: (endpoint) => (endpoint % 3 === 2 ? 'b' : 'a'),
+  it('completes urgent jobs in time at least as often as with speeds by kind if labels are related to speeds', () => {
+    const computeShare = (speedPolicy: SpeedPolicyName): number => {
+      const simulation = createSimulation(speedPolicy, 5, {
+        getSlowdown: (endpoint) => (endpoint % 3 === 2 ? 2 : 1),
+        getLabel: (endpoint) => (endpoint % 3 === 2 ? 'b' : 'a'),
         tailShare: 0,
         failureShare: 0,
       });
-      world.start(18_000);
-      return world.readInTime('urgent', WARM_UP_MS, 15_000);
+      simulation.runUntil(18_000);
+      return simulation.computeInTimeShare('urgent', WARM_UP_MS, 15_000);
     };
-    const [blind, kinds, endpoints] = [readShare('blind'), readShare('kinds'), readShare('endpoints')];
-    // A few jobs of the 140 that count may be late by chance.
+    const [blind, kinds, endpoints] = [
+      computeShare('blind'),
+      computeShare('kinds'),
+      computeShare('endpoints'),
+    ];
+    // A few of the 140 counted jobs may be late by chance.
     expect(endpoints).toBeGreaterThan(kinds - 0.03);
     expect(endpoints).toBeGreaterThan(blind + 0.1);
   }, 30_000);
 
-  it('has slow endpoints that are not held for sick, and sick ones that are', () => {
-    const countDoubtful = (
-      speedChoice: SpeedPolicyName,
-    ): { readonly sound: number; readonly sick: number } => {
-      const world = createUnlike(speedChoice, 6, {
-        readSlowness: (endpoint, now) => (endpoint < 3 && now > 15_000 ? 9 : endpoint % 3 === 2 ? 1.7 : 0.7),
+  it('rarely has slow endpoints considered degraded, unlike faulty ones', () => {
+    const countDegraded = (
+      speedPolicy: SpeedPolicyName,
+    ): { readonly healthy: number; readonly faulty: number } => {
+      const simulation = createSimulation(speedPolicy, 6, {
+        getSlowdown: (endpoint, now) => (endpoint < 3 && now > 15_000 ? 9 : endpoint % 3 === 2 ? 1.7 : 0.7),
         tailShare: 0,
         failureShare: 0,
       });
-      const counts = { sound: 0, sick: 0 };
-      world.start(10_000);
+      const counts = { healthy: 0, faulty: 0 };
+      simulation.runUntil(10_000);
       for (let now = 10_100; now < 20_000; now += 100) {
-        world.start(now);
-        for (const book of world.readDoubtfulBooks()) {
-          const isSick = Number(book.getProfile().id.slice(2)) < 3;
-          counts[isSick ? 'sick' : 'sound'] += 1;
+        simulation.runUntil(now);
+        for (const endpoint of simulation.listDegraded()) {
+          const isFaulty = Number(endpoint.getProfile().id.slice(2)) < 3;
+          counts[isFaulty ? 'faulty' : 'healthy'] += 1;
         }
       }
       return counts;
     };
-    const blind = countDoubtful('blind');
-    const endpoints = countDoubtful('endpoints');
-    expect(endpoints.sound).toBeLessThan(0.5 * blind.sound);
-    expect(endpoints.sick).toBeGreaterThan(0.5 * blind.sick);
+    const blind = countDegraded('blind');
+    const endpoints = countDegraded('endpoints');
+    expect(endpoints.healthy).toBeLessThan(0.5 * blind.healthy);
+    expect(endpoints.faulty).toBeGreaterThan(0.5 * blind.faulty);
   }, 30_000);
 
-  it('has few lines about endpoints', () => {
-    const { lines } = startUnlike('endpoints', 3);
+  it('causes few log lines about endpoints', () => {
+    const { logLines } = runSimulation('endpoints', 3);
 
-    const told = lines.filter(({ sentence }) => sentence === "Endpoint's speed has changed.");
-    expect(told.length).toBeGreaterThanOrEqual(20);
-    expect(told.length).toBeLessThan(2 * ENDPOINTS);
+    const changes = logLines.filter(({ sentence }) => sentence === "Endpoint's speed has changed.");
+    expect(changes.length).toBeGreaterThanOrEqual(20);
+    expect(changes.length).toBeLessThan(2 * ENDPOINTS);
   }, 30_000);
 });
--- a/tests/helpers/AdviceLoad.ts
+++ b/tests/helpers/AdviceSimulation.ts
@@ -21,40 +21,40 @@
 
 type StartEffect = Extract<DispatchEffect, { kind: 'start' }>;
 
-/** Jobs that come all the time. */
-interface Stream {
+/** A kind of job that arrives at a constant rate. */
+interface JobStream {
   readonly queue: Partial<JobQueue> & {
     readonly name: string;
     readonly advice: NonNullable<JobQueue['advice']>;
   };
   readonly step: Partial<JobStep> & { readonly count: number; readonly estimatedMs: number };
   readonly perSecond: number;
-  /** Share of the endpoints that a step may use. */
-  readonly share: number;
+  /** Share of the endpoints that the service allows for a step. */
+  readonly allowedShare: number;
 }
 
-interface AdviceLoadOptions {
-  readonly turns: AdvicePolicyName;
-  readonly streams: readonly Stream[];
+interface AdviceSimulationOptions {
+  readonly policy: AdvicePolicyName;
+  readonly streams: readonly JobStream[];
   readonly endpoints: number;
   readonly boxes: number;
   readonly seed: number;
-  /** How much longer than the service needs a box takes to answer, in milliseconds; Infinity when it falls silent. */
-  readonly readBoxDelayMs: (box: number, now: number) => number;
-  /** The service turns every question away until a time, from another. */
-  readonly refusal?: { readonly from: number; readonly until: number };
+  /** Returns the delay of a box's responses beyond the service's time, in milliseconds; Infinity while it does not respond. */
+  readonly getBoxDelayMs: (box: number, now: number) => number;
+  /** Time during which the service rejects all requests. */
+  readonly outage?: { readonly from: number; readonly until: number };
 }
 
-interface PlayedJob {
+interface SimulatedJob {
   readonly definition: JobDefinition;
   readonly progress: JobProgress;
   readonly sentAt: number;
-  /** All its tasks had been started once. */
+  /** Time at which none of its tasks was waiting for the first time. */
   startedAt: number | undefined;
   endedAt: number | undefined;
 }
 
-interface PlayedRun {
+interface SimulatedRun {
   readonly task: TaskName;
   readonly run: number;
   readonly job: string;
@@ -63,12 +63,12 @@
 }
 
 const TICK_MS = 5;
-const LOOK_EVERY_MS = 100;
-const ORDER_MS = 10;
-const STOP_MS = 100;
+const STATUS_INTERVAL_MS = 100;
+const START_LATENCY_MS = 10;
+const STOP_LATENCY_MS = 100;
 
-/** A number from 0 to 1 that is the same for the same text: what a step may use, and how long a task works, do not change. */
-const toChance = (text: string): number => {
+/** Returns a number from 0 to 1 that only depends on the text, so that allowed endpoints and run times do not change. */
+const computeChance = (text: string): number => {
   let hash = 0;
   for (const letter of text) {
     hash = (Math.imul(hash, 31) + letter.charCodeAt(0)) >>> 0;
@@ -76,118 +76,118 @@
   return createRandom(hash)();
 };
 
-/** A leader's decisions, its desk, endpoints and the advice service, in one process and in the time of vitest's fake timers. */
-export class AdviceLoad {
-  readonly jobs: PlayedJob[] = [];
-  /** When questions reached the service, or a box that passed them on. */
-  readonly asked: number[] = [];
-  /** Time for which the service has worked, in milliseconds. */
+/** Simulated dispatcher, advice balancer, endpoints and advice service in the time of Vitest's fake timers. */
+export class AdviceSimulation {
+  readonly jobs: SimulatedJob[] = [];
+  /** Times at which requests were sent, with or without a response. */
+  readonly requestTimes: number[] = [];
+  /** Total time that the service has spent on requests, in milliseconds. */
   servedMs = 0;
-  /** Starts whose ticket had run out, or was none. */
-  badTickets = 0;
-  readonly counts = new Map<string, number>();
+  /** Number of starts with an expired ticket or none. */
+  invalidTickets = 0;
+  readonly counters = new Map<string, number>();
   private readonly random: () => number;
-  private readonly running = new Map<EndpointIncarnation, PlayedRun[]>();
+  private readonly running = new Map<EndpointIncarnation, SimulatedRun[]>();
   private readonly ended = new Map<EndpointIncarnation, EndedTaskStatus[]>();
-  private readonly askers: readonly AdviceChannel[];
+  private readonly channels: readonly AdviceChannel[];
   private dispatcher: Dispatcher;
-  private desk: AdviceBalancer;
+  private balancer: AdviceBalancer;
   private endCount = 0;
   private now = 0;
 
-  constructor(private readonly options: AdviceLoadOptions) {
+  constructor(private readonly options: AdviceSimulationOptions) {
     this.random = createRandom(options.seed);
     for (let number = 0; number < options.endpoints; number += 1) {
       this.running.set(toId<EndpointIncarnation>(`i-${number}`), []);
     }
-    this.askers = Array.from({ length: options.boxes }, (_none, box) => this.createAsker(box));
+    this.channels = Array.from({ length: options.boxes }, (_none, box) => this.createChannel(box));
     this.dispatcher = this.createDispatcher();
-    this.desk = this.createDesk(this.dispatcher);
+    this.balancer = this.createBalancer(this.dispatcher);
   }
 
-  /** Lets the load go on until a time. */
-  async startUntil(until: number): Promise<void> {
+  /** Runs the simulation until a time. */
+  async runUntil(until: number): Promise<void> {
     for (; this.now < until; this.now += TICK_MS) {
       this.sendJobs();
-      this.applyEnds();
-      if (this.now % LOOK_EVERY_MS === 0) {
-        this.sendLooks();
+      this.handleEnds();
+      if (this.now % STATUS_INTERVAL_MS === 0) {
+        this.sendStatuses();
         this.dispatcher.handleTick(this.now);
       }
-      this.dispatcher.placeWaiting(this.now, this.now, this.desk.getFreeSlots());
-      this.dispatcher.takeEffects().forEach((effect) => this.applyEffect(effect));
+      this.dispatcher.placeWaiting(this.now, this.now, this.balancer.getFreeSlots());
+      this.dispatcher.takeEffects().forEach((effect) => this.handleEffect(effect));
       await vi.advanceTimersByTimeAsync(TICK_MS);
     }
   }
 
-  /** Another leader takes over with what the log holds: jobs and their progress, but nothing of advice. */
+  /** Replaces the leader. The next one gets the jobs and their progress from the log, but no advice. */
   startNextLeader(): void {
-    this.desk.stop();
+    this.balancer.stop();
     this.dispatcher = this.createDispatcher();
-    this.desk = this.createDesk(this.dispatcher);
+    this.balancer = this.createBalancer(this.dispatcher);
     for (const { definition, progress } of this.jobs) {
       this.dispatcher.handleJob(definition, progress, this.now);
     }
-    this.sendLooks();
+    this.sendStatuses();
   }
 
   private createDispatcher(): Dispatcher {
-    const { turns } = this.options;
+    const { policy } = this.options;
     const dispatcher = new Dispatcher({
       getDefinition: () => undefined,
       earlierLeasesEndAt: 0,
-      turnChoice: turns,
+      turnChoice: policy,
     });
     const capacity = { cpuMillis: 64_000, memoryMb: 128_000, accelerators: 0 };
-    for (const life of this.running.keys()) {
-      dispatcher.handleEndpointProfile(createProfile(life, { capacity }));
-      dispatcher.handleStatus({ endpoint: life, running: [], ended: [], sentAt: -1 }, this.now, this.now);
+    for (const endpoint of this.running.keys()) {
+      dispatcher.handleEndpointProfile(createProfile(endpoint, { capacity }));
+      dispatcher.handleStatus({ endpoint, running: [], ended: [], sentAt: -1 }, this.now, this.now);
     }
     return dispatcher;
   }
 
-  private createDesk(dispatcher: Dispatcher): AdviceBalancer {
-    return adviceBalancers[this.options.turns]({
+  private createBalancer(dispatcher: Dispatcher): AdviceBalancer {
+    return adviceBalancers[this.options.policy]({
       clock: { readNow: () => Date.now(), readWall: () => Date.now() },
-      listChannels: () => this.askers,
-      handleResponse: ({ step, endpoints }, answer) =>
-        dispatcher.handleAdviceResponse(step, endpoints, answer, Date.now()),
+      listChannels: () => this.channels,
+      handleResponse: ({ step, endpoints }, tickets) =>
+        dispatcher.handleAdviceResponse(step, endpoints, tickets, Date.now()),
     });
   }
 
-  /** A box of whose questions the service takes one after the other. */
-  private createAsker(box: number): AdviceChannel {
+  /** Creates a box whose requests the service handles sequentially. */
+  private createChannel(box: number): AdviceChannel {
     let freeAt = 0;
-    const sendQuestion = async (
+    const requestAdvice = async (
       step: string,
       endpoints: readonly EndpointId[],
       timeoutMs: number,
     ): Promise<ReadonlyMap<EndpointId, string> | undefined> => {
-      const { queue, share } = this.readStream(step);
-      this.asked.push(Date.now());
-      const { from, until } = this.options.refusal ?? { from: 0, until: 0 };
+      const { queue, allowedShare } = this.findStream(step);
+      this.requestTimes.push(Date.now());
+      const { from, until } = this.options.outage ?? { from: 0, until: 0 };
       if (Date.now() >= from && Date.now() < until) {
         return undefined;
       }
       const workMs = queue.advice.decisionMs + queue.advice.perEndpointMs * endpoints.length;
       this.servedMs += workMs;
       freeAt = Math.max(freeAt, Date.now()) + workMs;
-      const answeredAt = freeAt + this.options.readBoxDelayMs(box, Date.now());
-      const isLate = answeredAt - Date.now() > timeoutMs;
-      await new Promise((resolve) => setTimeout(resolve, isLate ? timeoutMs : answeredAt - Date.now()));
-      const good = endpoints.filter((id) => toChance(`${step} ${id}`) < share);
+      const respondedAt = freeAt + this.options.getBoxDelayMs(box, Date.now());
+      const isLate = respondedAt - Date.now() > timeoutMs;
+      await new Promise((resolve) => setTimeout(resolve, isLate ? timeoutMs : respondedAt - Date.now()));
+      const allowed = endpoints.filter((id) => computeChance(`${step} ${id}`) < allowedShare);
       return isLate
         ? undefined
-        : new Map(good.map((id) => [id, String(answeredAt + queue.advice.validityMs)] as const));
+        : new Map(allowed.map((id) => [id, String(respondedAt + queue.advice.validityMs)] as const));
     };
     return {
       box: `box-${box}`,
       isOwn: box === 0,
-      client: { requestAdvice: sendQuestion, stop: () => Promise.resolve() },
+      client: { requestAdvice, stop: () => Promise.resolve() },
     };
   }
 
-  private readStream(step: string): Stream {
+  private findStream(step: string): JobStream {
     return this.options.streams[parseInt(step.slice(0, 16), 16) % this.options.streams.length]!;
   }
 
@@ -207,38 +207,45 @@
     }
   }
 
-  private applyEffect(effect: DispatchEffect): void {
+  private handleEffect(effect: DispatchEffect): void {
     if (effect.kind === 'advise') {
-      void this.desk.sendRequest(effect);
+      void this.balancer.sendRequest(effect);
     } else if (effect.kind === 'start') {
       const { dispatcher } = this;
-      setTimeout(() => this.applyStart(dispatcher, effect), ORDER_MS);
+      setTimeout(() => this.handleStart(dispatcher, effect), START_LATENCY_MS);
     } else if (effect.kind === 'stop') {
-      setTimeout(() => this.applyStop(effect.endpoint, effect.task), STOP_MS);
+      setTimeout(() => this.handleStop(effect.endpoint, effect.task), STOP_LATENCY_MS);
     } else if (effect.kind === 'count') {
-      this.counts.set(effect.name, (this.counts.get(effect.name) ?? 0) + effect.amount);
+      this.counters.set(effect.name, (this.counters.get(effect.name) ?? 0) + effect.amount);
     }
   }
 
-  private applyStart(dispatcher: Dispatcher, effect: StartEffect): void {
-    const { endpoint, command: order } = effect;
+  private handleStart(dispatcher: Dispatcher, effect: StartEffect): void {
+    const { endpoint, command } = effect;
     const now = Date.now();
     if (!dispatcher.handleStartRecorded(effect, now)) {
       return;
     }
-    this.badTickets += order.ticket === '' || Number(order.ticket) < now ? 1 : 0;
-    dispatcher.handleStartResult(endpoint, order.task, order.run, { kind: 'done' }, now);
+    this.invalidTickets += command.ticket === '' || Number(command.ticket) < now ? 1 : 0;
+    dispatcher.handleStartResult(endpoint, command.task, command.run, { kind: 'done' }, now);
     const job = this.jobs.find(({ definition }) => definition.id === effect.job)!;
     const { estimatedMs, isGang } = job.definition.steps[0]!;
-    // A checkpoint tells how long the task has worked.
-    const workMs = estimatedMs * (isGang ? 1 : 0.7 + 0.6 * toChance(order.task)) - Number(order.checkpoint);
-    const run = { task: order.task, run: order.run, job: effect.job, startedAt: now, endsAt: now + workMs };
+    // The checkpoint of a task is the time for which it has run.
+    const workMs =
+      estimatedMs * (isGang ? 1 : 0.7 + 0.6 * computeChance(command.task)) - Number(command.checkpoint);
+    const run = {
+      task: command.task,
+      run: command.run,
+      job: effect.job,
+      startedAt: now,
+      endsAt: now + workMs,
+    };
     this.running.get(endpoint)!.push(run);
     const isWaiting = job.progress.listTasks(0, 0).some(({ phase }) => phase === 'waiting');
     job.startedAt ??= isWaiting ? undefined : now;
   }
 
-  private applyStop(endpoint: EndpointIncarnation, task: TaskName): void {
+  private handleStop(endpoint: EndpointIncarnation, task: TaskName): void {
     const run = this.running.get(endpoint)!.find((other) => other.task === task);
     if (run !== undefined) {
       this.recordEnd(endpoint, run, 'stopped', String(Date.now() - run.startedAt));
@@ -247,7 +254,7 @@
 
   private recordEnd(
     endpoint: EndpointIncarnation,
-    run: PlayedRun,
+    run: SimulatedRun,
     how: EndedTaskStatus['how'],
     checkpoint: string,
   ): void {
@@ -257,13 +264,13 @@
     this.ended.set(endpoint, [...(this.ended.get(endpoint) ?? []), row]);
   }
 
-  private applyEnds(): void {
+  private handleEnds(): void {
     for (const [endpoint, runs] of this.running) {
       for (const run of runs.filter(({ endsAt }) => endsAt <= this.now)) {
         this.recordEnd(endpoint, run, 'done', '');
       }
       if (this.ended.has(endpoint)) {
-        this.sendLook(endpoint);
+        this.sendStatus(endpoint);
       }
     }
     for (const job of this.jobs) {
@@ -271,13 +278,13 @@
     }
   }
 
-  private sendLooks(): void {
+  private sendStatuses(): void {
     for (const endpoint of this.running.keys()) {
-      this.sendLook(endpoint);
+      this.sendStatus(endpoint);
     }
   }
 
-  private sendLook(endpoint: EndpointIncarnation): void {
+  private sendStatus(endpoint: EndpointIncarnation): void {
     const running = this.running.get(endpoint)!.map(({ task, run, startedAt, endsAt }) => ({
       task,
       run,
--- a/tests/helpers/UnlikeWorld.ts
+++ b/tests/helpers/HeterogeneousSimulation.ts
@@ -17,128 +17,128 @@
 import { createProfile } from './createProfile';
 import { createStep } from './createStep';
 
-/** One queue's load. */
+/** Jobs of one queue. */
 export interface QueueLoad {
   readonly name: string;
   readonly priority: number;
   readonly stretch: number;
   readonly targetLatencyMs: number;
-  /** A job comes so often. */
-  readonly everyMs: number;
+  /** Interval between jobs, in milliseconds. */
+  readonly intervalMs: number;
   readonly count: number;
   readonly cpuMillis: number;
   readonly meanMs: number;
-  /** Estimates are wrong by up to this share. */
-  readonly estimateOff: number;
+  /** Maximum relative error of callers' estimates. */
+  readonly maxEstimateError: number;
   /** Share of jobs that are gangs. */
   readonly gangShare: number;
 }
 
-interface UnlikeOptions {
-  readonly speedChoice: SpeedPolicyName;
+interface SimulationOptions {
+  readonly speedPolicy: SpeedPolicyName;
   readonly queues: readonly QueueLoad[];
   readonly endpoints: number;
   readonly seed: number;
-  /** Time of a run on an endpoint by that of the work, at a time. */
-  readonly readSlowness: (endpoint: number, now: number) => number;
-  /** Kind of an endpoint; nothing by default that tells its speed. */
-  readonly readLabel?: (endpoint: number) => string;
+  /** Returns how many times longer runs take on an endpoint at a time. */
+  readonly getSlowdown: (endpoint: number, now: number) => number;
+  /** Returns the label of an endpoint. The default labels are unrelated to speeds. */
+  readonly getLabel?: (endpoint: number) => string;
   readonly tailShare?: number;
   readonly failureShare?: number;
 }
 
-interface ModelRun {
+interface SimulatedRun {
   readonly task: TaskName;
   readonly run: number;
   readonly startedAt: number;
   readonly endsAt: number;
-  /** Time of the whole work, of which a run that fails does a part. */
+  /** Time of the whole run; one that fails ends earlier. */
   readonly wholeMs: number;
   readonly how: EndedTaskStatus['how'];
 }
 
-interface ModelJob {
+interface SimulatedJob {
   readonly definition: JobDefinition;
   readonly queue: QueueLoad;
   readonly sentAt: number;
   readonly isGang: boolean;
   readonly workMs: readonly number[];
-  /** Slowness of a gang's slowest member, by run. */
+  /** End of the slowest member of a gang, by run. */
   readonly gangEnds: Map<number, number>;
 }
 
 const TICK_MS = 10;
-/** Accepting, records and orders take so much of an objective, and stand still here. */
+/** Time that acceptance, records and commands take from an objective; they are not simulated. */
 const OVERHEAD_MS = 120;
-const LOOK_TICKS = 5;
-const APPLY_TICKS = 10;
+const STATUS_TICKS = 5;
+const PERIODIC_TICKS = 10;
 const CPU_MILLIS = 32_000;
-/** The longest runs take so much longer than others. */
+/** Factor on the time of the longest runs. */
 const TAIL_FACTOR = 7;
 
-/** Endpoints of unlike speed under a load, with the dispatcher, on virtual time. */
-export class UnlikeWorld {
+/** Simulated cluster of endpoints with different speeds under load, with the dispatcher, on virtual time. */
+export class HeterogeneousSimulation {
   dispatcher: Dispatcher;
-  /** Of each ended job: its queue, when it was sent, and whether it was completed within its objective. */
+  /** Ended jobs, and whether they were completed within their objectives. */
   readonly results: { readonly queue: string; readonly sentAt: number; readonly isInTime: boolean }[] = [];
-  /** Starts in order, to compare decisions. */
+  /** Starts in the order of their decisions. */
   readonly starts: string[] = [];
-  readonly lines: { readonly at: number; readonly sentence: string }[] = [];
+  readonly logLines: { readonly at: number; readonly sentence: string }[] = [];
   private readonly random: Random;
   private readonly profiles: EndpointProfile[] = [];
-  private readonly running = new Map<EndpointIncarnation, ModelRun[]>();
-  private readonly stopped = new Map<EndpointIncarnation, ModelRun[]>();
-  private readonly jobs = new Map<JobId, ModelJob>();
+  private readonly running = new Map<EndpointIncarnation, SimulatedRun[]>();
+  private readonly stopped = new Map<EndpointIncarnation, SimulatedRun[]>();
+  private readonly jobs = new Map<JobId, SimulatedJob>();
   private endCount = 0;
   private now = 0;
 
-  constructor(private readonly options: UnlikeOptions) {
+  constructor(private readonly options: SimulationOptions) {
     this.random = createRandom(options.seed);
     this.dispatcher = this.createDispatcher();
     for (let number = 0; number < options.endpoints; number += 1) {
       const capacity = { cpuMillis: CPU_MILLIS, memoryMb: 64_000, accelerators: 0 };
-      const label = options.readLabel?.(number) ?? `kind-${number % 2}`;
+      const label = options.getLabel?.(number) ?? `kind-${number % 2}`;
       const profile = createProfile(`i-${number}`, { capacity, labels: [label, `rack-${number % 5}`] });
       this.profiles.push(profile);
       this.running.set(profile.incarnation, []);
       this.stopped.set(profile.incarnation, []);
     }
-    this.startDispatcher();
+    this.addEndpoints();
   }
 
-  /** A new leader takes over: it has the jobs with their progress, and nothing that the one before had learnt. */
-  startLeader(): void {
-    const before = this.dispatcher;
+  /** Replaces the leader. The next one gets the jobs and their progress, but nothing that the last one has learnt. */
+  startNextLeader(): void {
+    const last = this.dispatcher;
     this.dispatcher = this.createDispatcher();
-    this.startDispatcher();
+    this.addEndpoints();
     for (const [id, { definition }] of this.jobs) {
-      const progress = before.getJob(id)?.progress;
+      const progress = last.getJob(id)?.progress;
       if (progress !== undefined) {
         this.dispatcher.handleJob(definition, progress, this.now);
       }
     }
   }
 
-  /** Plays the load up to a time. */
-  start(untilMs: number): void {
+  /** Runs the simulation until a time. */
+  runUntil(untilMs: number): void {
     for (; this.now < untilMs; this.now += TICK_MS) {
       const tick = this.now / TICK_MS;
-      [...this.running.keys()].forEach((life, index) =>
-        this.sendLook(life, (tick + index) % LOOK_TICKS === 0),
+      [...this.running.keys()].forEach((endpoint, index) =>
+        this.sendStatus(endpoint, (tick + index) % STATUS_TICKS === 0),
       );
       this.options.queues
-        .filter(({ everyMs }) => this.now % everyMs < TICK_MS)
+        .filter(({ intervalMs: everyMs }) => this.now % everyMs < TICK_MS)
         .forEach((queue) => this.sendJob(queue));
-      if (tick % APPLY_TICKS === 0) {
+      if (tick % PERIODIC_TICKS === 0) {
         this.dispatcher.handleTick(this.now);
       }
       this.dispatcher.placeWaiting(this.now, this.now);
-      this.dispatcher.takeEffects().forEach((effect) => this.applyEffect(effect));
+      this.dispatcher.takeEffects().forEach((effect) => this.handleEffect(effect));
     }
   }
 
-  /** Share of the jobs of a queue sent between two times that were completed in time; those that have not ended were not. */
-  readInTime(queue: string, fromMs: number, untilMs: number): number {
+  /** Returns the share of a queue's jobs sent between two times that were completed within their objectives. */
+  computeInTimeShare(queue: string, fromMs: number, untilMs: number): number {
     const isCounted = (sentAt: number): boolean => sentAt >= fromMs && sentAt < untilMs;
     const sent = [...this.jobs.values()].filter((job) => job.queue.name === queue && isCounted(job.sentAt));
     const inTime = this.results.filter(
@@ -147,22 +147,22 @@
     return inTime.length / sent.length;
   }
 
-  /** Books of the endpoints that the dispatcher holds for sick. */
-  readDoubtfulBooks(): readonly EndpointState[] {
+  /** Returns the endpoints that the dispatcher considers degraded. */
+  listDegraded(): readonly EndpointState[] {
     return this.profiles
-      .map(({ incarnation: life }) => this.dispatcher.getEndpointState(life)!)
-      .filter((book) => book.isDegraded(this.now));
+      .map(({ incarnation }) => this.dispatcher.getEndpointState(incarnation)!)
+      .filter((endpoint) => endpoint.isDegraded(this.now));
   }
 
   private createDispatcher(): Dispatcher {
     return new Dispatcher({
       getDefinition: (id) => this.jobs.get(id)?.definition,
       earlierLeasesEndAt: this.now,
-      speedChoice: this.options.speedChoice,
+      speedChoice: this.options.speedPolicy,
     });
   }
 
-  private startDispatcher(): void {
+  private addEndpoints(): void {
     this.profiles.forEach((profile) => this.dispatcher.handleEndpointProfile(profile));
   }
 
@@ -170,7 +170,7 @@
     const isGang = this.random() < queue.gangShare;
     const meanMs = queue.meanMs * (0.6 + 0.8 * this.random());
     const workMs = Array.from({ length: queue.count }, () => meanMs * (0.75 + 0.5 * this.random()));
-    const estimatedMs = Math.round(meanMs * (1 + queue.estimateOff * (2 * this.random() - 1)));
+    const estimatedMs = Math.round(meanMs * (1 + queue.maxEstimateError * (2 * this.random() - 1)));
     const demand = { cpuMillis: queue.cpuMillis, memoryMb: 1000, accelerators: 0 };
     const step: JobStep = createStep({ count: queue.count, demand, estimatedMs, isGang });
     const { name, priority, stretch, targetLatencyMs } = queue;
@@ -190,13 +190,13 @@
     this.dispatcher.handleJob(definition, new JobProgress(definition), this.now);
   }
 
-  private applyEffect(effect: DispatchEffect): void {
+  private handleEffect(effect: DispatchEffect): void {
     if (effect.kind === 'start') {
       this.startRun(effect);
     } else if (effect.kind === 'stop') {
       this.stopRun(effect.endpoint, effect.task, effect.run);
     } else if (effect.kind === 'tell') {
-      this.lines.push({ at: this.now, sentence: effect.message });
+      this.logLines.push({ at: this.now, sentence: effect.message });
       if (effect.message === 'Job ended.') {
         this.recordResult(effect.fields);
       }
@@ -211,27 +211,27 @@
   }
 
   private startRun(effect: Extract<DispatchEffect, { kind: 'start' }>): void {
-    const { endpoint, command: order } = effect;
+    const { endpoint, command } = effect;
     const job = this.jobs.get(effect.job)!;
-    this.starts.push(`${order.task}#${order.run} ${endpoint}`);
+    this.starts.push(`${command.task}#${command.run} ${endpoint}`);
     this.dispatcher.handleStartRecorded(effect, this.now);
-    this.dispatcher.handleStartResult(endpoint, order.task, order.run, { kind: 'done' }, this.now);
-    const slowness = this.options.readSlowness(Number(endpoint.slice(2)), this.now);
-    // Drawn also where it is not used, so that like decisions meet like chances.
+    this.dispatcher.handleStartResult(endpoint, command.task, command.run, { kind: 'done' }, this.now);
+    const slowdown = this.options.getSlowdown(Number(endpoint.slice(2)), this.now);
+    // Drawn even if unused, so that the same decisions get the same random numbers.
     const [tail, failure, failsAt] = [this.random(), this.random(), this.random()];
     const tailFactor = tail < (this.options.tailShare ?? 0) && !job.isGang ? TAIL_FACTOR : 1;
     const isFailing = failure < (this.options.failureShare ?? 0) && !job.isGang;
-    const work = job.isGang ? Math.max(...job.workMs) : job.workMs[Number(order.task.split('.')[3])]!;
-    const wholeMs = work * slowness * tailFactor;
+    const work = job.isGang ? Math.max(...job.workMs) : job.workMs[Number(command.task.split('.')[3])]!;
+    const wholeMs = work * slowdown * tailFactor;
     const endsAt = this.now + wholeMs * (isFailing ? failsAt : 1);
     const startedAt = this.now;
     if (job.isGang) {
-      job.gangEnds.set(order.run, Math.max(job.gangEnds.get(order.run) ?? 0, startedAt + wholeMs));
+      job.gangEnds.set(command.run, Math.max(job.gangEnds.get(command.run) ?? 0, startedAt + wholeMs));
     }
-    const getEnd = (): number => (job.isGang ? job.gangEnds.get(order.run)! : endsAt);
+    const getEnd = (): number => (job.isGang ? job.gangEnds.get(command.run)! : endsAt);
     this.running.get(endpoint)!.push({
-      task: order.task,
-      run: order.run,
+      task: command.task,
+      run: command.run,
       startedAt,
       wholeMs,
       how: isFailing ? 'failed' : 'done',
@@ -250,23 +250,26 @@
     this.dispatcher.handleStopResult(endpoint, task, run, { kind: 'done' }, this.now);
   }
 
-  private sendLook(endpoint: EndpointIncarnation, isDue: boolean): void {
+  private sendStatus(endpoint: EndpointIncarnation, isDue: boolean): void {
     const runs = this.running.get(endpoint)!;
     const stopped = this.stopped.get(endpoint)!.splice(0);
-    const over = runs.filter(({ endsAt }) => endsAt <= this.now);
-    if (over.length === 0 && stopped.length === 0 && !isDue) {
+    const finished = runs.filter(({ endsAt }) => endsAt <= this.now);
+    if (finished.length === 0 && stopped.length === 0 && !isDue) {
       return;
     }
     const left = runs.filter(({ endsAt }) => endsAt > this.now);
     this.running.set(endpoint, left);
-    const toRow = ({ task, run }: ModelRun, how: EndedTaskStatus['how']): EndedTaskStatus => ({
+    const toRow = ({ task, run }: SimulatedRun, how: EndedTaskStatus['how']): EndedTaskStatus => ({
       number: (this.endCount += 1),
       task,
       run,
       how,
       checkpoint: '',
     });
-    const ended = [...over.map((run) => toRow(run, run.how)), ...stopped.map((run) => toRow(run, 'stopped'))];
+    const ended = [
+      ...finished.map((run) => toRow(run, run.how)),
+      ...stopped.map((run) => toRow(run, 'stopped')),
+    ];
     const rows = left.map(({ task, run, startedAt, endsAt, wholeMs }) => ({
       task,
       run,
