--- a/tests/endpointSpeeds.test.ts
+++ b/tests/endpointSpeeds.test.ts
@@ -147,7 +147,10 @@
   it('are forgotten with the incarnation', () => {
     const fixture = new SpeedFixture();
     fixture.recordRuns(10, getSlowThirdRatio);
-    fixture.speeds.handleTick(fixture.now, (incarnation) => incarnation !== fixture.getProfile(2).incarnation);
+    fixture.speeds.handleTick(
+      fixture.now,
+      (incarnation) => incarnation !== fixture.getProfile(2).incarnation,
+    );
     expect(fixture.listSlowNumbers()).toEqual(SLOW_THIRD.filter((number) => number !== 2));
   });
 
@@ -229,7 +232,10 @@
     times.recordTime(1, slow!, Math.log(2000));
     times.recordTime(2, slow!, Math.log(2000));
     times.recordTime(3, usual!, Math.log(1000));
-    const siblings = times.listSiblingTimes(here!, (life) => ({ ratio: life === slow ? 2 : 1, spread: 0.1 }));
+    const siblings = times.listSiblingTimes(here!, (endpoint) => ({
+      ratio: endpoint === slow ? 2 : 1,
+      spread: 0.1,
+    }));
     expect(siblings.map(({ logMs }) => Math.round(Math.exp(logMs)))).toEqual([1000, 1000]);
     const known = { logMs: Math.log(4000), spread: 0.6, taskSpread: 0.2, isLearnt: true };
     const step = estimateStepTime(known, siblings);
