--- a/packages/dispatch/advice/AdviceRequester.ts
+++ b/packages/dispatch/advice/AdviceRequester.ts
@@ -73,8 +73,8 @@
     if (!stepAdvice.canRequest(now)) {
       return 'answer';
     }
-    const { room: capacity, policy, selector } = this.options;
-    const isLong = policy.isLong(advice, capacity.isMostUrgent(step.job.definition.queue));
+    const { room: capacityView, policy, selector } = this.options;
+    const isLong = policy.isLong(advice, capacityView.isMostUrgent(step.job.definition.queue));
     if (!this.hasSlot(isLong)) {
       return 'turn';
     }
@@ -151,10 +151,10 @@
   }
 
   private sendEarlyRequest(whole: WaitingStep, now: number): void {
-    const { limits, room: capacity } = this.options;
+    const { limits, room: capacityView } = this.options;
     const step = limits.computeMaxStartable(whole);
     if (step !== undefined) {
-      this.requestAdvice(step, capacity.listEligible(step), step.indexes.length, now, now, true);
+      this.requestAdvice(step, capacityView.listEligible(step), step.indexes.length, now, now, true);
     }
   }
 
--- a/packages/dispatch/advice/PlannedCandidateSelector.ts
+++ b/packages/dispatch/advice/PlannedCandidateSelector.ts
@@ -101,9 +101,9 @@
     neededUntil: number,
     now: number,
   ): readonly EndpointState[] {
-    const { room: capacity } = this.options;
-    const canPreempt = capacity.isCapacityScarce(step, eligible);
-    const isLessUrgent = !capacity.isMostUrgent(step.job.definition.queue);
+    const { room: capacityView } = this.options;
+    const canPreempt = capacityView.isCapacityScarce(step, eligible);
+    const isLessUrgent = !capacityView.isMostUrgent(step.job.definition.queue);
     if (isLessUrgent && this.ahead.isExceedingCapacity(step, eligible, canPreempt)) {
       return [];
     }
@@ -271,7 +271,7 @@
 
   /** Returns how many of the fitting tasks remain after the claims of requests that are at least as urgent. */
   private countUnclaimedTasks(step: WaitingStep, endpoint: EndpointState, tasks: number): number {
-    const { room: capacity } = this.options;
+    const { room: capacityView } = this.options;
     const claimed = this.claims.computeClaimed(
       endpoint.getProfile().incarnation,
       step.job.definition.queue.priority,
@@ -280,7 +280,7 @@
       return tasks;
     }
     const whole = resourceMath.toScaled(toReservedDemand(step.shape), tasks);
-    return capacity.countFittingTasks(resourceMath.toDifference(whole, claimed), step.shape);
+    return capacityView.countFittingTasks(resourceMath.toDifference(whole, claimed), step.shape);
   }
 
   /** Claims capacity for the needed tasks, spread in proportion over the chosen candidates. */
--- a/packages/dispatch/speeds/createCompletionTimeCost.ts
+++ b/packages/dispatch/speeds/createCompletionTimeCost.ts
@@ -13,12 +13,12 @@
 /** Returns how many members of a gang fit on the endpoints of each ratio, the fastest first. */
 const listGangCapacity = (
   step: WaitingStep,
-  { speeds, room: capacity }: SpeedSources,
+  { speeds, room: capacityView }: SpeedSources,
   endpoints: readonly EndpointState[],
 ): readonly (readonly [ratio: number, count: number])[] => {
   const counts = new Map<number, number>();
   for (const endpoint of endpoints) {
-    const count = capacity.countFittingTasks(endpoint.getFreeCapacity(), step.shape);
+    const count = capacityView.countFittingTasks(endpoint.getFreeCapacity(), step.shape);
     if (count > 0) {
       const ratio = speeds.getSignificantRatio(endpoint.getProfile());
       counts.set(ratio, (counts.get(ratio) ?? 0) + count);
