--- a/dev/bench/customersSection.ts
+++ b/dev/bench/customersSection.ts
@@ -102,7 +102,7 @@
   });
   for (let number = 0; number < ENDPOINTS; number += 1) {
     const id = toId<EndpointId>(`i-${number}`);
-    const life = endpointIncarnations.toLife(id, undefined);
+    const life = endpointIncarnations.toIncarnation(id, undefined);
     dispatcher.handleEndpointProfile({
       id,
       incarnation: life,
--- a/packages/boxes/BoxClient.ts
+++ b/packages/boxes/BoxClient.ts
@@ -7,7 +7,7 @@
 import type { EndpointId } from '../jobs/EndpointId';
 import type { JobId } from '../jobs/JobId';
 import type { JobState } from '../jobs/JobState';
-import type { LeaderIntroduction } from '../leadership/LeaderIntroduction';
+import type { LeaderAnnouncement } from '../leadership/LeaderAnnouncement';
 import type { LogWrite } from '../store/LogWrite';
 import type { WriteOutcome } from '../store/WriteOutcome';
 import type { ConfigurationAnswer } from './ConfigurationAnswer';
@@ -82,7 +82,7 @@
   }
 
   /** Tells the box who leads and where; false when it did not take it in. */
-  async sendIntroduction({ record, ...contact }: LeaderIntroduction): Promise<boolean> {
+  async sendIntroduction({ record, ...contact }: LeaderAnnouncement): Promise<boolean> {
     const body = { ...record, ...contact };
     return (await this.caller.sendJson('/leader', body, SHORT_CALL_MS)) !== undefined;
   }
--- a/packages/boxes/BoxServer.ts
+++ b/packages/boxes/BoxServer.ts
@@ -10,7 +10,7 @@
 import type { EndpointId } from '../jobs/EndpointId';
 import type { JobId } from '../jobs/JobId';
 import type { JobState } from '../jobs/JobState';
-import type { LeaderIntroduction } from '../leadership/LeaderIntroduction';
+import type { LeaderAnnouncement } from '../leadership/LeaderAnnouncement';
 import { leaderRecordSchema } from '../leadership/leaderRecordSchema';
 import type { LogWrite } from '../store/LogWrite';
 import type { WriteOutcome } from '../store/WriteOutcome';
@@ -35,7 +35,7 @@
   /** What this box knows of the configuration, for one that has a version. */
   readonly readConfiguration: (knownVersion: number) => ConfigurationAnswer;
   /** The leader tells this box who leads and where. */
-  readonly handleIntroduction: (introduction: LeaderIntroduction) => void;
+  readonly handleIntroduction: (introduction: LeaderAnnouncement) => void;
   /** The leader of an epoch has stopped and asks this box to lead next. */
   readonly handleHandOver: (epoch: number) => void;
 }
--- a/packages/cli/serveCommand.ts
+++ b/packages/cli/serveCommand.ts
@@ -69,7 +69,7 @@
       readWall: () => Date.now(),
       linesPerSecond: LOG_LINES_PER_SECOND,
     });
-    setInterval(() => decisionLog.applyTime(), LOG_TICK_MS).unref();
+    setInterval(() => decisionLog.handleTick(), LOG_TICK_MS).unref();
     const createPartLogger = (part: string): Logger => decisionLog.createLogger(part);
     const clock = createMachineClock(createPartLogger('clock'));
     const serve = new ServeProcess({
--- a/packages/customers/CustomerUsage.ts
+++ b/packages/customers/CustomerUsage.ts
@@ -19,7 +19,7 @@
   recordRun({ customer, charge }: CountedRun): void {
     if (customer !== undefined) {
       const { taken, runs } = this.getUsage(customer);
-      this.usages.set(customer, { taken: resourceMath.toSum(taken, charge), runs: runs + 1 });
+      this.usages.set(customer, { taken: resourceMath.computeSum(taken, charge), runs: runs + 1 });
     }
   }
 
@@ -31,7 +31,7 @@
     if (runs <= 1) {
       this.usages.delete(customer);
     } else {
-      this.usages.set(customer, { taken: resourceMath.toDifference(taken, charge), runs: runs - 1 });
+      this.usages.set(customer, { taken: resourceMath.computeDifference(taken, charge), runs: runs - 1 });
     }
   }
 
@@ -45,6 +45,6 @@
   }
 
   private getUsage(customer: CustomerName): { readonly taken: TaskDemand; readonly runs: number } {
-    return this.usages.get(customer) ?? { taken: resourceMath.NOTHING, runs: 0 };
+    return this.usages.get(customer) ?? { taken: resourceMath.ZERO, runs: 0 };
   }
 }
--- a/packages/customers/customerLimits.ts
+++ b/packages/customers/customerLimits.ts
@@ -20,7 +20,7 @@
 const checkSteps = (steps: readonly JobStep[], limit: TaskDemand): string | undefined => {
   for (const [number, step] of steps.entries()) {
     const needed = step.isGang ? step.count : 1;
-    if (countFittingTasks(limit, resourceMath.NOTHING, step.demand) < needed) {
+    if (countFittingTasks(limit, resourceMath.ZERO, step.demand) < needed) {
       const subject = step.isGang ? `a gang of ${step.count}` : 'one task';
       return `steps[${number}]: ${subject} is more than the customer may ever have running`;
     }
@@ -29,4 +29,4 @@
 };
 
 /** Arithmetic on the limits of customers. 0 means no limit in a dimension. */
-export const customerLimits = { measureFitCount: countFittingTasks, readProblem: checkSteps } as const;
+export const customerLimits = { countFittingTasks, checkSteps } as const;
--- a/packages/dispatch/Dispatcher.ts
+++ b/packages/dispatch/Dispatcher.ts
@@ -128,15 +128,15 @@
       handleChanged: (job: JobId) => this.changedJobs.add(job),
       sendEffect,
     };
-    this.runTracker = new RunTracker(this.endpoints, this.jobs, callbacks, stops.isMovingGangs);
+    this.runTracker = new RunTracker(this.endpoints, this.jobs, callbacks, stops.isEvictingGangs);
     this.crashes = new CrashTracker({
       jobs: this.jobs,
-      ledger: this.runTracker,
+      tracker: this.runTracker,
       handleChanged: (job) => this.changedJobs.add(job),
     });
     this.lossHandler = new EndpointLossHandler({
-      books: this.endpoints,
-      ledger: this.runTracker,
+      endpoints: this.endpoints,
+      tracker: this.runTracker,
       crashes: this.crashes,
       longestLeaseMs: options.longestLeaseMs ?? DEFAULT_LONGEST_LEASE_MS,
     });
@@ -146,7 +146,7 @@
     this.preemptor = new Preemptor({
       jobs: this.jobs,
       reservations,
-      room: stops.preemption,
+      rules: stops.preemption,
       handlePreempted: (endpoint, run, step, estimate) => this.handlePreempted(endpoint, run, step, estimate),
     });
     const { preemptor } = this;
@@ -159,19 +159,19 @@
       kinds,
       speeds,
       times,
-      room: this.capacity,
+      capacity: this.capacity,
       speedChoice,
       hallChoice,
     });
     this.preference = preference;
     const { capacity: room, adviceStats: history } = this;
     const policy = advicePolicies[policies.turnChoice];
-    const selector = policy.createSelector({ room, preemptor, history, preference });
+    const selector = policy.createSelector({ capacity: room, preemptor, stats: history, preference });
     this.adviceSelector = selector;
     this.adviceMetrics = new AdviceMetrics((name, amount) => sendEffect({ kind: 'count', name, amount }));
     this.adviceRequester = new AdviceRequester({
-      books: this.endpoints,
-      room,
+      endpoints: this.endpoints,
+      capacity: room,
       limits,
       policy,
       selector,
@@ -180,14 +180,14 @@
       sendEffect,
     });
     this.placer = new StepPlacer({
-      room: this.capacity,
-      limits,
-      questions: this.adviceRequester,
+      capacity: this.capacity,
+      limiter: limits,
+      advice: this.adviceRequester,
       preemptor,
       reservations,
       preference,
-      suspicion: new SuspectCosts(this.endpoints, this.crashes),
-      trust: this.quarantine,
+      suspectCosts: new SuspectCosts(this.endpoints, this.crashes),
+      quarantine: this.quarantine,
       sendEffect,
     });
     this.mover = new RunMover({
@@ -198,13 +198,13 @@
       handleMove: (candidate) => this.handleMove(candidate),
     });
     this.learner = new RunLearner({
-      books: this.endpoints,
+      endpoints: this.endpoints,
       jobs: this.jobs,
       kinds,
       speeds,
       times,
-      speedChoice,
-      sendTell: (message, fields) => this.runTracker.sendLogLine(message, fields),
+      speedPolicy: speedChoice,
+      sendLogLine: (message, fields) => this.runTracker.sendLogLine(message, fields),
     });
     this.commands = new RunCommands({
       endpoints: this.endpoints,
@@ -214,10 +214,10 @@
     });
     this.reconciler = new StatusReconciler({
       jobs: this.jobs,
-      ledger: this.runTracker,
+      tracker: this.runTracker,
       learner: this.learner,
       crashes: this.crashes,
-      readDefinition: options.getDefinition,
+      getDefinition: options.getDefinition,
     });
     this.longWaits = new LongWaitLogger(this.jobs, (message, fields) =>
       this.runTracker.sendLogLine(message, fields),
@@ -268,10 +268,10 @@
 
   /** Computes the total capacity of all schedulable endpoints. Iterates over all endpoints. */
   computeCapacity(): TaskDemand {
-    let capacity = resourceMath.NOTHING;
+    let capacity = resourceMath.ZERO;
     for (const endpoint of this.endpoints.values()) {
       if (endpoint.isSchedulable()) {
-        capacity = resourceMath.toSum(capacity, endpoint.getProfile().capacity);
+        capacity = resourceMath.computeSum(capacity, endpoint.getProfile().capacity);
       }
     }
     return capacity;
@@ -313,7 +313,7 @@
     for (let time = 0; time < definition.times; time += 1) {
       for (const [step] of definition.steps.entries()) {
         for (const [index, task] of progress.listTasks(time, step).entries()) {
-          const address = { time, step, index };
+          const address = { repetition: time, step, index };
           this.crashes.applyRecoveredCrashes(job, address, now);
           if (task.phase === 'placed') {
             this.addRecoveredRun(job, address, task, now);
@@ -360,9 +360,9 @@
 
   /** Lists the known other incarnations of the same endpoint. Iterates over all endpoints. */
   listOtherIncarnations(incarnation: EndpointIncarnation): readonly EndpointIncarnation[] {
-    const id = endpointIncarnations.readEndpoint(incarnation);
+    const id = endpointIncarnations.toEndpointId(incarnation);
     return [...this.endpoints.keys()].filter(
-      (other) => other !== incarnation && endpointIncarnations.readEndpoint(other) === id,
+      (other) => other !== incarnation && endpointIncarnations.toEndpointId(other) === id,
     );
   }
 
@@ -540,7 +540,7 @@
     return this.placementOrder.sortSteps(waiting, {
       wallMs,
       usage: this.usage,
-      readCapacity: () => this.computeCapacity(),
+      getCapacity: () => this.computeCapacity(),
     });
   }
 
@@ -552,7 +552,7 @@
 
   private handleMove({ book: endpoint, run, reason, gainMs }: MoveCandidate): void {
     const { incarnation } = endpoint.getProfile();
-    this.jobs.get(run.job)?.recordFailureOn(run.address.time, run.address.step, incarnation);
+    this.jobs.get(run.job)?.recordFailureOn(run.address.repetition, run.address.step, incarnation);
     this.runTracker.sendLogLine('Run is moved.', {
       job: run.job,
       task: run.task,
--- a/packages/dispatch/LeaderController.ts
+++ b/packages/dispatch/LeaderController.ts
@@ -123,10 +123,10 @@
       getDefinition: (id) => replica.getDefinition(id),
       getLimit: options.getLimit,
     });
-    this.roundThrottle = new RoundThrottle({ clock, handleRound: () => this.runRound() });
+    this.roundThrottle = new RoundThrottle({ clock, runRound: () => this.runRound() });
     this.slowRoundLogger = new SlowRoundLogger({
       logger: options.logger,
-      readJobCount: () => this.dispatcher.countJobs(),
+      countJobs: () => this.dispatcher.countJobs(),
       recordTime: options.recordTime,
     });
     this.journal = new LeaderJournal({
@@ -152,15 +152,15 @@
       createEndpointClient: options.createEndpointClient,
       isServiceUsed: (service) => options.isServiceRouted(service) || this.services.has(service),
       isRenewing: () => this.canGrantLeases(),
-      handleLooked: (newEndCount) => this.handlePolled(newEndCount),
-      startFlush: () => this.journal.waitForFlush(),
+      handleStatusApplied: (newEndCount) => this.handlePolled(newEndCount),
+      waitForFlush: () => this.journal.waitForFlush(),
       recordCount: (name) => options.recordCount(name),
       handleChanged: () => {
         this.takeOver();
         this.queueRound();
       },
       handleFenced: (detail) => this.handleLeadershipLost(detail),
-      handleLogBack: options.handleLogRecovered,
+      handleLogRecovered: options.handleLogRecovered,
     });
     this.commands = new CommandSender({
       ...options,
@@ -171,7 +171,7 @@
       isRenewing: () => this.canGrantLeases(),
       handleStarted: (job) => this.recordStart(job),
       handleChanged: () => this.queueRound(),
-      handleDeposed: (detail) => this.handleLeadershipLost(detail),
+      handleLeadershipLost: (detail) => this.handleLeadershipLost(detail),
     });
     this.adviceBalancer = adviceBalancers[options.policies.turnChoice]({
       clock,
@@ -290,7 +290,7 @@
 
   /** Takes over the jobs of earlier leaders, then starts to poll the endpoints, once all records have been read. */
   private takeOver(): void {
-    if (this.hasTakenOver || this.isStopped || !this.endpoints.hasReadAll() || !this.hasReadJobs) {
+    if (this.hasTakenOver || this.isStopped || !this.endpoints.hasReadRecords() || !this.hasReadJobs) {
       return;
     }
     const { replica, clock, logger, epoch } = this.options;
@@ -336,7 +336,7 @@
   private handleTick(): void {
     const now = this.options.clock.readNow();
     this.journal.handleTick(now);
-    this.batcher.applyTime(now);
+    this.batcher.handleTick(now);
     if (this.hasTakenOver) {
       this.endpoints.startPendingSessions();
       this.dispatcher.handleTick(now);
--- a/packages/dispatch/advice/AdvicePolicy.ts
+++ b/packages/dispatch/advice/AdvicePolicy.ts
@@ -6,9 +6,9 @@
 import type { CapacityView } from '../placing/CapacityView';
 
 interface SelectorDependencies {
-  readonly room: CapacityView;
+  readonly capacity: CapacityView;
   readonly preemptor: Preemptor;
-  readonly history: AdviceStats;
+  readonly stats: AdviceStats;
   readonly preference: EndpointPreference;
 }
 
--- a/packages/dispatch/advice/AdviceRequester.ts
+++ b/packages/dispatch/advice/AdviceRequester.ts
@@ -25,8 +25,8 @@
 const EARLY_MARGIN_MS = 150;
 
 interface AdviceRequesterOptions {
-  readonly books: ReadonlyMap<EndpointIncarnation, EndpointState>;
-  readonly room: CapacityView;
+  readonly endpoints: ReadonlyMap<EndpointIncarnation, EndpointState>;
+  readonly capacity: CapacityView;
   readonly limits: StepLimiter;
   readonly policy: AdvicePolicy;
   readonly selector: CandidateSelector;
@@ -63,7 +63,7 @@
     isEarly = false,
   ): WaitCause {
     const { advice } = step.job.definition.queue;
-    const stepAdvice = step.job.getAdvice(step.time, step.step);
+    const stepAdvice = step.job.getAdvice(step.repetition, step.step);
     if (!isEarly) {
       this.options.selector.recordStep(step, missing);
     }
@@ -73,7 +73,7 @@
     if (!stepAdvice.canRequest(now)) {
       return 'answer';
     }
-    const { room: capacityView, policy, selector } = this.options;
+    const { capacity: capacityView, policy, selector } = this.options;
     const isLong = policy.isLong(advice, capacityView.isMostUrgent(step.job.definition.queue));
     if (!this.hasSlot(isLong)) {
       return 'turn';
@@ -106,7 +106,7 @@
   }
 
   /** Records that a task of the step is started on an endpoint, with its ticket if one is needed. */
-  recordTicketUse({ job, time, step }: WaitingStep, endpoint: EndpointIncarnation): void {
+  recordTicketUse({ job, repetition: time, step }: WaitingStep, endpoint: EndpointIncarnation): void {
     const source = job.getAdvice(time, step).getSource(endpoint);
     if (source !== undefined) {
       this.options.metrics.recordTicketUse(source);
@@ -142,7 +142,7 @@
         if (this.estimateReadyInMs(job, time, step, now) <= leadMs) {
           const indexes = progress.listTasks(time, step).map((_task, index) => index);
           this.sendEarlyRequest(
-            { job, time, step, shape, indexes, objectiveAtMs: job.getObjectiveAtMs(time) },
+            { job, repetition: time, step, shape, indexes, objectiveAtMs: job.getObjectiveAtMs(time) },
             now,
           );
         }
@@ -151,7 +151,7 @@
   }
 
   private sendEarlyRequest(whole: WaitingStep, now: number): void {
-    const { limits, room: capacityView } = this.options;
+    const { limits, capacity: capacityView } = this.options;
     const step = limits.computeMaxStartable(whole);
     if (step !== undefined) {
       this.requestAdvice(step, capacityView.listEligible(step), step.indexes.length, now, now, true);
@@ -167,8 +167,8 @@
           return Infinity;
         }
         if (task.phase === 'placed') {
-          const name = toTaskName(job.definition.id, { time, step: earlier, index });
-          const run = this.options.books.get(task.endpoint)?.getRun(name, task.run);
+          const name = toTaskName(job.definition.id, { repetition: time, step: earlier, index });
+          const run = this.options.endpoints.get(task.endpoint)?.getRun(name, task.run);
           const estimatedMs = job.definition.steps[earlier]!.estimatedMs;
           readyInMs = Math.max(readyInMs, run === undefined ? 0 : estimateRemainingMs(run, estimatedMs, now));
         }
--- a/packages/dispatch/advice/CapacityClaims.ts
+++ b/packages/dispatch/advice/CapacityClaims.ts
@@ -36,6 +36,6 @@
   computeClaimed(endpoint: EndpointIncarnation, priority: number): TaskDemand {
     return (this.claims.get(endpoint) ?? [])
       .filter((claim) => claim.priority <= priority)
-      .reduce((sum, { demand }) => resourceMath.toSum(sum, demand), resourceMath.NOTHING);
+      .reduce((sum, { demand }) => resourceMath.computeSum(sum, demand), resourceMath.ZERO);
   }
 }
--- a/packages/dispatch/advice/EagerCandidateSelector.ts
+++ b/packages/dispatch/advice/EagerCandidateSelector.ts
@@ -60,7 +60,7 @@
     const { shape } = step;
     const demand = toReservedDemand(shape);
     const available = open.filter((endpoint) => endpoint.hasCapacityFor(demand));
-    if (available.length === 0 || !this.capacity.isWithinReserve(step)) {
+    if (available.length === 0 || !this.capacity.isOutsideReserve(step)) {
       return [];
     }
     const allowed = available.filter((endpoint) => this.hasBeenAllowed(step, endpoint));
@@ -135,13 +135,13 @@
 
   /** Returns whether the step may start another task on the endpoint, but has neither a refusal nor a ticket valid until then. */
   private isAdviceMissing(step: WaitingStep, endpoint: EndpointState, neededUntil: number): boolean {
-    const advice = step.job.getAdvice(step.time, step.step);
+    const advice = step.job.getAdvice(step.repetition, step.step);
     const { incarnation } = endpoint.getProfile();
     const isKnown = advice.isRefused(incarnation) || advice.getTicket(incarnation, neededUntil) !== undefined;
     return !isKnown && !this.capacity.hasMaxTasks(step, endpoint);
   }
 
   private hasBeenAllowed(step: WaitingStep, endpoint: EndpointState): boolean {
-    return step.job.getAdvice(step.time, step.step).hasBeenAllowed(endpoint.getProfile().incarnation);
+    return step.job.getAdvice(step.repetition, step.step).hasBeenAllowed(endpoint.getProfile().incarnation);
   }
 }
--- a/packages/dispatch/advice/PlannedCandidateSelector.ts
+++ b/packages/dispatch/advice/PlannedCandidateSelector.ts
@@ -15,9 +15,9 @@
 import type { WaitingStep } from '../waiting/WaitingStep';
 
 interface PlannedCandidateSelectorOptions {
-  readonly room: CapacityView;
+  readonly capacity: CapacityView;
   readonly preemptor: Preemptor;
-  readonly history: AdviceStats;
+  readonly stats: AdviceStats;
   readonly preference: EndpointPreference;
 }
 
@@ -101,7 +101,7 @@
     neededUntil: number,
     now: number,
   ): readonly EndpointState[] {
-    const { room: capacityView } = this.options;
+    const { capacity: capacityView } = this.options;
     const canPreempt = capacityView.isCapacityScarce(step, eligible);
     const isLessUrgent = !capacityView.isMostUrgent(step.job.definition.queue);
     if (isLessUrgent && this.ahead.isExceedingCapacity(step, eligible, canPreempt)) {
@@ -146,7 +146,7 @@
     now: number,
   ): boolean {
     const expected = available.reduce((sum, { tasks, allowedChance }) => sum + tasks * allowedChance, 0);
-    const advice = step.job.getAdvice(step.time, step.step);
+    const advice = step.job.getAdvice(step.repetition, step.step);
     const { decisionMs, validityMs } = step.job.definition.queue.advice!;
     if (step.shape.isGang) {
       // The expected share of refusals may be wrong for this step.
@@ -155,7 +155,7 @@
     }
     const isDue = now - advice.getRespondedAt() >= LOW_VALUE_INTERVAL_MS;
     const isJustified = expected * REQUEST_MS_PER_START >= decisionMs;
-    return available.length > 0 && (isDue || isJustified) && this.options.room.isWithinReserve(step);
+    return available.length > 0 && (isDue || isJustified) && this.options.capacity.isOutsideReserve(step);
   }
 
   /** Sorts by descending chance, then by cost, the number of pending requests, and free capacity. */
@@ -171,7 +171,7 @@
   }
 
   private countPending({ endpoint }: Candidate): number {
-    return this.options.history.countPending(endpoint.getProfile().incarnation);
+    return this.options.stats.countPending(endpoint.getProfile().incarnation);
   }
 
   private computeCandidateGroups(
@@ -179,10 +179,10 @@
     eligible: readonly EndpointState[],
     { canPreempt, neededUntil, now }: RequestContext,
   ): CandidateGroups {
-    const { room: capacityView, history: stats, preference } = this.options;
+    const { capacity: capacityView, stats, preference } = this.options;
     const { queue } = step.job.definition;
     const { decisionMs, perEndpointMs, validityMs } = queue.advice!;
-    const advice = step.job.getAdvice(step.time, step.step);
+    const advice = step.job.getAdvice(step.repetition, step.step);
     const responseMs = decisionMs + perEndpointMs * MAX_CANDIDATES_WITHOUT_GANG;
     const usedAt = Math.max(neededUntil, now + responseMs + START_DELAY_MS);
     const stayChance = 0.5 ** (responseMs / CAPACITY_HALF_LIFE_MS);
@@ -236,17 +236,20 @@
     canPreempt: boolean,
     now: number,
   ): number {
-    const capacity = resourceMath.toSum(endpoint.getFreeCapacity(), this.computeStoppingDemand(endpoint));
-    const tasks = this.options.room.countFittingTasks(capacity, step.shape);
+    const capacity = resourceMath.computeSum(
+      endpoint.getFreeCapacity(),
+      this.computeStoppingDemand(endpoint),
+    );
+    const tasks = this.options.capacity.countFittingTasks(capacity, step.shape);
     const isPreemptionTried = canPreempt && tasks < MAX_TASKS_BY_PREEMPTION;
     return isPreemptionTried ? Math.max(tasks, this.countTasksAfterPreemption(step, endpoint, now)) : tasks;
   }
 
   /** Returns the resources of runs that are being stopped. */
   private computeStoppingDemand(endpoint: EndpointState): TaskDemand {
-    let demand = resourceMath.NOTHING;
+    let demand = resourceMath.ZERO;
     for (const run of endpoint.getRuns()) {
-      demand = run.stage === 'stopping' ? resourceMath.toSum(demand, run.demand) : demand;
+      demand = run.stage === 'stopping' ? resourceMath.computeSum(demand, run.demand) : demand;
     }
     return demand;
   }
@@ -262,7 +265,7 @@
     let count = 0;
     while (
       count < maxCount &&
-      preemptor.hasRoomAfterPreemption(step, endpoint, resourceMath.toScaled(demand, count + 1), now)
+      preemptor.hasRoomAfterPreemption(step, endpoint, resourceMath.computeProduct(demand, count + 1), now)
     ) {
       count += 1;
     }
@@ -271,16 +274,16 @@
 
   /** Returns how many of the fitting tasks remain after the claims of requests that are at least as urgent. */
   private countUnclaimedTasks(step: WaitingStep, endpoint: EndpointState, tasks: number): number {
-    const { room: capacityView } = this.options;
+    const { capacity: capacityView } = this.options;
     const claimed = this.claims.computeClaimed(
       endpoint.getProfile().incarnation,
       step.job.definition.queue.priority,
     );
-    if (claimed === resourceMath.NOTHING) {
+    if (claimed === resourceMath.ZERO) {
       return tasks;
     }
-    const whole = resourceMath.toScaled(toReservedDemand(step.shape), tasks);
-    return capacityView.countFittingTasks(resourceMath.toDifference(whole, claimed), step.shape);
+    const whole = resourceMath.computeProduct(toReservedDemand(step.shape), tasks);
+    return capacityView.countFittingTasks(resourceMath.computeDifference(whole, claimed), step.shape);
   }
 
   /** Claims capacity for the needed tasks, spread in proportion over the chosen candidates. */
@@ -292,7 +295,7 @@
       const claim = {
         step: toStepName(step),
         priority,
-        demand: resourceMath.toScaled(demand, tasks * share),
+        demand: resourceMath.computeProduct(demand, tasks * share),
       };
       this.claims.addClaim(endpoint.getProfile().incarnation, claim);
     }
--- a/packages/dispatch/advice/advicePolicies.ts
+++ b/packages/dispatch/advice/advicePolicies.ts
@@ -20,7 +20,7 @@
     maxCandidates: BUDGETED_CANDIDATES,
     computeDeferralMs: () => 0,
     isLong: (advice) => advice.decisionMs + advice.perEndpointMs * BUDGETED_CANDIDATES > LONG_REQUEST_MS,
-    createSelector: ({ room, preemptor, history, preference }) =>
+    createSelector: ({ capacity: room, preemptor, stats: history, preference }) =>
       new EagerCandidateSelector(room, preemptor, history, preference),
   },
   planned: {
--- a/packages/dispatch/advice/sendAdviceRequest.ts
+++ b/packages/dispatch/advice/sendAdviceRequest.ts
@@ -13,7 +13,7 @@
   timeoutMs: number,
 ): Promise<ReadonlyMap<EndpointIncarnation, string> | undefined> => {
   const incarnations = new Map(
-    endpoints.map((incarnation) => [endpointIncarnations.readEndpoint(incarnation), incarnation]),
+    endpoints.map((incarnation) => [endpointIncarnations.toEndpointId(incarnation), incarnation]),
   );
   const tickets = await client.requestAdvice(step, [...incarnations.keys()], timeoutMs);
   return (
--- a/packages/dispatch/computeLoad.ts
+++ b/packages/dispatch/computeLoad.ts
@@ -59,7 +59,7 @@
         customers.set(customer.name, {
           weight: customer.weight,
           waitingTasks: (known?.waitingTasks ?? 0) + step.indexes.length,
-          waiting: resourceMath.toSum(known?.waiting ?? resourceMath.NOTHING, demand),
+          waiting: resourceMath.computeSum(known?.waiting ?? resourceMath.ZERO, demand),
           held: usage.getUsed(customer.name),
         });
       }
--- a/packages/dispatch/crashes/CrashTracker.ts
+++ b/packages/dispatch/crashes/CrashTracker.ts
@@ -21,7 +21,7 @@
 
 interface CrashTrackerOptions {
   readonly jobs: ReadonlyMap<JobId, LiveJob>;
-  readonly ledger: RunTracker;
+  readonly tracker: RunTracker;
   /** Called when the progress of a job has changed and must be recorded. */
   readonly handleChanged: (job: JobId) => void;
 }
@@ -72,7 +72,7 @@
    * must not drop them, or a task could exceed its crash limit across changes of leader.
    */
   private applyRecoveredUnconfirmed(job: LiveJob, address: TaskAddress): void {
-    for (const crash of job.progress.getTask(address)?.doubts ?? []) {
+    for (const crash of job.progress.getTask(address)?.unconfirmedCrashes ?? []) {
       job.progress.recordCrash(address, { ...crash, blame: 'unproved' });
       this.options.handleChanged(job.definition.id);
     }
@@ -146,18 +146,18 @@
   /** Clears the task of a listed run of the crashes in which its runs were much younger. */
   handleRunListed(run: PlacedRun): void {
     const { progress } = this.options.jobs.get(run.job) ?? {};
-    const { crashes = [], doubts = [] } = progress?.getTask(run.address) ?? {};
+    const { crashes = [], unconfirmedCrashes: doubts = [] } = progress?.getTask(run.address) ?? {};
     if (crashes.length === 0 && doubts.length === 0) {
       return;
     }
     const { clearedAgeFactor, clearedAgeMs, maxClearedAgeMs: longestClearedAgeMs } = crashLimits;
-    const listedMs = run.seenAt - run.confirmedAt;
+    const listedMs = run.lastListedAt - run.confirmedAt;
     const isCleared = ({ ageMs }: TaskCrash): boolean =>
       listedMs >= Math.min(longestClearedAgeMs, clearedAgeFactor * ageMs + clearedAgeMs);
     if (progress?.removeCrashes(run.address, isCleared) === true) {
       const { job, task } = run;
       this.options.handleChanged(job);
-      this.options.ledger.sendLogLine('Task is cleared of crashes.', {
+      this.options.tracker.sendLogLine('Task is cleared of crashes.', {
         job,
         task,
         listedMs: Math.round(listedMs),
@@ -201,15 +201,15 @@
         isOverCrashLimit(crashes, this.hasUnexplainedLosses(now))
       ) {
         const task = toTaskName(id, address);
-        this.options.ledger.sendLogLine('Task is given up: endpoints ended under it.', {
+        this.options.tracker.sendLogLine('Task is given up: endpoints ended under it.', {
           job: id,
           task,
           crashes,
         });
-        this.options.ledger.sendCount('tasksGivenUp');
+        this.options.tracker.sendCount('tasksGivenUp');
         this.history.recordOverLimit(id, now);
         this.removeExplained({ job: id, address }, crashes, now);
-        this.options.ledger.recordJobEnd(job, 'failed', wallMs);
+        this.options.tracker.recordJobEnd(job, 'failed', wallMs);
       }
     }
     this.tasksOverLimit.clear();
@@ -267,14 +267,16 @@
       isSuspect: (run) => isCrashSuspect(jobs.get(run.job)?.progress.getTask(run.address)?.crashes ?? []),
       getGroup: ({ job, address, task }) => {
         const isGang = jobs.get(job)?.definition.steps[address.step]?.isGang === true;
-        return isGang ? `${job}.${address.time}.${address.step}` : task;
+        return isGang ? `${job}.${address.repetition}.${address.step}` : task;
       },
     });
   }
 
   /** Returns how long a run had certainly run when a poll last listed it, in milliseconds; assumed for one that an earlier leader placed. */
   private getAgeMs(run: PlacedRun): number {
-    return run.stage === 'unconfirmed' ? crashLimits.unknownAgeMs : Math.round(run.seenAt - run.confirmedAt);
+    return run.stage === 'unconfirmed'
+      ? crashLimits.unknownAgeMs
+      : Math.round(run.lastListedAt - run.confirmedAt);
   }
 
   private removeCrashes(
@@ -287,7 +289,7 @@
     if (cleared.length > 0) {
       const names = cleared.slice(0, MAX_NAMED_TASKS).map(({ job, address }) => toTaskName(job, address));
       const fields = { endpoint: crashed, reason, count: cleared.length, tasks: names };
-      this.options.ledger.sendLogLine('Charges of a crash are taken back.', fields);
+      this.options.tracker.sendLogLine('Charges of a crash are taken back.', fields);
     }
   }
 
@@ -308,8 +310,8 @@
     if (recorded.length === 0) {
       return;
     }
-    this.options.ledger.sendCount('crashesCharged', recorded.length);
-    this.options.ledger.sendLogLine('Crash is charged.', {
+    this.options.tracker.sendCount('crashesCharged', recorded.length);
+    this.options.tracker.sendLogLine('Crash is charged.', {
       endpoint,
       count: recorded.length,
       tasks: recorded.slice(0, MAX_NAMED_TASKS).map(({ job, address, crash }) => ({
--- a/packages/dispatch/endpoints/CommandSender.ts
+++ b/packages/dispatch/endpoints/CommandSender.ts
@@ -29,7 +29,7 @@
   readonly handleStarted: (job: JobId) => void;
   /** Called when a command or its result has changed what can be placed. */
   readonly handleChanged: () => void;
-  readonly handleDeposed: (detail: string) => void;
+  readonly handleLeadershipLost: (detail: string) => void;
 }
 
 const WAIT_CAUSES = Object.keys(waitMetricNames) as WaitCause[];
@@ -114,7 +114,7 @@
     if (result.kind === 'unanswered') {
       this.timeout.recordTimeout(tookMs);
     } else {
-      this.timeout.recordAnswer(tookMs);
+      this.timeout.recordResponse(tookMs);
     }
   }
 
@@ -122,7 +122,7 @@
   private isLeadershipOver(result: CommandResult): boolean {
     const isFenced = result.kind === 'rejected' && result.reason === 'fence';
     if (isFenced) {
-      this.options.handleDeposed('an endpoint has accepted a newer leader');
+      this.options.handleLeadershipLost('an endpoint has accepted a newer leader');
     }
     return isFenced || this.options.isStopped();
   }
--- a/packages/dispatch/endpoints/EndpointLossHandler.ts
+++ b/packages/dispatch/endpoints/EndpointLossHandler.ts
@@ -7,8 +7,8 @@
 import { formatIncarnationEnd } from './formatIncarnationEnd';
 
 interface EndpointLossHandlerOptions {
-  readonly books: Map<EndpointIncarnation, EndpointState>;
-  readonly ledger: RunTracker;
+  readonly endpoints: Map<EndpointIncarnation, EndpointState>;
+  readonly tracker: RunTracker;
   readonly crashes: CrashTracker;
   /** Longest lease that an endpoint grants, in milliseconds. */
   readonly longestLeaseMs: number;
@@ -26,7 +26,7 @@
    * reach it: these are transferred there, until a poll with the new fencing token shows whether they run.
    */
   handleIncarnationEnd(incarnation: EndpointIncarnation, now: number, next?: EndpointIncarnation): void {
-    const { books: endpoints, ledger: tracker, crashes } = this.options;
+    const { endpoints, tracker, crashes } = this.options;
     const endpoint = endpoints.get(incarnation);
     if (endpoint === undefined) {
       return;
@@ -59,7 +59,7 @@
     if (!isUnreachable || now <= endpoint.getLeasedUntil()) {
       return;
     }
-    const { ledger: tracker, crashes } = this.options;
+    const { tracker, crashes } = this.options;
     const runs = [...endpoint.getRuns()].filter(({ stage }) => stage !== 'recording');
     crashes.handleLeaseExpiry(endpoint, runs, now);
     for (const run of runs) {
--- a/packages/dispatch/endpoints/EndpointRecords.ts
+++ b/packages/dispatch/endpoints/EndpointRecords.ts
@@ -27,7 +27,7 @@
   /** Called when all records of a read have been handled. */
   readonly handleRead: () => void;
   /** Called when the log has recovered, with the monotonic time at which the call that it responded to was sent. */
-  readonly handleLogBack: (answeredSentAt: number) => void;
+  readonly handleLogRecovered: (answeredSentAt: number) => void;
 }
 
 const RETRY_DELAY_MS = 300;
@@ -115,7 +115,7 @@
     if (isConnected) {
       this.logRecoveredAt = this.options.clock.readNow();
       this.scheduleRemoval(REREGISTRATION_MS);
-      this.options.handleLogBack(sentAt);
+      this.options.handleLogRecovered(sentAt);
     }
   }
 
--- a/packages/dispatch/endpoints/EndpointSession.ts
+++ b/packages/dispatch/endpoints/EndpointSession.ts
@@ -79,7 +79,7 @@
     });
     this.isExtraPollPending = false;
     if (!this.isStopped && result.kind === 'otherLife') {
-      this.options.handleOtherIncarnation(result.life, sentAt);
+      this.options.handleOtherIncarnation(result.incarnation, sentAt);
     }
     // Only the poll loop handles missing responses and acknowledges ends.
     if (!this.isStopped && result.kind === 'held' && this.options.handleResponse(sentAt)) {
@@ -155,7 +155,7 @@
         this.options.handleGone();
         return;
       case 'otherLife':
-        this.options.handleOtherIncarnation(result.life, sentAt);
+        this.options.handleOtherIncarnation(result.incarnation, sentAt);
         await this.waitForRetry();
         return;
       case 'disconnected':
--- a/packages/dispatch/endpoints/EndpointSessions.ts
+++ b/packages/dispatch/endpoints/EndpointSessions.ts
@@ -36,15 +36,15 @@
   /** Returns true while this leader may grant leases. */
   readonly isRenewing: () => boolean;
   /** Called when the dispatcher has applied a status, with the number of ends that are new. */
-  readonly handleLooked: (newEndCount: number) => void;
+  readonly handleStatusApplied: (newEndCount: number) => void;
   /** Resolves once all ends applied so far are durable. */
-  readonly startFlush: () => Promise<void>;
+  readonly waitForFlush: () => Promise<void>;
   readonly recordCount: (name: 'unanswered' | 'livesBegun' | 'recordsRefused') => void;
   /** Called when a change may let tasks start. */
   readonly handleChanged: () => void;
   readonly handleFenced: (detail: string) => void;
   /** Called when the log has recovered, with the monotonic time at which the call that it responded to was sent. */
-  readonly handleLogBack: (answeredSentAt: number) => void;
+  readonly handleLogRecovered: (answeredSentAt: number) => void;
 }
 
 const isSameCapacity = (left: TaskDemand, right: TaskDemand): boolean =>
@@ -108,7 +108,7 @@
   }
 
   /** Returns true once all records have been read. */
-  hasReadAll(): boolean {
+  hasReadRecords(): boolean {
     return this.records.hasReadAll();
   }
 
@@ -306,7 +306,13 @@
     sentAt: number,
     newEndCount: number,
   ): Promise<void> {
-    const { clock, dispatcher, logger, handleLooked, startFlush } = this.options;
+    const {
+      clock,
+      dispatcher,
+      logger,
+      handleStatusApplied: handleLooked,
+      waitForFlush: startFlush,
+    } = this.options;
     const endpoint = dispatcher.getEndpointState(incarnation);
     if (endpoint !== undefined && (endpoint.getUnreachableSince() !== undefined || !endpoint.isSynced())) {
       const { hall, labels } = endpoint.getProfile();
@@ -339,7 +345,7 @@
   /** Removes an incarnation that has no record, no runs and no response, unless a poll may still confirm that it has crashed. */
   private removeIfUnneeded(incarnation: EndpointIncarnation): void {
     const { clock, dispatcher } = this.options;
-    const id = endpointIncarnations.readEndpoint(incarnation);
+    const id = endpointIncarnations.toEndpointId(incarnation);
     const { record, current, fence } = this.getKnown(id);
     const endpoint = dispatcher.getEndpointState(incarnation);
     const isResponding = incarnation === current && endpoint?.getUnreachableSince() === undefined;
@@ -361,7 +367,7 @@
   }
 
   private handleGone(incarnation: EndpointIncarnation): void {
-    const known = this.getKnown(endpointIncarnations.readEndpoint(incarnation));
+    const known = this.getKnown(endpointIncarnations.toEndpointId(incarnation));
     this.stopSession(incarnation);
     if (known.current === incarnation) {
       known.current = undefined;
--- a/packages/dispatch/endpoints/EndpointState.ts
+++ b/packages/dispatch/endpoints/EndpointState.ts
@@ -24,7 +24,7 @@
 /** The leader's view of one incarnation of an endpoint: capacity, runs, leases, reachability and health. */
 export class EndpointState {
   private readonly runs = new Map<string, PlacedRun>();
-  private used: TaskDemand = resourceMath.NOTHING;
+  private used: TaskDemand = resourceMath.ZERO;
   private failureRate = 0;
   private failureRateAt = 0;
   /** How many times longer runs take there than the same step's runs elsewhere; 1 is normal. */
@@ -85,7 +85,7 @@
   /** Adds a run, and reserves its demand here and in its customer's usage. */
   addRun(run: PlacedRun): void {
     this.runs.set(`${run.task}#${run.run}`, run);
-    this.used = resourceMath.toSum(this.used, run.demand);
+    this.used = resourceMath.computeSum(this.used, run.demand);
     this.usage.recordRun(run);
     if (run.isCrashSuspect) {
       this.startingSuspects.add(run);
@@ -96,7 +96,7 @@
   removeRun(run: PlacedRun): void {
     this.startingSuspects.delete(run);
     if (this.runs.delete(`${run.task}#${run.run}`)) {
-      this.used = resourceMath.toDifference(this.used, run.demand);
+      this.used = resourceMath.computeDifference(this.used, run.demand);
       this.usage.recordRunEnd(run);
     }
   }
@@ -112,7 +112,7 @@
   }
 
   getFreeCapacity(): TaskDemand {
-    return resourceMath.toDifference(this.profile.capacity, this.used);
+    return resourceMath.computeDifference(this.profile.capacity, this.used);
   }
 
   getFreeCpuMillis(): number {
@@ -206,7 +206,7 @@
   }
 
   /** Records how many times longer a run takes than the same step's runs elsewhere. */
-  recordSlowness(ratio: number, now: number): void {
+  recordSlowdown(ratio: number, now: number): void {
     const current = this.computeSlowdown(now);
     this.slowdown = current + SLOWDOWN_WEIGHT * (Math.min(MAX_SLOWDOWN, ratio) - current);
     this.slowdownAt = now;
--- a/packages/dispatch/endpoints/PollResult.ts
+++ b/packages/dispatch/endpoints/PollResult.ts
@@ -17,6 +17,6 @@
       readonly running: readonly RunningTaskStatus[];
       readonly ended: readonly EndedTaskStatus[];
     }
-  | { readonly kind: 'otherLife'; readonly life: EndpointIncarnation }
+  | { readonly kind: 'otherLife'; readonly incarnation: EndpointIncarnation }
   | { readonly kind: 'fenced' | 'gone' | 'disconnected' }
   | { readonly kind: 'unanswered'; readonly detail: string };
--- a/packages/dispatch/endpoints/ResponseTimeout.ts
+++ b/packages/dispatch/endpoints/ResponseTimeout.ts
@@ -11,7 +11,7 @@
   private readonly responseTime = new SmoothedTime();
 
   /** Records the time that a response took, in milliseconds. */
-  recordAnswer(tookMs: number): void {
+  recordResponse(tookMs: number): void {
     this.responseTime.recordTime(tookMs);
   }
 
@@ -21,7 +21,7 @@
    */
   recordTimeout(waitedMs: number): void {
     if (waitedMs >= MIN_MS) {
-      this.recordAnswer(waitedMs * TIMEOUT_FACTOR);
+      this.recordResponse(waitedMs * TIMEOUT_FACTOR);
     }
   }
 
--- a/packages/dispatch/endpoints/StatusReconciler.ts
+++ b/packages/dispatch/endpoints/StatusReconciler.ts
@@ -18,11 +18,11 @@
 
 interface StatusReconcilerOptions {
   readonly jobs: ReadonlyMap<JobId, LiveJob>;
-  readonly ledger: RunTracker;
+  readonly tracker: RunTracker;
   readonly learner: RunLearner;
   readonly crashes: CrashTracker;
   /** Definition of any job, also of one that has ended. */
-  readonly readDefinition: (id: JobId) => JobDefinition | undefined;
+  readonly getDefinition: (id: JobId) => JobDefinition | undefined;
 }
 
 /** Outcome of a run for its job's progress, by the end that the endpoint reported. */
@@ -71,7 +71,7 @@
     if (outcome === 'done') {
       this.options.learner.recordCompletion(endpoint, run, now);
     }
-    this.options.ledger.recordRunEnd(
+    this.options.tracker.recordRunEnd(
       endpoint,
       run,
       { outcome, cause: 'listed', checkpoint: row.checkpoint, reportedEnd: row.how },
@@ -79,7 +79,7 @@
     );
     const job = this.options.jobs.get(run.job);
     if (job !== undefined) {
-      this.options.ledger.checkJobEnd(job, run, outcome, endpoint.getProfile().incarnation, wallMs);
+      this.options.tracker.checkJobEnd(job, run, outcome, endpoint.getProfile().incarnation, wallMs);
     }
   }
 
@@ -89,19 +89,19 @@
       run.stage = 'running';
       // A run whose start had no response may have begun just now, so that its startup is counted from here.
       run.confirmedAt = now;
-      if (run.unansweredAt !== undefined) {
+      if (run.startTimedOutAt !== undefined) {
         this.logLateConfirmation(
           'Run has started, though its start command had no response.',
           endpoint,
           run,
           now,
         );
-        run.unansweredAt = undefined;
+        run.startTimedOutAt = undefined;
       }
     }
     this.checkTransferred(run, now);
     run.isListed = true;
-    run.seenAt = now;
+    run.lastListedAt = now;
     if (isPastStartup(run)) {
       endpoint.recordStartupPassed(run);
       this.options.crashes.handleRunListed(run);
@@ -120,12 +120,12 @@
   }
 
   private logLateConfirmation(message: string, endpoint: EndpointState, run: PlacedRun, now: number): void {
-    this.options.ledger.sendLogLine(message, {
+    this.options.tracker.sendLogLine(message, {
       job: run.job,
       task: run.task,
       run: run.run,
       endpoint: endpoint.getProfile().incarnation,
-      doubtedMs: Math.round(now - (run.unansweredAt ?? now)),
+      doubtedMs: Math.round(now - (run.startTimedOutAt ?? now)),
     });
   }
 
@@ -135,7 +135,7 @@
     streak.recordEnd(outcome, now);
     if (streak.isFailing() !== wasFailing) {
       const message = wasFailing ? 'Endpoint has recovered from failures.' : 'Endpoint fails all its runs.';
-      this.options.ledger.sendLogLine(message, { endpoint: endpoint.getProfile().incarnation });
+      this.options.tracker.sendLogLine(message, { endpoint: endpoint.getProfile().incarnation });
     }
   }
 
@@ -150,15 +150,15 @@
   /** Adds a run that this leader has not placed, and stops it. */
   private stopOrphan(endpoint: EndpointState, row: RunningTaskStatus, now: number): PlacedRun {
     const parsed = parseTaskName(row.task);
-    const definition = parsed === undefined ? undefined : this.options.readDefinition(parsed.job);
+    const definition = parsed === undefined ? undefined : this.options.getDefinition(parsed.job);
     const isKnown = parsed !== undefined && definition?.steps[parsed.address.step] !== undefined;
     const run: PlacedRun = isKnown
       ? createPlacedRun(definition!, parsed.address, row.run, now)
       : createOrphanRun(row, now);
     run.stage = 'running';
     endpoint.addRun(run);
-    this.options.ledger.sendStop(endpoint, run, 'notWanted');
-    this.options.ledger.sendLogLine('Stopping a run that is not wanted.', {
+    this.options.tracker.sendStop(endpoint, run, 'notWanted');
+    this.options.tracker.sendLogLine('Stopping a run that is not wanted.', {
       job: run.job,
       task: row.task,
       run: row.run,
@@ -179,16 +179,16 @@
       }
       if (this.isCertainlyMissing(run, sentAt)) {
         this.recordMissing(endpoint, run, now);
-      } else if (run.stage === 'ordered' && sentAt >= (run.unansweredAt ?? Infinity)) {
+      } else if (run.stage === 'ordered' && sentAt >= (run.startTimedOutAt ?? Infinity)) {
         // The start command may still arrive, unless a stop precedes it.
-        this.options.ledger.sendStop(endpoint, run, 'unanswered');
+        this.options.tracker.sendStop(endpoint, run, 'unanswered');
       }
     }
   }
 
   /** Ends a run that the endpoint doesn't run. A transferred one ended with the incarnation that it was sent to. */
   private recordMissing(endpoint: EndpointState, run: PlacedRun, now: number): void {
-    const { ledger: tracker } = this.options;
+    const { tracker } = this.options;
     if (run.transferredFrom !== undefined) {
       tracker.sendCount('runsLost');
     }
@@ -211,7 +211,7 @@
       case 'running':
         return run.confirmedAt < sentAt;
       case 'stopping':
-        return run.stopAnsweredAt !== undefined && run.stopAnsweredAt <= sentAt;
+        return run.stopRespondedAt !== undefined && run.stopRespondedAt <= sentAt;
     }
   }
 }
--- a/packages/dispatch/endpoints/formatIncarnationEnd.ts
+++ b/packages/dispatch/endpoints/formatIncarnationEnd.ts
@@ -29,7 +29,7 @@
       run: run.run,
       stage: run.stage,
       ageMs: Math.round(now - run.confirmedAt),
-      listedAgeMs: Math.round(run.seenAt - run.confirmedAt),
+      listedAgeMs: Math.round(run.lastListedAt - run.confirmedAt),
     })),
   };
 };
--- a/packages/dispatch/placing/CapacityView.ts
+++ b/packages/dispatch/placing/CapacityView.ts
@@ -65,7 +65,7 @@
   }
 
   private hasAmpleCapacity(
-    { job, time, step, shape, indexes }: WaitingStep,
+    { job, repetition: time, step, shape, indexes }: WaitingStep,
     eligible: readonly EndpointState[],
   ): boolean {
     const advice = job.getAdvice(time, step);
@@ -133,14 +133,14 @@
   }
 
   /** Returns whether the endpoint runs as many tasks of the step as `maxPerEndpoint` allows. */
-  hasMaxTasks({ job, time, step, shape }: WaitingStep, endpoint: EndpointState): boolean {
+  hasMaxTasks({ job, repetition: time, step, shape }: WaitingStep, endpoint: EndpointState): boolean {
     if (shape.maxPerEndpoint === 0) {
       return false;
     }
     let count = 0;
     for (const run of endpoint.getRuns()) {
       const { address } = run;
-      if (run.job === job.definition.id && address.time === time && address.step === step) {
+      if (run.job === job.definition.id && address.repetition === time && address.step === step) {
         count += 1;
       }
     }
@@ -163,7 +163,7 @@
   }
 
   /** Returns whether one task of the step fits without using the reserve. */
-  isWithinReserve(step: WaitingStep): boolean {
+  isOutsideReserve(step: WaitingStep): boolean {
     const { shape } = step;
     return shape.isFiller || toReservedDemand(shape).cpuMillis <= this.computeUnreservedCpuMillis(step);
   }
@@ -213,8 +213,8 @@
     }
     const schedulable = this.listSchedulable(service, label);
     const sum = schedulable.reduce(
-      (total, endpoint) => resourceMath.toSum(total, endpoint.getProfile().capacity),
-      resourceMath.NOTHING,
+      (total, endpoint) => resourceMath.computeSum(total, endpoint.getProfile().capacity),
+      resourceMath.ZERO,
     );
     const count = Math.max(1, schedulable.length);
     const mean = {
--- a/packages/dispatch/placing/EndpointPreference.ts
+++ b/packages/dispatch/placing/EndpointPreference.ts
@@ -33,7 +33,7 @@
     if (step.shape.isLongRunning || step.shape.isFiller) {
       return () => 0;
     }
-    const { room: capacity, speedChoice, hallChoice } = this.options;
+    const { capacity, speedChoice, hallChoice } = this.options;
     const computeSpeedCost = speedPolicies[speedChoice](step, this.options, endpoints, this.wallMs);
     const homeHall = capacity.chooseHomeHall(step);
     return (endpoint) =>
--- a/packages/dispatch/placing/Preemptor.ts
+++ b/packages/dispatch/placing/Preemptor.ts
@@ -15,7 +15,7 @@
 interface PreemptorOptions {
   readonly jobs: ReadonlyMap<JobId, LiveJob>;
   readonly reservations: EndpointReservations;
-  readonly room: PreemptionRules;
+  readonly rules: PreemptionRules;
   readonly handlePreempted: (
     endpoint: EndpointState,
     run: PlacedRun,
@@ -70,13 +70,16 @@
 
   /** Returns how long a ticket must stay valid for a preemption to complete, in milliseconds. */
   getMinTicketMs(): number {
-    return this.options.room.minTicketMs;
+    return this.options.rules.minTicketMs;
   }
 
   /** Starts to preempt runs on the allowed endpoints, unless a preemption for the step is under way or not worthwhile. */
   startPreemption(step: WaitingStep, allowed: readonly EndpointState[], now: number): void {
     const { reservations, handlePreempted } = this.options;
-    if (reservations.hasReservation(step) || now < step.job.getPreemptionRetryAt(step.time, step.step)) {
+    if (
+      reservations.hasReservation(step) ||
+      now < step.job.getPreemptionRetryAt(step.repetition, step.step)
+    ) {
       return;
     }
     const plans = this.createPlans(step, allowed, now);
@@ -85,16 +88,16 @@
       return;
     }
     const estimate = this.estimatePreemption(step, allowed, plans, now);
-    if (!this.options.room.isWorthwhile(estimate)) {
-      step.job.recordPreemptionBackoff(step.time, step.step, now + RECHECK_INTERVAL_MS);
+    if (!this.options.rules.isWorthwhile(estimate)) {
+      step.job.recordPreemptionBackoff(step.repetition, step.step, now + RECHECK_INTERVAL_MS);
       return;
     }
-    step.job.recordPreemptionAttempt(step.time, step.step, now, this.options.room.initialRetryMs);
+    step.job.recordPreemptionAttempt(step.repetition, step.step, now, this.options.rules.initialRetryMs);
     for (const [endpoint, { victims }] of plans) {
       reservations.setReservation(
         endpoint.getProfile().incarnation,
         step,
-        now + this.options.room.reservationMs,
+        now + this.options.rules.reservationMs,
       );
       for (const run of victims) {
         this.options.jobs.get(run.job)?.recordPreemption(run.task);
@@ -136,7 +139,7 @@
     };
   }
 
-  private computeWaitedMs({ job, time, step }: WaitingStep, now: number): number {
+  private computeWaitedMs({ job, repetition: time, step }: WaitingStep, now: number): number {
     return Object.values(job.getWait(time, step).getTimes(now)).reduce((sum, ms) => sum + ms, 0);
   }
 
@@ -146,7 +149,7 @@
     if (job === undefined || shape === undefined || shape.isLongRunning) {
       return Infinity;
     }
-    const median = job.getSpeeds(run.address.time, run.address.step).getMedian();
+    const median = job.getSpeeds(run.address.repetition, run.address.step).getMedian();
     return estimateRemainingByPaceMs(run, median ?? shape.estimatedMs / MAX_PERCENT, now);
   }
 
@@ -199,7 +202,7 @@
       for (const run of this.listCandidates(step, endpoint, now)) {
         if (!earlier.includes(run)) {
           added.push(run);
-          free = resourceMath.toSum(free, run.demand);
+          free = resourceMath.computeSum(free, run.demand);
         }
         if (resourceMath.isWithin(demand, free)) {
           break;
@@ -209,16 +212,16 @@
     if (!resourceMath.isWithin(demand, free)) {
       return undefined;
     }
-    if (this.options.room.isMinimizingVictims) {
+    if (this.options.rules.isMinimizingVictims) {
       ({ added, free } = this.computeNeeded(added, free, demand));
     }
     const victims = [...earlier, ...added];
     const cost = added.reduce(
-      (sum, run) => sum + this.options.room.computeCost(this.toVictim(run, now)),
+      (sum, run) => sum + this.options.rules.computeCost(this.toVictim(run, now)),
       before?.cost ?? 0,
     );
     const count = (before?.count ?? 0) + 1;
-    return { free: resourceMath.toDifference(free, demand), victims, cost, count };
+    return { free: resourceMath.computeDifference(free, demand), victims, cost, count };
   }
 
   /** Returns the victims without those that turn out unnecessary, since later ones free enough capacity. */
@@ -230,7 +233,7 @@
     const added = [...victims];
     let remaining = free;
     for (const run of victims) {
-      const without = resourceMath.toDifference(remaining, run.demand);
+      const without = resourceMath.computeDifference(remaining, run.demand);
       if (resourceMath.isWithin(demand, without)) {
         added.splice(added.indexOf(run), 1);
         remaining = without;
@@ -255,7 +258,7 @@
     }
     const isExcluded = shape.isGang || shape.isLongRunning || shape.isFiller;
     const preemptions = job.countPreemptions(run.task);
-    const hasWorkedEnough = preemptions === 0 || now - run.confirmedAt >= this.options.room.minWorkMs;
+    const hasWorkedEnough = preemptions === 0 || now - run.confirmedAt >= this.options.rules.minWorkMs;
     return !isExcluded && preemptions < MAX_PREEMPTIONS && hasWorkedEnough && !this.isEndingSoon(run, now);
   }
 
--- a/packages/dispatch/placing/SlowRoundLogger.ts
+++ b/packages/dispatch/placing/SlowRoundLogger.ts
@@ -2,7 +2,7 @@
 
 interface SlowRoundLoggerOptions {
   readonly logger: Logger;
-  readonly readJobCount: () => number;
+  readonly countJobs: () => number;
   readonly recordTime: (name: 'roundMs', valueMs: number) => void;
 }
 
@@ -21,7 +21,7 @@
 
   /** Records the duration of the round that began at the monotonic time `now`. */
   recordRound(durationMs: number, now: number): void {
-    const { logger, readJobCount, recordTime } = this.options;
+    const { logger, countJobs: readJobCount, recordTime } = this.options;
     recordTime('roundMs', durationMs);
     if (durationMs <= SLOW_ROUND_MS) {
       return;
--- a/packages/dispatch/placing/SpeedSources.ts
+++ b/packages/dispatch/placing/SpeedSources.ts
@@ -8,5 +8,5 @@
   readonly kinds: KindSpeeds;
   readonly speeds: EndpointSpeeds;
   readonly times: RunTimes;
-  readonly room: CapacityView;
+  readonly capacity: CapacityView;
 }
--- a/packages/dispatch/placing/StepLimiter.ts
+++ b/packages/dispatch/placing/StepLimiter.ts
@@ -24,7 +24,7 @@
 
   /** Returns the largest part of a step that may run at once when nothing else of the customer does; undefined for none. */
   computeMaxStartable(step: WaitingStep): WaitingStep | undefined {
-    return this.computePart(step, resourceMath.NOTHING);
+    return this.computePart(step, resourceMath.ZERO);
   }
 
   private computePart(step: WaitingStep, used: TaskDemand): WaitingStep | undefined {
@@ -34,7 +34,7 @@
     }
     const { indexes, shape } = step;
     const limit = this.getLimit(customer.name) ?? customer.limit;
-    const count = customerLimits.measureFitCount(limit, used, shape.demand);
+    const count = customerLimits.countFittingTasks(limit, used, shape.demand);
     if (count >= indexes.length) {
       return step;
     }
--- a/packages/dispatch/placing/StepPlacer.ts
+++ b/packages/dispatch/placing/StepPlacer.ts
@@ -37,14 +37,14 @@
 type PlacementEffect = Extract<DispatchEffect, { kind: 'start' | 'tell' }>;
 
 interface StepPlacerOptions {
-  readonly room: CapacityView;
-  readonly limits: StepLimiter;
-  readonly questions: AdviceRequester;
+  readonly capacity: CapacityView;
+  readonly limiter: StepLimiter;
+  readonly advice: AdviceRequester;
   readonly preemptor: Preemptor;
   readonly reservations: EndpointReservations;
   readonly preference: EndpointPreference;
-  readonly suspicion: SuspectCosts;
-  readonly trust: EndpointQuarantine;
+  readonly suspectCosts: SuspectCosts;
+  readonly quarantine: EndpointQuarantine;
   readonly sendEffect: (effect: PlacementEffect) => void;
 }
 
@@ -55,18 +55,18 @@
   private readonly tentative: Placement[] = [];
 
   constructor(private readonly options: StepPlacerOptions) {
-    this.capacity = options.room;
+    this.capacity = options.capacity;
   }
 
   /** Places as many tasks of a step as possible. Returns whether any was placed. */
   placeStep(waitingStep: WaitingStep, now: number): boolean {
-    const wait = waitingStep.job.getWait(waitingStep.time, waitingStep.step);
+    const wait = waitingStep.job.getWait(waitingStep.repetition, waitingStep.step);
     const due = this.computeDueStep(waitingStep, now);
     if (due === undefined) {
       wait.recordCause('pause', now);
       return false;
     }
-    const step = this.options.limits.computeStartable(due);
+    const step = this.options.limiter.computeStartable(due);
     if (step === undefined) {
       wait.recordCause('limit', now);
       return false;
@@ -79,16 +79,21 @@
     }
     const placements = this.choosePlacements(step, eligible, now);
     const missing = step.indexes.length - placements.length;
-    const cause = missing === 0 ? 'room' : this.options.questions.requestAdvice(step, eligible, missing, now);
+    const cause = missing === 0 ? 'room' : this.options.advice.requestAdvice(step, eligible, missing, now);
     if (isScarce && placements.length === 0) {
       this.startPreemption(step, eligible, now);
     }
     if (placements.length > 0) {
       this.placeTasks(step, placements, now);
-      step.job.recordPlacement(step.time, step.step, now, placements.length < waitingStep.indexes.length);
+      step.job.recordPlacement(
+        step.repetition,
+        step.step,
+        now,
+        placements.length < waitingStep.indexes.length,
+      );
     }
     if (placements.length < waitingStep.indexes.length) {
-      step.job.getWait(step.time, step.step).recordCause(missing > 0 ? cause : 'limit', now);
+      step.job.getWait(step.repetition, step.step).recordCause(missing > 0 ? cause : 'limit', now);
     }
     return placements.length > 0;
   }
@@ -99,7 +104,7 @@
    */
   requestAdviceAhead(waitingStep: WaitingStep, now: number): void {
     const due = this.computeDueStep(waitingStep, now);
-    const step = due === undefined ? undefined : this.options.limits.computeStartable(due);
+    const step = due === undefined ? undefined : this.options.limiter.computeStartable(due);
     if (step === undefined) {
       return;
     }
@@ -107,7 +112,7 @@
     if (!this.capacity.hasAnyCapacity(step, eligible)) {
       return;
     }
-    const { questions: advice } = this.options;
+    const { advice } = this.options;
     const neededUntil = now + advice.estimateResponseMs(step);
     const placements = this.choosePlacements(step, eligible, neededUntil);
     this.tentative.push(...placements);
@@ -123,8 +128,10 @@
 
   /** Returns the step without the tasks in backoff; undefined when none is left, or when a gang wouldn't be complete. */
   private computeDueStep(waitingStep: WaitingStep, now: number): WaitingStep | undefined {
-    const { job, time, step } = waitingStep;
-    const indexes = waitingStep.indexes.filter((index) => !job.isBackingOff({ time, step, index }, now));
+    const { job, repetition: time, step } = waitingStep;
+    const indexes = waitingStep.indexes.filter(
+      (index) => !job.isBackingOff({ repetition: time, step, index }, now),
+    );
     if (indexes.length === waitingStep.indexes.length) {
       return waitingStep;
     }
@@ -132,7 +139,7 @@
   }
 
   private startPreemption(step: WaitingStep, eligible: readonly EndpointState[], now: number): void {
-    const { preemptor, trust: quarantine } = this.options;
+    const { preemptor, quarantine } = this.options;
     const candidate = { isGang: step.shape.isGang, failures: 0 };
     const allowed = this.listAllowed(step, eligible, now + preemptor.getMinTicketMs()).filter((endpoint) =>
       quarantine.canAccept(candidate, endpoint, now),
@@ -217,7 +224,7 @@
   /** Returns the tasks of a step that may start now: at most one crash suspect, but all members of a gang. */
   private listStartableTasks(step: WaitingStep): readonly StartableTask[] {
     const startable = step.indexes.flatMap((index): readonly StartableTask[] => {
-      const address = { time: step.time, step: step.step, index };
+      const address = { repetition: step.repetition, step: step.step, index };
       const task = step.job.progress.getTask(address);
       return task === undefined ? [] : [{ address, task, isSuspect: isCrashSuspect(task.crashes) }];
     });
@@ -225,7 +232,7 @@
     if (firstSuspect === undefined || step.shape.isGang) {
       return startable;
     }
-    const nextSuspect = this.options.suspicion.hasStartingSibling(step) ? undefined : firstSuspect;
+    const nextSuspect = this.options.suspectCosts.hasStartingSibling(step) ? undefined : firstSuspect;
     return startable.filter((startableTask) => !startableTask.isSuspect || startableTask === nextSuspect);
   }
 
@@ -245,10 +252,10 @@
       if (!endpoint.hasCapacityFor(demand) || this.capacity.hasMaxTasks(step, endpoint)) {
         continue;
       }
-      if (!this.options.trust.canAccept(candidate, endpoint, now)) {
+      if (!this.options.quarantine.canAccept(candidate, endpoint, now)) {
         continue;
       }
-      const suspectCost = this.options.suspicion.computeCost(step, candidate, endpoint, now);
+      const suspectCost = this.options.suspectCosts.computeCost(step, candidate, endpoint, now);
       const cost = rule.computeCost(step, endpoint, now) + computePreferenceCost(endpoint) + suspectCost;
       if (cost < bestCost) {
         bestCost = cost;
@@ -259,11 +266,11 @@
   }
 
   /** Returns the run number for all members of a gang: one above the highest used. */
-  private computeNextRun({ job, time, step }: WaitingStep): number {
+  private computeNextRun({ job, repetition: time, step }: WaitingStep): number {
     return 1 + Math.max(0, ...job.progress.listTasks(time, step).map((task) => task.run));
   }
 
-  private getAdvice({ job, time, step }: WaitingStep): ReturnType<LiveJob['getAdvice']> {
+  private getAdvice({ job, repetition: time, step }: WaitingStep): ReturnType<LiveJob['getAdvice']> {
     return job.getAdvice(time, step);
   }
 
@@ -275,7 +282,7 @@
     const { job, shape } = step;
     const { progress, definition } = job;
     const gangCheckpoint = shape.isGang ? this.getGangCheckpoint(step) : '';
-    const waits = job.getWait(step.time, step.step).getTimes(now);
+    const waits = job.getWait(step.repetition, step.step).getTimes(now);
     this.options.reservations.releaseReservations(step);
     const placed = placements.map(({ endpoint: state, run, ticket }) => {
       const { address, task } = run;
@@ -284,7 +291,7 @@
       progress.recordPlaced(address, run.run, endpoint);
       run.waits = waits;
       const command = { task, run: run.run, spec: definition.spec, checkpoint, ticket };
-      this.options.questions.recordTicketUse(step, endpoint);
+      this.options.advice.recordTicketUse(step, endpoint);
       this.options.sendEffect({ kind: 'start', job: definition.id, endpoint, command, waits });
       return {
         task,
@@ -308,7 +315,7 @@
   }
 
   /** Returns the checkpoint that all members of a gang start from; '' for none. The checkpoint of any member is valid for all. */
-  private getGangCheckpoint({ job, time, step }: WaitingStep): string {
+  private getGangCheckpoint({ job, repetition: time, step }: WaitingStep): string {
     const saved = job.progress.listTasks(time, step).find((task) => task.checkpoint !== '');
     return job.getGangCheckpoint(time, step) ?? saved?.checkpoint ?? '';
   }
--- a/packages/dispatch/placing/SuspectCosts.ts
+++ b/packages/dispatch/placing/SuspectCosts.ts
@@ -37,7 +37,7 @@
    * Returns whether another suspect task of the step is in its startup. Suspects of one step are started one after the other, since
    * they are likely to behave alike; members of a gang start together.
    */
-  hasStartingSibling({ job, time, step, shape }: WaitingStep): boolean {
+  hasStartingSibling({ job, repetition: time, step, shape }: WaitingStep): boolean {
     if (shape.isGang) {
       return false;
     }
@@ -45,7 +45,7 @@
       if (task.phase !== 'placed' || !isCrashSuspect(task.crashes)) {
         return false;
       }
-      const name = toTaskName(job.definition.id, { time, step, index });
+      const name = toTaskName(job.definition.id, { repetition: time, step, index });
       const run = this.endpoints.get(task.endpoint)?.getRun(name, task.run);
       return run !== undefined && !isPastStartup(run);
     });
@@ -94,7 +94,7 @@
   /** Returns whether the run is a member of the gang to be placed; its members start together and share the blame for a crash. */
   private isSameGang(step: WaitingStep, { job, address }: PlacedRun): boolean {
     const isSameStep =
-      job === step.job.definition.id && address.time === step.time && address.step === step.step;
+      job === step.job.definition.id && address.repetition === step.repetition && address.step === step.step;
     return step.shape.isGang && isSameStep;
   }
 }
--- a/packages/dispatch/placing/rankingRules.ts
+++ b/packages/dispatch/placing/rankingRules.ts
@@ -9,7 +9,7 @@
 const SERVING_NEIGHBOUR_COST = 50;
 
 const computeFailureCost = (
-  { job, time, step }: WaitingStep,
+  { job, repetition: time, step }: WaitingStep,
   endpoint: EndpointState,
   now: number,
 ): number => {
--- a/packages/dispatch/placing/speedPolicies.ts
+++ b/packages/dispatch/placing/speedPolicies.ts
@@ -17,7 +17,7 @@
 /** Slowdowns are rounded to multiples of this, so that random differences don't count. */
 const SLOWDOWN_STEP = 0.1;
 
-const createKindCost: CreateCostFunction = (step, { kinds, room: capacity }) => {
+const createKindCost: CreateCostFunction = (step, { kinds, capacity }) => {
   const isMostUrgent = capacity.isMostUrgent(step.job.definition.queue);
   return (endpoint) => {
     const slowdown = kinds.getSlowdown(endpoint.getProfile().labels);
--- a/packages/dispatch/runs/GangMonitor.ts
+++ b/packages/dispatch/runs/GangMonitor.ts
@@ -36,7 +36,10 @@
     }
     for (const [index, task] of tasks.entries()) {
       const endpoint = this.endpoints.get(task.endpoint);
-      const run = endpoint?.getRun(toTaskName(job.definition.id, { time, step, index }), task.run);
+      const run = endpoint?.getRun(
+        toTaskName(job.definition.id, { repetition: time, step, index }),
+        task.run,
+      );
       if (task.phase === 'placed' && endpoint !== undefined && run !== undefined) {
         this.handleRemainingMember(endpoint, run);
       }
--- a/packages/dispatch/runs/PlacedRun.ts
+++ b/packages/dispatch/runs/PlacedRun.ts
@@ -51,7 +51,7 @@
   /** Monotonic time at which the endpoint confirmed the start. */
   confirmedAt: number;
   /** Monotonic time at which the start command timed out; undefined if it did not. */
-  unansweredAt: number | undefined;
+  startTimedOutAt: number | undefined;
   /** Monotonic time from which the delay of the next stop retry counts; undefined before the first check. */
   stopSentAt: number | undefined;
   /** Reason for the stop; undefined while it is not being stopped. */
@@ -59,10 +59,10 @@
   /** The stop command was retried. */
   isStopRepeated: boolean;
   /** Monotonic time of the first response to a stop command; undefined until then. */
-  stopAnsweredAt: number | undefined;
+  stopRespondedAt: number | undefined;
   percent: number;
   /** Monotonic time of the newest poll that listed it; `placedAt` before the first. */
-  seenAt: number;
+  lastListedAt: number;
   /** Monotonic time at which `percent` last increased. */
   progressedAt: number;
   checkpoint: string;
--- a/packages/dispatch/runs/RunCommands.ts
+++ b/packages/dispatch/runs/RunCommands.ts
@@ -59,7 +59,7 @@
     { endpoint, command }: StartEffect,
     now: number,
   ): boolean {
-    const { time, step } = run.address;
+    const { repetition: time, step } = run.address;
     return command.ticket === '' || job.getAdvice(time, step).hasSendableTicket(endpoint, now);
   }
 
@@ -107,7 +107,7 @@
     if (result.kind === 'gone') {
       this.options.handleIncarnationEnd(incarnation, now);
     } else if (run !== undefined && (result.kind === 'done' || result.kind === 'rejected')) {
-      run.stopAnsweredAt ??= now;
+      run.stopRespondedAt ??= now;
     }
   }
 
@@ -128,7 +128,7 @@
     now: number,
   ): void {
     const { jobs, runTracker, handleIncarnationEnd } = this.options;
-    const { incarnation: incarnation } = endpoint.getProfile();
+    const { incarnation } = endpoint.getProfile();
     switch (result.kind) {
       case 'done':
         jobs.get(run.job)?.recordStartAccepted(run.address);
@@ -146,7 +146,7 @@
         // No more starts until a poll succeeds: on a partitioned endpoint each one would wait for its lease to expire.
         endpoint.recordUnreachable(now);
         // The run may have started with only the response late. A poll shows that, while a stop would lose its work.
-        run.unansweredAt = now;
+        run.startTimedOutAt = now;
         runTracker.sendPoll(endpoint);
         return;
       case 'gone':
@@ -154,7 +154,7 @@
         return;
       case 'rejected':
         if (result.reason === 'ticket') {
-          jobs.get(run.job)?.getAdvice(run.address.time, run.address.step).removeTicket(incarnation);
+          jobs.get(run.job)?.getAdvice(run.address.repetition, run.address.step).removeTicket(incarnation);
         }
         jobs.get(run.job)?.recordStartRejected(run.address, now);
         runTracker.recordRunEnd(endpoint, run, REJECTED, now);
--- a/packages/dispatch/runs/RunEndCause.ts
+++ b/packages/dispatch/runs/RunEndEvidence.ts
@@ -9,5 +9,5 @@
  * - `notDelivered`: no connection was made for the start command.
  * - `notSent`: the start command was not sent.
  */
-export type RunEndCause =
+export type RunEndEvidence =
   'listed' | 'notListed' | 'lifeOver' | 'leaseOver' | 'turnedDown' | 'unhealthy' | 'notDelivered' | 'notSent';
--- a/packages/dispatch/runs/RunMover.ts
+++ b/packages/dispatch/runs/RunMover.ts
@@ -84,7 +84,7 @@
     }
     const isMoveLimitReached = (this.moveCounts.get(run.task) ?? 0) >= MAX_MOVES;
     // Measured up to the newest poll, to which `percent` belongs.
-    const observedMs = run.seenAt - run.confirmedAt;
+    const observedMs = run.lastListedAt - run.confirmedAt;
     // A task that may have crashed an endpoint stays, to show whether it does so again.
     const hasCrashed = (this.getJob(run)?.progress.getTask(run.address)?.crashes.length ?? 0) > 0;
     if (
@@ -97,59 +97,60 @@
       return undefined;
     }
     const baseline = this.computeBaseline(run, shape);
-    if (baseline.usualPace === 0) {
+    if (baseline.baselinePace === 0) {
       return undefined;
     }
     // No object spread, which is slow: this is called for each run on each tick.
     const input: SlowRunInput = {
-      usualPace: baseline.usualPace,
+      baselinePace: baseline.baselinePace,
       slowPace: baseline.slowPace,
       pace: observedMs / Math.max(1, run.percent),
       percent: run.percent,
-      stalledMs: run.seenAt - run.progressedAt,
+      stalledMs: run.lastListedAt - run.progressedAt,
       moveMs: MOVE_OVERHEAD_MS + (this.getJob(run)?.definition.queue.advice?.decisionMs ?? 0),
       isSaving: shape.isCheckpointing,
     };
     const reason = this.options.stops.findMoveReason(input);
-    const gainMs = input.pace * (ALL_PERCENT - input.percent) - input.usualPace * ALL_PERCENT - input.moveMs;
+    const gainMs =
+      input.pace * (ALL_PERCENT - input.percent) - input.baselinePace * ALL_PERCENT - input.moveMs;
     return reason === undefined ? undefined : { book: endpoint, run, priority, reason, gainMs };
   }
 
   /** Computes the baseline pace of a step from its other tasks, else from learned run times, else from the caller's estimate. */
-  private computeBaseline(run: PlacedRun, shape: JobStep): Pick<SlowRunInput, 'usualPace' | 'slowPace'> {
+  private computeBaseline(run: PlacedRun, shape: JobStep): Pick<SlowRunInput, 'baselinePace' | 'slowPace'> {
     const job = this.getJob(run);
-    const median = job?.getSpeeds(run.address.time, run.address.step).getMedian();
+    const median = job?.getSpeeds(run.address.repetition, run.address.step).getMedian();
     if (median !== undefined) {
-      return { usualPace: median, slowPace: SLOW_RATIO * median };
+      return { baselinePace: median, slowPace: SLOW_RATIO * median };
     }
     const { stops, estimateRunTime } = this.options;
     const isEstimateUsed = job !== undefined && stops.isUsingRunTimes;
     const estimate = isEstimateUsed ? estimateRunTime(job.definition.queue.name, shape) : undefined;
     if (estimate?.isLearnt === true) {
       const slowMs = Math.max(SLOW_RATIO * estimate.medianMs, P90_RATIO * estimate.p90Ms);
-      return { usualPace: estimate.medianMs / ALL_PERCENT, slowPace: slowMs / ALL_PERCENT };
+      return { baselinePace: estimate.medianMs / ALL_PERCENT, slowPace: slowMs / ALL_PERCENT };
     }
     const usualPace = (shape.estimatedMs * ESTIMATE_SLACK) / ALL_PERCENT;
-    return { usualPace, slowPace: SLOW_RATIO * usualPace };
+    return { baselinePace: usualPace, slowPace: SLOW_RATIO * usualPace };
   }
 
   /** Returns true when the endpoint will leave before the run can end there. */
   private isEvictionDue(endpoint: EndpointState, run: PlacedRun, shape: JobStep, now: number): boolean {
-    if (shape.isGang && !this.options.stops.isMovingGangs) {
+    if (shape.isGang && !this.options.stops.isEvictingGangs) {
       return false;
     }
     if (shape.isLongRunning) {
       return true;
     }
     return this.options.stops.isEvictionDue({
-      leftMs: endpoint.getDrainDeadline(now) - now,
+      untilDeadlineMs: endpoint.getDrainDeadline(now) - now,
       remainingMs: this.estimateRemainingMs(run, shape),
       isSaving: shape.isCheckpointing,
     });
   }
 
   private estimateRemainingMs(run: PlacedRun, shape: JobStep): number {
-    const observedMs = run.seenAt - run.confirmedAt;
+    const observedMs = run.lastListedAt - run.confirmedAt;
     const pace = run.percent > 0 ? observedMs / run.percent : shape.estimatedMs / ALL_PERCENT;
     return pace * (ALL_PERCENT - run.percent);
   }
--- a/packages/dispatch/runs/RunTracker.ts
+++ b/packages/dispatch/runs/RunTracker.ts
@@ -53,7 +53,7 @@
     const gangCheckpoint =
       this.isSharingGangCheckpoints && this.isGangMember(run) ? getGangCheckpoint(run, end, now) : undefined;
     if (gangCheckpoint !== undefined) {
-      job?.recordGangCheckpoint(run.address.time, run.address.step, gangCheckpoint);
+      job?.recordGangCheckpoint(run.address.repetition, run.address.step, gangCheckpoint);
     }
     if (job?.progress.recordEnd(run.address, run.run, outcome, newestCheckpoint) === true) {
       job.changedAt = now;
@@ -72,7 +72,7 @@
         ageMs: Math.round(now - run.placedAt),
         recordMs: Math.round(run.recordedAt - run.placedAt),
         startMs: Math.round(run.confirmedAt - run.recordedAt),
-        unheardMs: Math.round(now - run.seenAt),
+        unheardMs: Math.round(now - run.lastListedAt),
       });
     }
     this.removeUnusedEndpoint(endpoint);
@@ -125,7 +125,7 @@
       stage: run.stage,
     });
     if (run.stage === 'stopping') {
-      run.stopAnsweredAt = undefined;
+      run.stopRespondedAt = undefined;
       this.sendStopCommand(to, run);
     } else {
       run.stage = 'unconfirmed';
@@ -140,7 +140,7 @@
     incarnation: EndpointIncarnation,
     wallMs: number,
   ): void {
-    const { time, step, index } = run.address;
+    const { repetition: time, step, index } = run.address;
     const shape = job.definition.steps[step]!;
     if (outcome === 'failed') {
       job.recordFailureOn(time, step, incarnation);
@@ -183,7 +183,7 @@
     }
     run.stage = 'stopping';
     run.stopCause = cause;
-    run.stopAnsweredAt = undefined;
+    run.stopRespondedAt = undefined;
     run.stopSentAt = undefined;
     run.isStopRepeated = false;
     this.sendStopCommand(endpoint, run);
@@ -192,11 +192,11 @@
   /** Retries stops without a response, and stops runs whose start timed out and that no poll has listed since. */
   retryStops(endpoint: EndpointState, now: number): void {
     for (const run of endpoint.getRuns()) {
-      if (run.stage === 'ordered' && now - (run.unansweredAt ?? now) >= UNANSWERED_STOP_MS) {
+      if (run.stage === 'ordered' && now - (run.startTimedOutAt ?? now) >= UNANSWERED_STOP_MS) {
         this.sendStop(endpoint, run, 'unanswered');
         continue;
       }
-      if (run.stage !== 'stopping' || run.stopAnsweredAt !== undefined) {
+      if (run.stage !== 'stopping' || run.stopRespondedAt !== undefined) {
         continue;
       }
       run.stopSentAt ??= now;
--- a/packages/dispatch/runs/findStragglerReason.ts
+++ b/packages/dispatch/runs/findStragglerReason.ts
@@ -1,7 +1,7 @@
 interface StragglerInput {
   /** Milliseconds for one percent: of this run, and the baseline of its step. */
   readonly pace: number;
-  readonly usualPace: number;
+  readonly baselinePace: number;
   readonly percent: number;
   /** Time since `percent` last increased, in milliseconds. */
   readonly stalledMs: number;
@@ -24,11 +24,11 @@
 
 /** Returns why a run would end sooner on another endpoint, or undefined when it would not. */
 export const findStragglerReason = (input: StragglerInput): 'stalled' | 'slow' | undefined => {
-  if (input.stalledMs > Math.max(MIN_STALL_MS, STALL_PERCENT * input.usualPace)) {
+  if (input.stalledMs > Math.max(MIN_STALL_MS, STALL_PERCENT * input.baselinePace)) {
     return 'stalled';
   }
   const remainingMs = input.pace * (ALL_PERCENT - input.percent);
-  const { usualPace, slowPace = SLOW_RATIO * usualPace, restartPercent = ALL_PERCENT } = input;
+  const { baselinePace: usualPace, slowPace = SLOW_RATIO * usualPace, restartPercent = ALL_PERCENT } = input;
   const restartMs = usualPace * restartPercent + input.moveMs;
   const isSlow = input.pace > slowPace;
   return isSlow && remainingMs > MIN_GAIN_RATIO * restartMs ? 'slow' : undefined;
--- a/packages/dispatch/speeds/RunLearner.ts
+++ b/packages/dispatch/speeds/RunLearner.ts
@@ -13,13 +13,13 @@
 import { estimateStepTime } from './estimateStepTime';
 
 interface RunLearnerOptions {
-  readonly books: ReadonlyMap<EndpointIncarnation, EndpointState>;
+  readonly endpoints: ReadonlyMap<EndpointIncarnation, EndpointState>;
   readonly jobs: ReadonlyMap<JobId, LiveJob>;
   readonly kinds: KindSpeeds;
   readonly speeds: EndpointSpeeds;
   readonly times: RunTimes;
-  readonly speedChoice: SpeedPolicyName;
-  readonly sendTell: (message: string, fields: Readonly<Record<string, unknown>>) => void;
+  readonly speedPolicy: SpeedPolicyName;
+  readonly sendLogLine: (message: string, fields: Readonly<Record<string, unknown>>) => void;
 }
 
 /** A run whose time is informative, with its step and endpoint. */
@@ -93,11 +93,11 @@
       return;
     }
     this.refreshedAt = now;
-    const { speeds, books: endpoints } = this.options;
+    const { speeds, endpoints } = this.options;
     speeds.handleTick(now, (incarnation) => endpoints.has(incarnation));
     for (const { endpoint, speedClass, estimate, samples, updatedAt } of speeds.takeChanges(MAX_LOG_LINES)) {
       const profile = endpoints.get(endpoint)?.getProfile();
-      this.options.sendTell("Endpoint's speed has changed.", {
+      this.options.sendLogLine("Endpoint's speed has changed.", {
         endpoint,
         speed: speedClass,
         ratio: Number(estimate.ratio.toFixed(2)),
@@ -111,7 +111,7 @@
   }
 
   private recordPace({ endpoint, run, job, shape }: Measurement, pace: number, now: number): void {
-    const stepSpeeds = job.getSpeeds(run.address.time, run.address.step);
+    const stepSpeeds = job.getSpeeds(run.address.repetition, run.address.step);
     const profile = endpoint.getProfile();
     // The members of a gang run at one pace on all endpoints.
     const ownRatio = shape.isGang ? 1 : this.getOwnRatio(profile);
@@ -120,19 +120,19 @@
     if (median !== undefined) {
       // An endpoint that is always slow, or of a slow kind, is not degraded.
       const baselineRatio = ownRatio === 1 ? this.options.kinds.getSlowdown(profile.labels) : ownRatio;
-      endpoint.recordSlowness(pace / median / baselineRatio, now);
+      endpoint.recordSlowdown(pace / median / baselineRatio, now);
     }
   }
 
   /** Returns the bounded ratio learnt for the endpoint itself; 1 under policies that do not use it. */
   private getOwnRatio(profile: EndpointProfile): number {
-    const { speeds, speedChoice } = this.options;
+    const { speeds, speedPolicy: speedChoice } = this.options;
     return speedChoice === 'endpoints' ? Math.min(MAX_OWN_RATIO, speeds.getSignificantRatio(profile)) : 1;
   }
 
   /** Records the pace of a run that is done for the kind of its endpoint; that of a running one is too imprecise. */
   private recordKindPace({ endpoint, run, job }: Measurement, pace: number): void {
-    const median = job.getSpeeds(run.address.time, run.address.step).getMedian();
+    const median = job.getSpeeds(run.address.repetition, run.address.step).getMedian();
     if (median !== undefined && median > 0) {
       this.options.kinds.recordRun(endpoint.getProfile().labels, pace / median);
     }
@@ -151,7 +151,7 @@
 
   private recordTime(measurement: Measurement, runMs: number, now: number): void {
     const { run, job, shape } = measurement;
-    const times = job.getTimes(run.address.time, run.address.step);
+    const times = job.getRunTimes(run.address.repetition, run.address.step);
     this.measuredRuns.add(run);
     if (runMs <= 0 || !this.isAtBaselinePace(measurement)) {
       return;
@@ -198,11 +198,11 @@
   }
 
   private recordGangTime({ run, job, shape }: Measurement, logMs: number, now: number): void {
-    const { speeds, times, books: endpoints } = this.options;
+    const { speeds, times, endpoints } = this.options;
     const queue = job.definition.queue.name;
     const distribution = times.getDistribution(queue, shape);
     const members = job.progress
-      .listTasks(run.address.time, run.address.step)
+      .listTasks(run.address.repetition, run.address.step)
       .flatMap(({ endpoint }) => endpoints.get(endpoint)?.getProfile() ?? []);
     if (members.length < shape.count) {
       return;
@@ -220,7 +220,7 @@
   }
 
   private toStepKey({ job, address }: PlacedRun): string {
-    return `${job}.${address.time}.${address.step}`;
+    return `${job}.${address.repetition}.${address.step}`;
   }
 
   /** Returns false for runs that may be slowed down by their distance from their data or from the rest of their gang. */
--- a/packages/dispatch/speeds/createCompletionTimeCost.ts
+++ b/packages/dispatch/speeds/createCompletionTimeCost.ts
@@ -13,7 +13,7 @@
 /** Returns how many members of a gang fit on the endpoints of each ratio, the fastest first. */
 const listGangCapacity = (
   step: WaitingStep,
-  { speeds, room: capacityView }: SpeedSources,
+  { speeds, capacity: capacityView }: SpeedSources,
   endpoints: readonly EndpointState[],
 ): readonly (readonly [ratio: number, count: number])[] => {
   const counts = new Map<number, number>();
@@ -66,7 +66,7 @@
   // The run times of gangs are those of the whole gang.
   const count = step.shape.isGang ? 1 : step.shape.count;
   const leftMs = step.objectiveAtMs - wallMs - step.job.getCriticalPathAfterMs(step.step);
-  const isMostUrgent = sources.room.isMostUrgent(definition.queue);
+  const isMostUrgent = sources.capacity.isMostUrgent(definition.queue);
   const baselineChance = computeLateChance({ runTime, count, ratio: 1, leftMs });
   const computeCost = (ratio: number): number => {
     const lateCost = LATE_COST * (computeLateChance({ runTime, count, ratio, leftMs }) - baselineChance);
--- a/packages/dispatch/stops/SlowRunInput.ts
+++ b/packages/dispatch/stops/SlowRunInput.ts
@@ -3,7 +3,7 @@
   /** Pace of this run. */
   readonly pace: number;
   /** Baseline pace, expected of a new run. */
-  readonly usualPace: number;
+  readonly baselinePace: number;
   /** Pace above which a run is slow beyond the normal variance. */
   readonly slowPace: number;
   readonly percent: number;
--- a/packages/dispatch/stops/StopPolicy.ts
+++ b/packages/dispatch/stops/StopPolicy.ts
@@ -11,7 +11,7 @@
   readonly findMoveReason: (input: SlowRunInput) => Exclude<MoveReason, 'endpointLeaves'> | undefined;
   readonly preemption: PreemptionRules;
   /** Gangs on draining endpoints are evicted, and resume from the newest checkpoint of any member. */
-  readonly isMovingGangs: boolean;
+  readonly isEvictingGangs: boolean;
   /** Runs without siblings are compared with the learnt run times. */
   readonly isUsingRunTimes: boolean;
   /** Maximum share of all runs that are moved at the same time as stragglers. */
--- a/packages/dispatch/stops/estimateCapacityWaitMs.ts
+++ b/packages/dispatch/stops/estimateCapacityWaitMs.ts
@@ -19,13 +19,13 @@
   let waitMs = 0;
   const recordFits = (): void => {
     while (times.length < maxPerEndpoint && resourceMath.isWithin(demand, remaining)) {
-      remaining = resourceMath.toDifference(remaining, demand);
+      remaining = resourceMath.computeDifference(remaining, demand);
       times.push(waitMs);
     }
   };
   recordFits();
   for (const holder of [...holders].sort((left, right) => left.remainingMs - right.remainingMs)) {
-    remaining = resourceMath.toSum(remaining, holder.demand);
+    remaining = resourceMath.computeSum(remaining, holder.demand);
     waitMs = holder.remainingMs;
     recordFits();
   }
--- a/packages/dispatch/stops/isEvictionDue.ts
+++ b/packages/dispatch/stops/isEvictionDue.ts
@@ -4,5 +4,7 @@
  * Returns whether a run, or a gang, that can't end before its endpoint's drain deadline is to be stopped now. Runs that save their work
  * go on until `marginMs` before the deadline; others are stopped at once.
  */
-export const isEvictionDue = ({ leftMs, remainingMs, isSaving }: EvictionInput, marginMs: number): boolean =>
-  remainingMs > leftMs && (!isSaving || leftMs < marginMs);
+export const isEvictionDue = (
+  { untilDeadlineMs: leftMs, remainingMs, isSaving }: EvictionInput,
+  marginMs: number,
+): boolean => remainingMs > leftMs && (!isSaving || leftMs < marginMs);
--- a/packages/dispatch/waiting/LiveJob.ts
+++ b/packages/dispatch/waiting/LiveJob.ts
@@ -119,7 +119,7 @@
     return this.getStepState(time, step).speeds;
   }
 
-  getTimes(time: number, step: number): StepRunTimes {
+  getRunTimes(time: number, step: number): StepRunTimes {
     return this.getStepState(time, step).times;
   }
 
--- a/packages/dispatch/waiting/PlacementOrderInput.ts
+++ b/packages/dispatch/waiting/PlacementOrderInput.ts
@@ -7,10 +7,10 @@
   readonly wallMs: number;
   readonly usage: CustomerUsage;
   /** Returns the total capacity of all schedulable endpoints. */
-  readonly readCapacity: () => TaskDemand;
+  readonly getCapacity: () => TaskDemand;
   /**
    * Returns a lower bound of the time from the start of a step to the end of its job, in milliseconds. The default is a share of the
    * callers' estimates.
    */
-  readonly readRemainingMs?: (step: WaitingStep) => number;
+  readonly estimateMinRemainingMs?: (step: WaitingStep) => number;
 }
--- a/packages/dispatch/waiting/WaitingStep.ts
+++ b/packages/dispatch/waiting/WaitingStep.ts
@@ -4,7 +4,7 @@
 /** A step with tasks that may start now. */
 export interface WaitingStep {
   readonly job: LiveJob;
-  readonly time: number;
+  readonly repetition: number;
   readonly step: number;
   readonly shape: JobStep;
   /** Indexes of the waiting tasks. */
--- a/packages/dispatch/waiting/computeWaitingDemand.ts
+++ b/packages/dispatch/waiting/computeWaitingDemand.ts
@@ -5,4 +5,4 @@
 
 /** Returns the total demand of a step's waiting tasks. Fillers count without processor time. */
 export const computeWaitingDemand = ({ shape, indexes }: WaitingStep): TaskDemand =>
-  resourceMath.toScaled(toReservedDemand(shape), indexes.length);
+  resourceMath.computeProduct(toReservedDemand(shape), indexes.length);
--- a/packages/dispatch/waiting/listWaitingSteps.ts
+++ b/packages/dispatch/waiting/listWaitingSteps.ts
@@ -25,7 +25,7 @@
       if (indexes.length === 0 || (shape.isGang && !isGangWhole(indexes, shape.count))) {
         continue;
       }
-      steps.push({ job, time, step, shape, indexes, objectiveAtMs: job.getObjectiveAtMs(time) });
+      steps.push({ job, repetition: time, step, shape, indexes, objectiveAtMs: job.getObjectiveAtMs(time) });
     }
   }
   return steps;
--- a/packages/dispatch/waiting/sortByHeldShares.ts
+++ b/packages/dispatch/waiting/sortByHeldShares.ts
@@ -41,8 +41,8 @@
   capacity: TaskDemand,
   input: PlacementOrderInput,
 ): RankedStep => {
-  const { job, time, objectiveAtMs } = step;
-  const remainingMs = (input.readRemainingMs ?? estimateCertainMs)(step);
+  const { job, repetition: time, objectiveAtMs } = step;
+  const remainingMs = (input.estimateMinRemainingMs ?? estimateCertainMs)(step);
   const startedAtMs = Math.max(job.definition.acceptedAtMs, job.getDueAtMs(time));
   const usefulUntilMs = startedAtMs + computeMaxUsefulMs(objectiveAtMs - startedAtMs);
   const isInTime = input.wallMs + remainingMs <= objectiveAtMs;
@@ -128,7 +128,7 @@
   waiting: readonly WaitingStep[],
   input: PlacementOrderInput,
 ): readonly WaitingStep[] => {
-  const capacity = input.readCapacity();
+  const capacity = input.getCapacity();
   const ranked = waiting.map((step) => createRankedStep(step, capacity, input)).sort(compareByTime);
   updateOverShare(ranked, input, capacity);
   ranked.sort(isExpiredFirst(input.wallMs) ? compareExpiredFirst : compareByShare);
--- a/packages/jobs/JobProgress.ts
+++ b/packages/jobs/JobProgress.ts
@@ -15,7 +15,7 @@
   endpoint: NO_ENDPOINT,
   checkpoint: '',
   crashes: [],
-  doubts: [],
+  unconfirmedCrashes: [],
 };
 
 /**
@@ -44,7 +44,7 @@
   }
 
   getTask(address: TaskAddress): TaskProgress | undefined {
-    return this.tasks[address.time]?.[address.step]?.[address.index];
+    return this.tasks[address.repetition]?.[address.step]?.[address.index];
   }
 
   listTasks(time: number, step: number): readonly TaskProgress[] {
@@ -124,7 +124,7 @@
   recordGangDone(time: number, step: number): void {
     for (const [index, task] of this.listTasks(time, step).entries()) {
       if (task.phase !== 'done') {
-        this.setDone({ time, step, index }, task);
+        this.setDone({ repetition: time, step, index }, task);
       }
     }
   }
@@ -151,7 +151,11 @@
     if (task !== undefined && task.phase !== 'done') {
       const isOther = ({ endpoint }: TaskCrash): boolean => endpoint !== crash.endpoint;
       const crashes = [...task.crashes.filter(isOther), crash];
-      this.setTask(address, { ...task, crashes, doubts: task.doubts.filter(isOther) });
+      this.setTask(address, {
+        ...task,
+        crashes,
+        unconfirmedCrashes: task.unconfirmedCrashes.filter(isOther),
+      });
     }
   }
 
@@ -159,18 +163,18 @@
   recordUnconfirmedCrash(address: TaskAddress, crash: TaskCrash): void {
     const task = this.getTask(address);
     if (task !== undefined && task.phase !== 'done') {
-      const others = task.doubts.filter(({ endpoint }) => endpoint !== crash.endpoint);
-      this.setTask(address, { ...task, doubts: [...others, crash] });
+      const others = task.unconfirmedCrashes.filter(({ endpoint }) => endpoint !== crash.endpoint);
+      this.setTask(address, { ...task, unconfirmedCrashes: [...others, crash] });
     }
   }
 
   /** Removes the unconfirmed crash of an endpoint, if there is one. */
   removeUnconfirmedCrash(address: TaskAddress, endpoint: EndpointIncarnation): void {
     const task = this.getTask(address);
-    if (task?.doubts.some((crash) => crash.endpoint === endpoint) === true) {
+    if (task?.unconfirmedCrashes.some((crash) => crash.endpoint === endpoint) === true) {
       this.setTask(address, {
         ...task,
-        doubts: task.doubts.filter((crash) => crash.endpoint !== endpoint),
+        unconfirmedCrashes: task.unconfirmedCrashes.filter((crash) => crash.endpoint !== endpoint),
       });
     }
   }
@@ -178,14 +182,14 @@
   /** Removes the crashes, confirmed or not, that match a predicate. Returns false when none did. */
   removeCrashes(address: TaskAddress, isRemoved: (crash: TaskCrash) => boolean): boolean {
     const task = this.getTask(address);
-    if (task === undefined || ![...task.crashes, ...task.doubts].some(isRemoved)) {
+    if (task === undefined || ![...task.crashes, ...task.unconfirmedCrashes].some(isRemoved)) {
       return false;
     }
     const isKept = (crash: TaskCrash): boolean => !isRemoved(crash);
     this.setTask(address, {
       ...task,
       crashes: task.crashes.filter(isKept),
-      doubts: task.doubts.filter(isKept),
+      unconfirmedCrashes: task.unconfirmedCrashes.filter(isKept),
     });
     return true;
   }
@@ -199,14 +203,14 @@
   }
 
   private setDone(address: TaskAddress, task: TaskProgress): void {
-    this.setTask(address, { ...task, phase: 'done', checkpoint: '', crashes: [], doubts: [] });
-    const steps = this.openCounts[address.time]!;
+    this.setTask(address, { ...task, phase: 'done', checkpoint: '', crashes: [], unconfirmedCrashes: [] });
+    const steps = this.openCounts[address.repetition]!;
     steps[address.step] = steps[address.step]! - 1;
     this.openTotal -= 1;
   }
 
   private setTask(address: TaskAddress, task: TaskProgress): void {
     this.version += 1;
-    this.tasks[address.time]![address.step]![address.index] = task;
+    this.tasks[address.repetition]![address.step]![address.index] = task;
   }
 }
--- a/packages/jobs/TaskAddress.ts
+++ b/packages/jobs/TaskAddress.ts
@@ -1,7 +1,7 @@
 /** Position of a task within its job. */
 export interface TaskAddress {
   /** Index of the repetition; 0 for a job that is not repeated. */
-  readonly time: number;
+  readonly repetition: number;
   readonly step: number;
   readonly index: number;
 }
--- a/packages/jobs/TaskProgress.ts
+++ b/packages/jobs/TaskProgress.ts
@@ -16,5 +16,5 @@
   /** Crashes of endpoints under the task since one of its runs was last past startup. */
   readonly crashes: readonly TaskCrash[];
   /** Unconfirmed crashes: endpoints that became unreachable under the task. They count once the crash is confirmed. */
-  readonly doubts: readonly TaskCrash[];
+  readonly unconfirmedCrashes: readonly TaskCrash[];
 }
--- a/packages/jobs/endpointIncarnations.ts
+++ b/packages/jobs/endpointIncarnations.ts
@@ -17,7 +17,7 @@
 
 /** Conversions between endpoint ids and the names of incarnations. */
 export const endpointIncarnations = {
-  toLife: toIncarnation,
-  readEndpoint: toEndpointId,
-  isLikeLife: isIncarnationName,
+  toIncarnation,
+  toEndpointId,
+  isIncarnationName,
 } as const;
--- a/packages/jobs/formatProgress.ts
+++ b/packages/jobs/formatProgress.ts
@@ -27,7 +27,7 @@
 
 const toCrashRows = (
   started: readonly StartedTask[],
-  field: 'crashes' | 'doubts',
+  field: 'crashes' | 'unconfirmedCrashes',
 ): readonly TaskCrashRows[] =>
   started
     .filter(([, , , task]) => task[field].length > 0)
@@ -41,7 +41,7 @@
     return [time, step, index, phase[0]!, run, failures, endpoint, checkpoint];
   });
   const crashes = toCrashRows(started, 'crashes');
-  const doubts = toCrashRows(started, 'doubts');
+  const doubts = toCrashRows(started, 'unconfirmedCrashes');
   const ending = progress.isEnded() ? progress.getState() : undefined;
   return JSON.stringify({
     ending,
--- a/packages/jobs/parseProgress.ts
+++ b/packages/jobs/parseProgress.ts
@@ -39,7 +39,7 @@
   }
   const progress = new JobProgress(definition);
   for (const [time, step, index, phase, run, failures, endpoint, checkpoint] of parsed.data.tasks) {
-    const address = { time, step, index };
+    const address = { repetition: time, step, index };
     progress.recordPlaced(address, run, toId<EndpointIncarnation>(endpoint));
     if (phase !== 'p') {
       progress.recordEnd(address, run, phase === 'd' ? 'done' : 'interrupted', checkpoint);
@@ -51,7 +51,7 @@
   for (const [time, step, index, rows] of parsed.data.crashes) {
     for (const [endpoint, blame, ageMs] of rows) {
       progress.recordCrash(
-        { time, step, index },
+        { repetition: time, step, index },
         { endpoint: toId<EndpointIncarnation>(endpoint), blame, ageMs },
       );
     }
@@ -59,7 +59,7 @@
   for (const [time, step, index, rows] of parsed.data.doubts) {
     for (const [endpoint, blame, ageMs] of rows) {
       progress.recordUnconfirmedCrash(
-        { time, step, index },
+        { repetition: time, step, index },
         { endpoint: toId<EndpointIncarnation>(endpoint), blame, ageMs },
       );
     }
--- a/packages/jobs/parseTaskName.ts
+++ b/packages/jobs/parseTaskName.ts
@@ -16,5 +16,5 @@
   if (job === undefined || parts.length !== 4 || !isValid) {
     return undefined;
   }
-  return { job: toId<JobId>(job), address: { time: time!, step: step!, index: index! } };
+  return { job: toId<JobId>(job), address: { repetition: time!, step: step!, index: index! } };
 };
--- a/packages/jobs/resourceMath.ts
+++ b/packages/jobs/resourceMath.ts
@@ -27,9 +27,9 @@
 
 /** Arithmetic on resource demands. */
 export const resourceMath = {
-  NOTHING: ZERO,
-  toSum: computeSum,
-  toDifference: computeDifference,
-  toScaled: computeProduct,
+  ZERO,
+  computeSum,
+  computeDifference,
+  computeProduct,
   isWithin,
 } as const;
--- a/packages/jobs/toTaskName.ts
+++ b/packages/jobs/toTaskName.ts
@@ -5,4 +5,4 @@
 
 /** Returns the name of a task, by which endpoints identify it. */
 export const toTaskName = (job: JobId, address: TaskAddress): TaskName =>
-  toId<TaskName>(`${job}.${address.time}.${address.step}.${address.index}`);
+  toId<TaskName>(`${job}.${address.repetition}.${address.step}.${address.index}`);
--- a/packages/leadership/LeaderIntroduction.ts
+++ b/packages/leadership/LeaderAnnouncement.ts
@@ -2,7 +2,7 @@
 import type { LeaderRecord } from './LeaderRecord';
 
 /** Announcement of a leader, which it sends to the other boxes. */
-export interface LeaderIntroduction extends BoxPower {
+export interface LeaderAnnouncement extends BoxPower {
   /** Its leader record, which it has read back from the log. */
   readonly record: LeaderRecord;
   /** Host and port of its box for requests between boxes. */
--- a/packages/leadership/Leadership.ts
+++ b/packages/leadership/Leadership.ts
@@ -104,7 +104,7 @@
    * Handles the announcement of a leader, whose record this process may not have read from the log yet. Returns false when its epoch is
    * not newer than the known one.
    */
-  handleIntroduction(record: LeaderRecord): boolean {
+  handleAnnouncement(record: LeaderRecord): boolean {
     if (record.epoch <= (this.record?.epoch ?? 0)) {
       return false;
     }
@@ -116,11 +116,11 @@
   }
 
   /** Handles the request to take over from a leader that has stopped. */
-  handleHandOver(epoch: number): void {
+  handleHandover(epoch: number): void {
     this.leases.recordStopped(epoch, this.options.clock.readNow());
     this.endedEpoch = epoch;
     this.endedReason = 'the leader handed over';
-    this.applyTime();
+    this.handleTick();
   }
 
   /** Handles the probable end of the process of the leader. */
@@ -138,7 +138,7 @@
   }
 
   /** Claims leadership if there is no leader. */
-  applyTime(): void {
+  handleTick(): void {
     if (this.isStopped || this.isLeading || this.isClaiming) {
       return;
     }
@@ -152,7 +152,7 @@
   }
 
   /** Handles that this process no longer leads. */
-  handleDeposed(): void {
+  handleLeadershipLost(): void {
     this.isLeading = false;
     this.activeAt = this.options.clock.readNow();
     this.leases.recordActivity(this.activeAt);
--- a/packages/logging/DecisionLog.ts
+++ b/packages/logging/DecisionLog.ts
@@ -59,7 +59,7 @@
   }
 
   /** Logs the counts of suppressed lines when due. Called periodically, since further lines may not come. */
-  applyTime(): void {
+  handleTick(): void {
     const now = this.options.readNow();
     if (this.suppressed.isReportDue(now)) {
       this.writeSuppressed(now);
@@ -74,7 +74,7 @@
   }
 
   private handleLine(line: Line): void {
-    this.applyTime();
+    this.handleTick();
     const now = this.options.readNow();
     const baseClass = getLineClass(line.level, line.message, line.fields);
     this.rates.recordLine(baseClass === 'story', now);
--- a/packages/logging/LineBatcher.ts
+++ b/packages/logging/LineBatcher.ts
@@ -40,7 +40,7 @@
   }
 
   /** Writes the batches that are due. */
-  applyTime(now: number): void {
+  handleTick(now: number): void {
     for (const [key, batch] of this.batches) {
       if (now - batch.since >= BATCH_MS) {
         this.writeBatch(key, batch);
--- a/packages/serve/JobDesk.ts
+++ b/packages/serve/JobDesk.ts
@@ -87,7 +87,7 @@
     if (known !== undefined) {
       return this.toKnownAnswer(known, queue, customer);
     }
-    const problem = customer && customerLimits.readProblem(submission.steps, customer.limit);
+    const problem = customer && customerLimits.checkSteps(submission.steps, customer.limit);
     if (problem !== undefined) {
       metrics.recordCount('impossible');
       this.recordDecision('Job not taken: it could never run.', id, queue.name, {
--- a/packages/serve/LeaderIntroducer.ts
+++ b/packages/serve/LeaderIntroducer.ts
@@ -1,7 +1,7 @@
 import type { BoxClient } from '../boxes/BoxClient';
 import type { Clock } from '../common/Clock';
 import type { Logger } from '../common/Logger';
-import type { LeaderIntroduction } from '../leadership/LeaderIntroduction';
+import type { LeaderAnnouncement } from '../leadership/LeaderAnnouncement';
 
 interface AnnouncedBox {
   readonly box: string;
@@ -15,7 +15,7 @@
   readonly logger: Logger;
   readonly readOthers: () => readonly AnnouncedBox[];
   /** What this box says of itself; undefined while it does not lead. */
-  readonly readIntroduction: () => LeaderIntroduction | undefined;
+  readonly readIntroduction: () => LeaderAnnouncement | undefined;
 }
 
 /** How far one box has been told of one epoch. */
@@ -89,7 +89,7 @@
     return told;
   }
 
-  private async sendTo(other: AnnouncedBox, told: Told, introduction: LeaderIntroduction): Promise<void> {
+  private async sendTo(other: AnnouncedBox, told: Told, introduction: LeaderAnnouncement): Promise<void> {
     this.underWay += 1;
     told.nextAt = Infinity;
     told.tries += 1;
--- a/packages/serve/OtherBoxes.ts
+++ b/packages/serve/OtherBoxes.ts
@@ -6,7 +6,7 @@
 import type { JobCaller } from '../customers/JobCaller';
 import type { JobId } from '../jobs/JobId';
 import type { JobState } from '../jobs/JobState';
-import type { LeaderIntroduction } from '../leadership/LeaderIntroduction';
+import type { LeaderAnnouncement } from '../leadership/LeaderAnnouncement';
 import type { LeaderRecord } from '../leadership/LeaderRecord';
 import type { LogWrite } from '../store/LogWrite';
 import type { RecordWriter } from '../store/RecordWriter';
@@ -72,7 +72,7 @@
   }
 
   /** Another box says that it leads: now this one knows where it can be called. */
-  recordIntroduction({ record, address, cores, linkMbps }: LeaderIntroduction): void {
+  recordIntroduction({ record, address, cores, linkMbps }: LeaderAnnouncement): void {
     this.directory.recordBox(record.box, address, { cores, linkMbps });
   }
 
@@ -98,7 +98,7 @@
     return contact.kind === 'known' ? contact.client.sendStateQuestion(id, caller, timeoutMs) : undefined;
   }
 
-  private readIntroduction(): LeaderIntroduction | undefined {
+  private readIntroduction(): LeaderAnnouncement | undefined {
     const { settings, process, readLeader, isLeading } = this.options;
     const record = readLeader();
     const isOwn = record?.process === process;
--- a/packages/serve/ServeProcess.ts
+++ b/packages/serve/ServeProcess.ts
@@ -13,7 +13,7 @@
 import type { JobId } from '../jobs/JobId';
 import { JobReplica } from '../jobs/JobReplica';
 import type { JobState } from '../jobs/JobState';
-import type { LeaderIntroduction } from '../leadership/LeaderIntroduction';
+import type { LeaderAnnouncement } from '../leadership/LeaderAnnouncement';
 import { LeaderWatch } from '../leadership/LeaderWatch';
 import { Leadership } from '../leadership/Leadership';
 import { admissionModes } from '../load/admissionModes';
@@ -142,7 +142,7 @@
       writeForOther: (write, timeoutMs) => this.writeForOther(write, timeoutMs),
       readConfiguration: (knownVersion) => this.configuration.readAnswer(knownVersion),
       handleIntroduction: (introduction) => this.handleIntroduction(introduction),
-      handleHandOver: (epoch) => this.leadership.handleHandOver(epoch),
+      handleHandOver: (epoch) => this.leadership.handleHandover(epoch),
     });
   }
 
@@ -261,11 +261,11 @@
   }
 
   /** Another box says that it leads: one that the log turns away hears of it by this alone. */
-  private handleIntroduction(introduction: LeaderIntroduction): void {
+  private handleIntroduction(introduction: LeaderAnnouncement): void {
     const { record } = introduction;
     this.others.recordIntroduction(introduction);
     const ledEpoch = this.leadership.getRecord()?.epoch ?? 0;
-    if (!this.leadership.handleIntroduction(record) || this.duty === undefined) {
+    if (!this.leadership.handleAnnouncement(record) || this.duty === undefined) {
       return;
     }
     this.duty.stop();
@@ -426,7 +426,7 @@
   private handleDeposed(epoch: number, detail: string): void {
     this.logger.info('Leading no more.', { epoch, detail });
     this.duty = undefined;
-    this.leadership.handleDeposed();
+    this.leadership.handleLeadershipLost();
     this.followers.stopLeading();
   }
 
@@ -463,7 +463,7 @@
   }
 
   private applyTime(): void {
-    this.leadership.applyTime();
+    this.leadership.handleTick();
     const record = this.leadership.getRecord();
     const leaderBox = this.others.directory.readBoxes().find(({ box }) => box === record?.box);
     const isOther = record !== undefined && record.process !== this.options.process;
--- a/packages/serve/readCustomerFigures.ts
+++ b/packages/serve/readCustomerFigures.ts
@@ -14,7 +14,7 @@
   return [...customers.listCustomers()].map(({ name, limit }) => ({
     name,
     limit,
-    used: usage.get(name)?.taken ?? resourceMath.NOTHING,
+    used: usage.get(name)?.taken ?? resourceMath.ZERO,
     runs: usage.get(name)?.runs ?? 0,
     waiting: waiting.get(name) ?? 0,
   }));
--- a/tests/acknowledgedLives.test.ts
+++ b/tests/acknowledgedEnds.test.ts
@@ -40,7 +40,7 @@
   };
 
   const createClient = (startedAtMs: number): PlatformEndpoint => {
-    const incarnation = endpointIncarnations.toLife(ID, startedAtMs);
+    const incarnation = endpointIncarnations.toIncarnation(ID, startedAtMs);
     const readNow = (): number => performance.now();
     const client = new PlatformEndpoint({
       address,
@@ -74,7 +74,7 @@
   };
 
   const createSession = (client: PlatformEndpoint, handleHeld: () => Promise<void>): EndpointSession => {
-    const incarnation = endpointIncarnations.toLife(ID, STARTED_AT_MS);
+    const incarnation = endpointIncarnations.toIncarnation(ID, STARTED_AT_MS);
     const endpoint = new EndpointState(createProfile(ID, { incarnation, address }), 0, new CustomerUsage());
     const session = new EndpointSession({
       endpoint,
--- a/tests/adviceTurns.test.ts
+++ b/tests/adviceTurns.test.ts
@@ -301,6 +301,6 @@
     const shape = createStep({ count: 8, isGang: true });
     const definition = createJobDefinition(number, [shape]);
     const job = new LiveJob(definition, new JobProgress(definition), 0);
-    return { job, time: 0, step: 0, shape, indexes: [0, 1, 2, 3, 4, 5, 6, 7], objectiveAtMs: 0 };
+    return { job, repetition: 0, step: 0, shape, indexes: [0, 1, 2, 3, 4, 5, 6, 7], objectiveAtMs: 0 };
   };
 });
--- a/tests/crashCharges.test.ts
+++ b/tests/crashCharges.test.ts
@@ -13,7 +13,7 @@
 import { createProfile } from './helpers/createProfile';
 import { createStep } from './helpers/createStep';
 
-const FIRST_TASK = { time: 0, step: 0, index: 0 };
+const FIRST_TASK = { repetition: 0, step: 0, index: 0 };
 
 const createJob = (fields: Partial<JobStep> = {}): JobDefinition =>
   createJobDefinition(1, [createStep({ count: 1, ...fields })]);
--- a/tests/customers.test.ts
+++ b/tests/customers.test.ts
@@ -194,26 +194,26 @@
   const demand = { cpuMillis: 3000, memoryMb: 100, accelerators: 1 };
 
   it('count in the scarcest dimension, and not in dimensions without a limit', () => {
-    expect(customerLimits.measureFitCount(limit, noLimit, demand)).toBe(2);
-    expect(customerLimits.measureFitCount(limit, { ...noLimit, memoryMb: 950 }, demand)).toBe(0);
-    expect(customerLimits.measureFitCount(noLimit, { ...noLimit, cpuMillis: 1e9 }, demand)).toBe(Infinity);
+    expect(customerLimits.countFittingTasks(limit, noLimit, demand)).toBe(2);
+    expect(customerLimits.countFittingTasks(limit, { ...noLimit, memoryMb: 950 }, demand)).toBe(0);
+    expect(customerLimits.countFittingTasks(noLimit, { ...noLimit, cpuMillis: 1e9 }, demand)).toBe(Infinity);
   });
 
   it('that have been lowered below the current usage allow no further task', () => {
-    expect(customerLimits.measureFitCount(limit, { ...noLimit, cpuMillis: 20_000 }, demand)).toBe(0);
+    expect(customerLimits.countFittingTasks(limit, { ...noLimit, cpuMillis: 20_000 }, demand)).toBe(0);
   });
 
   it('reject a task or a whole gang that exceeds them', () => {
     const large = createStep({ demand: { ...demand, cpuMillis: 9000 } });
     const wide = createStep({ count: 20, demand });
-    expect(customerLimits.readProblem([wide], limit)).toBeUndefined();
-    expect(customerLimits.readProblem([wide, large], limit)).toBe(
+    expect(customerLimits.checkSteps([wide], limit)).toBeUndefined();
+    expect(customerLimits.checkSteps([wide, large], limit)).toBe(
       'steps[1]: one task is more than the customer may ever have running',
     );
-    expect(customerLimits.readProblem([{ ...wide, isGang: true }], limit)).toBe(
+    expect(customerLimits.checkSteps([{ ...wide, isGang: true }], limit)).toBe(
       'steps[0]: a gang of 20 is more than the customer may ever have running',
     );
-    expect(customerLimits.readProblem([large], noLimit)).toBeUndefined();
+    expect(customerLimits.checkSteps([large], noLimit)).toBeUndefined();
   });
 
   it('are stored with the job in the log; jobs of earlier versions have none', () => {
--- a/tests/dispatch.test.ts
+++ b/tests/dispatch.test.ts
@@ -496,11 +496,11 @@
     const definition = createJob(1, [createStep({ count: 3 })]);
     const progress = new JobProgress(definition);
     const endpoint = toId<EndpointIncarnation>('i-0');
-    progress.recordPlaced({ time: 0, step: 0, index: 0 }, 1, endpoint);
-    progress.recordPlaced({ time: 0, step: 0, index: 1 }, 1, endpoint);
-    progress.recordEnd({ time: 0, step: 0, index: 1 }, 1, 'failed', 'saved');
-    progress.recordPlaced({ time: 0, step: 0, index: 2 }, 1, endpoint);
-    progress.recordEnd({ time: 0, step: 0, index: 2 }, 1, 'done', '');
+    progress.recordPlaced({ repetition: 0, step: 0, index: 0 }, 1, endpoint);
+    progress.recordPlaced({ repetition: 0, step: 0, index: 1 }, 1, endpoint);
+    progress.recordEnd({ repetition: 0, step: 0, index: 1 }, 1, 'failed', 'saved');
+    progress.recordPlaced({ repetition: 0, step: 0, index: 2 }, 1, endpoint);
+    progress.recordEnd({ repetition: 0, step: 0, index: 2 }, 1, 'done', '');
     const text = formatProgress(definition, progress);
     const read = parseProgress(definition, text)!;
     expect(formatProgress(definition, read)).toBe(text);
@@ -550,7 +550,7 @@
 });
 
 describe('stragglers', () => {
-  const baseline = { pace: 8, usualPace: 8, percent: 50, stalledMs: 0, moveMs: 300 };
+  const baseline = { pace: 8, baselinePace: 8, percent: 50, stalledMs: 0, moveMs: 300 };
 
   it('include no run as fast as its siblings, and no slow one that is nearly done', () => {
     expect(findStragglerReason(baseline)).toBeUndefined();
--- a/tests/endpointSpeeds.test.ts
+++ b/tests/endpointSpeeds.test.ts
@@ -290,11 +290,11 @@
     const definition = createJobDefinition(1, steps);
     const job = new LiveJob(definition, new JobProgress(definition), 0);
     const indexes = Array.from({ length: steps[0]!.count }, (_, index) => index);
-    const step = { job, time: 0, step: 0, shape: steps[0]!, indexes, objectiveAtMs: leftMs };
+    const step = { job, repetition: 0, step: 0, shape: steps[0]!, indexes, objectiveAtMs: leftMs };
     const sources = {
       speeds: { getSignificantRatio: ({ id }: { id: string }) => ratios[id]! },
       times: new RunTimes(),
-      room: {
+      capacity: {
         isMostUrgent: () => isMostUrgent,
         countFittingTasks: (free: { cpuMillis: number }) => Math.floor(free.cpuMillis / 1000),
       },
--- a/tests/lapsedRecords.test.ts
+++ b/tests/expiredRecords.test.ts
@@ -60,12 +60,12 @@
       createEndpointClient: () => unhealthyEndpoint,
       isServiceUsed: () => true,
       isRenewing: () => true,
-      handleLooked: () => undefined,
-      startFlush: () => Promise.resolve(),
+      handleStatusApplied: () => undefined,
+      waitForFlush: () => Promise.resolve(),
       recordCount: () => undefined,
       handleChanged: () => undefined,
       handleFenced: () => undefined,
-      handleLogBack: () => undefined,
+      handleLogRecovered: () => undefined,
     });
     sessions.start();
     await new Promise((resolve) => setTimeout(resolve, REREGISTRATION_MS * 1.5));
--- a/tests/heldShares.test.ts
+++ b/tests/heldShares.test.ts
@@ -101,14 +101,14 @@
     };
     const job = new LiveJob(definition, new JobProgress(definition), 0);
     const indexes = Array.from({ length: count }, (_, index) => index);
-    return { name, job, time: 0, step: 0, shape, indexes, objectiveAtMs };
+    return { name, job, repetition: 0, step: 0, shape, indexes, objectiveAtMs };
   };
 
   interface ReadOptions {
     readonly order?: PlacementOrder;
     readonly atMs?: number;
     readonly held?: ReadonlyMap<JobCustomer, number>;
-    readonly readRemainingMs?: () => number;
+    readonly estimateMinRemainingMs?: () => number;
   }
 
   const sortNames = (
@@ -117,7 +117,7 @@
   ): readonly string[] => {
     const usage = new CustomerUsage();
     held.forEach((cpuMillis, { name }) => usage.recordRun({ customer: name, charge: toCpu(cpuMillis) }));
-    const input = { wallMs: atMs, usage, readCapacity: () => CAPACITY, ...times };
+    const input = { wallMs: atMs, usage, getCapacity: () => CAPACITY, ...times };
     return placementOrders[order]
       .sortSteps(waiting, input)
       .map((step) => (step as { name?: string }).name ?? '');
@@ -132,7 +132,7 @@
     ];
     expect(sortNames(waiting)).toEqual(['long', 'short', 'late', 'useless']);
     const learned = createWaiting('learnt', { customer: big, objectiveAtMs: wallMs + 700 });
-    const learntMs = { readRemainingMs: () => 800 };
+    const learntMs = { estimateMinRemainingMs: () => 800 };
     expect(sortNames([learned, ...waiting], learntMs)).toEqual([
       'short',
       'long',
--- a/tests/helpers/CrashSimulation.ts
+++ b/tests/helpers/CrashSimulation.ts
@@ -223,7 +223,7 @@
 
   private createIncarnationProfile(machine: Machine, incarnation: EndpointIncarnation): EndpointProfile {
     const capacity = { cpuMillis: this.options.cpuMillis, memoryMb: 100_000, accelerators: 0 };
-    const id = endpointIncarnations.readEndpoint(incarnation);
+    const id = endpointIncarnations.toEndpointId(incarnation);
     return createProfile(id, { incarnation, capacity, address: `machine-${machine.index}:80` });
   }
 
@@ -243,7 +243,7 @@
   /** Removes the record of the earlier incarnation with the same id, which the new one overwrites. */
   private handleRecordReplaced(incarnation: EndpointIncarnation): void {
     for (const earlier of this.recordExpiresAt.keys()) {
-      if (endpointIncarnations.readEndpoint(earlier) === endpointIncarnations.readEndpoint(incarnation)) {
+      if (endpointIncarnations.toEndpointId(earlier) === endpointIncarnations.toEndpointId(incarnation)) {
         this.recordExpiresAt.delete(earlier);
         this.dispatcher.handleEndpointDeregistered(earlier);
       }
--- a/tests/helpers/IncarnationSimulation.ts
+++ b/tests/helpers/IncarnationSimulation.ts
@@ -205,10 +205,10 @@
 
   private startIncarnation(machine: Machine, recordAfterMs: number): void {
     this.startTime += 1 + Math.floor(this.random() * 1000);
-    const incarnation = endpointIncarnations.toLife(machine.id, this.startTime);
+    const incarnation = endpointIncarnations.toIncarnation(machine.id, this.startTime);
     machine.incarnation = incarnation;
     machine.process = new SimulatedIncarnation({
-      life: incarnation,
+      incarnation,
       witness: this.witness,
       handleCrash: () =>
         void this.runRestart(this.machines.indexOf(machine), {
@@ -266,7 +266,7 @@
           process.handlePoll(lastSeen, expiresMs);
           await process.waitForEnd(waitMs);
           if (mutation !== 'livesNotTold' && incarnation !== profile.incarnation) {
-            return { kind: 'otherLife', life: incarnation };
+            return { kind: 'otherLife', incarnation };
           }
           clockOffsetMs = process.getClock() - performance.now();
           return { kind: 'held', ...process.getStatus() };
--- a/tests/helpers/SimulatedIncarnation.ts
+++ b/tests/helpers/SimulatedIncarnation.ts
@@ -12,7 +12,7 @@
 }
 
 interface SimulatedIncarnationOptions {
-  readonly life: EndpointIncarnation;
+  readonly incarnation: EndpointIncarnation;
   readonly witness: RunWitness;
   /** Called when a task crashes the incarnation. */
   readonly handleCrash: () => void;
@@ -85,7 +85,7 @@
 
   /** Forgets the ends up to a sequence number, and renews the lease. */
   handlePoll(lastSeen: number, expiresMs: number | undefined): void {
-    const { life, witness } = this.options;
+    const { incarnation: life, witness } = this.options;
     for (const { number, task, run, how } of this.ends) {
       if (number <= lastSeen && number > this.listedUpTo) {
         witness.recordUnlistedNote(life, task, run);
@@ -135,7 +135,7 @@
     clearTimeout(this.leaseTimer);
     for (const [task, { run, timer }] of this.runs) {
       clearTimeout(timer);
-      this.options.witness.recordEnd(this.options.life, task, run, 'gone');
+      this.options.witness.recordEnd(this.options.incarnation, task, run, 'gone');
     }
     this.runs.clear();
     this.endWaiters.splice(0).forEach((wake) => wake());
@@ -149,7 +149,7 @@
       setTimeout(() => !this.isOver && this.options.handleCrash(), CRASH_AFTER_MS);
     }
     this.runs.set(task, { run, startedAt: performance.now(), runMs, timer });
-    this.options.witness.recordStart(this.options.life, task, run);
+    this.options.witness.recordStart(this.options.incarnation, task, run);
   }
 
   private recordEnd(task: TaskName, how: EndedTaskStatus['how']): void {
@@ -159,7 +159,7 @@
     this.stopped.set(task, Math.max(this.stopped.get(task) ?? 0, run));
     this.endCount += 1;
     this.ends.push({ number: this.endCount, task, run, how, checkpoint: '' });
-    this.options.witness.recordEnd(this.options.life, task, run, how);
+    this.options.witness.recordEnd(this.options.incarnation, task, run, how);
     this.endWaiters.splice(0).forEach((wake) => wake());
   }
 
--- a/tests/lateJobs.test.ts
+++ b/tests/lateJobs.test.ts
@@ -265,7 +265,7 @@
   const definition = createJobDefinition(1, [createStep({ count: 1 })]);
   const progress = new JobProgress(definition);
   const { incarnation: endpoint } = createProfile('i-1');
-  progress.recordPlaced({ time: 0, step: 0, index: 0 }, 1, endpoint);
+  progress.recordPlaced({ repetition: 0, step: 0, index: 0 }, 1, endpoint);
   const dispatcher = new Dispatcher({ getDefinition: () => definition, earlierLeasesEndAt: leaderAt + 100 });
   dispatcher.handleEndpointProfile(createProfile('i-1'));
   dispatcher.handleJob(definition, progress, leaderAt);
@@ -335,7 +335,7 @@
     const definition = createJobDefinition(1, [createStep({ count: 500 })]);
     const trace = new JobTrace(1);
     for (let index = 0; index < 500; index += 1) {
-      const run = createPlacedRun(definition, { time: 0, step: 0, index }, 1, 10);
+      const run = createPlacedRun(definition, { repetition: 0, step: 0, index }, 1, 10);
       const end = { outcome: 'done', cause: 'listed', reportedEnd: 'done', checkpoint: '' } as const;
       trace.recordRun(run, createProfile(`i-${index}`), end, 1000 + index);
     }
--- a/tests/leadership.test.ts
+++ b/tests/leadership.test.ts
@@ -61,7 +61,7 @@
     leadership.handleLeaderEnded(LEADER.process);
     for (; claims.length === 0 && now < endedAt + 1000; now += 10) {
       leadership.handleLeaderEnded(LEADER.process);
-      leadership.applyTime();
+      leadership.handleTick();
     }
     follower.stop();
     return claims[0]! - endedAt;
@@ -105,7 +105,7 @@
     for (; claims.length === 0 && now < 5000; now += 10) {
       const readCount = Math.floor((now - 1000 + readsEarlierMs) / CYCLE_MS);
       lastOkAt = Math.max(1000, 1000 + readCount * CYCLE_MS - readsEarlierMs);
-      leadership.applyTime();
+      leadership.handleTick();
     }
     return claims[0]! - 1000;
   };
--- a/tests/logging.test.ts
+++ b/tests/logging.test.ts
@@ -128,11 +128,11 @@
     const fixture = new LogFixture();
     Array.from({ length: BURST + 7 }).forEach(() => fixture.logger.info('Something.'));
     fixture.now = 999;
-    fixture.log.applyTime();
+    fixture.log.handleTick();
     expect(fixture.countSuppressed()).toEqual({});
     fixture.now = 1000;
-    fixture.log.applyTime();
-    fixture.log.applyTime();
+    fixture.log.handleTick();
+    fixture.log.handleTick();
     expect(fixture.countSuppressed()).toEqual({ 'Something.': 7 });
     Array.from({ length: BOUND + 5 }).forEach(() => fixture.logger.info('Something.'));
     fixture.log.stop();
@@ -146,10 +146,10 @@
     fixture.logger.info('Something.');
     fixture.logger.warn('Something odd.');
     fixture.now = 2000;
-    fixture.log.applyTime();
+    fixture.log.handleTick();
     expect(fixture.written).toHaveLength(0);
     fixture.backlogBytes = 0;
-    fixture.log.applyTime();
+    fixture.log.handleTick();
     expect(fixture.countSuppressed()).toEqual({ 'Something.': 1, 'Something odd.': 1 });
   });
 });
@@ -191,9 +191,9 @@
     ['a', 'b', 'c'].forEach((job) => batcher.recordLine('Run gives way.', toFields(job, 'x.0.0'), 0));
     batcher.recordLine('Run gives way.', toFields('d', 'y.0.0'), 0);
     batcher.recordLine('Job ended.', { job: 'a' }, 0);
-    batcher.applyTime(20);
+    batcher.handleTick(20);
     expect(fixture.listMessages()).toEqual(['Job ended.']);
-    batcher.applyTime(100);
+    batcher.handleTick(100);
     const [whole, single] = fixture.listLines('Run gives way.');
     expect(whole).toMatchObject({ for: 'x.0.0', rows: [{ job: 'a' }, { job: 'b' }, { job: 'c' }] });
     expect(single).toMatchObject({ for: 'y.0.0', job: 'd', percent: 5 });
@@ -238,7 +238,7 @@
     const fixture = new LogFixture();
     const jobs = runLoad(fixture, 300, 20);
     fixture.now += 1000;
-    fixture.log.applyTime();
+    fixture.log.handleTick();
     const chosen = jobs.filter((job) => computeSamplingLevel(job) >= 4);
     expect(chosen.length).toBeGreaterThan(jobs.length / 20);
     expect(listCompleteJobs(fixture, chosen)).toEqual(chosen);
--- a/tests/placementOrders.test.ts
+++ b/tests/placementOrders.test.ts
@@ -85,7 +85,15 @@
     const { customer = light, priority = 0 } = fields;
     const definition = { ...createJobDefinition(1, [shape], { priority }), customer };
     const job = new LiveJob(definition, new JobProgress(definition), 0, fields.isBeyondShare);
-    return { name, job, time: 0, step: 0, shape, indexes: [0], objectiveAtMs: fields.objectiveAtMs ?? 1000 };
+    return {
+      name,
+      job,
+      repetition: 0,
+      step: 0,
+      shape,
+      indexes: [0],
+      objectiveAtMs: fields.objectiveAtMs ?? 1000,
+    };
   };
 
   const usage = new CustomerUsage();
@@ -107,7 +115,11 @@
     ['usage', ['beyond', 'light', 'late', 'heavy', 'batch']],
     ['sharesThenUsage', ['light', 'late', 'heavy', 'beyond', 'batch']],
   ] satisfies readonly (readonly [PlacementOrder, readonly string[]])[])('by %s', (order, expected) => {
-    const sorted = placementOrders[order].sortSteps(waiting, { wallMs: 100, usage, readCapacity });
+    const sorted = placementOrders[order].sortSteps(waiting, {
+      wallMs: 100,
+      usage,
+      getCapacity: readCapacity,
+    });
     expect(sorted.map((step) => (step as (typeof waiting)[number]).name)).toEqual(expected);
   });
 });
--- a/tests/platformEndpoint.test.ts
+++ b/tests/platformEndpoint.test.ts
@@ -32,7 +32,7 @@
     endpoint = new PlatformEndpoint({
       address: `127.0.0.1:${port}`,
       id: ID,
-      life: endpointIncarnations.toLife(ID, startedAtMs),
+      life: endpointIncarnations.toIncarnation(ID, startedAtMs),
       readToken: () => token,
       readNow: () => now,
       clockMs: undefined,
@@ -84,7 +84,7 @@
 
   it('ignores the status of an earlier or later incarnation, but returns its name', async () => {
     for (const born of [STARTED_AT_MS + 5, STARTED_AT_MS - 5]) {
-      expect(await sendPoll(createStatus(born))).toEqual({ kind: 'otherLife', life: `i-0@${born}` });
+      expect(await sendPoll(createStatus(born))).toEqual({ kind: 'otherLife', incarnation: `i-0@${born}` });
     }
   });
 
@@ -106,7 +106,7 @@
     expect((await sendPoll(createStatus(undefined))).kind).toBe('held');
     expect(await sendPoll(createStatus(STARTED_AT_MS))).toEqual({
       kind: 'otherLife',
-      life: `i-0@${STARTED_AT_MS}`,
+      incarnation: `i-0@${STARTED_AT_MS}`,
     });
   });
 
--- a/tests/stops.test.ts
+++ b/tests/stops.test.ts
@@ -92,7 +92,7 @@
   });
 
   it('are decided under `priced` by the remaining work of a run that saves the rest', () => {
-    const straggler = { pace: 45, usualPace: 15, slowPace: 30, percent: 50, stalledMs: 0, moveMs: 300 };
+    const straggler = { pace: 45, baselinePace: 15, slowPace: 30, percent: 50, stalledMs: 0, moveMs: 300 };
     for (const policy of ['ranked', 'priced'] as const) {
       expect(stopPolicies[policy].findMoveReason({ ...straggler, isSaving: false })).toBeUndefined();
     }
@@ -101,10 +101,10 @@
   });
 
   it('off a draining endpoint are made as late as possible for runs that save their work, at once for others, and not for runs that end in time', () => {
-    const input = { leftMs: 3000, remainingMs: 4000 };
+    const input = { untilDeadlineMs: 3000, remainingMs: 4000 };
     expect(isEvictionDue({ ...input, isSaving: false }, 1300)).toBe(true);
     expect(isEvictionDue({ ...input, isSaving: true }, 1300)).toBe(false);
-    expect(isEvictionDue({ ...input, isSaving: true, leftMs: 1200 }, 1300)).toBe(true);
+    expect(isEvictionDue({ ...input, isSaving: true, untilDeadlineMs: 1200 }, 1300)).toBe(true);
     expect(isEvictionDue({ ...input, isSaving: false, remainingMs: 2900 }, 1300)).toBe(false);
   });
 });
@@ -338,7 +338,7 @@
 describe('a start command without a response', () => {
   const ENDPOINT = toId<EndpointIncarnation>('i-0');
   const job = createJob(1, URGENT, 0, 2, { count: 1 });
-  const task = toTaskName(job.id, { time: 0, step: 0, index: 0 });
+  const task = toTaskName(job.id, { repetition: 0, step: 0, index: 0 });
   const running = [{ task, run: 1, checkpoint: '', percent: 40, load: 0 }];
 
   const createUnanswered = (): Dispatcher => {
