--- a/packages/settings/Settings.ts
+++ b/packages/settings/Settings.ts
@@ -1,5 +1,5 @@
 import type { z } from 'zod';
 import type { settingsSchema } from './settingsSchema';
 
-/** Checked settings of one deployment, as one process sees them. */
+/** Validated settings of one process. */
 export type Settings = z.infer<typeof settingsSchema>;
--- a/packages/settings/formatPath.ts
+++ b/packages/settings/formatPath.ts
@@ -1,4 +1,4 @@
-/** Formats a path into a value: `entries[2].callers`. */
+/** Formats the path of a value, for example `entries[2].callers`. */
 export const formatPath = (path: readonly PropertyKey[]): string => {
   let text = '';
   for (const part of path) {
--- a/packages/settings/readSettings.ts
+++ b/packages/settings/readSettings.ts
@@ -20,14 +20,14 @@
 
 type Path = readonly PropertyKey[];
 
-const toLine = (text: string, offset: number): number => text.slice(0, offset).split('\n').length;
+const computeLine = (text: string, offset: number): number => text.slice(0, offset).split('\n').length;
 
-/** The line of the value at a path, or of the nearest value around it. */
-const toPathLine = (text: string, root: Node | undefined, path: Path): number => {
+/** Returns the line of the value at a path, or of the innermost value that encloses it. */
+const findLine = (text: string, root: Node | undefined, path: Path): number => {
   for (let length = path.length; root !== undefined && length >= 0; length -= 1) {
     const node = findNodeAtLocation(root, path.slice(0, length) as (string | number)[]);
     if (node !== undefined) {
-      return toLine(text, node.offset);
+      return computeLine(text, node.offset);
     }
   }
   return 1;
@@ -35,27 +35,27 @@
 
 const createSyntaxProblem = (text: string, error: ParseError): SettingsProblem => ({
   path: '',
-  line: toLine(text, error.offset),
+  line: computeLine(text, error.offset),
   expected: `JSON with comments: ${printParseErrorCode(error.error)}`,
 });
 
-/** Checks what the schema cannot: names that must be unique, and rules within a row. */
 /**
- * A renewal may be held up with its process and reach the endpoint just before the lease ends, so that the replica runs for two leases after the
- * process fell silent. The next holder of its seat must not start before: it waits until the silent one is left out, its right and the margin have
- * passed, and one lease and margin more.
+ * Computes the longest seat lease for which a seat has at most one running replica. A delayed renewal may reach the endpoint just
+ * before the lease expires, so that the replica runs for up to two leases after its owner became unreachable. The next owner starts
+ * only after the failure detector has removed the old owner and the old leases have expired.
  */
-const readLongestSeatLeaseMs = ({ suspectMs, leaseMs, marginMs, heartbeatMs }: Settings['timings']): number =>
+const computeMaxSeatLeaseMs = ({ suspectMs, leaseMs, marginMs, heartbeatMs }: Settings['timings']): number =>
   suspectMs + leaseMs + 2 * marginMs - heartbeatMs;
 
-const checkMeaning = (settings: Settings): { path: Path; expected: string }[] => {
+/** Checks constraints across values that the schema cannot express: unique names and addresses, valid rows, and the order of timings. */
+const checkConstraints = (settings: Settings): { path: Path; expected: string }[] => {
   const problems: { path: Path; expected: string }[] = [];
   const boxes = settings.entries.map((entry) => entry.box);
   for (const [index, box] of boxes.entries()) {
     if (boxes.indexOf(box) !== index) {
       problems.push({
         path: ['entries', index, 'box'],
-        expected: `a box name used once; ${box} is used before`,
+        expected: `a unique box name (${box} is already in use)`,
       });
     }
   }
@@ -65,7 +65,7 @@
       if (addresses.filter((used) => used === entry[name]).length > 1) {
         problems.push({
           path: ['entries', index, name],
-          expected: `an address used once; ${entry[name]} is used twice`,
+          expected: `a unique address (${entry[name]} is used more than once)`,
         });
       }
     }
@@ -77,20 +77,20 @@
     }
   }
   if (settings.timings.suspectMs < settings.timings.leaseMs + settings.timings.marginMs) {
-    problems.push({ path: ['timings', 'suspectMs'], expected: 'at least leaseMs plus marginMs' });
+    problems.push({ path: ['timings', 'suspectMs'], expected: 'at least leaseMs + marginMs' });
   }
   if (settings.timings.heartbeatMs * 2 >= settings.timings.leaseMs) {
     problems.push({ path: ['timings', 'heartbeatMs'], expected: 'less than half of leaseMs' });
   }
-  const longestSeatLeaseMs = readLongestSeatLeaseMs(settings.timings);
-  if (settings.timings.seatLeaseMs > longestSeatLeaseMs) {
-    const expected = `at most suspectMs plus leaseMs plus twice marginMs less heartbeatMs, which is ${longestSeatLeaseMs}`;
+  const maxSeatLeaseMs = computeMaxSeatLeaseMs(settings.timings);
+  if (settings.timings.seatLeaseMs > maxSeatLeaseMs) {
+    const expected = `at most suspectMs + leaseMs + 2 * marginMs - heartbeatMs (${maxSeatLeaseMs})`;
     problems.push({ path: ['timings', 'seatLeaseMs'], expected });
   }
   return problems;
 };
 
-/** Reads and checks a settings file. On failure gives all problems at once, each with its place. */
+/** Reads and validates a settings file. On failure returns all problems with their paths and lines. */
 export const readSettings = (file: string): Result<Settings, readonly SettingsProblem[]> => {
   let text: string;
   try {
@@ -108,13 +108,13 @@
     const problems = parsed.error.issues.map((issue) => {
       const unknownKey = issue.code === 'unrecognized_keys' ? issue.keys[0] : undefined;
       const path = unknownKey === undefined ? issue.path : [...issue.path, unknownKey];
-      return { path: formatPath(path), line: toPathLine(text, root, path), expected: issue.message };
+      return { path: formatPath(path), line: findLine(text, root, path), expected: issue.message };
     });
     return { ok: false, error: problems };
   }
-  const problems = checkMeaning(parsed.data).map((problem) => ({
+  const problems = checkConstraints(parsed.data).map((problem) => ({
     path: formatPath(problem.path),
-    line: toPathLine(text, root, problem.path),
+    line: findLine(text, root, problem.path),
     expected: problem.expected,
   }));
   return problems.length === 0 ? { ok: true, value: parsed.data } : { ok: false, error: problems };
