--- a/packages/gateway/Call.ts
+++ b/packages/gateway/Call.ts
@@ -2,20 +2,20 @@
 import type { RowName } from '../common/RowName';
 import type { TeamName } from '../common/TeamName';
 
-/** A caller's request after its headers were checked. */
+/** Request of a caller with validated headers. */
 export interface Call {
   readonly id: RequestId;
   readonly row: RowName;
-  /** The team it counts against; undefined means the row's own. */
+  /** Team whose quota the call counts against; undefined for the team of the row. */
   readonly team: TeamName | undefined;
-  /** Time that the caller gives it, in milliseconds from arrival; undefined means the row's. */
+  /** Deadline in milliseconds after arrival; undefined for the default of the row. */
   readonly deadlineMs: number | undefined;
   readonly idempotencyKey: string | undefined;
   readonly body: Buffer;
-  /** Headers handed on to the endpoint. */
+  /** Headers that are forwarded to the endpoint. */
   readonly forwardedHeaders: Readonly<Record<string, string>>;
-  /** True when another entry box has sent it here: it is not sent on again. */
+  /** True if another entry box has forwarded the call, so that it is not forwarded again. */
   readonly isForwarded: boolean;
-  /** True when another entry box only asks what became of the key. */
+  /** True if another entry box only asks for the outcome of the idempotency key, without running the call. */
   readonly isLookup: boolean;
 }
--- a/packages/gateway/CallAnswer.ts
+++ b/packages/gateway/CallAnswer.ts
@@ -1,6 +1,6 @@
 import type { NotRunReason } from './NotRunReason';
 
-/** The final answer to a call. */
+/** Final response to a call. */
 export type CallAnswer =
   | {
       readonly outcome: 'ran';
@@ -12,7 +12,12 @@
       readonly outcome: 'not-run';
       readonly reason: NotRunReason;
       readonly detail: string;
-      /** When coming back helps, in milliseconds; undefined when it does not. */
+      /** Delay after which a retry may succeed; undefined if retries are useless. */
       readonly retryAfterMs: number | undefined;
     }
-  | { readonly outcome: 'unknown'; readonly detail: string; readonly isLate: boolean };
+  | {
+      readonly outcome: 'unknown';
+      readonly detail: string;
+      /** True if the call timed out: its status is 504 instead of 502. */
+      readonly isLate: boolean;
+    };
--- a/packages/gateway/CallerGate.ts
+++ b/packages/gateway/CallerGate.ts
@@ -6,13 +6,13 @@
 
 interface CallerGateOptions {
   readonly router: QueueRouter;
-  /** False while keys may have been taken away that this box has not heard of, and the settings ask for strictness. */
+  /** False if the settings require a fresh configuration and this box may have missed the revocation of keys. */
   readonly isFresh: () => boolean;
-  /** A call was turned away. */
+  /** Called when a call was rejected. */
   readonly handleRefused: (queue: string, reason: string) => void;
 }
 
-/** Decides by a call's key whether it may use a queue, and for which customer. */
+/** Authorizes calls: checks by the key of a call whether it may use a queue, and for which customer. */
 export class CallerGate {
   constructor(private readonly options: CallerGateOptions) {}
 
--- a/packages/gateway/CallerServer.ts
+++ b/packages/gateway/CallerServer.ts
@@ -13,13 +13,14 @@
   readonly host: string;
   readonly port: number;
   readonly box: string;
-  /** Largest body taken, in bytes. */
+  /** Maximum size of a request body, in bytes. */
   readonly bodyLimit: number;
-  /** Most caller connections at once. */
+  /** Maximum number of concurrent connections. */
   readonly maxConnections: number;
   readonly createRequestId: () => RequestId;
-  /** Gives each call exactly one final answer. `signal` aborts when the caller has left. */
+  /** Returns the one final response to a call. `signal` aborts when the caller disconnects. */
   readonly handleCall: (call: Call, signal: AbortSignal) => Promise<CallAnswer>;
+  /** True if this box accepts calls; returned by the readiness probe. */
   readonly isReady: () => boolean;
   readonly formatMetrics: () => string;
 }
@@ -30,14 +31,14 @@
 
 type WorkloadRequest = FastifyRequest<WorkloadRoute>;
 
-const createNotRun = (reason: 'badRequest' | 'bodyTooLarge', detail: string): CallAnswer => ({
+const createNotRunResponse = (reason: 'badRequest' | 'bodyTooLarge', detail: string): CallAnswer => ({
   outcome: 'not-run',
   reason,
   detail,
   retryAfterMs: undefined,
 });
 
-/** The callers' listener. It knows headers and answers, and no policy. */
+/** HTTP server for callers: parses calls and writes their responses. */
 export class CallerServer {
   private readonly app: FastifyInstance;
 
@@ -46,11 +47,19 @@
     this.app.server.maxConnections = options.maxConnections;
     this.app.setErrorHandler((error: { code?: string; message: string }, request, reply) => {
       const reason = error.code === 'FST_ERR_CTP_BODY_TOO_LARGE' ? 'bodyTooLarge' : 'badRequest';
-      return this.sendAnswer(reply, toId<RequestId>(request.id), createNotRun(reason, error.message));
+      return this.sendResponse(
+        reply,
+        toId<RequestId>(request.id),
+        createNotRunResponse(reason, error.message),
+      );
     });
     this.app.setNotFoundHandler((request, reply) => {
       const detail = `No such path: ${request.method} ${request.url}`;
-      return this.sendAnswer(reply, toId<RequestId>(request.id), createNotRun('badRequest', detail));
+      return this.sendResponse(
+        reply,
+        toId<RequestId>(request.id),
+        createNotRunResponse('badRequest', detail),
+      );
     });
     this.app.post<WorkloadRoute>('/v1/workloads/:row', (request, reply) =>
       this.handleRequest(request, reply),
@@ -69,7 +78,7 @@
     await this.app.listen({ host: this.options.host, port: this.options.port });
   }
 
-  /** Takes no new connections and resolves when all answers are out. */
+  /** Stops accepting connections and resolves when all responses have been sent. */
   async stop(): Promise<void> {
     await stopApp(this.app);
   }
@@ -84,28 +93,28 @@
       isForwarded: false,
     });
     if (!parsed.ok) {
-      return this.sendAnswer(reply, id, createNotRun('badRequest', parsed.error));
+      return this.sendResponse(reply, id, createNotRunResponse('badRequest', parsed.error));
     }
-    const left = new AbortController();
-    reply.raw.on('close', () => left.abort());
-    const answer = await this.options.handleCall(parsed.value, left.signal);
-    return this.sendAnswer(reply, id, answer);
+    const disconnect = new AbortController();
+    reply.raw.on('close', () => disconnect.abort());
+    const response = await this.options.handleCall(parsed.value, disconnect.signal);
+    return this.sendResponse(reply, id, response);
   }
 
-  private sendAnswer(reply: FastifyReply, id: RequestId, answer: CallAnswer): FastifyReply {
+  private sendResponse(reply: FastifyReply, id: RequestId, response: CallAnswer): FastifyReply {
     const headers = {
-      [headerNames.outcome]: answer.outcome,
+      [headerNames.outcome]: response.outcome,
       [headerNames.request]: id,
       [headerNames.box]: this.options.box,
     };
     void reply.headers(headers);
-    if (answer.outcome === 'ran') {
-      return reply.code(answer.status).type(answer.contentType).send(answer.body);
+    if (response.outcome === 'ran') {
+      return reply.code(response.status).type(response.contentType).send(response.body);
     }
-    if (answer.outcome === 'not-run' && answer.retryAfterMs !== undefined) {
-      void reply.header('retry-after', Math.ceil(answer.retryAfterMs / 1000));
+    if (response.outcome === 'not-run' && response.retryAfterMs !== undefined) {
+      void reply.header('retry-after', Math.ceil(response.retryAfterMs / 1000));
     }
-    const { status, body } = toProblem(answer);
+    const { status, body } = toProblem(response);
     return reply
       .code(status)
       .type('application/problem+json')
--- a/packages/gateway/Dispatch.ts
+++ b/packages/gateway/Dispatch.ts
@@ -1,21 +1,22 @@
 import type { Demand } from '../table/Demand';
 
-/** One task on its way to an endpoint. */
+/** Request to run one task on an endpoint. */
 export interface Dispatch {
-  /** Id of the task at the worker: `PROCESS/...`. */
+  /** Id of the task on the worker: `PROCESS/...`. */
   readonly task: string;
   readonly row: string;
   readonly callerRequest: string;
+  /** Resources that the task reserves. */
   readonly need: Demand;
   readonly timeLimitMs: number;
-  /** Monotonic time by which the worker has ended the task, in milliseconds; a renewed lease moves it. */
+  /** Returns the monotonic time in milliseconds by which the worker has ended the task. Renewals of the lease extend it. */
   readonly readEndsAt: () => number;
   readonly body: Buffer;
   readonly headers: Readonly<Record<string, string>>;
-  /** Asked before the request is handed to the client library, which may write it a turn of the event loop later. */
+  /** Returns whether this process may still start tasks on the endpoint. Checked just before the request is sent. */
   readonly hasRight: () => boolean;
-  /** Rises with each change of the endpoint's owner, so that an order that was held up is refused. */
+  /** Fencing token: increases with each change of the endpoint's owner, so that the endpoint rejects delayed requests. */
   readonly token: number;
-  /** Called when the bytes have been handed to the socket: the endpoint counts the time limit from later than the check of the right. */
+  /** Called when the request has been written to the socket, which may be later than the check by `hasRight`. */
   readonly handleWritten: () => void;
 }
--- a/packages/gateway/DispatchResult.ts
+++ b/packages/gateway/DispatchResult.ts
@@ -1,19 +1,19 @@
-/** How a dispatch to an endpoint ended. */
+/** Result of a dispatch to an endpoint. */
 export type DispatchResult =
-  /** A whole answer that names the task. */
+  /** A complete response for the task. */
   | {
       readonly kind: 'answered';
       readonly status: number;
       readonly contentType: string;
       readonly body: Buffer;
     }
-  /** The worker stopped the task by checkpoint. */
+  /** The worker stopped the task after a checkpoint. */
   | { readonly kind: 'yielded' }
-  /** It does not run: the right was lost or no connection could be made, so that no byte has left, or the endpoint refused its token. */
+  /** The task was not started: nothing was sent, or the endpoint rejected the fencing token. */
   | {
       readonly kind: 'notSent';
       readonly why: 'noRight' | 'noConnection' | 'fenced';
       readonly reason: string;
     }
-  /** Bytes have left and no whole answer came. */
+  /** The request may have been sent, but no complete response arrived. */
   | { readonly kind: 'unknown'; readonly reason: string };
--- a/packages/gateway/EndpointClient.ts
+++ b/packages/gateway/EndpointClient.ts
@@ -6,64 +6,65 @@
 import type { Dispatch } from './Dispatch';
 import type { DispatchResult } from './DispatchResult';
 import { EndpointConnection } from './EndpointConnection';
-import type { FenceAnswer } from './FenceAnswer';
-import { fenceSchema } from './fenceSchema';
+import type { FenceResult } from './FenceResult';
+import { fenceResponseSchema } from './fenceResponseSchema';
 import { headerNames } from './headerNames';
 import { startSocket } from './startSocket';
 
 interface EndpointClientOptions {
   /** Host and port. */
   readonly address: string;
-  /** Most connections from this process. */
+  /** Maximum number of connections from this process. */
   readonly maxConnections: number;
+  /** Maximum size of a response, in bytes. */
   readonly answerLimit: number;
   readonly connectTimeoutMs: number;
   readonly clock: Clock;
 }
 
-/** Given to answers that have arrived but were not read yet, in milliseconds. */
-const READ_FIRST_MS = 100;
+/** Grace period for reading a response that has already arrived in the socket. */
+const PENDING_RESPONSE_GRACE_MS = 100;
 
-interface ShortAnswer {
+interface ControlResponse {
   readonly status: number;
   readonly text: string;
 }
 
-type Found = { readonly connection: EndpointConnection } | { readonly failure: DispatchResult };
+type ConnectionResult = { readonly connection: EndpointConnection } | { readonly failure: DispatchResult };
 
-/** Answer of an endpoint that has seen a higher token. */
+/** Status returned by an endpoint that has seen a higher fencing token. */
 const CONFLICT_STATUS = 409;
 
 const NO_RIGHT: DispatchResult = { kind: 'notSent', why: 'noRight', reason: 'the right to place was lost' };
 const FENCED: DispatchResult = { kind: 'notSent', why: 'fenced', reason: 'the endpoint has a later owner' };
 
-/** Owns the connections of this process to one endpoint, and sends tasks over them. */
+/** Client of one endpoint: manages a pool of connections and sends tasks over them. */
 export class EndpointClient {
   private connections: EndpointConnection[] = [];
-  private opening = 0;
+  private openingCount = 0;
 
   constructor(private readonly options: EndpointClientOptions) {}
 
-  /** Connections open or being opened. */
+  /** Returns the number of connections that are open or being opened. */
   readCount(): number {
-    return this.connections.filter((connection) => !connection.isClosed).length + this.opening;
+    return this.connections.filter((connection) => !connection.isClosed).length + this.openingCount;
   }
 
-  /** Sends a task and resolves when its end is known, or its time limit has passed. Never rejects. */
+  /** Sends a task and resolves when it has ended or its time limit has passed. Never rejects. */
   async sendTask(dispatch: Dispatch): Promise<DispatchResult> {
-    const found = await this.claimConnection();
-    if ('failure' in found) {
-      return found.failure;
+    const claimed = await this.claimConnection();
+    if ('failure' in claimed) {
+      return claimed.failure;
     }
-    const { connection } = found;
+    const { connection } = claimed;
     if (!dispatch.hasRight()) {
       connection.isBusy = false;
       return NO_RIGHT;
     }
-    const bytesBefore = connection.readBytesWritten();
-    const sent = this.sendOn(connection, dispatch);
-    void connection.startWritten(bytesBefore).then(dispatch.handleWritten);
-    const result = await sent;
+    const bytesBefore = connection.getBytesWritten();
+    const pending = this.sendOverConnection(connection, dispatch);
+    void connection.waitForWrite(bytesBefore).then(dispatch.handleWritten);
+    const result = await pending;
     connection.isBusy = false;
     if (result.kind === 'unknown') {
       connection.stop();
@@ -71,30 +72,30 @@
     return result;
   }
 
-  /** Sends a short steering call on a task (`checkpoint`, `renew`, `stop`). Returns its status, or 0 without one. */
+  /** Sends a control request for a task. Returns the status of the response, or 0 if there was none. */
   async sendAction(task: string, action: 'checkpoint' | 'renew' | 'stop', limitMs: number): Promise<number> {
     const path = `/tasks/${encodeURIComponent(task)}/${action}`;
-    const answer = await this.sendShortCall(path, { [headerNames.timeLimit]: String(limitMs) });
-    return answer.ok ? answer.value.status : 0;
+    const response = await this.sendControlRequest(path, { [headerNames.timeLimit]: String(limitMs) });
+    return response.ok ? response.value.status : 0;
   }
 
-  /** Has the endpoint refuse orders with lower tokens from now on, and tell what runs there. */
-  async sendFence(token: number): Promise<FenceAnswer> {
-    const answer = await this.sendShortCall('/fence', { [headerNames.ownerToken]: String(token) });
-    if (!answer.ok) {
-      return { kind: 'unanswered', reason: answer.error };
+  /** Makes the endpoint reject requests with lower fencing tokens, and returns the tasks that run there. */
+  async sendFence(token: number): Promise<FenceResult> {
+    const response = await this.sendControlRequest('/fence', { [headerNames.ownerToken]: String(token) });
+    if (!response.ok) {
+      return { kind: 'unanswered', reason: response.error };
     }
-    const { status, text } = answer.value;
+    const { status, text } = response.value;
     if (status === CONFLICT_STATUS) {
       return { kind: 'refused' };
     }
-    const parsed = fenceSchema.safeParse(parseJson(text));
+    const parsed = fenceResponseSchema.safeParse(parseJson(text));
     return parsed.success
       ? { kind: 'fenced', tasks: parsed.data.tasks }
       : { kind: 'unanswered', reason: `status ${status}, not a list of tasks` };
   }
 
-  /** Closes the connections that carry nothing. */
+  /** Closes idle connections. */
   stopIdle(): void {
     for (const connection of this.connections) {
       if (!connection.isBusy) {
@@ -103,23 +104,23 @@
     }
   }
 
-  /** Closes all connections; tasks under way end as unknown. */
+  /** Closes all connections; active dispatches end as `unknown`. */
   stop(): void {
     for (const connection of this.connections) {
       connection.stop();
     }
   }
 
-  /** Makes a call that is answered at once, as no order of a task is; on failure gives the reason. */
-  private async sendShortCall(
+  /** Sends a request with a short timeout. On failure returns the reason. */
+  private async sendControlRequest(
     path: string,
     headers: Readonly<Record<string, string>>,
-  ): Promise<Result<ShortAnswer, string>> {
-    const found = await this.claimConnection();
-    if ('failure' in found) {
+  ): Promise<Result<ControlResponse, string>> {
+    const claimed = await this.claimConnection();
+    if ('failure' in claimed) {
       return { ok: false, error: 'no connection' };
     }
-    const { connection } = found;
+    const { connection } = claimed;
     try {
       const signal = AbortSignal.timeout(this.options.connectTimeoutMs);
       const { statusCode, body } = await connection.client.request({ method: 'POST', path, headers, signal });
@@ -132,7 +133,7 @@
     }
   }
 
-  private async claimConnection(): Promise<Found> {
+  private async claimConnection(): Promise<ConnectionResult> {
     this.connections = this.connections.filter((connection) => !connection.isClosed);
     const idle = this.connections.find((connection) => !connection.isBusy);
     if (idle !== undefined) {
@@ -145,11 +146,11 @@
     return this.createConnection();
   }
 
-  private async createConnection(): Promise<Found> {
-    this.opening += 1;
+  private async createConnection(): Promise<ConnectionResult> {
+    this.openingCount += 1;
     const { address, answerLimit, connectTimeoutMs } = this.options;
     const socket = await startSocket({ address, timeoutMs: connectTimeoutMs });
-    this.opening -= 1;
+    this.openingCount -= 1;
     if (!socket.ok) {
       return { failure: { kind: 'notSent', why: 'noConnection', reason: socket.error } };
     }
@@ -159,9 +160,12 @@
     return { connection };
   }
 
-  private async sendOn(connection: EndpointConnection, dispatch: Dispatch): Promise<DispatchResult> {
-    // The worker ends the task at its time limit; the slot is held until then even if the caller gave up.
-    const limit = this.startLimit(dispatch);
+  private async sendOverConnection(
+    connection: EndpointConnection,
+    dispatch: Dispatch,
+  ): Promise<DispatchResult> {
+    // The caller's disconnect does not abort the request: the worker runs the task until it ends or reaches its time limit.
+    const limit = this.startTimeLimit(dispatch);
     try {
       const response = await connection.client.request({
         method: 'POST',
@@ -177,7 +181,7 @@
         body: dispatch.body,
         signal: limit.signal,
       });
-      return await this.readAnswer(response, dispatch);
+      return await this.readResponse(response, dispatch);
     } catch (thrown) {
       const reason = limit.signal.aborted ? 'no end seen within the time limit' : toErrorText(thrown);
       return { kind: 'unknown', reason };
@@ -186,23 +190,23 @@
     }
   }
 
-  private startLimit(dispatch: Dispatch): { signal: AbortSignal; stop: () => void } {
+  private startTimeLimit(dispatch: Dispatch): { signal: AbortSignal; stop: () => void } {
     const abort = new AbortController();
     let timer: NodeJS.Timeout | undefined;
-    const handleTime = () => {
-      const leftMs = dispatch.readEndsAt() - this.options.clock.readNow();
-      if (leftMs <= 0) {
-        // After a pause the timer is early: an answer that lies in the socket already is read first.
-        timer = setTimeout(() => abort.abort(), READ_FIRST_MS);
+    const handleTimer = () => {
+      const remainingMs = dispatch.readEndsAt() - this.options.clock.readNow();
+      if (remainingMs <= 0) {
+        // After a pause of the process the timer may fire before a response in the socket has been read.
+        timer = setTimeout(() => abort.abort(), PENDING_RESPONSE_GRACE_MS);
       } else {
-        timer = setTimeout(handleTime, leftMs);
+        timer = setTimeout(handleTimer, remainingMs);
       }
     };
-    handleTime();
+    handleTimer();
     return { signal: abort.signal, stop: () => clearTimeout(timer) };
   }
 
-  private async readAnswer(response: Dispatcher.ResponseData, dispatch: Dispatch): Promise<DispatchResult> {
+  private async readResponse(response: Dispatcher.ResponseData, dispatch: Dispatch): Promise<DispatchResult> {
     const { headers, statusCode } = response;
     const body = Buffer.from(await response.body.arrayBuffer());
     if (headers[headerNames.task] !== dispatch.task) {
@@ -211,9 +215,9 @@
     if (statusCode === CONFLICT_STATUS && headers[headerNames.fenced] === '1') {
       return FENCED;
     }
-    const announced = headers['content-length'];
-    const isFramed = announced !== undefined || headers['transfer-encoding'] !== undefined;
-    if (!isFramed || (announced !== undefined && Number(announced) !== body.length)) {
+    const contentLength = headers['content-length'];
+    const isFramed = contentLength !== undefined || headers['transfer-encoding'] !== undefined;
+    if (!isFramed || (contentLength !== undefined && Number(contentLength) !== body.length)) {
       return { kind: 'unknown', reason: 'the answer cannot be shown to be whole' };
     }
     if (headers[headerNames.yielded] === '1') {
--- a/packages/gateway/EndpointConnection.ts
+++ b/packages/gateway/EndpointConnection.ts
@@ -2,14 +2,15 @@
 import { Client } from 'undici';
 
 interface EndpointConnectionOptions {
+  /** Host and port. */
   readonly address: string;
-  /** A socket that is connected already. */
+  /** Connected socket. */
   readonly socket: Socket;
-  /** Largest answer taken, in bytes. */
+  /** Maximum size of a response, in bytes. */
   readonly answerLimit: number;
 }
 
-/** One connection to an endpoint: one request at a time. */
+/** Connection to an endpoint, with one request at a time. */
 export class EndpointConnection {
   readonly client: Client;
   isBusy = false;
@@ -28,12 +29,12 @@
       maxResponseSize: options.answerLimit,
       connect: (_options, handleSocket) => {
         if (isUsed) {
-          // One socket a connection: a lost one is not replaced behind the count's back.
+          // Undici must not open another socket: the endpoint client counts its connections.
           handleSocket(new Error('connection lost'), null);
           return;
         }
         isUsed = true;
-        // Not within the call: undici would not notice the connection. A microtask is still the same turn of the loop.
+        // Undici ignores a socket that is passed synchronously.
         queueMicrotask(() => handleSocket(null, options.socket));
       },
     });
@@ -42,16 +43,16 @@
     });
   }
 
-  /** Bytes handed to the socket so far. */
-  readBytesWritten(): number {
+  /** Returns the number of bytes written to the socket so far. */
+  getBytesWritten(): number {
     return this.socket.bytesWritten;
   }
 
   /**
-   * Resolves once more than `before` bytes have been handed to the socket, or the socket is gone. The library looks for stray bytes on a
-   * connection that was used before, so that a request leaves it in the next turn of the event loop or later.
+   * Resolves when more than `before` bytes have been written to the socket, or it is closed. On a reused connection undici writes
+   * a request in a later iteration of the event loop.
    */
-  async startWritten(before: number): Promise<void> {
+  async waitForWrite(before: number): Promise<void> {
     while (this.socket.bytesWritten === before && !this.isClosed && !this.socket.destroyed) {
       await new Promise((resolve) => setImmediate(resolve));
     }
--- a/packages/gateway/JobService.ts
+++ b/packages/gateway/JobService.ts
@@ -7,8 +7,9 @@
 import type { JobSubmission } from './JobSubmission';
 import type { SubmitAnswer } from './SubmitAnswer';
 
-/** What callers can ask about jobs. Deadlines are monotonic milliseconds. */
+/** Operations on jobs that callers can request. Deadlines are monotonic times in milliseconds. */
 export interface JobService {
+  /** Submits a job; idempotent for the same id, queue and customer. */
   writeJob(
     id: JobId,
     queue: JobQueue,
@@ -16,9 +17,10 @@
     submission: JobSubmission,
     deadline: number,
   ): Promise<JobOutcome<SubmitAnswer>>;
-  /** A job of another customer is as absent as one that nobody has handed in. */
+  /** Returns the state of a job; `absent` if it does not exist or belongs to another customer. */
   readJob(id: JobId, caller: JobCaller, deadline: number): Promise<JobOutcome<JobState | 'absent'>>;
+  /** Cancels a job; `absent` if it does not exist or belongs to another customer. */
   writeCancel(id: JobId, caller: JobCaller, deadline: number): Promise<JobOutcome<'cancelled' | 'absent'>>;
-  /** Accepted jobs of a queue none of whose tasks has begun; unavailable while not all jobs are known here. */
+  /** Returns the number of accepted jobs of a queue that have no started task; unavailable until this box has read all jobs. */
   readPendingCount(queueName: string): JobOutcome<number>;
 }
--- a/packages/gateway/JobSubmission.ts
+++ b/packages/gateway/JobSubmission.ts
@@ -1,10 +1,14 @@
 import type { JobStep } from '../jobs/JobStep';
 
-/** What a caller hands in, checked and in the product's own form. */
+/** Validated job as submitted by a caller. */
 export interface JobSubmission {
+  /** Opaque text that is passed to each task. */
   readonly spec: string;
   readonly steps: readonly JobStep[];
+  /** Number of repetitions. */
   readonly times: number;
+  /** Due time of the first repetition in milliseconds since 1970; 0 for a job without a schedule. */
   readonly firstRunMs: number;
+  /** Time between the due times of repetitions. */
   readonly intervalMs: number;
 }
--- a/packages/gateway/NotRunReason.ts
+++ b/packages/gateway/NotRunReason.ts
@@ -1,5 +1,5 @@
 import type { RefusalReason } from '../scheduler/RefusalReason';
 
-/** Every reason for which a caller is told `not-run`. No path says it for a reason that is not listed here. */
+/** Reason of a `not-run` response. */
 export type NotRunReason =
   RefusalReason | 'badRequest' | 'bodyTooLarge' | 'claimUnavailable' | 'callerLeft' | 'overloaded';
--- a/packages/gateway/QueueConfiguration.ts
+++ b/packages/gateway/QueueConfiguration.ts
@@ -1,11 +1,12 @@
 import type { CustomerPolicy } from '../customers/CustomerPolicy';
 import type { QueueRoute } from './QueueRoute';
 
-/** One version of the configuration in whole. */
+/** Complete configuration of one version. */
 export interface QueueConfiguration {
+  /** Increases with each change. */
   readonly version: number;
   readonly routes: readonly QueueRoute[];
-  /** Empty where the platform knows no customers. */
+  /** Empty if the platform has no customers. */
   readonly customers: readonly CustomerPolicy[];
   readonly maxBodyBytes: number;
 }
--- a/packages/gateway/QueueRoute.ts
+++ b/packages/gateway/QueueRoute.ts
@@ -1,10 +1,10 @@
 import type { JobQueue } from '../jobs/JobQueue';
 
-/** One configured way for callers to a queue. */
+/** Maps the calls of one host and path prefix to a queue. */
 export interface QueueRoute {
   readonly host: string;
   readonly pathPrefix: string;
   readonly queue: JobQueue;
-  /** True when calls need no customer's key. */
+  /** True if calls need no customer key. */
   readonly isOpen: boolean;
 }
--- a/packages/gateway/QueueRouter.ts
+++ b/packages/gateway/QueueRouter.ts
@@ -3,14 +3,14 @@
 import type { QueueConfiguration } from './QueueConfiguration';
 import type { QueueRoute } from './QueueRoute';
 
-/** The configuration in force: the queue of a call by host and longest path prefix, and the customers. Versions only rise. */
+/** Holds the current configuration, and routes calls to queues by host and longest path prefix. */
 export class QueueRouter {
   private configuration: QueueConfiguration | undefined;
   private routesByHost = new Map<string, QueueRoute[]>();
   private services: ReadonlySet<ServiceName> = new Set();
   private customers = new CustomerDirectory([]);
 
-  /** Takes a version into force; an older one than that in force is passed over. Returns whether it was taken. */
+  /** Replaces the configuration if the given one has a higher version. Returns whether it was replaced. */
   applyConfiguration(configuration: QueueConfiguration): boolean {
     if (this.configuration !== undefined && configuration.version <= this.configuration.version) {
       return false;
@@ -31,12 +31,12 @@
     return true;
   }
 
-  /** Undefined before the first configuration. */
+  /** Returns the current configuration; undefined before the first one. */
   readConfiguration(): QueueConfiguration | undefined {
     return this.configuration;
   }
 
-  /** True when some queue's tasks run on endpoints of the service. */
+  /** Returns whether any queue runs its tasks on endpoints of the service. */
   hasService(service: ServiceName): boolean {
     return this.services.has(service);
   }
@@ -45,7 +45,7 @@
     return this.customers;
   }
 
-  /** The route of a host (without port) and path; undefined when there is none. */
+  /** Returns the route of a host (without port) and path, or undefined. */
   readRoute(host: string, path: string): QueueRoute | undefined {
     return this.routesByHost.get(host)?.find((route) => path.startsWith(route.pathPrefix));
   }
--- a/packages/gateway/SubmitAnswer.ts
+++ b/packages/gateway/SubmitAnswer.ts
@@ -1,8 +1,8 @@
 /**
- * What becomes of a job that was handed in.
- * - `accepted`: it is kept and runs, by this call or an earlier one.
- * - `taken`: the id belongs to a job of another customer or queue; nothing was done.
- * - `impossible`: it could never run, and was not taken.
+ * Result of the submission of a job.
+ * - `accepted`: the job is stored and will run; also if an earlier submission was accepted.
+ * - `taken`: the id belongs to a job of another customer or queue; nothing was changed.
+ * - `impossible`: the job could never run and was rejected.
  */
 export type SubmitAnswer =
   | { readonly kind: 'accepted' }
--- a/packages/gateway/configurationSchema.ts
+++ b/packages/gateway/configurationSchema.ts
@@ -21,7 +21,7 @@
   isOpen: z.boolean(),
 });
 
-/** A version of the configuration as one box gives it to another; of keys it holds digests only. */
+/** Schema of the configuration as sent between boxes. It contains digests of keys, not the keys. */
 export const configurationSchema: z.ZodType<QueueConfiguration> = z.object({
   version: z.number(),
   routes: z.array(routeSchema),
--- a/packages/gateway/createBufferApp.ts
+++ b/packages/gateway/createBufferApp.ts
@@ -1,10 +1,10 @@
 import Fastify, { type FastifyInstance } from 'fastify';
-import { openSockets } from './openSockets';
+import { serverSockets } from './serverSockets';
 
-/** Creates an HTTP server that hands on bodies as they are, whatever their type, up to `bodyLimit` bytes. */
+/** Creates an HTTP server that passes request bodies to its handlers as buffers, whatever their content type, up to `bodyLimit` bytes. */
 export const createBufferApp = (bodyLimit: number): FastifyInstance => {
   const app = Fastify({ bodyLimit, keepAliveTimeout: 30_000, requestTimeout: 0 });
-  openSockets.startRecording(app.server);
+  serverSockets.startTracking(app.server);
   app.removeAllContentTypeParsers();
   app.addContentTypeParser('*', { parseAs: 'buffer' }, (_request, body, done) => done(null, body));
   return app;
--- a/packages/gateway/headerNames.ts
+++ b/packages/gateway/headerNames.ts
@@ -1,4 +1,4 @@
-/** Headers of the callers' interface and of the way to the endpoints. */
+/** Names of HTTP headers between callers, entry boxes and endpoints. */
 export const headerNames = {
   outcome: 'x-stairline-outcome',
   request: 'x-stairline-request',
@@ -6,19 +6,19 @@
   team: 'x-stairline-team',
   hop: 'x-stairline-hop',
   box: 'x-stairline-box',
-  /** Between entry boxes: only tells what became of a key. */
+  /** Between entry boxes: requests only the outcome of an idempotency key. */
   lookup: 'x-stairline-lookup',
-  /** Between entry boxes: an answer without its body. */
+  /** Between entry boxes: a call response without its body. */
   answer: 'x-stairline-answer',
   idempotencyKey: 'idempotency-key',
-  /** To endpoints: the task's id, which the answer must repeat. */
+  /** To and from endpoints: the id of the task, which the response must repeat. */
   task: 'x-task-id',
   timeLimit: 'x-time-limit-ms',
   demand: 'x-demand',
   yielded: 'x-yielded',
   callerRequest: 'x-caller-request',
-  /** To endpoints: an order with a lower one than the endpoint has seen is refused. */
+  /** To endpoints: fencing token. The endpoint rejects requests with a lower token than it has seen. */
   ownerToken: 'x-owner-token',
-  /** From endpoints: the order was refused for its token; nothing was started. */
+  /** From endpoints: the request was rejected for its fencing token, and nothing was started. */
   fenced: 'x-fenced',
 } as const;
--- a/packages/gateway/notRunStatuses.ts
+++ b/packages/gateway/notRunStatuses.ts
@@ -5,7 +5,7 @@
   readonly title: string;
 }
 
-/** HTTP status and title for each reason of `not-run`. */
+/** HTTP status and problem title for each reason of a `not-run` response. */
 export const notRunStatuses: Readonly<Record<NotRunReason, NotRunStatus>> = {
   unknownRow: { status: 404, title: 'No such workload row' },
   queueFull: { status: 429, title: 'The queue of the row is full' },
--- a/packages/gateway/parseCall.ts
+++ b/packages/gateway/parseCall.ts
@@ -18,15 +18,15 @@
 
 const KEY_PATTERN = /^[\x21-\x7e]{1,200}$/;
 const MAX_DEADLINE_MS = 24 * 3_600_000;
-const HANDED_ON = ['content-type', 'x-run-ms'] as const;
+const FORWARDED_HEADERS = ['content-type', 'x-run-ms'] as const;
 
 const parseDeadline = (text: string | undefined): Result<number | undefined, string> => {
   if (text === undefined) {
     return { ok: true, value: undefined };
   }
   const value = Number(text);
-  const isGood = /^\d+$/.test(text) && value >= 1 && value <= MAX_DEADLINE_MS;
-  return isGood
+  const isValid = /^\d+$/.test(text) && value >= 1 && value <= MAX_DEADLINE_MS;
+  return isValid
     ? { ok: true, value }
     : {
         ok: false,
@@ -34,15 +34,16 @@
       };
 };
 
-const readHeader = (headers: IncomingHttpHeaders, name: string): string | undefined => {
+/** Returns the first value of a header, or undefined. */
+const getHeader = (headers: IncomingHttpHeaders, name: string): string | undefined => {
   const value = headers[name];
   return Array.isArray(value) ? value[0] : value;
 };
 
-const parseForwarded = (headers: IncomingHttpHeaders): Record<string, string> => {
+const getForwardedHeaders = (headers: IncomingHttpHeaders): Record<string, string> => {
   const forwarded: Record<string, string> = {};
-  for (const name of HANDED_ON) {
-    const value = readHeader(headers, name);
+  for (const name of FORWARDED_HEADERS) {
+    const value = getHeader(headers, name);
     if (value !== undefined) {
       forwarded[name] = value;
     }
@@ -50,17 +51,17 @@
   return forwarded;
 };
 
-/** Checks a caller's headers. The error names the header and what was expected. */
+/** Parses a caller's request and validates its headers. The error names the header and the expected value. */
 export const parseCall = (source: CallSource): Result<Call, string> => {
-  const deadline = parseDeadline(readHeader(source.headers, headerNames.deadline));
+  const deadline = parseDeadline(getHeader(source.headers, headerNames.deadline));
   if (!deadline.ok) {
     return deadline;
   }
-  const team = readHeader(source.headers, headerNames.team);
+  const team = getHeader(source.headers, headerNames.team);
   if (team !== undefined && !nameSchema.safeParse(team).success) {
     return { ok: false, error: `${headerNames.team}: expected a team name` };
   }
-  const key = readHeader(source.headers, headerNames.idempotencyKey);
+  const key = getHeader(source.headers, headerNames.idempotencyKey);
   if (key !== undefined && !KEY_PATTERN.test(key)) {
     return { ok: false, error: `${headerNames.idempotencyKey}: expected 1 to 200 visible ASCII characters` };
   }
@@ -71,9 +72,9 @@
     deadlineMs: deadline.value,
     idempotencyKey: key,
     body: source.body,
-    forwardedHeaders: parseForwarded(source.headers),
+    forwardedHeaders: getForwardedHeaders(source.headers),
     isForwarded: source.isForwarded,
-    isLookup: source.isForwarded && readHeader(source.headers, headerNames.lookup) === '1',
+    isLookup: source.isForwarded && getHeader(source.headers, headerNames.lookup) === '1',
   };
   return { ok: true, value };
 };
--- a/packages/gateway/openSockets.ts
+++ b/packages/gateway/serverSockets.ts
@@ -3,10 +3,10 @@
 
 const sockets = new WeakMap<Server, Set<Socket>>();
 
-/** The connections of servers, also those that were upgraded, which Node's own list does not hold. */
-export const openSockets = {
-  /** Notes each connection of a server from now on, until it closes. */
-  startRecording: (server: Server): void => {
+/** Tracks the open connections of HTTP servers, including upgraded ones, which Node's `closeAllConnections` omits. */
+export const serverSockets = {
+  /** Starts to track the connections of a server. */
+  startTracking: (server: Server): void => {
     const open = new Set<Socket>();
     sockets.set(server, open);
     server.on('connection', (socket) => {
@@ -15,6 +15,6 @@
     });
   },
 
-  /** Ends all connections of a server at once. */
+  /** Destroys all tracked connections of a server. */
   stopAll: (server: Server): void => sockets.get(server)?.forEach((socket) => socket.destroy()),
 } as const;
--- a/packages/gateway/startSocket.ts
+++ b/packages/gateway/startSocket.ts
@@ -8,7 +8,7 @@
   readonly timeoutMs: number;
 }
 
-/** Connects a TCP socket; the error is its code, for example ECONNREFUSED, or ETIMEDOUT. */
+/** Opens a TCP connection. The error is a system error code such as ECONNREFUSED, or ETIMEDOUT after `timeoutMs`. */
 export const startSocket = (options: SocketOptions): Promise<Result<Socket, string>> => {
   return new Promise((resolve) => {
     const socket = connect({ ...toHostPort(options.address), noDelay: true });
--- a/packages/gateway/stopApp.ts
+++ b/packages/gateway/stopApp.ts
@@ -1,15 +1,15 @@
 import type { FastifyInstance } from 'fastify';
-import { openSockets } from './openSockets';
+import { serverSockets } from './serverSockets';
 
-/** Answers that were complete when the server was told to stop have left by then. */
-const SILENT_LIMIT_MS = 1000;
+/** Time for connections to close after the last responses have been sent. */
+const CLOSE_GRACE_MS = 1000;
 
 /**
- * Stops a server whose work is done. Connections that are left after a second are ended: one on which nothing has been asked yet would be
- * waited for until the time limit for headers, and one that was upgraded meanwhile for ever.
+ * Stops a server that has no more requests to handle. Destroys connections that remain open after a grace period: closing would
+ * otherwise wait for the header timeout of a connection without a request, and forever for an upgraded connection.
  */
 export const stopApp = async (app: FastifyInstance): Promise<void> => {
-  const timer = setTimeout(() => openSockets.stopAll(app.server), SILENT_LIMIT_MS);
+  const timer = setTimeout(() => serverSockets.stopAll(app.server), CLOSE_GRACE_MS);
   await app.close();
   clearTimeout(timer);
 };
--- a/packages/gateway/toProblem.ts
+++ b/packages/gateway/toProblem.ts
@@ -12,23 +12,23 @@
   };
 }
 
-/** Turns an answer without a result into an RFC 9457 problem. */
-export const toProblem = (answer: Exclude<CallAnswer, { outcome: 'ran' }>): Problem => {
-  switch (answer.outcome) {
+/** Converts a response without a result to RFC 9457 problem details. */
+export const toProblem = (response: Exclude<CallAnswer, { outcome: 'ran' }>): Problem => {
+  switch (response.outcome) {
     case 'not-run': {
-      const { status, title } = notRunStatuses[answer.reason];
-      const type = `urn:stairline:${answer.reason}`;
-      return { status, body: { type, title, detail: answer.detail, outcome: 'not-run' } };
+      const { status, title } = notRunStatuses[response.reason];
+      const type = `urn:stairline:${response.reason}`;
+      return { status, body: { type, title, detail: response.detail, outcome: 'not-run' } };
     }
     case 'unknown': {
-      const status = answer.isLate ? 504 : 502;
+      const status = response.isLate ? 504 : 502;
       const title = 'It may have run: the end was not seen';
       return {
         status,
-        body: { type: 'urn:stairline:unknown', title, detail: answer.detail, outcome: 'unknown' },
+        body: { type: 'urn:stairline:unknown', title, detail: response.detail, outcome: 'unknown' },
       };
     }
     default:
-      return checkNever(answer);
+      return checkNever(response);
   }
 };
