--- a/tests/endpointFence.test.ts
+++ b/tests/endpointFence.test.ts
@@ -8,10 +8,10 @@
 import { EndpointStandin } from '../packages/standins/EndpointStandin';
 
 const NEED = { cpus: 1, memoryMb: 1, accelerators: 0, slots: 1 };
-const OLD = 7000;
-const NEW = 8000;
+const OLD_TOKEN = 7000;
+const NEW_TOKEN = 8000;
 
-describe('an endpoint that has come to another owner', () => {
+describe('an endpoint with a new owner', () => {
   let endpoint: EndpointStandin;
   let client: EndpointClient;
 
@@ -63,33 +63,33 @@
       handleWritten,
     });
 
-  it('starts nothing for an earlier owner, says so, and tells the new one what still runs', async () => {
-    const running = sendTask('old/1', OLD, 300);
+  it('rejects tasks of the earlier owner, and lists the running tasks to the new owner', async () => {
+    const running = sendTask('old/1', OLD_TOKEN, 300);
     await new Promise((resolve) => setTimeout(resolve, 100));
-    const fence = await client.sendFence(NEW);
+    const fence = await client.sendFence(NEW_TOKEN);
     expect(fence).toMatchObject({ kind: 'fenced', tasks: [{ task: 'old/1', need: NEED }] });
-    expect(await sendTask('old/2', OLD, 10)).toMatchObject({ kind: 'notSent', why: 'fenced' });
+    expect(await sendTask('old/2', OLD_TOKEN, 10)).toMatchObject({ kind: 'notSent', why: 'fenced' });
     expect(endpoint.createReport().tasks.map(({ task }) => task)).toEqual(['old/1']);
-    expect(await sendTask('new/1', NEW, 10)).toMatchObject({ kind: 'answered' });
+    expect(await sendTask('new/1', NEW_TOKEN, 10)).toMatchObject({ kind: 'answered' });
     expect(await running).toMatchObject({ kind: 'answered' });
   });
 
-  it('refuses the fence of an owner that is not the newest', async () => {
-    expect((await client.sendFence(NEW)).kind).toBe('fenced');
-    expect((await client.sendFence(NEW)).kind).toBe('fenced');
-    expect((await client.sendFence(OLD)).kind).toBe('refused');
+  it('rejects the fence of an earlier owner', async () => {
+    expect((await client.sendFence(NEW_TOKEN)).kind).toBe('fenced');
+    expect((await client.sendFence(NEW_TOKEN)).kind).toBe('fenced');
+    expect((await client.sendFence(OLD_TOKEN)).kind).toBe('refused');
   });
 
-  it('takes anything but a list of what runs for no answer', async () => {
+  it('reports an unreachable endpoint as unanswered', async () => {
     endpoint.stop();
-    expect((await client.sendFence(NEW)).kind).toBe('unanswered');
+    expect((await client.sendFence(NEW_TOKEN)).kind).toBe('unanswered');
   });
 
-  it('tells when the bytes have left, on a connection that was used before too', async () => {
+  it('reports when the request was written, also on a reused connection', async () => {
     for (const number of [1, 2, 3]) {
       let writtenAt = Infinity;
       const checkedAt = performance.now();
-      const result = await sendTask(`new/${number}`, NEW, 30, () => (writtenAt = performance.now()));
+      const result = await sendTask(`new/${number}`, NEW_TOKEN, 30, () => (writtenAt = performance.now()));
       expect(result.kind).toBe('answered');
       expect(writtenAt).toBeGreaterThanOrEqual(checkedAt);
       expect(writtenAt).toBeLessThan(performance.now());
--- a/tests/helpers/createFleet.ts
+++ b/tests/helpers/createFleet.ts
@@ -3,7 +3,7 @@
 import type { FleetOptions } from '../../dev/fleet/FleetOptions';
 import { fastTimings } from './fastTimings';
 
-/** Creates and starts a fleet of one hall with two entry boxes and four workers; what the test says goes before that. */
+/** Creates and starts a fleet of one hall with two entry boxes and four workers. The given options override these defaults. */
 export const createFleet = async (options: Partial<FleetOptions> = {}): Promise<Fleet> => {
   const fleet = await Fleet.create({
     halls: [{ name: 'hall-a', entries: 2, workers: 4 }],
--- a/tests/helpers/fastTimings.ts
+++ b/tests/helpers/fastTimings.ts
@@ -1,6 +1,6 @@
 import type { FleetOptions } from '../../dev/fleet/FleetOptions';
 
-/** Short times for process tests; the proportions are those of the defaults. */
+/** Shortened timings for tests of processes, in about the proportions of the defaults. */
 export const fastTimings: FleetOptions['timings'] = {
   heartbeatMs: 200,
   leaseMs: 1000,
--- a/tests/stopApp.test.ts
+++ b/tests/stopApp.test.ts
@@ -3,8 +3,8 @@
 import { createBufferApp } from '../packages/gateway/createBufferApp';
 import { stopApp } from '../packages/gateway/stopApp';
 
-describe('a server that is stopped by plan', () => {
-  it('does not wait for a connection on which nothing was asked', async () => {
+describe('stopApp', () => {
+  it('does not wait for a connection without a request', async () => {
     const app = createBufferApp(1000);
     await app.listen({ host: '127.0.0.1', port: 0 });
     const { port } = app.server.address() as AddressInfo;
@@ -18,8 +18,8 @@
   });
 });
 
-describe('a server whose connections were upgraded', () => {
-  it('does not wait for one that came while it stopped', async () => {
+describe('stopApp with upgraded connections', () => {
+  it('does not wait for an open upgraded connection', async () => {
     const app = createBufferApp(1000);
     app.server.on('upgrade', (_request, socket) => {
       socket.write('HTTP/1.1 101 Switching Protocols\r\nUpgrade: raw\r\nConnection: Upgrade\r\n\r\n');
--- a/tests/suspension.test.ts
+++ b/tests/suspension.test.ts
@@ -1,7 +1,6 @@
 /*
- * A machine may be suspended for seconds. Its monotonic clock stands still meanwhile, so that everything looks as young on waking as before:
- * a leader that slept beyond its right would go on giving leases, a box would serve by a configuration that it takes for fresh, and an answer
- * that waited in a socket would count as new. It is the class of the incident: what held when it was learnt is acted on when it no longer does.
+ * The monotonic clock does not advance while a machine is suspended. These tests check that leases, cached configuration and responses
+ * still expire, so that a resumed process does not act on outdated state.
  */
 import { beforeEach, describe, expect, it } from 'vitest';
 import { StepFilteredClock } from '../packages/common/StepFilteredClock';
@@ -17,152 +16,152 @@
 import { LogFollower } from '../packages/store/LogFollower';
 
 const STARTED_AT = 1_000_000;
-const BOOTED_BEFORE_MS = 77_770;
+const UPTIME_AT_START_MS = 77_770;
 const LOGGER = { info: () => undefined, warn: () => undefined, error: () => undefined };
-const stopUnused = (): never => {
+const handleUnexpectedCall = (): never => {
   throw new Error('not used');
 };
 
-/** A machine whose clocks tests move. */
-class Machine implements MachineClock {
-  private steady = 100;
-  private stepMs = 0;
-  private sleptMs = 0;
-  /** The boot clock of another machine, which runs at its own pace. */
-  isForeign = false;
+/** Machine on virtual time that can be suspended and whose wall clock can be stepped. */
+class SimulatedMachine implements MachineClock {
+  private monotonicMs = 100;
+  private wallStepMs = 0;
+  private suspendedMs = 0;
+  /** True if the uptime clock is that of another machine, which runs at a different rate. */
+  hasForeignUptime = false;
   readonly suspensions: number[] = [];
-  readonly doubts: number[] = [];
-  readonly moves: number[] = [];
-  private readonly machineClock: SuspensionAwareClock;
-  private readonly anchored: StepFilteredClock;
+  readonly unverifiedSteps: number[] = [];
+  readonly steps: number[] = [];
+  private readonly suspensionAware: SuspensionAwareClock;
+  private readonly stepFiltered: StepFilteredClock;
 
   constructor() {
-    this.machineClock = new SuspensionAwareClock({
+    this.suspensionAware = new SuspensionAwareClock({
       source: {
-        readNow: () => this.steady,
-        readWall: () => STARTED_AT + this.steady + this.sleptMs + this.stepMs,
+        readNow: () => this.monotonicMs,
+        readWall: () => STARTED_AT + this.monotonicMs + this.suspendedMs + this.wallStepMs,
       },
-      readUptimeMs: () => this.readBootMs(),
+      readUptimeMs: () => this.computeUptimeMs(),
       handleSuspension: (byMs) => this.suspensions.push(byMs),
-      handleUnverifiedStep: (byMs) => this.doubts.push(byMs),
+      handleUnverifiedStep: (byMs) => this.unverifiedSteps.push(byMs),
       handleUptimeClockChange: () => undefined,
     });
-    this.anchored = new StepFilteredClock({
-      source: this.machineClock,
-      handleStep: (byMs) => this.moves.push(byMs),
+    this.stepFiltered = new StepFilteredClock({
+      source: this.suspensionAware,
+      handleStep: (byMs) => this.steps.push(byMs),
     });
   }
 
   readNow(): number {
-    return this.machineClock.readNow();
+    return this.suspensionAware.readNow();
   }
 
   readWall(): number {
-    return this.anchored.readWall();
+    return this.stepFiltered.readWall();
   }
 
   readLongestSince(since: number): number {
-    return this.machineClock.readLongestSince(since);
+    return this.suspensionAware.readLongestSince(since);
   }
 
-  /** True time, as other machines see it. */
-  readTrueNow(): number {
-    return this.steady + this.sleptMs;
+  /** Returns the real time, as other machines measure it. */
+  getTrueTime(): number {
+    return this.monotonicMs + this.suspendedMs;
   }
 
-  /** Lets time pass; the clocks are read every 100 ms. */
-  start(forMs: number): void {
-    for (const until = this.steady + forMs; this.steady < until; this.steady += 100) {
+  /** Advances the time, and reads the clock every 100 ms. */
+  runFor(durationMs: number): void {
+    for (const until = this.monotonicMs + durationMs; this.monotonicMs < until; this.monotonicMs += 100) {
       this.readWall();
     }
   }
 
-  applySleep(forMs: number): void {
-    this.sleptMs += forMs;
+  addSuspension(durationMs: number): void {
+    this.suspendedMs += durationMs;
   }
 
-  applyStep(byMs: number): void {
-    this.stepMs += byMs;
+  addWallStep(byMs: number): void {
+    this.wallStepMs += byMs;
   }
 
-  private readBootMs(): number {
-    const pace = this.isForeign ? 0.3 : 1;
-    return Math.floor((BOOTED_BEFORE_MS + (this.steady + this.sleptMs) * pace) / 10) * 10;
+  private computeUptimeMs(): number {
+    const rate = this.hasForeignUptime ? 0.3 : 1;
+    return Math.floor((UPTIME_AT_START_MS + (this.monotonicMs + this.suspendedMs) * rate) / 10) * 10;
   }
 }
 
-describe('the clocks of a machine that is suspended', () => {
-  let machine: Machine;
+describe('the clocks of a suspended machine', () => {
+  let machine: SimulatedMachine;
 
   beforeEach(() => {
-    machine = new Machine();
-    machine.start(5000);
+    machine = new SimulatedMachine();
+    machine.runFor(5000);
   });
 
-  it('count the time, and the time of day goes on with them at once', () => {
+  it('include the suspension, and the wall clock follows at once', () => {
     const before = machine.readNow();
-    machine.applySleep(7000);
+    machine.addSuspension(7000);
     expect(machine.readNow() - before).toBeCloseTo(7000, -2);
-    expect(machine.readWall() - STARTED_AT - machine.readTrueNow()).toBeCloseTo(0, -2);
-    machine.start(20_000);
+    expect(machine.readWall() - STARTED_AT - machine.getTrueTime()).toBeCloseTo(0, -2);
+    machine.runFor(20_000);
     expect(machine.readNow() - before).toBeCloseTo(27_000, -2);
-    expect([machine.suspensions.length, machine.doubts, machine.moves]).toEqual([1, [], []]);
+    expect([machine.suspensions.length, machine.unverifiedSteps, machine.steps]).toEqual([1, [], []]);
   });
 
-  it('tell it from a jump of the time of day, and from both together', () => {
+  it('distinguish a suspension from a step of the wall clock, also if both happen at once', () => {
     const before = machine.readNow();
-    machine.applyStep(3000);
+    machine.addWallStep(3000);
     expect(machine.readNow()).toBe(before);
     expect(machine.readLongestSince(before)).toBe(0);
-    machine.start(1000);
-    machine.applyStep(-3000);
-    machine.applySleep(2000);
+    machine.runFor(1000);
+    machine.addWallStep(-3000);
+    machine.addSuspension(2000);
     expect(machine.readNow() - before).toBeCloseTo(3000, -2);
     expect(machine.suspensions).toHaveLength(1);
   });
 
-  it('count each of several', () => {
+  it('include each of several suspensions', () => {
     const before = machine.readNow();
     for (let count = 0; count < 3; count += 1) {
-      machine.applySleep(2000);
-      machine.start(1000);
+      machine.addSuspension(2000);
+      machine.runFor(1000);
     }
     expect(machine.readNow() - before).toBeCloseTo(9000, -2);
   });
 
-  it('take a jump ahead for time that may have passed where the boot clock is none, for rights alone', () => {
-    machine.isForeign = true;
-    machine.start(5000);
+  it('count a forward step only in the upper bound of the elapsed time if the uptime clock is not usable', () => {
+    machine.hasForeignUptime = true;
+    machine.runFor(5000);
     const before = machine.readNow();
-    machine.applySleep(6000);
+    machine.addSuspension(6000);
     expect(machine.readNow()).toBe(before);
     expect(machine.readLongestSince(before - 100)).toBe(6100);
-    machine.start(100);
+    machine.runFor(100);
     expect(machine.readLongestSince(machine.readNow())).toBe(0);
-    expect([machine.suspensions, machine.doubts]).toEqual([[], [6000]]);
-    machine.applyStep(-2000);
+    expect([machine.suspensions, machine.unverifiedSteps]).toEqual([[], [6000]]);
+    machine.addWallStep(-2000);
     expect(machine.readLongestSince(before - 100)).toBe(6200);
   });
 });
 
-describe.each([false, true])('a box that was suspended (boot clock of another machine: %s)', (isForeign) => {
-  let machine: Machine;
+describe.each([false, true])('a suspended box (uptime clock of another machine: %s)', (hasForeignUptime) => {
+  let machine: SimulatedMachine;
 
   beforeEach(() => {
-    machine = new Machine();
-    machine.isForeign = isForeign;
-    machine.start(5000);
+    machine = new SimulatedMachine();
+    machine.hasForeignUptime = hasForeignUptime;
+    machine.runFor(5000);
   });
 
-  it('gives no leases by a right that ran out meanwhile, also when an older write is answered then', async () => {
-    const answers: (() => void)[] = [];
+  it('does not renew leases after its leadership may have expired, even if an older write is acknowledged then', async () => {
+    const pendingResponses: (() => void)[] = [];
     const client: LogClient = {
       append: () =>
         new Promise((resolve) => {
-          answers.push(() => resolve({ ok: true, value: 0 }));
+          pendingResponses.push(() => resolve({ ok: true, value: 0 }));
         }),
-      readRecords: stopUnused,
-      readNewestPage: stopUnused,
+      readRecords: handleUnexpectedCall,
+      readNewestPage: handleUnexpectedCall,
       stop: () => Promise.resolve(),
     };
     const journal = new LeaderJournal({
@@ -176,35 +175,35 @@
       clock: machine,
       logger: LOGGER,
       formatLeaderRecord: () => 'leader',
-      handleFenced: stopUnused,
+      handleFenced: handleUnexpectedCall,
       handleLogRecovered: () => undefined,
     });
     const isRenewing = (): boolean => journal.isAcknowledgedWithin(leaderTimings.unconfirmedGraceMs);
     const startAppend = async (): Promise<void> => {
       journal.handleTick(machine.readNow() + leaderTimings.heartbeatMs);
-      while (answers.length === 0) {
+      while (pendingResponses.length === 0) {
         await new Promise((resolve) => setTimeout(resolve, 5));
       }
     };
     expect(isRenewing()).toBe(true);
     await startAppend();
-    machine.applySleep(leaderTimings.unconfirmedGraceMs + 500);
+    machine.addSuspension(leaderTimings.unconfirmedGraceMs + 500);
     expect(isRenewing()).toBe(false);
-    answers.shift()!();
+    pendingResponses.shift()!();
     await new Promise((resolve) => setTimeout(resolve, 5));
     expect(isRenewing()).toBe(false);
-    machine.start(100);
+    machine.runFor(100);
     await startAppend();
-    answers.shift()!();
+    pendingResponses.shift()!();
     await new Promise((resolve) => setTimeout(resolve, 5));
     expect(isRenewing()).toBe(true);
     journal.stop();
   });
 
-  it('takes no configuration for fresh that it knew before', () => {
+  it('considers the configuration from before the suspension outdated', () => {
     const followedAt = machine.readNow();
     const desk = new ConfigurationDesk({
-      adapter: { configurationKey: 'config', parseConfiguration: stopUnused },
+      adapter: { configurationKey: 'config', parseConfiguration: handleUnexpectedCall },
       router: new QueueRouter(),
       source: 'log',
       clock: machine,
@@ -216,23 +215,23 @@
       readOthers: () => [],
     });
     expect(desk.isFresh()).toBe(true);
-    machine.applySleep(5500);
+    machine.addSuspension(5500);
     expect(desk.isFresh()).toBe(false);
   });
 });
 
-describe('an answer of the log that waited while the machine was suspended', () => {
-  it('tells nothing newer than when it can have been given', async () => {
-    const machine = new Machine();
-    machine.start(5000);
-    let startAnswer: (() => void) | undefined;
+describe('a response of the log that arrived during a suspension', () => {
+  it('counts as no newer than the time at which it can have been sent', async () => {
+    const machine = new SimulatedMachine();
+    machine.runFor(5000);
+    let sendResponse: (() => void) | undefined;
     const client: LogClient = {
-      append: stopUnused,
+      append: handleUnexpectedCall,
       readNewestPage: () =>
         Promise.resolve({ ok: true, value: { records: [], endOffset: 0, hasMore: false } }),
       readRecords: () =>
         new Promise((resolve) => {
-          startAnswer = () => resolve({ ok: true, value: { records: [], endOffset: 0 } });
+          sendResponse = () => resolve({ ok: true, value: { records: [], endOffset: 0 } });
         }),
       stop: () => Promise.resolve(),
     };
@@ -246,12 +245,12 @@
       handleRecords: () => undefined,
     });
     void follower.start();
-    while (startAnswer === undefined) {
+    while (sendResponse === undefined) {
       await new Promise((resolve) => setTimeout(resolve, 5));
     }
     const sentAt = machine.readNow();
-    machine.applySleep(6000);
-    startAnswer();
+    machine.addSuspension(6000);
+    sendResponse();
     await new Promise((resolve) => setTimeout(resolve, 5));
     expect(machine.readNow() - sentAt).toBeCloseTo(6000, -2);
     expect(follower.getLastSuccessAt() - sentAt).toBeLessThanOrEqual(1000);
