--- a/dev/bench/controlSection.ts
+++ b/dev/bench/controlSection.ts
@@ -1,5 +1,5 @@
 import { formatColumns } from '../../packages/cli/formatColumns';
-import { startDelay } from '../../packages/common/startDelay';
+import { waitForDelay } from '../../packages/common/waitForDelay';
 import { demoRows } from '../demo/demoRows';
 import { Fleet } from '../fleet/Fleet';
 import { readFleetMetrics } from '../fleet/readFleetMetrics';
@@ -26,7 +26,7 @@
   const boxes = fleet.readBoxes();
   for (let number = 0; perSecond > 0 && !signal.aborted; number += 1) {
     void fleet.sendCall(boxes[number % boxes.length] ?? '', 'plan-refresh', { headers: { 'x-run-ms': '5' } });
-    await startDelay(1000 / perSecond);
+    await waitForDelay(1000 / perSecond);
   }
 };
 
@@ -44,10 +44,10 @@
     await fleet.start();
     const stopping = new AbortController();
     const calls = startCalls(fleet, one.callsPerSecond, stopping.signal);
-    await startDelay(1000);
+    await waitForDelay(1000);
     const before = await readFleetMetrics(fleet);
     const platformBefore = await fleet.readPlatformCounts();
-    await startDelay(MEASURE_MS);
+    await waitForDelay(MEASURE_MS);
     const after = await readFleetMetrics(fleet);
     const platformAfter = await fleet.readPlatformCounts();
     stopping.abort();
--- a/dev/bench/leaderSection.ts
+++ b/dev/bench/leaderSection.ts
@@ -1,5 +1,5 @@
 import { formatColumns } from '../../packages/cli/formatColumns';
-import { startDelay } from '../../packages/common/startDelay';
+import { waitForDelay } from '../../packages/common/waitForDelay';
 import { Cell } from '../cell/Cell';
 import { toJobIdText } from '../cell/toJobIdText';
 import type { BenchSection } from './BenchSection';
@@ -41,14 +41,14 @@
     const count = (one.jobsPerSecond * MEASURE_MS) / 1000;
     for (let number = 1; number <= count; number += 1) {
       void cell.sendJob(front, toJobIdText(number), body, 'advised').catch(() => undefined);
-      await startDelay(1000 / one.jobsPerSecond);
+      await waitForDelay(1000 / one.jobsPerSecond);
     }
     const seconds = MEASURE_MS / 1000;
     const leaderCores = (leader.process.readCpuSeconds() - leaderBefore!) / seconds;
     const followerCores = (follower.process.readCpuSeconds() - followerBefore!) / seconds;
     const starts = cell.witness.readTotalStarts();
     leader.process.sendSignal('SIGKILL');
-    await startDelay(AFTER_KILL_MS);
+    await waitForDelay(AFTER_KILL_MS);
     const replaced = cell.boxes.filter(({ process }) => process.readOutput().includes('leader is silent'));
     return [
       one.endpoints,
--- a/dev/bench/memorySection.ts
+++ b/dev/bench/memorySection.ts
@@ -9,7 +9,7 @@
 import type { UnitId } from '../../packages/common/UnitId';
 import { ClaimFold } from '../../packages/entry/ClaimFold';
 import { EndpointConnection } from '../../packages/gateway/EndpointConnection';
-import { startSocket } from '../../packages/gateway/startSocket';
+import { createConnectedSocket } from '../../packages/gateway/createConnectedSocket';
 import { Ownership } from '../../packages/ownership/Ownership';
 import { Scheduler } from '../../packages/scheduler/Scheduler';
 import { createTable } from '../../packages/table/createTable';
@@ -93,9 +93,9 @@
   const before = measureHeap();
   const connections: EndpointConnection[] = [];
   for (let number = 0; number < CONNECTIONS; number += 1) {
-    const socket = await startSocket({ address, timeoutMs: 1000 });
+    const socket = await createConnectedSocket({ address, timeoutMs: 1000 });
     if (socket.ok) {
-      connections.push(new EndpointConnection({ address, socket: socket.value, answerLimit: 1000 }));
+      connections.push(new EndpointConnection({ address, socket: socket.value, maxResponseBytes: 1000 }));
     }
   }
   const after = measureHeap();
--- a/dev/bench/outageSection.ts
+++ b/dev/bench/outageSection.ts
@@ -1,5 +1,5 @@
 import { formatColumns } from '../../packages/cli/formatColumns';
-import { startDelay } from '../../packages/common/startDelay';
+import { waitForDelay } from '../../packages/common/waitForDelay';
 import { demoRows } from '../demo/demoRows';
 import { Fleet } from '../fleet/Fleet';
 import type { BenchSection } from './BenchSection';
@@ -27,7 +27,7 @@
     name: 'platform down, then one killed',
     start: async (fleet, victim) => {
       await fleet.sendFaults({ isDown: true });
-      await startDelay(1000);
+      await waitForDelay(1000);
       fleet.readProcess(victim).sendSignal('SIGKILL');
     },
   },
@@ -35,7 +35,7 @@
     name: 'platform down, then one paused',
     start: async (fleet, victim) => {
       await fleet.sendFaults({ isDown: true });
-      await startDelay(1000);
+      await waitForDelay(1000);
       fleet.readProcess(victim).sendSignal('SIGSTOP');
     },
   },
@@ -51,7 +51,7 @@
     while (!signal.aborted) {
       const result = await fleet.sendCall(box, 'plan-refresh', { headers: { 'x-run-ms': RUN_MS } });
       count.ran += result.outcome === 'ran' ? 1 : 0;
-      await startDelay(result.outcome === 'ran' ? 0 : 100);
+      await waitForDelay(result.outcome === 'ran' ? 0 : 100);
     }
   });
 
@@ -67,13 +67,13 @@
     const count: Count = { ran: 0 };
     const stopping = new AbortController();
     const callers = startCallers(fleet, kept, stopping.signal, count);
-    await startDelay(1000);
+    await waitForDelay(1000);
     const from = count.ran;
-    await startDelay(NORMAL_MS);
+    await waitForDelay(NORMAL_MS);
     const normal = (count.ran - from) / NORMAL_MS;
     await outage.start(fleet, victim);
     const begun = count.ran;
-    await startDelay(OUTAGE_MS);
+    await waitForDelay(OUTAGE_MS);
     const during = (count.ran - begun) / OUTAGE_MS;
     const status = await fleet.readStatus(kept);
     stopping.abort();
--- a/dev/cell/Cell.ts
+++ b/dev/cell/Cell.ts
@@ -2,7 +2,7 @@
 import { tmpdir } from 'node:os';
 import { join } from 'node:path';
 import { request } from 'undici';
-import { startDelay } from '../../packages/common/startDelay';
+import { waitForDelay } from '../../packages/common/waitForDelay';
 import { AdviceStandin } from '../../packages/standins/platform/AdviceStandin';
 import { ExecutorStandin } from '../../packages/standins/platform/ExecutorStandin';
 import { LogStandin } from '../../packages/standins/platform/LogStandin';
@@ -171,7 +171,7 @@
     const standin = new ExecutorStandin({ id, address, witness: this.witness, handleCrash, ...born });
     await standin.start();
     this.executors.push({ id, address, bornAtMs, standin });
-    await startDelay(recordAfterMs);
+    await waitForDelay(recordAfterMs);
     this.writeExecutor(id, address, 'ready');
   }
 
@@ -184,7 +184,7 @@
     }
     this.executors.splice(index, 1);
     await ended.standin.stop();
-    await startDelay(downMs);
+    await waitForDelay(downMs);
     if (!this.isStopped) {
       const nextId = this.options.keepsIds === true ? id : `${id}-again`;
       await this.startExecutor(nextId, ended.address, recordAfterMs);
--- a/dev/demo/demoCommand.ts
+++ b/dev/demo/demoCommand.ts
@@ -1,5 +1,5 @@
 import { createRandom } from '../../packages/common/createRandom';
-import { startDelay } from '../../packages/common/startDelay';
+import { waitForDelay } from '../../packages/common/waitForDelay';
 import type { Command } from '../../packages/cli/Command';
 import { exitCodes } from '../../packages/cli/exitCodes';
 import { formatColumns } from '../../packages/cli/formatColumns';
@@ -24,12 +24,12 @@
 const LEAVING = 'hall-medeu-worker-3';
 
 const startFailures = async (fleet: Fleet, targets: string[]): Promise<void> => {
-  await startDelay(KILL_AT_MS);
+  await waitForDelay(KILL_AT_MS);
   writeLine(`Killing ${KILLED}.`);
   fleet.readProcess(KILLED).sendSignal('SIGKILL');
   // The balancer notices by its health check.
   targets.splice(targets.indexOf(KILLED), 1);
-  await startDelay(LEAVE_AT_MS - KILL_AT_MS);
+  await waitForDelay(LEAVE_AT_MS - KILL_AT_MS);
   writeLine(`The platform lists ${LEAVING} as leaving.`);
   await fleet.sendBoxState(LEAVING, 'leaving');
 };
--- a/dev/demo/startLoad.ts
+++ b/dev/demo/startLoad.ts
@@ -1,5 +1,5 @@
 import type { Random } from '../../packages/common/Random';
-import { startDelay } from '../../packages/common/startDelay';
+import { waitForDelay } from '../../packages/common/waitForDelay';
 import type { Fleet } from '../fleet/Fleet';
 import type { DemoTally } from './DemoTally';
 
@@ -43,7 +43,7 @@
   const sendRow = async (load: LoadRow) => {
     for (let number = 0; performance.now() < until; number += 1) {
       open.push(sendOne(load, number));
-      await startDelay((-Math.log(1 - random()) * 1000) / load.perSecond);
+      await waitForDelay((-Math.log(1 - random()) * 1000) / load.perSecond);
     }
   };
   await Promise.all(ROWS.map(sendRow));
--- a/dev/soak/SoakWorld.ts
+++ b/dev/soak/SoakWorld.ts
@@ -1,5 +1,5 @@
 import type { Random } from '../../packages/common/Random';
-import { startDelay } from '../../packages/common/startDelay';
+import { waitForDelay } from '../../packages/common/waitForDelay';
 import type { Cell } from '../cell/Cell';
 
 /** What the troubles of a soak act on. All that they begin is over by the end of `startCalm`. */
@@ -55,6 +55,6 @@
   }
 
   startPause(mostMs: number): Promise<void> {
-    return startDelay(this.chooseUpTo(mostMs));
+    return waitForDelay(this.chooseUpTo(mostMs));
   }
 }
--- a/dev/soak/soakTroubles.ts
+++ b/dev/soak/soakTroubles.ts
@@ -1,4 +1,4 @@
-import { startDelay } from '../../packages/common/startDelay';
+import { waitForDelay } from '../../packages/common/waitForDelay';
 import type { ExecutorFault } from '../../packages/standins/platform/ExecutorFault';
 import type { LogFault } from '../../packages/standins/platform/LogFault';
 import type { SoakWorld } from './SoakWorld';
@@ -66,7 +66,7 @@
   hangUpBox: (world) =>
     world.startWithBox(async (box) => {
       box.process.sendSignal('SIGHUP');
-      await startDelay(SETTLE_MS);
+      await waitForDelay(SETTLE_MS);
       // A program that is only being loaded has no handler yet, and ends: the platform starts it again.
       if (!box.process.isAlive() && box.process.readOutput() === '') {
         world.cell.startBox(box);
@@ -83,18 +83,18 @@
     const executor = world.chooseExecutor();
     if (executor !== undefined) {
       world.cell.writeExecutor(executor.id, executor.address, 'draining', SHORT_NOTICE_MS);
-      await startDelay(SHORT_NOTICE_MS);
+      await waitForDelay(SHORT_NOTICE_MS);
       await world.cell.startExecutorAgain(executor.id, { downMs: world.chooseUpTo(DOWN_MS) });
     }
   },
   burst: async (world) => {
     world.isBursting = true;
-    await startDelay(BURST_MS);
+    await waitForDelay(BURST_MS);
     world.isBursting = false;
   },
   silentConnections: async (world) => {
     world.chooseExecutor()?.standin.applySilence();
-    await startDelay(0);
+    await waitForDelay(0);
   },
   silentLog: (world) => startLogFault(world, 'silent'),
   busyLogForOne: (world) =>
@@ -106,7 +106,7 @@
   },
   changeConfiguration: async (world) => {
     world.writeNextConfiguration();
-    await startDelay(0);
+    await waitForDelay(0);
   },
   foreignRecord: async (world) => {
     const values: readonly unknown[] = [
@@ -118,6 +118,6 @@
     ];
     const value = values[world.chooseUpTo(values.length - 1)];
     world.cell.log.writeRecord('keyed.servers', `i-other-${world.chooseUpTo(3)}`, value);
-    await startDelay(0);
+    await waitForDelay(0);
   },
 };
--- a/dev/soak/startSoak.ts
+++ b/dev/soak/startSoak.ts
@@ -1,5 +1,5 @@
 import { createRandom } from '../../packages/common/createRandom';
-import { startDelay } from '../../packages/common/startDelay';
+import { waitForDelay } from '../../packages/common/waitForDelay';
 import { Cell } from '../cell/Cell';
 import { toJobIdText } from '../cell/toJobIdText';
 import type { SoakPlan } from './SoakPlan';
@@ -81,7 +81,7 @@
     };
     jobs.push(job);
     sending.push(sendJob(world, job));
-    await startDelay(world.isBursting ? BURST_JOB_EVERY_MS : JOB_EVERY_MS);
+    await waitForDelay(world.isBursting ? BURST_JOB_EVERY_MS : JOB_EVERY_MS);
   }
   await Promise.all(sending);
   return jobs;
--- a/packages/boxes/BoxClient.ts
+++ b/packages/boxes/BoxClient.ts
@@ -1,5 +1,5 @@
 import { z } from 'zod';
-import { HttpCaller } from '../common/HttpCaller';
+import { HttpClient } from '../common/HttpClient';
 import type { JobCaller } from '../customers/JobCaller';
 import { configurationSchema } from '../gateway/configurationSchema';
 import type { AdviceClient } from '../dispatch/advice/AdviceClient';
@@ -29,13 +29,13 @@
 
 /** Calls another entry box: for its turn at the advice service, for what a leader knows, and to hand leadership over. */
 export class BoxClient implements AdviceClient {
-  private readonly caller: HttpCaller;
+  private readonly caller: HttpClient;
   /** Writes take as long as the log does, and must not keep short questions waiting. */
-  private readonly writes: HttpCaller;
+  private readonly writes: HttpClient;
 
   constructor(readonly address: string) {
-    this.caller = new HttpCaller({ address, connections: CONNECTIONS });
-    this.writes = new HttpCaller({ address, connections: WRITE_CONNECTIONS });
+    this.caller = new HttpClient({ address, connections: CONNECTIONS });
+    this.writes = new HttpClient({ address, connections: WRITE_CONNECTIONS });
   }
 
   async requestAdvice(
@@ -74,7 +74,7 @@
 
   /** Asks the box whether it can use the log. */
   async sendLogQuestion(): Promise<LogUse> {
-    const result = await this.caller.sendCall({ method: 'GET', path: '/log', timeoutMs: SHORT_CALL_MS });
+    const result = await this.caller.sendRequest({ method: 'GET', path: '/log', timeoutMs: SHORT_CALL_MS });
     if (result.kind !== 'answered') {
       return 'noAnswer';
     }
--- a/packages/boxes/BoxServer.ts
+++ b/packages/boxes/BoxServer.ts
@@ -1,12 +1,12 @@
 import type { FastifyInstance, FastifyRequest } from 'fastify';
 import { z } from 'zod';
 import { parseJson } from '../common/parseJson';
-import { toHostPort } from '../common/toHostPort';
+import { parseHostPort } from '../common/parseHostPort';
 import { toId } from '../common/toId';
 import type { AdviceClient } from '../dispatch/advice/AdviceClient';
 import type { CustomerName } from '../customers/CustomerName';
 import type { JobCaller } from '../customers/JobCaller';
-import { createBufferApp } from '../gateway/createBufferApp';
+import { createRawBodyApp } from '../gateway/createRawBodyApp';
 import type { EndpointId } from '../jobs/EndpointId';
 import type { JobId } from '../jobs/JobId';
 import type { JobState } from '../jobs/JobState';
@@ -75,7 +75,7 @@
   private readonly app: FastifyInstance;
 
   constructor(private readonly options: BoxServerOptions) {
-    this.app = createBufferApp(BODY_LIMIT_BYTES);
+    this.app = createRawBodyApp(BODY_LIMIT_BYTES);
     this.app.get('/metrics', (_request, reply) => reply.type('text/plain').send(options.formatMetrics()));
     this.app.get('/log', async (_request, reply) =>
       reply.code((await options.isLogUsable()) ? 200 : 503).send(''),
@@ -133,7 +133,7 @@
   }
 
   async start(): Promise<void> {
-    await this.app.listen(toHostPort(this.options.address));
+    await this.app.listen(parseHostPort(this.options.address));
   }
 
   async stop(): Promise<void> {
--- a/packages/cli/OperatorClient.ts
+++ b/packages/cli/OperatorClient.ts
@@ -1,6 +1,6 @@
 import { request } from 'undici';
 import type { Result } from '../common/Result';
-import { toErrorText } from '../common/toErrorText';
+import { formatError } from '../common/formatError';
 import type { Settings } from '../settings/Settings';
 
 interface BoxAnswer<Answer> {
@@ -71,7 +71,7 @@
       });
       return { ok: true, value: (await answer.body.json()) as Answer };
     } catch (thrown) {
-      return { ok: false, error: toErrorText(thrown) };
+      return { ok: false, error: formatError(thrown) };
     }
   }
 }
--- a/packages/cli/entryCommand.ts
+++ b/packages/cli/entryCommand.ts
@@ -1,6 +1,6 @@
 import { randomBytes } from 'node:crypto';
 import { systemClock } from '../common/systemClock';
-import { toErrorText } from '../common/toErrorText';
+import { formatError } from '../common/formatError';
 import { EntryProcess } from '../entry/EntryProcess';
 import type { Command } from './Command';
 import { exitCodes } from './exitCodes';
@@ -66,7 +66,7 @@
     try {
       await entry.start();
     } catch (thrown) {
-      writeError(`The entry process could not start: ${toErrorText(thrown)}.`);
+      writeError(`The entry process could not start: ${formatError(thrown)}.`);
       return exitCodes.failed;
     }
     const code = await stopped;
--- a/packages/cli/readLogFiles.ts
+++ b/packages/cli/readLogFiles.ts
@@ -1,5 +1,5 @@
 import { readFileSync } from 'node:fs';
-import { toErrorText } from '../common/toErrorText';
+import { formatError } from '../common/formatError';
 import { writeError } from './writeError';
 
 /** Reads the lines of some log files; says which one cannot be read, and gives undefined then. */
@@ -11,7 +11,7 @@
         lines.push(line);
       }
     } catch (thrown) {
-      writeError(`${file}: ${toErrorText(thrown)}`);
+      writeError(`${file}: ${formatError(thrown)}`);
       return undefined;
     }
   }
--- a/packages/cli/serveCommand.ts
+++ b/packages/cli/serveCommand.ts
@@ -6,7 +6,7 @@
 import { createRandom } from '../common/createRandom';
 import type { Logger } from '../common/Logger';
 import { systemClock } from '../common/systemClock';
-import { toErrorText } from '../common/toErrorText';
+import { formatError } from '../common/formatError';
 import { ServeProcess } from '../serve/ServeProcess';
 import { DecisionLog } from '../logging/DecisionLog';
 import type { Command } from './Command';
@@ -65,7 +65,7 @@
       box: settings.value.box,
       writeLine: (line) => void process.stdout.write(line),
       getBacklogBytes: () => process.stdout.writableLength,
-      readNow: () => systemClock.readNow(),
+      readNow: () => systemClock.getNow(),
       readWall: () => Date.now(),
       linesPerSecond: LOG_LINES_PER_SECOND,
     });
@@ -86,7 +86,7 @@
     try {
       await serve.start();
     } catch (thrown) {
-      writeError(`The entry process could not start: ${toErrorText(thrown)}.`);
+      writeError(`The entry process could not start: ${formatError(thrown)}.`);
       return exitCodes.failed;
     }
     await stopped;
--- a/packages/cli/startCommand.ts
+++ b/packages/cli/startCommand.ts
@@ -1,5 +1,5 @@
 import { parseArgs } from 'node:util';
-import { toErrorText } from '../common/toErrorText';
+import { formatError } from '../common/formatError';
 import type { Command } from './Command';
 import { exitCodes } from './exitCodes';
 import { formatCommandList } from './formatCommandList';
@@ -31,7 +31,7 @@
     }
     return await command.start({ values: values as Record<string, string | boolean>, positionals });
   } catch (thrown) {
-    writeError(`${toErrorText(thrown)}\n${formatHelp(command)}`);
+    writeError(`${formatError(thrown)}\n${formatHelp(command)}`);
     return exitCodes.usage;
   }
 };
--- a/packages/common/Backoff.ts
+++ b/packages/common/Backoff.ts
@@ -15,7 +15,7 @@
   constructor(private readonly options: BackoffOptions) {}
 
   /** Returns the next delay in milliseconds and counts the attempt. */
-  chooseDelay(): number {
+  computeNextDelay(): number {
     const bound = Math.min(this.options.maxMs, this.options.baseMs * 2 ** this.attempt);
     this.attempt = Math.min(this.attempt + 1, 30);
     return this.options.random() * bound;
--- a/packages/common/ByteCounter.ts
+++ b/packages/common/ByteCounter.ts
@@ -6,7 +6,7 @@
   private closedBytes = 0;
 
   /** Adds a socket; all its bytes count, also those from before the call. */
-  recordSocket(socket: Socket): void {
+  addSocket(socket: Socket): void {
     if (this.open.has(socket)) {
       return;
     }
@@ -18,7 +18,7 @@
   }
 
   /** Returns the number of bytes received and sent so far. */
-  readTotal(): number {
+  getTotal(): number {
     let total = this.closedBytes;
     for (const socket of this.open) {
       total += socket.bytesRead + socket.bytesWritten;
--- a/packages/common/HttpCaller.ts
+++ b/packages/common/HttpClient.ts
@@ -4,14 +4,14 @@
 import type { HttpResult } from './HttpResult';
 import { parseJson } from './parseJson';
 
-interface HttpCallerOptions {
+interface HttpClientOptions {
   /** Host and port. */
   readonly address: string;
   /** Maximum number of concurrent connections. */
   readonly connections: number;
 }
 
-interface HttpCall {
+interface HttpRequest {
   readonly method: 'GET' | 'POST';
   readonly path: string;
   readonly headers?: Readonly<Record<string, string>>;
@@ -22,7 +22,7 @@
    * True if the request must reach the process that responded last: it is sent over the open connection, or fails as `refused`.
    * Requires a client with one connection.
    */
-  readonly isContinued?: boolean;
+  readonly mustReuseConnection?: boolean;
 }
 
 const KEEP_ALIVE_MS = 60_000;
@@ -35,7 +35,7 @@
  * broken one would cost a request its timeout.
  * Requests beyond the number of connections are queued. Their timeout starts when they are sent.
  */
-export class HttpCaller {
+export class HttpClient {
   /** Created on first use, since many clients are never used. */
   private pool: Pool | undefined;
   private isStopped = false;
@@ -44,12 +44,12 @@
   /** True while the active request must not open a connection. */
   private isReusing = false;
 
-  constructor(private readonly options: HttpCallerOptions) {}
+  constructor(private readonly options: HttpClientOptions) {}
 
   /** Sends a request once a connection slot is free. Never rejects. */
-  async sendCall(call: HttpCall): Promise<HttpResult> {
+  async sendRequest(call: HttpRequest): Promise<HttpResult> {
     await this.waitForSlot();
-    this.isReusing = call.isContinued === true;
+    this.isReusing = call.mustReuseConnection === true;
     try {
       return await this.sendWithSlot(call);
     } finally {
@@ -62,7 +62,7 @@
   async sendJson(path: string, value: object, timeoutMs: number): Promise<unknown> {
     const headers = { 'content-type': 'application/json' };
     const body = JSON.stringify(value);
-    const result = await this.sendCall({ method: 'POST', path, headers, body, timeoutMs });
+    const result = await this.sendRequest({ method: 'POST', path, headers, body, timeoutMs });
     const isOk = result.kind === 'answered' && result.status === 200;
     return isOk ? (parseJson(result.body.toString('utf8')) ?? {}) : undefined;
   }
@@ -102,7 +102,7 @@
     }
   }
 
-  private sendWithSlot(call: HttpCall): Promise<HttpResult> {
+  private sendWithSlot(call: HttpRequest): Promise<HttpResult> {
     const pool = this.getPool();
     return new Promise((resolve) => {
       const { method, path, headers = {}, body = null } = call;
--- a/packages/common/HttpExchange.ts
+++ b/packages/common/HttpExchange.ts
@@ -1,7 +1,7 @@
 import type { Dispatcher } from 'undici';
 import { ConnectionGoneError } from './ConnectionGoneError';
 import type { HttpResult } from './HttpResult';
-import { toErrorText } from './toErrorText';
+import { formatError } from './formatError';
 
 const NOT_CONNECTED_CODES = new Set([
   'ECONNREFUSED',
@@ -57,7 +57,7 @@
         this.recordResult({ kind: 'answered', status: this.status, body: Buffer.concat(this.chunks) }),
       onResponseError: (_controller, error) => {
         const kind = NOT_CONNECTED_CODES.has(getErrorCode(error)) ? 'refused' : 'unanswered';
-        this.recordResult({ kind, detail: toErrorText(error) });
+        this.recordResult({ kind, detail: formatError(error) });
       },
     };
   }
--- a/packages/common/HybridClock.ts
+++ b/packages/common/HybridClock.ts
@@ -8,15 +8,15 @@
   constructor(private readonly clock: Clock) {}
 
   /** Creates the timestamp of a new local event. */
-  createStamp(): HybridTime {
-    const wall = Math.floor(this.clock.readWall());
+  createTimestamp(): HybridTime {
+    const wall = Math.floor(this.clock.getWallTime());
     this.last =
       wall > this.last.ms ? { ms: wall, count: 0 } : { ms: this.last.ms, count: this.last.count + 1 };
     return this.last;
   }
 
   /** Advances the clock to a received timestamp, so that later local events sort after it. */
-  applyStamp(received: HybridTime): void {
+  applyTimestamp(received: HybridTime): void {
     const isLater =
       received.ms > this.last.ms || (received.ms === this.last.ms && received.count > this.last.count);
     if (isLater) {
--- a/packages/common/MachineClock.ts
+++ b/packages/common/MachineClock.ts
@@ -6,5 +6,5 @@
    * Returns an upper bound of the milliseconds elapsed since a monotonic time. Use it for the expiry of leases that this process
    * holds; use the monotonic time for the expiry of leases that others hold.
    */
-  readLongestSince(since: number): number;
+  getMaxElapsedSince(since: number): number;
 }
--- a/packages/common/RetryBudget.ts
+++ b/packages/common/RetryBudget.ts
@@ -12,7 +12,7 @@
   }
 
   /** Records a first attempt, which adds its fraction of a retry to the budget. */
-  recordTry(): void {
+  recordFirstAttempt(): void {
     this.tokens = Math.min(this.burst, this.tokens + this.ratio);
   }
 
--- a/packages/common/SmoothedTime.ts
+++ b/packages/common/SmoothedTime.ts
@@ -19,12 +19,12 @@
   }
 
   /** Returns the mean; undefined before the first duration. */
-  readMeanMs(): number | undefined {
+  getMeanMs(): number | undefined {
     return this.meanMs;
   }
 
   /** Returns the mean plus a multiple of the deviation; undefined before the first duration. */
-  readLimitMs(): number | undefined {
+  getLimitMs(): number | undefined {
     return this.meanMs === undefined ? undefined : this.meanMs + DEVIATION_FACTOR * this.deviationMs;
   }
 }
--- a/packages/common/StepFilteredClock.ts
+++ b/packages/common/StepFilteredClock.ts
@@ -24,17 +24,17 @@
 
   constructor(private readonly options: StepFilteredClockOptions) {
     const { source } = options;
-    this.offsetMs = source.readWall() - source.readNow();
+    this.offsetMs = source.getWallTime() - source.getNow();
   }
 
-  readNow(): number {
-    return this.options.source.readNow();
+  getNow(): number {
+    return this.options.source.getNow();
   }
 
-  readWall(): number {
+  getWallTime(): number {
     const { source } = this.options;
-    const now = source.readNow();
-    this.updateOffset(source.readWall() - now, now);
+    const now = source.getNow();
+    this.updateOffset(source.getWallTime() - now, now);
     return now + this.offsetMs;
   }
 
--- a/packages/common/SuspensionAwareClock.ts
+++ b/packages/common/SuspensionAwareClock.ts
@@ -50,15 +50,15 @@
 
   constructor(private readonly options: SuspensionAwareClockOptions) {
     const { source } = options;
-    this.comparedAt = source.readNow();
-    this.wallOffsetMs = source.readWall() - this.comparedAt;
+    this.comparedAt = source.getNow();
+    this.wallOffsetMs = source.getWallTime() - this.comparedAt;
     this.uptimeOffsetMs = this.computeUptimeOffsetMs(this.comparedAt);
   }
 
-  readNow(): number {
+  getNow(): number {
     const { source } = this.options;
-    const monotonic = source.readNow();
-    const wallOffsetMs = source.readWall() - monotonic;
+    const monotonic = source.getNow();
+    const wallOffsetMs = source.getWallTime() - monotonic;
     const hasStepped = Math.abs(wallOffsetMs - this.wallOffsetMs) > MIN_STEP_MS;
     if (hasStepped || monotonic - this.comparedAt >= COMPARISON_INTERVAL_MS) {
       this.compareClocks(monotonic, wallOffsetMs);
@@ -66,13 +66,13 @@
     return monotonic + this.suspendedMs;
   }
 
-  readWall(): number {
-    return this.options.source.readWall();
+  getWallTime(): number {
+    return this.options.source.getWallTime();
   }
 
   /** Returns an upper bound of the milliseconds elapsed since a monotonic time. */
-  readLongestSince(since: number): number {
-    const now = this.readNow();
+  getMaxElapsedSince(since: number): number {
+    const now = this.getNow();
     return this.unverifiedSteps.reduce(
       (elapsedMs, { at, byMs }) => (since <= at ? elapsedMs + byMs : elapsedMs),
       now - since,
--- a/packages/common/createMachineClock.ts
+++ b/packages/common/createMachineClock.ts
@@ -29,8 +29,8 @@
     handleStep: (byMs) => logger.warn('The wall clock was stepped.', { byMs: Math.round(byMs) }),
   });
   return {
-    readNow: () => machine.readNow(),
-    readWall: () => filtered.readWall(),
-    readLongestSince: (since) => machine.readLongestSince(since),
+    getNow: () => machine.getNow(),
+    getWallTime: () => filtered.getWallTime(),
+    getMaxElapsedSince: (since) => machine.getMaxElapsedSince(since),
   };
 };
--- a/packages/common/toErrorText.ts
+++ b/packages/common/formatError.ts
@@ -1,5 +1,5 @@
 /** Returns the message of a thrown value, with the message of its cause, where undici puts the network error. */
-export const toErrorText = (thrown: unknown): string => {
+export const formatError = (thrown: unknown): string => {
   if (!(thrown instanceof Error)) {
     return String(thrown);
   }
--- a/packages/common/toHostPort.ts
+++ b/packages/common/parseHostPort.ts
@@ -4,7 +4,7 @@
 }
 
 /** Parses `HOST:PORT`. */
-export const toHostPort = (address: string): HostPort => {
+export const parseHostPort = (address: string): HostPort => {
   const separator = address.lastIndexOf(':');
   return { host: address.slice(0, separator), port: Number(address.slice(separator + 1)) };
 };
--- a/packages/common/toSorted.ts
+++ b/packages/common/sortAscending.ts
@@ -1,3 +1,3 @@
 /** Returns the values in ascending order. */
-export const toSorted = (values: Iterable<number>): readonly number[] =>
+export const sortAscending = (values: Iterable<number>): readonly number[] =>
   [...values].sort((left, right) => left - right);
--- a/packages/common/systemClock.ts
+++ b/packages/common/systemClock.ts
@@ -3,6 +3,6 @@
 
 /** Clock of the operating system. */
 export const systemClock: Clock = {
-  readNow: () => performance.now(),
-  readWall: () => Date.now(),
+  getNow: () => performance.now(),
+  getWallTime: () => Date.now(),
 };
--- a/packages/common/startDelay.ts
+++ b/packages/common/waitForDelay.ts
@@ -1,5 +1,5 @@
 /** Waits for `ms` milliseconds, or until `signal` aborts. Never rejects. */
-export const startDelay = (ms: number, signal?: AbortSignal): Promise<void> =>
+export const waitForDelay = (ms: number, signal?: AbortSignal): Promise<void> =>
   new Promise((resolve) => {
     if (signal?.aborted === true) {
       resolve();
--- a/packages/common/startBounded.ts
+++ b/packages/common/waitWithTimeout.ts
@@ -1,5 +1,5 @@
 /** Waits for a promise; resolves to `fallback` if it takes longer than `timeoutMs`. Does not cancel the work. */
-export const startBounded = async <Value>(
+export const waitWithTimeout = async <Value>(
   work: Promise<Value>,
   timeoutMs: number,
   fallback: Value,
--- a/packages/dispatch/LeaderController.ts
+++ b/packages/dispatch/LeaderController.ts
@@ -3,7 +3,7 @@
 import type { MachineClock } from '../common/MachineClock';
 import type { Logger } from '../common/Logger';
 import type { Random } from '../common/Random';
-import { startDelay } from '../common/startDelay';
+import { waitForDelay } from '../common/waitForDelay';
 import type { JobDefinition } from '../jobs/JobDefinition';
 import type { JobId } from '../jobs/JobId';
 import type { ServiceName } from '../jobs/ServiceName';
@@ -115,7 +115,7 @@
   constructor(private readonly options: LeaderControllerOptions) {
     const { clock, client, epoch, replica } = options;
     this.batcher = new LineBatcher(options.logger);
-    this.loadPublisher = new LoadPublisher(epoch, clock.readNow());
+    this.loadPublisher = new LoadPublisher(epoch, clock.getNow());
     this.dispatcher = new Dispatcher({
       ...options.policies,
       earlierLeasesEndAt: options.earlierLeasesEndAt,
@@ -185,7 +185,7 @@
           tookMs,
           expectedMs: Math.round(request.expectedMs),
         });
-        this.dispatcher.handleAdviceResponse(request.step, request.endpoints, response, clock.readNow());
+        this.dispatcher.handleAdviceResponse(request.step, request.endpoints, response, clock.getNow());
         this.queueRound();
       },
     });
@@ -238,7 +238,7 @@
   }
 
   handleCancel(id: JobId): void {
-    this.dispatcher.handleCancel(id, this.options.clock.readWall());
+    this.dispatcher.handleCancel(id, this.options.clock.getWallTime());
     this.queueRound();
   }
 
@@ -269,7 +269,7 @@
 
   /** Logs the open waits, which the next leader does not know. */
   private logWaits(): void {
-    const now = this.options.clock.readNow();
+    const now = this.options.clock.getNow();
     for (const fields of this.dispatcher.listWaits(now)) {
       this.batcher.recordLine('Step waits.', fields, now);
     }
@@ -282,7 +282,7 @@
     while (!this.isStopped && !this.hasReadJobs) {
       this.hasReadJobs = await this.options.updateReplica();
       if (!this.hasReadJobs) {
-        await startDelay(TICK_MS);
+        await waitForDelay(TICK_MS);
       }
     }
     this.takeOver();
@@ -298,7 +298,7 @@
     for (const definition of replica.listDefinitionsInOrder()) {
       this.addJob(definition);
       if (replica.isCancelled(definition.id)) {
-        this.dispatcher.handleCancel(definition.id, clock.readWall());
+        this.dispatcher.handleCancel(definition.id, clock.getWallTime());
       }
     }
     this.endpoints.startSessions();
@@ -313,7 +313,7 @@
   private addJob(definition: JobDefinition): void {
     const progress = this.recovery.takeProgress(definition);
     this.services.add(definition.queue.service);
-    this.dispatcher.handleJob(definition, progress, this.options.clock.readNow());
+    this.dispatcher.handleJob(definition, progress, this.options.clock.getNow());
     if (progress.getState() !== 'queued') {
       this.journal.queueState(definition.id, progress.getState());
     }
@@ -334,7 +334,7 @@
   }
 
   private handleTick(): void {
-    const now = this.options.clock.readNow();
+    const now = this.options.clock.getNow();
     this.journal.handleTick(now);
     this.batcher.handleTick(now);
     if (this.hasTakenOver) {
@@ -350,7 +350,7 @@
     if (handleLoadDigest === undefined) {
       return;
     }
-    const wallMs = clock.readWall();
+    const wallMs = clock.getWallTime();
     const digest = this.loadPublisher.createDueDigest({ now, wallMs }, () =>
       this.dispatcher.computeLoad(wallMs),
     );
@@ -377,16 +377,16 @@
       return;
     }
     const { clock } = this.options;
-    const now = clock.readNow();
+    const now = clock.getNow();
     this.checkHold(now);
     const slots = this.adviceBalancer.getFreeSlots();
     if (this.isHoldingStarts) {
-      this.dispatcher.requestAdviceAhead(now, clock.readWall(), slots);
+      this.dispatcher.requestAdviceAhead(now, clock.getWallTime(), slots);
     } else {
-      this.dispatcher.placeWaiting(now, clock.readWall(), slots);
+      this.dispatcher.placeWaiting(now, clock.getWallTime(), slots);
     }
     this.sendEffects();
-    this.slowRoundLogger.recordRound(clock.readNow() - now, now);
+    this.slowRoundLogger.recordRound(clock.getNow() - now, now);
   }
 
   /** Holds starts while they cannot be recorded, since they would take capacity and be sent with expired tickets. */
@@ -433,7 +433,7 @@
         this.options.recordCount(effect.name, effect.amount);
         return;
       case 'tell':
-        this.batcher.recordLine(effect.message, effect.fields, this.options.clock.readNow());
+        this.batcher.recordLine(effect.message, effect.fields, this.options.clock.getNow());
         return;
     }
   }
@@ -448,7 +448,7 @@
   private recordStart(job: JobId): void {
     const queue = this.dispatcher.getJob(job)?.definition.queue.name;
     if (queue !== undefined && this.options.handleLoadDigest !== undefined) {
-      this.loadPublisher.recordStart(queue, this.options.clock.readNow());
+      this.loadPublisher.recordStart(queue, this.options.clock.getNow());
     }
   }
 }
--- a/packages/dispatch/LeaderJournal.ts
+++ b/packages/dispatch/LeaderJournal.ts
@@ -58,7 +58,7 @@
    * acknowledged write was sent. The next leader computes from that write, which it has read, how long leases may last.
    */
   isAcknowledgedWithin(limitMs: number): boolean {
-    return this.options.clock.readLongestSince(this.acknowledgedSentAt) < limitMs;
+    return this.options.clock.getMaxElapsedSince(this.acknowledgedSentAt) < limitMs;
   }
 
   /** Returns how long writes have failed, in milliseconds; 0 while they succeed. */
--- a/packages/dispatch/ProgressRecovery.ts
+++ b/packages/dispatch/ProgressRecovery.ts
@@ -1,4 +1,4 @@
-import { startDelay } from '../common/startDelay';
+import { waitForDelay } from '../common/waitForDelay';
 import type { JobDefinition } from '../jobs/JobDefinition';
 import type { JobId } from '../jobs/JobId';
 import { jobKeys } from '../jobs/jobKeys';
@@ -59,7 +59,7 @@
 
   private async runUntilDone(attempt: () => Promise<boolean>): Promise<void> {
     while (!this.isStopped && !(await attempt())) {
-      await startDelay(RETRY_DELAY_MS);
+      await waitForDelay(RETRY_DELAY_MS);
     }
   }
 
--- a/packages/dispatch/advice/ChannelState.ts
+++ b/packages/dispatch/advice/ChannelState.ts
@@ -29,14 +29,14 @@
 
   /** Returns by how much the next response is expected to exceed the service's time, in milliseconds. */
   estimateDelayMs(now: number): number {
-    return (this.delays.readMeanMs() ?? 0) * 0.5 ** ((now - this.respondedAt) / HALF_LIFE_MS);
+    return (this.delays.getMeanMs() ?? 0) * 0.5 ** ((now - this.respondedAt) / HALF_LIFE_MS);
   }
 
   /**
    * Returns how long after the service's time a response counts as late, in milliseconds; `defaultMs` before the first response.
    */
   computeHedgeDelayMs(defaultMs = MAX_DELAY_MS): number {
-    const limitMs = this.delays.readLimitMs();
+    const limitMs = this.delays.getLimitMs();
     return limitMs === undefined ? defaultMs : Math.min(MAX_DELAY_MS, Math.max(MIN_HEDGE_DELAY_MS, limitMs));
   }
 
--- a/packages/dispatch/advice/FirstFreeBalancer.ts
+++ b/packages/dispatch/advice/FirstFreeBalancer.ts
@@ -42,14 +42,14 @@
     const state = this.states.get(channel.box) ?? { isBusy: false, quarantinedUntil: 0 };
     this.states.set(channel.box, state);
     state.isBusy = true;
-    const requestedAt = this.options.clock.readNow();
+    const requestedAt = this.options.clock.getNow();
     const timeoutMs = request.expectedMs + TIMEOUT_MARGIN_MS;
     const tickets = await sendAdviceRequest(channel, request, timeoutMs);
     state.isBusy = false;
     if (this.isStopped) {
       return;
     }
-    const now = this.options.clock.readNow();
+    const now = this.options.clock.getNow();
     if (tickets === undefined) {
       state.quarantinedUntil = now + QUARANTINE_MS;
     }
@@ -66,6 +66,6 @@
   }
 
   private isQuarantined(box: string): boolean {
-    return (this.states.get(box)?.quarantinedUntil ?? 0) > this.options.clock.readNow();
+    return (this.states.get(box)?.quarantinedUntil ?? 0) > this.options.clock.getNow();
   }
 }
--- a/packages/dispatch/advice/HedgingBalancer.ts
+++ b/packages/dispatch/advice/HedgingBalancer.ts
@@ -1,4 +1,4 @@
-import { startDelay } from '../../common/startDelay';
+import { waitForDelay } from '../../common/waitForDelay';
 import type { EndpointIncarnation } from '../../jobs/EndpointIncarnation';
 import type { DispatchEffect } from '../DispatchEffect';
 import type { AdviceChannel } from './AdviceChannel';
@@ -50,13 +50,13 @@
   }
 
   async sendRequest(request: AdviceRequest): Promise<void> {
-    const requestedAt = this.options.clock.readNow();
+    const requestedAt = this.options.clock.getNow();
     const first = this.startAttempt(request);
     const tickets = first && (await this.waitForResponse(request, first));
     if (this.isStopped) {
       return;
     }
-    const now = this.options.clock.readNow();
+    const now = this.options.clock.getNow();
     if (!request.isLong) {
       this.reserve.recordRequest(now - requestedAt, now);
     }
@@ -73,11 +73,11 @@
     const attempts = [first];
     for (let latest = first; ;) {
       const lateMs = request.expectedMs + this.computeHedgeDelayMs(request, latest);
-      const tickets = await Promise.race([this.waitForFirstResponse(attempts), startDelay(lateMs)]);
+      const tickets = await Promise.race([this.waitForFirstResponse(attempts), waitForDelay(lateMs)]);
       if (tickets !== undefined || this.isStopped) {
         return tickets ?? undefined;
       }
-      latest.state.recordLate(this.options.clock.readNow() + QUARANTINE_MS);
+      latest.state.recordLate(this.options.clock.getNow() + QUARANTINE_MS);
       const next = attempts.length < MAX_ATTEMPTS ? this.startAttempt(request) : undefined;
       if (next === undefined) {
         return this.waitForFirstResponse(attempts);
@@ -121,10 +121,10 @@
     state: ChannelState,
   ): Promise<Tickets> {
     const { clock } = this.options;
-    const requestedAt = clock.readNow();
+    const requestedAt = clock.getNow();
     state.recordRequest(request.isLong);
     const tickets = await sendAdviceRequest(channel, request, request.expectedMs + TIMEOUT_MARGIN_MS);
-    const now = clock.readNow();
+    const now = clock.getNow();
     if (tickets === undefined) {
       state.recordFailure(now + QUARANTINE_MS);
       this.failedAt = now;
@@ -145,7 +145,7 @@
    * one channel at a time probes it, instead of each waiting for the end of its quarantine.
    */
   private listFree(): readonly AdviceChannel[] {
-    const now = this.options.clock.readNow();
+    const now = this.options.clock.getNow();
     const channels = this.options.listChannels();
     const free = channels
       .filter((channel) => !this.getState(channel).isBusy())
@@ -160,7 +160,7 @@
 
   /** Returns how many of the free channels are reserved for short requests, beside those with a short request now. */
   private countReserved(): number {
-    const now = this.options.clock.readNow();
+    const now = this.options.clock.getNow();
     const healthy = this.listHealthy(now);
     const usedCount = healthy.filter((channel) => this.getState(channel).hasShortRequest()).length;
     return Math.max(0, this.reserve.computeReserved(healthy.length, now) - usedCount);
--- a/packages/dispatch/endpoints/CommandSender.ts
+++ b/packages/dispatch/endpoints/CommandSender.ts
@@ -46,17 +46,17 @@
   async sendStart(effect: StartEffect): Promise<void> {
     const { clock, dispatcher, endpoints, isStopped, isRenewing, handleChanged } = this.options;
     const session = endpoints.getSession(effect.endpoint);
-    const isWanted = !isStopped() && dispatcher.handleStartRecorded(effect, clock.readNow());
+    const isWanted = !isStopped() && dispatcher.handleStartRecorded(effect, clock.getNow());
     // A start command grants a lease too.
     if (session === undefined || !isWanted || !isRenewing()) {
       if (isWanted) {
-        dispatcher.handleStartUnsent(effect, clock.readNow());
+        dispatcher.handleStartUnsent(effect, clock.getNow());
       }
       handleChanged();
       return;
     }
     this.recordStart(effect);
-    const sentAt = clock.readNow();
+    const sentAt = clock.getNow();
     session.recordLease(sentAt);
     const timeoutMs = this.timeout.computeTimeoutMs();
     const result = await session.getClient().sendStart(effect.command, leaderTimings.leaseMs, timeoutMs);
@@ -78,7 +78,7 @@
     if (result === undefined || endpoints.getSession(endpoint) !== session || this.isLeadershipOver(result)) {
       return;
     }
-    dispatcher.handleStopResult(endpoint, task, run, result, clock.readNow());
+    dispatcher.handleStopResult(endpoint, task, run, result, clock.getNow());
     if (result.kind === 'done' || result.kind === 'rejected') {
       // Only a poll that is sent after this response can prove that the run has ended.
       void session?.sendExtraPoll();
@@ -97,7 +97,7 @@
     const { clock, dispatcher, lines, recordTime, handleChanged } = this.options;
     const { job, endpoint, command } = effect;
     const { task, run } = command;
-    const now = clock.readNow();
+    const now = clock.getNow();
     this.recordResponseTime(result, now - sentAt);
     recordTime('startMs', now - sentAt);
     if (result.kind !== 'done') {
--- a/packages/dispatch/endpoints/EndpointRecords.ts
+++ b/packages/dispatch/endpoints/EndpointRecords.ts
@@ -113,7 +113,7 @@
     const { logger, topic } = this.options;
     logger.info(isConnected ? 'Topic can be read.' : 'Topic cannot be read.', { topic, detail });
     if (isConnected) {
-      this.logRecoveredAt = this.options.clock.readNow();
+      this.logRecoveredAt = this.options.clock.getNow();
       this.scheduleRemoval(REREGISTRATION_MS);
       this.options.handleLogRecovered(sentAt);
     }
@@ -129,7 +129,7 @@
     if (!this.follower.isFollowing()) {
       return;
     }
-    const remainingMs = this.logRecoveredAt + REREGISTRATION_MS - this.options.clock.readNow();
+    const remainingMs = this.logRecoveredAt + REREGISTRATION_MS - this.options.clock.getNow();
     if (remainingMs > 0) {
       // The timer may fire early by the clock.
       this.scheduleRemoval(remainingMs);
@@ -142,7 +142,7 @@
 
   /** Returns true until the log has been available long enough for endpoints to register again. */
   private isLogRecovering(): boolean {
-    const reachableMs = this.options.clock.readNow() - this.logRecoveredAt;
+    const reachableMs = this.options.clock.getNow() - this.logRecoveredAt;
     return !this.follower.isFollowing() || reachableMs < REREGISTRATION_MS;
   }
 
--- a/packages/dispatch/endpoints/EndpointSession.ts
+++ b/packages/dispatch/endpoints/EndpointSession.ts
@@ -1,6 +1,6 @@
 import type { Clock } from '../../common/Clock';
-import { startBounded } from '../../common/startBounded';
-import { startDelay } from '../../common/startDelay';
+import { waitWithTimeout } from '../../common/waitWithTimeout';
+import { waitForDelay } from '../../common/waitForDelay';
 import { leaderTimings } from '../../leadership/leaderTimings';
 import type { EndpointIncarnation } from '../../jobs/EndpointIncarnation';
 import type { EndpointState } from './EndpointState';
@@ -68,7 +68,7 @@
       return;
     }
     this.isExtraPollPending = true;
-    const sentAt = this.options.clock.readNow();
+    const sentAt = this.options.clock.getNow();
     const { client } = this.options;
     const result = await client.sendPoll({
       lastSeen: 0,
@@ -115,7 +115,7 @@
     const leaseMs = isResponding && isRenewing() ? leaderTimings.leaseMs : undefined;
     const usualWaitMs = endpoint.countRuns() === 0 ? IDLE_POLL_WAIT_MS : POLL_WAIT_MS;
     const waitMs = isResponding ? usualWaitMs : 0;
-    const sentAt = clock.readNow();
+    const sentAt = clock.getNow();
     if (leaseMs !== undefined) {
       this.recordLease(sentAt);
     }
@@ -169,7 +169,7 @@
 
   private async waitForRetry(): Promise<void> {
     this.failures += 1;
-    await startDelay(Math.min(MAX_RETRY_DELAY_MS, RETRY_DELAY_MS * (this.failures - 1)));
+    await waitForDelay(Math.min(MAX_RETRY_DELAY_MS, RETRY_DELAY_MS * (this.failures - 1)));
   }
 
   private async handleStatus(result: HeldResult, sentAt: number): Promise<void> {
@@ -178,7 +178,7 @@
       return;
     }
     const acknowledged = this.applyAndAcknowledge(result, sentAt);
-    await startBounded(acknowledged, DURABLE_WAIT_MS, undefined);
+    await waitWithTimeout(acknowledged, DURABLE_WAIT_MS, undefined);
   }
 
   /** Applies a status, and acknowledges its ends once they are durable. */
--- a/packages/dispatch/endpoints/EndpointSessions.ts
+++ b/packages/dispatch/endpoints/EndpointSessions.ts
@@ -262,7 +262,7 @@
     known.current = incarnation;
     if (before !== undefined) {
       known.fence.recordNextIncarnation();
-      known.fencedFrom = clock.readNow();
+      known.fencedFrom = clock.getNow();
     }
     if (dispatcher.getEndpointState(incarnation) === undefined) {
       dispatcher.handleEndpointProfile({ ...profile, incarnation });
@@ -280,7 +280,7 @@
         token: known.fence.getToken(),
       });
       this.stopSession(earlier);
-      dispatcher.handleIncarnationEnd(earlier, clock.readNow(), incarnation);
+      dispatcher.handleIncarnationEnd(earlier, clock.getNow(), incarnation);
       recordCount('livesBegun');
     }
     this.startSession(record?.incarnation === incarnation ? record : { ...profile, incarnation });
@@ -325,7 +325,7 @@
       });
     }
     const status = { endpoint: incarnation, running: result.running, ended: result.ended, sentAt };
-    dispatcher.handleStatus(status, clock.readNow(), clock.readWall());
+    dispatcher.handleStatus(status, clock.getNow(), clock.getWallTime());
     handleLooked(newEndCount);
     // An earlier status may have brought the same ends, whose records may not be durable yet.
     return result.ended.length === 0 ? Promise.resolve() : startFlush();
@@ -338,7 +338,7 @@
       logger.info('Endpoint does not answer.', { endpoint: incarnation, detail });
     }
     recordCount('unanswered');
-    dispatcher.handleUnreachable(incarnation, clock.readNow());
+    dispatcher.handleUnreachable(incarnation, clock.getNow());
     this.removeIfUnneeded(incarnation);
   }
 
@@ -354,7 +354,7 @@
       record?.incarnation === incarnation ||
       isResponding ||
       hasRuns ||
-      dispatcher.isCrashUnconfirmed(incarnation, clock.readNow())
+      dispatcher.isCrashUnconfirmed(incarnation, clock.getNow())
     ) {
       return;
     }
@@ -372,7 +372,7 @@
     if (known.current === incarnation) {
       known.current = undefined;
     }
-    this.options.dispatcher.handleIncarnationEnd(incarnation, this.options.clock.readNow());
+    this.options.dispatcher.handleIncarnationEnd(incarnation, this.options.clock.getNow());
     this.options.handleChanged();
   }
 }
--- a/packages/dispatch/endpoints/ResponseTimeout.ts
+++ b/packages/dispatch/endpoints/ResponseTimeout.ts
@@ -27,7 +27,7 @@
 
   /** Computes the time limit for the next command, in milliseconds. */
   computeTimeoutMs(): number {
-    const limitMs = this.responseTime.readLimitMs();
+    const limitMs = this.responseTime.getLimitMs();
     return limitMs === undefined ? MAX_MS : Math.min(MAX_MS, Math.max(MIN_MS, limitMs));
   }
 }
--- a/packages/dispatch/placing/RoundThrottle.ts
+++ b/packages/dispatch/placing/RoundThrottle.ts
@@ -26,7 +26,7 @@
       return;
     }
     this.isQueued = true;
-    const delayMs = this.idleUntil - this.options.clock.readNow();
+    const delayMs = this.idleUntil - this.options.clock.getNow();
     if (delayMs < MIN_DELAY_MS) {
       setImmediate(() => this.runRound());
     } else {
@@ -37,9 +37,9 @@
   private runRound(): void {
     const { clock, runRound: handleRound } = this.options;
     this.isQueued = false;
-    const startedAt = clock.readNow();
+    const startedAt = clock.getNow();
     handleRound();
-    const endedAt = clock.readNow();
+    const endedAt = clock.getNow();
     this.idleUntil = endedAt + (endedAt - startedAt) * IDLE_RATIO;
   }
 }
--- a/packages/dispatch/speeds/EndpointSpeeds.ts
+++ b/packages/dispatch/speeds/EndpointSpeeds.ts
@@ -1,4 +1,4 @@
-import { appendTo } from '../../common/appendTo';
+import { addToList } from '../../common/addToList';
 import type { EndpointIncarnation } from '../../jobs/EndpointIncarnation';
 import type { ServiceName } from '../../jobs/ServiceName';
 import type { EndpointProfile } from '../endpoints/EndpointProfile';
@@ -136,7 +136,7 @@
   private updateGroups(): void {
     const byService = new Map<ServiceName, EndpointSpeed[]>();
     for (const speed of this.speeds.values()) {
-      appendTo(byService, speed.service, speed);
+      addToList(byService, speed.service, speed);
     }
     for (const [service, speeds] of byService) {
       const members = speeds.flatMap(({ estimator, groups }) => {
--- a/packages/dispatch/speeds/SampleWindow.ts
+++ b/packages/dispatch/speeds/SampleWindow.ts
@@ -1,6 +1,6 @@
-import { measureSpread } from '../../common/measureSpread';
-import { readQuantile } from '../../common/readQuantile';
-import { toSorted } from '../../common/toSorted';
+import { computeSpread } from '../../common/computeSpread';
+import { computeQuantile } from '../../common/computeQuantile';
+import { sortAscending } from '../../common/sortAscending';
 
 /** Capacity of the window. */
 const MAX_VALUES = 96;
@@ -29,16 +29,16 @@
 
   /** Returns the quantile for a share, 0 to 1; 0 for an empty window. */
   computeQuantile(share: number): number {
-    return readQuantile(this.getSorted(), share) ?? 0;
+    return computeQuantile(this.getSorted(), share) ?? 0;
   }
 
   /** Returns a robust estimate of the standard deviation; 0 for an empty window. */
   computeSpread(): number {
-    return measureSpread(this.getSorted());
+    return computeSpread(this.getSorted());
   }
 
   private getSorted(): readonly number[] {
-    this.sorted ??= toSorted(this.values);
+    this.sorted ??= sortAscending(this.values);
     return this.sorted;
   }
 }
--- a/packages/dispatch/speeds/SpeedGroups.ts
+++ b/packages/dispatch/speeds/SpeedGroups.ts
@@ -1,7 +1,7 @@
-import { appendTo } from '../../common/appendTo';
-import { measureSpread } from '../../common/measureSpread';
-import { readQuantile } from '../../common/readQuantile';
-import { toSorted } from '../../common/toSorted';
+import { addToList } from '../../common/addToList';
+import { computeSpread } from '../../common/computeSpread';
+import { computeQuantile } from '../../common/computeQuantile';
+import { sortAscending } from '../../common/sortAscending';
 import type { SpeedPrior } from './SpeedPrior';
 
 interface GroupMember {
@@ -28,10 +28,10 @@
   members.reduce((sum, { variance }) => sum + variance, 0) / members.length;
 
 const computePrior = (members: readonly GroupMember[]): SpeedPrior => {
-  const means = toSorted(members.map(({ mean }) => mean));
-  const spread = measureSpread(means);
+  const means = sortAscending(members.map(({ mean }) => mean));
+  const spread = computeSpread(means);
   return {
-    mean: readQuantile(means, 0.5) ?? 0,
+    mean: computeQuantile(means, 0.5) ?? 0,
     variance: Math.max(MIN_VARIANCE, spread ** 2 - computeNoise(members)),
   };
 };
@@ -89,7 +89,7 @@
     const byGroup = new Map<string, GroupMember[]>();
     for (const member of members) {
       for (const group of member.groups) {
-        appendTo(byGroup, group, member);
+        addToList(byGroup, group, member);
       }
     }
     return byGroup;
--- a/packages/dispatch/speeds/StepRunTimes.ts
+++ b/packages/dispatch/speeds/StepRunTimes.ts
@@ -1,4 +1,4 @@
-import { appendTo } from '../../common/appendTo';
+import { addToList } from '../../common/addToList';
 import type { EndpointIncarnation } from '../../jobs/EndpointIncarnation';
 import { computeMedian } from './computeMedian';
 import type { SiblingTime } from './SiblingTime';
@@ -41,7 +41,7 @@
     const byEndpoint = new Map<EndpointIncarnation, number[]>();
     for (const { endpoint, logMs } of this.tasks.values()) {
       if (endpoint !== excluded) {
-        appendTo(byEndpoint, endpoint, logMs);
+        addToList(byEndpoint, endpoint, logMs);
       }
     }
     return [...byEndpoint].map(([endpoint, times]) => {
--- a/packages/dispatch/waiting/StepSpeeds.ts
+++ b/packages/dispatch/waiting/StepSpeeds.ts
@@ -1,5 +1,5 @@
-import { readQuantile } from '../../common/readQuantile';
-import { toSorted } from '../../common/toSorted';
+import { computeQuantile } from '../../common/computeQuantile';
+import { sortAscending } from '../../common/sortAscending';
 
 /** Minimum number of tasks from which a median is computed. */
 const MIN_SAMPLES = 3;
@@ -26,7 +26,7 @@
     if (this.paces.size < MIN_SAMPLES) {
       return undefined;
     }
-    this.median ??= readQuantile(toSorted(this.paces.values()), 0.5);
+    this.median ??= computeQuantile(sortAscending(this.paces.values()), 0.5);
     return this.median;
   }
 
@@ -35,7 +35,7 @@
     if (this.normalized.size < MIN_SAMPLES) {
       return undefined;
     }
-    this.normalizedMedian ??= readQuantile(toSorted(this.normalized.values()), 0.5);
+    this.normalizedMedian ??= computeQuantile(sortAscending(this.normalized.values()), 0.5);
     return this.normalizedMedian;
   }
 }
--- a/packages/entry/CallController.ts
+++ b/packages/entry/CallController.ts
@@ -2,7 +2,7 @@
 import { RetryBudget } from '../common/RetryBudget';
 import { toId } from '../common/toId';
 import type { Call } from '../gateway/Call';
-import type { CallAnswer } from '../gateway/CallAnswer';
+import type { CallResponse } from '../gateway/CallResponse';
 import type { NotRunReason } from '../gateway/NotRunReason';
 import { chooseRetryAfter } from '../scheduler/chooseRetryAfter';
 import type { Scheduler } from '../scheduler/Scheduler';
@@ -41,7 +41,7 @@
   isAnswered: boolean;
   /** Why the last attempt's end was not seen. */
   unknownReason: string;
-  readonly handleAnswer: (answer: CallAnswer) => void;
+  readonly handleAnswer: (answer: CallResponse) => void;
 }
 
 const RETRY_BURST = 20;
@@ -51,7 +51,7 @@
 const MOVES_PER_CALL = 3;
 const STOPPING_RETRY_MS = 1000;
 
-const createNotRun = (reason: NotRunReason, detail: string, retryAfterMs?: number): CallAnswer => ({
+const createNotRun = (reason: NotRunReason, detail: string, retryAfterMs?: number): CallResponse => ({
   outcome: 'not-run',
   reason,
   detail,
@@ -80,7 +80,7 @@
   }
 
   /** Handles a call to its final answer. Never rejects. */
-  async handleCall(call: Call, left: AbortSignal): Promise<CallAnswer> {
+  async handleCall(call: Call, left: AbortSignal): Promise<CallResponse> {
     this.underWay += 1;
     try {
       const answer = await this.createAnswer(call, left);
@@ -124,7 +124,7 @@
     return isFresh && this.options.peers.hasRoom(open.call.row);
   }
 
-  private async createAnswer(call: Call, left: AbortSignal): Promise<CallAnswer> {
+  private async createAnswer(call: Call, left: AbortSignal): Promise<CallResponse> {
     const { settings } = this.options.context;
     this.recordCallEvent(call, 'arrived', { row: call.row, isForwarded: call.isForwarded });
     if (call.isLookup) {
@@ -149,7 +149,7 @@
   }
 
   /** A keyed call of an unrepeatable row: the first claim in the log runs it, every other one is told what became of it. */
-  private async handleKeyed(call: Call, row: Row, left: AbortSignal): Promise<CallAnswer> {
+  private async handleKeyed(call: Call, row: Row, left: AbortSignal): Promise<CallResponse> {
     const key = `${call.row}:${call.idempotencyKey}`;
     const remembered = this.memory.readAnswer(key);
     if (remembered !== undefined) {
@@ -164,7 +164,7 @@
     return final;
   }
 
-  private async claimAndStart(key: string, call: Call, row: Row, left: AbortSignal): Promise<CallAnswer> {
+  private async claimAndStart(key: string, call: Call, row: Row, left: AbortSignal): Promise<CallResponse> {
     const claim = await this.options.claims.claimKey(key);
     if (claim.kind === 'unavailable') {
       this.options.metrics.recordCount('refusedClaims');
@@ -182,13 +182,13 @@
   }
 
   /** Another process holds the key: it is asked for the answer. */
-  private async readElsewhere(call: Call, process: string): Promise<CallAnswer> {
+  private async readElsewhere(call: Call, process: string): Promise<CallResponse> {
     const answer = await this.options.peers.readAnswer(call, process);
     const detail = `The key is claimed by ${process}, which cannot tell the end: it may have run.`;
     return answer ?? { outcome: 'unknown', detail, isLate: false };
   }
 
-  private async readRemembered(call: Call): Promise<CallAnswer> {
+  private async readRemembered(call: Call): Promise<CallResponse> {
     const remembered = this.memory.readAnswer(`${call.row}:${call.idempotencyKey}`);
     return (
       remembered ?? {
@@ -199,9 +199,9 @@
     );
   }
 
-  private startCall(call: Call, row: Row, left: AbortSignal): Promise<CallAnswer> {
+  private startCall(call: Call, row: Row, left: AbortSignal): Promise<CallResponse> {
     return new Promise((resolve) => {
-      const arrivedAt = this.options.context.clock.readNow();
+      const arrivedAt = this.options.context.clock.getNow();
       const deadlineMs = call.deadlineMs ?? row.deadlineMs;
       const open: OpenCall = {
         call,
@@ -248,7 +248,7 @@
 
   private startAttempt(open: OpenCall): void {
     open.attempts += 1;
-    this.budget.recordTry();
+    this.budget.recordFirstAttempt();
     open.jobId = open.attempts === 1 ? open.call.id : toId<RequestId>(`${open.call.id}~${open.attempts}`);
     this.open.set(open.jobId, open);
     this.options.jobs.queueJob({
@@ -265,7 +265,7 @@
   }
 
   private async sendOn(open: OpenCall): Promise<void> {
-    const remainingMs = open.deadlineAt - this.options.context.clock.readNow();
+    const remainingMs = open.deadlineAt - this.options.context.clock.getNow();
     const result = open.call.isForwarded
       ? undefined
       : await this.options.peers.sendOn(open.call, remainingMs);
@@ -328,7 +328,7 @@
   }
 
   private handleDrained(open: OpenCall): void {
-    const now = this.options.context.clock.readNow();
+    const now = this.options.context.clock.getNow();
     const isWorthwhile = !open.isAnswered && now + open.row.expectedMs <= open.deadlineAt;
     if (isWorthwhile && this.budget.claimRetry()) {
       this.options.metrics.recordCount('retries');
@@ -354,7 +354,7 @@
     }
   }
 
-  private applyAnswer(open: OpenCall, answer: CallAnswer): void {
+  private applyAnswer(open: OpenCall, answer: CallResponse): void {
     if (open.isAnswered) {
       return;
     }
@@ -364,7 +364,7 @@
     open.handleAnswer(answer);
   }
 
-  private recordOutcome(call: Call, answer: CallAnswer): void {
+  private recordOutcome(call: Call, answer: CallResponse): void {
     const names = { ran: 'ran', 'not-run': 'notRun', unknown: 'unknown' } as const;
     this.options.metrics.recordCount(names[answer.outcome]);
     const why =
--- a/packages/entry/ClaimController.ts
+++ b/packages/entry/ClaimController.ts
@@ -1,6 +1,6 @@
 import { randomUUID } from 'node:crypto';
 import { z } from 'zod';
-import { startDelay } from '../common/startDelay';
+import { waitForDelay } from '../common/waitForDelay';
 import { formatPlatformError } from '../platform/formatPlatformError';
 import type { LogPage } from '../platform/LogPage';
 import type { PlatformClient } from '../platform/PlatformClient';
@@ -104,7 +104,7 @@
       } else {
         void this.handleUnanswered(group, formatPlatformError(appended.error));
         this.releasing.push(...(this.isLogAnswering ? released : []));
-        await startDelay(POLL_MS * 10);
+        await waitForDelay(POLL_MS * 10);
       }
     }
     this.isAppending = false;
@@ -132,9 +132,9 @@
 
   /** Waits for a change of the fold, at most the platform's time-out. Returns whether it came. */
   private async startWait(isDone: () => boolean): Promise<boolean> {
-    const until = this.context.clock.readNow() + this.context.settings.timings.platformTimeoutMs;
-    while (!isDone() && this.context.clock.readNow() < until) {
-      await startDelay(POLL_MS);
+    const until = this.context.clock.getNow() + this.context.settings.timings.platformTimeoutMs;
+    while (!isDone() && this.context.clock.getNow() < until) {
+      await waitForDelay(POLL_MS);
     }
     return isDone();
   }
--- a/packages/entry/EntryProcess.ts
+++ b/packages/entry/EntryProcess.ts
@@ -9,8 +9,8 @@
 import { createLogger } from '../common/createLogger';
 import { createRandom } from '../common/createRandom';
 import type { Logger } from '../common/Logger';
-import { startDelay } from '../common/startDelay';
-import { toHostPort } from '../common/toHostPort';
+import { waitForDelay } from '../common/waitForDelay';
+import { parseHostPort } from '../common/parseHostPort';
 import { toId } from '../common/toId';
 import { CallerServer } from '../gateway/CallerServer';
 import type { Holding } from '../ownership/Holding';
@@ -216,13 +216,13 @@
   }
 
   private async startDrain(limitMs: number): Promise<number> {
-    const until = this.options.clock.readNow() + limitMs;
-    while (this.readUnderWay() > 0 && this.options.clock.readNow() < until) {
-      await startDelay(DRAIN_POLL_MS);
+    const until = this.options.clock.getNow() + limitMs;
+    while (this.readUnderWay() > 0 && this.options.clock.getNow() < until) {
+      await waitForDelay(DRAIN_POLL_MS);
     }
     // One more round: peers hear that nothing of this process runs any more.
     this.peers.sendRound();
-    await startDelay(DRAIN_POLL_MS);
+    await waitForDelay(DRAIN_POLL_MS);
     return this.readUnderWay();
   }
 
@@ -265,10 +265,10 @@
     const entry = settings.entries.find((other) => other.box === box);
     const { limits } = settings;
     const handleCall = this.calls.handleCall.bind(this.calls);
-    const formatMetrics = () => this.metrics.formatText(this.counter.readTotal());
+    const formatMetrics = () => this.metrics.formatText(this.counter.getTotal());
     return {
       callers: new CallerServer({
-        ...toHostPort(entry?.callers ?? ''),
+        ...parseHostPort(entry?.callers ?? ''),
         box,
         bodyLimit: limits.bodyBytes,
         maxConnections: limits.callerConnections,
@@ -278,7 +278,7 @@
         formatMetrics,
       }),
       peers: new PeerServer({
-        ...toHostPort(entry?.peers ?? ''),
+        ...parseHostPort(entry?.peers ?? ''),
         bodyLimit: limits.bodyBytes,
         counter: this.counter,
         handleCall,
@@ -288,7 +288,7 @@
         },
       }),
       operators: new OperatorServer({
-        ...toHostPort(entry?.operators ?? ''),
+        ...parseHostPort(entry?.operators ?? ''),
         timeline: this.context.timeline,
         readStatus: () => this.readStatus(),
         readTable: () => this.table.readTable(),
@@ -327,7 +327,7 @@
       process: context.process,
       isReady: this.isReady(),
       view: view === undefined ? undefined : { number: view.number, members: view.members },
-      hasEvidence: ownership.hasEvidence(context.clock.readNow()),
+      hasEvidence: ownership.hasEvidence(context.clock.getNow()),
       hasLog: this.hall.hasLog() && table.hasLog(),
       table: { offset, isShared },
       workers: {
--- a/packages/entry/HallController.ts
+++ b/packages/entry/HallController.ts
@@ -1,4 +1,4 @@
-import { startDelay } from '../common/startDelay';
+import { waitForDelay } from '../common/waitForDelay';
 import type { UnitId } from '../common/UnitId';
 import type { HallRecord } from '../ownership/HallRecord';
 import type { Ownership } from '../ownership/Ownership';
@@ -43,7 +43,7 @@
     const { settings, hall, random, clock, createPartLogger } = options.context;
     this.stream = streams.toHallStream(settings.cell, hall);
     this.logger = createPartLogger('hall');
-    this.standingAt = clock.readNow();
+    this.standingAt = clock.getNow();
     this.reader = new StreamReader({
       client: options.client,
       stream: this.stream,
@@ -101,12 +101,12 @@
     while (!this.stopping.signal.aborted) {
       await step();
       // Some jitter, so that processes that started together do not ask together.
-      await startDelay(intervalMs * (0.9 + 0.2 * random()), this.stopping.signal);
+      await waitForDelay(intervalMs * (0.9 + 0.2 * random()), this.stopping.signal);
     }
   }
 
   private async applyTime(): Promise<void> {
-    const now = this.options.context.clock.readNow();
+    const now = this.options.context.clock.getNow();
     this.options.ownership.applyTime(now);
     this.applyRights();
     this.options.jobs.applyTime();
@@ -116,7 +116,7 @@
 
   private async sendProposal(): Promise<void> {
     const { ownership, context, client } = this.options;
-    const now = context.clock.readNow();
+    const now = context.clock.getNow();
     if (now < this.proposedAt + PROPOSAL_GAP_MS) {
       return;
     }
@@ -137,11 +137,11 @@
     const { ownership, context, client } = this.options;
     const { clock, random, settings, process } = context;
     const view = ownership.readView();
-    const isDue = clock.readNow() > this.standingAt + settings.timings.standingRenewMs * (1 + random());
+    const isDue = clock.getNow() > this.standingAt + settings.timings.standingRenewMs * (1 + random());
     if (!isDue || !this.isLogAnswering || view === undefined || !view.members.includes(process)) {
       return;
     }
-    this.standingAt = clock.readNow();
+    this.standingAt = clock.getNow();
     const record: HallRecord = { kind: 'standing', view, asOf: ownership.readNextOffset() - 1 };
     await client.appendRecord(this.stream, record);
   }
@@ -151,12 +151,12 @@
     this.isLogAnswering = true;
     const records = page.records.map(({ offset, value }) => ({ offset, record: parseHallRecord(value) }));
     if (records.some(({ record }) => record?.kind === 'standing')) {
-      this.standingAt = context.clock.readNow();
+      this.standingAt = context.clock.getNow();
     }
     const { askedAt, first, tail } = page;
-    ownership.applyLogRead({ askedAt, first, tail, records }, context.clock.readNow());
+    ownership.applyLogRead({ askedAt, first, tail, records }, context.clock.getNow());
     // This process listens on its box's address, so every earlier start of the box has ended.
-    ownership.recordAlive(context.box, context.process, context.clock.readNow());
+    ownership.recordAlive(context.box, context.process, context.clock.getNow());
     this.applyRights();
   }
 
@@ -184,12 +184,12 @@
     if (units.size === 0 && !jobs.hasDraining()) {
       return;
     }
-    const askedAt = context.clock.readNow();
+    const askedAt = context.clock.getNow();
     const reports = await client.readReports(context.hall);
     if (!reports.ok) {
       return;
     }
-    const now = context.clock.readNow();
+    const now = context.clock.getNow();
     for (const [worker, report] of reports.value) {
       const unit = workerUnit.toUnit(worker);
       if (units.has(unit)) {
--- a/packages/entry/JobController.ts
+++ b/packages/entry/JobController.ts
@@ -96,9 +96,9 @@
     }
     // The renewal may take effect even when its answer is lost, so the lease counts anew from here, and from the end of the call once that is
     // known: the bytes may have left late.
-    active.sentAt = this.options.context.clock.readNow();
+    active.sentAt = this.options.context.clock.getNow();
     const status = await client.sendAction(this.toTaskId(id), 'renew', leaseMs);
-    active.sentAt = this.options.context.clock.readNow();
+    active.sentAt = this.options.context.clock.getNow();
     return status;
   }
 
@@ -173,7 +173,7 @@
 
   private createHolding(active: ActiveJob, task: Task): Holding {
     const { clock, settings, process } = this.options.context;
-    const ranMs = clock.readNow() - active.sentAt;
+    const ranMs = clock.getNow() - active.sentAt;
     const limitMs = active.timeLimitMs + settings.timings.marginMs;
     const isRenewable = active.job.leaseMs !== undefined;
     return {
@@ -190,7 +190,7 @@
   }
 
   private handleEvent(event: SchedulerEvent): void {
-    const now = this.options.context.clock.readNow();
+    const now = this.options.context.clock.getNow();
     const effects = this.options.scheduler.handle(event, now);
     this.options.recordEvent?.(event, effects, now);
     for (const effect of effects) {
@@ -240,7 +240,7 @@
     const { job } = active;
     const { worker, waitedMs, waitedFor } = effect;
     active.timeLimitMs = job.leaseMs ?? row.timeLimitMs;
-    active.sentAt = this.options.context.clock.readNow();
+    active.sentAt = this.options.context.clock.getNow();
     this.options.metrics.recordWait(effect.row, waitedMs);
     this.recordJobEvent(job.id, 'placed', {
       worker,
@@ -252,9 +252,9 @@
       task: this.toTaskId(job.id),
       row: job.row,
       callerRequest: job.callerRequest,
-      need: task.need,
+      demand: task.need,
       timeLimitMs: active.timeLimitMs,
-      readEndsAt: () => this.readEndsAt(active),
+      getDeadline: () => this.readEndsAt(active),
       body: job.body,
       headers: job.headers,
       hasRight: () => this.hasRight(active, worker),
@@ -266,13 +266,13 @@
 
   /** The last check before the order is handed over to be sent. */
   private hasRight(active: ActiveJob, worker: WorkerId): boolean {
-    active.sentAt = this.options.context.clock.readNow();
+    active.sentAt = this.options.context.clock.getNow();
     return this.options.directory.hasRight(worker) && (active.job.hasRight?.() ?? true);
   }
 
   /** The bytes have left: the time limit counts from here, which may be much later than the check where the process was stopped between. */
   private handleWritten(active: ActiveJob, worker: WorkerId): void {
-    const now = this.options.context.clock.readNow();
+    const now = this.options.context.clock.getNow();
     const heldUpMs = now - active.sentAt;
     active.sentAt = now;
     if (heldUpMs >= HELD_UP_MS) {
@@ -322,7 +322,7 @@
 
   /** The slot stays taken until the task is known to have ended: by a report, or by its time limit. */
   private startDraining(active: ActiveJob, worker: WorkerId, reason: string): void {
-    const now = this.options.context.clock.readNow();
+    const now = this.options.context.clock.getNow();
     const timer = setTimeout(
       () => this.handleDrained(active.job.id),
       Math.max(0, this.readEndsAt(active) - now),
--- a/packages/entry/PeerController.ts
+++ b/packages/entry/PeerController.ts
@@ -1,12 +1,12 @@
 import type { ByteCounter } from '../common/ByteCounter';
 import type { ProcessId } from '../common/ProcessId';
 import type { RowName } from '../common/RowName';
-import { startDelay } from '../common/startDelay';
+import { waitForDelay } from '../common/waitForDelay';
 import { toId } from '../common/toId';
 import type { BoxId } from '../common/BoxId';
 import type { HallId } from '../common/HallId';
 import type { Call } from '../gateway/Call';
-import type { CallAnswer } from '../gateway/CallAnswer';
+import type { CallResponse } from '../gateway/CallResponse';
 import type { Ownership } from '../ownership/Ownership';
 import { toBox } from '../ownership/toBox';
 import { PEERS } from '../peers/constants';
@@ -75,7 +75,7 @@
     const { heartbeatMs } = this.options.context.settings.timings;
     while (!this.stopping.signal.aborted) {
       this.sendRound();
-      await startDelay(heartbeatMs, this.stopping.signal);
+      await waitForDelay(heartbeatMs, this.stopping.signal);
     }
   }
 
@@ -114,7 +114,7 @@
       box: context.box,
       hall: context.hall,
       process: context.process,
-      stamp: context.hybridClock.createStamp(),
+      stamp: context.hybridClock.createTimestamp(),
       tableOffset: table.readTable().isShared ? table.readTable().offset : -1,
       room,
       isTaking: isTaking(),
@@ -129,7 +129,7 @@
     if (message.ownership === undefined || message.hall !== context.hall) {
       return answer;
     }
-    const now = context.clock.readNow();
+    const now = context.clock.getNow();
     const reply = ownership.handleQuestion(message.ownership, now);
     this.options.handleRights();
     return { ...answer, ownership: reply };
@@ -165,7 +165,7 @@
   }
 
   /** Asks the process that claimed a key for its answer; undefined when it cannot be asked. */
-  async readAnswer(call: Call, process: string): Promise<CallAnswer | undefined> {
+  async readAnswer(call: Call, process: string): Promise<CallResponse | undefined> {
     const box = toBox(toId<ProcessId>(process));
     const peer = this.peers.find((other) => other.address.box === box && other.process === process);
     const result = await peer?.forward.sendCall(call, LOOKUP_MS, true);
@@ -175,12 +175,12 @@
   /** Asks all boxes for their table offset until they reach `offset` or `waitMs` is over. */
   async readInForce(offset: number, waitMs: number): Promise<{ inForce: string[]; notSeen: string[] }> {
     const { clock, settings, box } = this.options.context;
-    const until = clock.readNow() + waitMs;
+    const until = clock.getNow() + waitMs;
     let missing = this.peers.filter((peer) => peer.tableOffset < offset);
-    while (missing.length > 0 && clock.readNow() < until) {
+    while (missing.length > 0 && clock.getNow() < until) {
       await Promise.all(missing.map((peer) => this.sendHeartbeat(peer)));
       missing = missing.filter((peer) => peer.tableOffset < offset);
-      await startDelay(missing.length > 0 ? settings.timings.heartbeatMs / 10 : 0);
+      await waitForDelay(missing.length > 0 ? settings.timings.heartbeatMs / 10 : 0);
     }
     const notSeen = missing.map((peer) => peer.address.box as string);
     const inForce = [box, ...this.peers.map((peer) => peer.address.box)].filter(
@@ -214,7 +214,7 @@
     }
     peer.isAsking = true;
     const { context, ownership } = this.options;
-    const askedAt = context.clock.readNow();
+    const askedAt = context.clock.getNow();
     const known = ownership.readKnown(peer.address.box);
     const isSameHall = peer.address.hall === context.hall;
     const message = this.createMessage();
@@ -229,7 +229,7 @@
     }
     this.applyMessage(answer.value, known);
     if (isSameHall && answer.value.ownership !== undefined) {
-      ownership.handleAnswer(answer.value.ownership, askedAt, context.clock.readNow());
+      ownership.handleAnswer(answer.value.ownership, askedAt, context.clock.getNow());
       this.options.handleRights();
     }
   }
@@ -243,7 +243,7 @@
   }
 
   private applyMessage(message: PeerMessage, known?: readonly ProcessId[]): void {
-    this.options.context.hybridClock.applyStamp(message.stamp);
+    this.options.context.hybridClock.applyTimestamp(message.stamp);
     const peer = this.peers.find((other) => other.address.box === message.box);
     if (peer === undefined) {
       return;
@@ -255,7 +255,7 @@
     peer.room = new Map(Object.entries(message.room).map(([row, room]) => [toId<RowName>(row), room]));
     peer.isTaking = message.isTaking;
     peer.tableOffset = message.tableOffset;
-    peer.heardAt = this.options.context.clock.readNow();
+    peer.heardAt = this.options.context.clock.getNow();
     if (message.tableOffset > this.options.table.readTable().offset) {
       void this.readMissingTable(peer);
     }
@@ -270,7 +270,7 @@
   /** Proof of end: at the box's address another process answers, or nobody does. */
   private recordEnds(box: BoxId, alive: ProcessId | undefined, known?: readonly ProcessId[]): void {
     const { context, ownership } = this.options;
-    for (const process of ownership.recordAlive(box, alive, context.clock.readNow(), known)) {
+    for (const process of ownership.recordAlive(box, alive, context.clock.getNow(), known)) {
       context.timeline.recordEvent({ part: 'peers', kind: 'end proved', detail: { process } });
       this.logger.warn('Process has ended.', { process });
       this.options.handleRights();
@@ -293,7 +293,7 @@
 
   private chooseRoomiest(row: RowName): Peer | undefined {
     const { clock, settings, hall } = this.options.context;
-    const oldest = clock.readNow() - settings.timings.heartbeatMs * ROOM_AGE_HEARTBEATS;
+    const oldest = clock.getNow() - settings.timings.heartbeatMs * ROOM_AGE_HEARTBEATS;
     let best: Peer | undefined;
     let bestRoom = 0;
     for (const peer of this.peers) {
--- a/packages/entry/StandingController.ts
+++ b/packages/entry/StandingController.ts
@@ -142,7 +142,7 @@
 
   private applySeat(seat: Seat, row: Row): void {
     const { ownership, context } = this.options;
-    const now = context.clock.readNow();
+    const now = context.clock.getNow();
     const grant = ownership.readGrant(seat.unit);
     if (seat.job !== undefined && grant !== seat.grant) {
       void this.stopSeat(seat);
@@ -160,7 +160,7 @@
   }
 
   private hasRight(unit: UnitId): boolean {
-    const now = this.options.context.clock.readNow();
+    const now = this.options.context.clock.getNow();
     return this.options.ownership.readRight(unit, now) === 'granted';
   }
 
@@ -171,7 +171,7 @@
 
   private startSeat(seat: Seat, row: Row, grant: number): void {
     const { clock, settings } = this.options.context;
-    const now = clock.readNow();
+    const now = clock.getNow();
     seat.attempt += 1;
     seat.grant = grant;
     seat.renewedAt = now;
@@ -195,12 +195,12 @@
   private async renewSeat(seat: Seat): Promise<void> {
     const { clock, settings } = this.options.context;
     const { seatLeaseMs } = settings.timings;
-    const isDue = clock.readNow() >= seat.renewedAt + seatLeaseMs * RENEW_PART;
+    const isDue = clock.getNow() >= seat.renewedAt + seatLeaseMs * RENEW_PART;
     if (!isDue || seat.isRenewing || seat.job === undefined || !this.options.jobs.isPlaced(seat.job)) {
       return;
     }
     seat.isRenewing = true;
-    const askedAt = clock.readNow();
+    const askedAt = clock.getNow();
     const hasRight = () => this.hasRightUnder(seat.unit, seat.grant);
     const status = await this.options.jobs.renewJob(seat.job, seatLeaseMs, hasRight);
     seat.isRenewing = false;
@@ -233,6 +233,6 @@
       detail: { seat: seat.unit, how: end.kind },
     });
     seat.job = undefined;
-    seat.notBefore = clock.readNow() + seat.backoff.chooseDelay();
+    seat.notBefore = clock.getNow() + seat.backoff.computeNextDelay();
   }
 }
--- a/packages/entry/TableController.ts
+++ b/packages/entry/TableController.ts
@@ -2,7 +2,7 @@
 import { Backoff } from '../common/Backoff';
 import type { EditId } from '../common/EditId';
 import type { RowName } from '../common/RowName';
-import { startDelay } from '../common/startDelay';
+import { waitForDelay } from '../common/waitForDelay';
 import type { TeamName } from '../common/TeamName';
 import { toId } from '../common/toId';
 import type { TableAnswer } from '../peers/TableAnswer';
@@ -66,7 +66,7 @@
     this.fold = new TableFold(createTable({ rows, teams }));
     this.stream = streams.toTableStream(settings.cell);
     this.logger = createPartLogger('table');
-    this.lastSnapshotAt = clock.readNow();
+    this.lastSnapshotAt = clock.getNow();
     this.reader = new StreamReader({
       client: options.client,
       stream: this.stream,
@@ -136,7 +136,7 @@
     const { clock, random, settings } = this.options.context;
     const table = this.readTable();
     const editCount = table.offset - this.lastSnapshotOffset;
-    const ageMs = clock.readNow() - this.lastSnapshotAt;
+    const ageMs = clock.getNow() - this.lastSnapshotAt;
     // Processes wait unlike times, so that as a rule one appends and the others see it.
     const isDue =
       editCount >= TABLE_LIMITS.editsPerSnapshot * (1 + random()) ||
@@ -163,20 +163,20 @@
       if (decided !== undefined) {
         return { kind: 'decided', edit: decided };
       }
-      await startDelay(backoff.chooseDelay());
+      await waitForDelay(backoff.computeNextDelay());
     }
     return { kind: 'unknown', editId: edit.editId, reason };
   }
 
   private async readDecision(editId: EditId, waitMs: number): Promise<AppliedEdit | undefined> {
     const { clock } = this.options.context;
-    const until = clock.readNow() + waitMs;
-    while (clock.readNow() < until) {
+    const until = clock.getNow() + waitMs;
+    while (clock.getNow() < until) {
       const decided = this.readTable().history.find((past) => past.editId === editId);
       if (decided !== undefined) {
         return decided;
       }
-      await startDelay(POLL_MS);
+      await waitForDelay(POLL_MS);
     }
     return undefined;
   }
@@ -189,7 +189,7 @@
     for (const { offset, record } of records) {
       if (record.kind === 'snapshot') {
         this.lastSnapshotOffset = offset;
-        this.lastSnapshotAt = this.options.context.clock.readNow();
+        this.lastSnapshotAt = this.options.context.clock.getNow();
       }
     }
     this.handleFolded();
--- a/packages/entry/WorkerDirectory.ts
+++ b/packages/entry/WorkerDirectory.ts
@@ -64,7 +64,7 @@
 
   /** Creates the views that have changed since the last call. */
   createChangedViews(): readonly WorkerView[] {
-    const now = this.context.clock.readNow();
+    const now = this.context.clock.getNow();
     const changed: WorkerView[] = [];
     for (const entry of this.workers.values()) {
       const view = this.createView(entry, now);
@@ -83,12 +83,12 @@
    */
   hasRight(worker: WorkerId): boolean {
     const entry = this.workers.get(worker);
-    return entry !== undefined && this.isPlaceable(entry, this.context.clock.readNow());
+    return entry !== undefined && this.isPlaceable(entry, this.context.clock.getNow());
   }
 
   /** Workers that are ours, whose endpoints have not shut earlier owners out yet and may be asked to. */
   readUnfenced(): readonly UnfencedWorker[] {
-    const now = this.context.clock.readNow();
+    const now = this.context.clock.getNow();
     const unfenced: UnfencedWorker[] = [];
     for (const { listing, client, suspendedUntil, fencedGrant } of this.workers.values()) {
       const unit = workerUnit.toUnit(listing.worker);
@@ -119,7 +119,7 @@
     const entry = this.workers.get(worker);
     if (entry !== undefined) {
       entry.fencedGrant = undefined;
-      entry.suspendedUntil = this.context.clock.readNow() + SUSPEND_BASE_MS;
+      entry.suspendedUntil = this.context.clock.getNow() + SUSPEND_BASE_MS;
     }
   }
 
@@ -145,7 +145,7 @@
   recordNoConnection(worker: WorkerId): void {
     const entry = this.workers.get(worker);
     if (entry !== undefined) {
-      entry.suspendedUntil = this.context.clock.readNow() + SUSPEND_BASE_MS + entry.backoff.chooseDelay();
+      entry.suspendedUntil = this.context.clock.getNow() + SUSPEND_BASE_MS + entry.backoff.computeNextDelay();
     }
   }
 
@@ -184,7 +184,7 @@
     return new EndpointClient({
       address: listing.address,
       maxConnections: Math.max(1, Math.floor(listing.connections / (boxes * STARTS_PER_BOX))),
-      answerLimit: settings.limits.answerBytes,
+      maxResponseBytes: settings.limits.answerBytes,
       connectTimeoutMs: CONNECT_TIMEOUT_MS,
       clock: this.context.clock,
     });
@@ -208,7 +208,7 @@
   private handleChange(entry: WorkerEntry, view: WorkerView): void {
     if (!this.ownership.isOwner(workerUnit.toUnit(view.id))) {
       // The endpoint's connections are shared out over all boxes: those of a lost worker are given back.
-      entry.client.stopIdle();
+      entry.client.stopIdleConnections();
     }
   }
 }
--- a/packages/entry/WorkerFences.ts
+++ b/packages/entry/WorkerFences.ts
@@ -37,10 +37,10 @@
   private async sendFence({ worker, unit, client, grant, token }: UnfencedWorker): Promise<void> {
     const { context, directory, ownership, handleFenced } = this.options;
     this.underWay.add(worker);
-    const askedAt = context.clock.readNow();
+    const askedAt = context.clock.getNow();
     const answer = await client.sendFence(token);
     this.underWay.delete(worker);
-    const now = context.clock.readNow();
+    const now = context.clock.getNow();
     const fields = { worker, token, tookMs: Math.round(now - askedAt) };
     switch (answer.kind) {
       case 'fenced':
--- a/packages/gateway/CallAnswer.ts
+++ b/packages/gateway/CallResponse.ts
@@ -1,7 +1,7 @@
 import type { NotRunReason } from './NotRunReason';
 
 /** Final response to a call. */
-export type CallAnswer =
+export type CallResponse =
   | {
       readonly outcome: 'ran';
       readonly status: number;
--- a/packages/gateway/CallerGate.ts
+++ b/packages/gateway/CallerAuthorizer.ts
@@ -9,16 +9,16 @@
   /** False if the settings require a fresh configuration and this box may have missed the revocation of keys. */
   readonly isFresh: () => boolean;
   /** Called when a call was rejected. */
-  readonly handleRefused: (queue: string, reason: string) => void;
+  readonly handleRejected: (queue: string, reason: string) => void;
 }
 
 /** Authorizes calls: checks by the key of a call whether it may use a queue, and for which customer. */
-export class CallerGate {
+export class CallerAuthorizer {
   constructor(private readonly options: CallerGateOptions) {}
 
   checkCall({ queue, isOpen }: QueueRoute, key: CallerKey): CallerCheck {
-    const { router, isFresh, handleRefused } = this.options;
-    const customers = router.readCustomers();
+    const { router, isFresh, handleRejected: handleRefused } = this.options;
+    const customers = router.getCustomers();
     const check = checkCaller({ key, isOpen, customers, isFresh: isFresh() });
     if (check.kind !== 'admitted') {
       handleRefused(queue.name, check.kind === 'refused' ? check.reason : 'configuration too old');
--- a/packages/gateway/CallerServer.ts
+++ b/packages/gateway/CallerServer.ts
@@ -3,8 +3,8 @@
 import type { RequestId } from '../common/RequestId';
 import { toId } from '../common/toId';
 import type { Call } from './Call';
-import type { CallAnswer } from './CallAnswer';
-import { createBufferApp } from './createBufferApp';
+import type { CallResponse } from './CallResponse';
+import { createRawBodyApp } from './createRawBodyApp';
 import { headerNames } from './headerNames';
 import { parseCall } from './parseCall';
 import { toProblem } from './toProblem';
@@ -19,7 +19,7 @@
   readonly maxConnections: number;
   readonly createRequestId: () => RequestId;
   /** Returns the one final response to a call. `signal` aborts when the caller disconnects. */
-  readonly handleCall: (call: Call, signal: AbortSignal) => Promise<CallAnswer>;
+  readonly handleCall: (call: Call, signal: AbortSignal) => Promise<CallResponse>;
   /** True if this box accepts calls; returned by the readiness probe. */
   readonly isReady: () => boolean;
   readonly formatMetrics: () => string;
@@ -31,7 +31,7 @@
 
 type WorkloadRequest = FastifyRequest<WorkloadRoute>;
 
-const createNotRunResponse = (reason: 'badRequest' | 'bodyTooLarge', detail: string): CallAnswer => ({
+const createNotRunResponse = (reason: 'badRequest' | 'bodyTooLarge', detail: string): CallResponse => ({
   outcome: 'not-run',
   reason,
   detail,
@@ -43,7 +43,7 @@
   private readonly app: FastifyInstance;
 
   constructor(private readonly options: CallerServerOptions) {
-    this.app = createBufferApp(options.bodyLimit);
+    this.app = createRawBodyApp(options.bodyLimit);
     this.app.server.maxConnections = options.maxConnections;
     this.app.setErrorHandler((error: { code?: string; message: string }, request, reply) => {
       const reason = error.code === 'FST_ERR_CTP_BODY_TOO_LARGE' ? 'bodyTooLarge' : 'badRequest';
@@ -101,7 +101,7 @@
     return this.sendResponse(reply, id, response);
   }
 
-  private sendResponse(reply: FastifyReply, id: RequestId, response: CallAnswer): FastifyReply {
+  private sendResponse(reply: FastifyReply, id: RequestId, response: CallResponse): FastifyReply {
     const headers = {
       [headerNames.outcome]: response.outcome,
       [headerNames.request]: id,
--- a/packages/gateway/Dispatch.ts
+++ b/packages/gateway/Dispatch.ts
@@ -7,10 +7,10 @@
   readonly row: string;
   readonly callerRequest: string;
   /** Resources that the task reserves. */
-  readonly need: Demand;
+  readonly demand: Demand;
   readonly timeLimitMs: number;
   /** Returns the monotonic time in milliseconds by which the worker has ended the task. Renewals of the lease extend it. */
-  readonly readEndsAt: () => number;
+  readonly getDeadline: () => number;
   readonly body: Buffer;
   readonly headers: Readonly<Record<string, string>>;
   /** Returns whether this process may still start tasks on the endpoint. Checked just before the request is sent. */
--- a/packages/gateway/EndpointClient.ts
+++ b/packages/gateway/EndpointClient.ts
@@ -2,14 +2,14 @@
 import type { Clock } from '../common/Clock';
 import { parseJson } from '../common/parseJson';
 import type { Result } from '../common/Result';
-import { toErrorText } from '../common/toErrorText';
+import { formatError } from '../common/formatError';
 import type { Dispatch } from './Dispatch';
 import type { DispatchResult } from './DispatchResult';
 import { EndpointConnection } from './EndpointConnection';
 import type { FenceResult } from './FenceResult';
 import { fenceResponseSchema } from './fenceResponseSchema';
 import { headerNames } from './headerNames';
-import { startSocket } from './startSocket';
+import { createConnectedSocket } from './createConnectedSocket';
 
 interface EndpointClientOptions {
   /** Host and port. */
@@ -17,7 +17,7 @@
   /** Maximum number of connections from this process. */
   readonly maxConnections: number;
   /** Maximum size of a response, in bytes. */
-  readonly answerLimit: number;
+  readonly maxResponseBytes: number;
   readonly connectTimeoutMs: number;
   readonly clock: Clock;
 }
@@ -46,7 +46,7 @@
   constructor(private readonly options: EndpointClientOptions) {}
 
   /** Returns the number of connections that are open or being opened. */
-  readCount(): number {
+  countConnections(): number {
     return this.connections.filter((connection) => !connection.isClosed).length + this.openingCount;
   }
 
@@ -96,7 +96,7 @@
   }
 
   /** Closes idle connections. */
-  stopIdle(): void {
+  stopIdleConnections(): void {
     for (const connection of this.connections) {
       if (!connection.isBusy) {
         connection.stop();
@@ -127,7 +127,7 @@
       return { ok: true, value: { status: statusCode, text: await body.text() } };
     } catch (thrown) {
       connection.stop();
-      return { ok: false, error: toErrorText(thrown) };
+      return { ok: false, error: formatError(thrown) };
     } finally {
       connection.isBusy = false;
     }
@@ -140,7 +140,7 @@
       idle.isBusy = true;
       return { connection: idle };
     }
-    if (this.readCount() >= this.options.maxConnections) {
+    if (this.countConnections() >= this.options.maxConnections) {
       return { failure: { kind: 'notSent', why: 'noConnection', reason: 'all connections are in use' } };
     }
     return this.createConnection();
@@ -148,13 +148,17 @@
 
   private async createConnection(): Promise<ConnectionResult> {
     this.openingCount += 1;
-    const { address, answerLimit, connectTimeoutMs } = this.options;
-    const socket = await startSocket({ address, timeoutMs: connectTimeoutMs });
+    const { address, maxResponseBytes: answerLimit, connectTimeoutMs } = this.options;
+    const socket = await createConnectedSocket({ address, timeoutMs: connectTimeoutMs });
     this.openingCount -= 1;
     if (!socket.ok) {
       return { failure: { kind: 'notSent', why: 'noConnection', reason: socket.error } };
     }
-    const connection = new EndpointConnection({ address, socket: socket.value, answerLimit });
+    const connection = new EndpointConnection({
+      address,
+      socket: socket.value,
+      maxResponseBytes: answerLimit,
+    });
     connection.isBusy = true;
     this.connections.push(connection);
     return { connection };
@@ -174,7 +178,7 @@
           ...dispatch.headers,
           [headerNames.task]: dispatch.task,
           [headerNames.timeLimit]: String(dispatch.timeLimitMs),
-          [headerNames.demand]: JSON.stringify(dispatch.need),
+          [headerNames.demand]: JSON.stringify(dispatch.demand),
           [headerNames.callerRequest]: dispatch.callerRequest,
           [headerNames.ownerToken]: String(dispatch.token),
         },
@@ -183,7 +187,7 @@
       });
       return await this.readResponse(response, dispatch);
     } catch (thrown) {
-      const reason = limit.signal.aborted ? 'no end seen within the time limit' : toErrorText(thrown);
+      const reason = limit.signal.aborted ? 'no end seen within the time limit' : formatError(thrown);
       return { kind: 'unknown', reason };
     } finally {
       limit.stop();
@@ -194,7 +198,7 @@
     const abort = new AbortController();
     let timer: NodeJS.Timeout | undefined;
     const handleTimer = () => {
-      const remainingMs = dispatch.readEndsAt() - this.options.clock.readNow();
+      const remainingMs = dispatch.getDeadline() - this.options.clock.getNow();
       if (remainingMs <= 0) {
         // After a pause of the process the timer may fire before a response in the socket has been read.
         timer = setTimeout(() => abort.abort(), PENDING_RESPONSE_GRACE_MS);
--- a/packages/gateway/EndpointConnection.ts
+++ b/packages/gateway/EndpointConnection.ts
@@ -7,7 +7,7 @@
   /** Connected socket. */
   readonly socket: Socket;
   /** Maximum size of a response, in bytes. */
-  readonly answerLimit: number;
+  readonly maxResponseBytes: number;
 }
 
 /** Connection to an endpoint, with one request at a time. */
@@ -26,7 +26,7 @@
       headersTimeout: 0,
       bodyTimeout: 0,
       keepAliveTimeout: 60_000,
-      maxResponseSize: options.answerLimit,
+      maxResponseSize: options.maxResponseBytes,
       connect: (_options, handleSocket) => {
         if (isUsed) {
           // Undici must not open another socket: the endpoint client counts its connections.
--- a/packages/gateway/JobService.ts
+++ b/packages/gateway/JobService.ts
@@ -3,24 +3,28 @@
 import type { JobId } from '../jobs/JobId';
 import type { JobQueue } from '../jobs/JobQueue';
 import type { JobState } from '../jobs/JobState';
-import type { JobOutcome } from './JobOutcome';
+import type { JobServiceResult } from './JobServiceResult';
 import type { JobSubmission } from './JobSubmission';
-import type { SubmitAnswer } from './SubmitAnswer';
+import type { SubmitResult } from './SubmitResult';
 
 /** Operations on jobs that callers can request. Deadlines are monotonic times in milliseconds. */
 export interface JobService {
   /** Submits a job; idempotent for the same id, queue and customer. */
-  writeJob(
+  createJob(
     id: JobId,
     queue: JobQueue,
     customer: CustomerPolicy | undefined,
     submission: JobSubmission,
     deadline: number,
-  ): Promise<JobOutcome<SubmitAnswer>>;
+  ): Promise<JobServiceResult<SubmitResult>>;
   /** Returns the state of a job; `absent` if it does not exist or belongs to another customer. */
-  readJob(id: JobId, caller: JobCaller, deadline: number): Promise<JobOutcome<JobState | 'absent'>>;
+  getJobState(id: JobId, caller: JobCaller, deadline: number): Promise<JobServiceResult<JobState | 'absent'>>;
   /** Cancels a job; `absent` if it does not exist or belongs to another customer. */
-  writeCancel(id: JobId, caller: JobCaller, deadline: number): Promise<JobOutcome<'cancelled' | 'absent'>>;
+  cancelJob(
+    id: JobId,
+    caller: JobCaller,
+    deadline: number,
+  ): Promise<JobServiceResult<'cancelled' | 'absent'>>;
   /** Returns the number of accepted jobs of a queue that have no started task; unavailable until this box has read all jobs. */
-  readPendingCount(queueName: string): JobOutcome<number>;
+  countPendingJobs(queueName: string): JobServiceResult<number>;
 }
--- a/packages/gateway/JobOutcome.ts
+++ b/packages/gateway/JobServiceResult.ts
@@ -5,7 +5,7 @@
  * - `overloaded`: nothing was changed; the caller may retry after `retryAfterMs`, on any box.
  * - `unknown`: the operation may have been performed.
  */
-export type JobOutcome<Value> =
+export type JobServiceResult<Value> =
   | { readonly kind: 'answered'; readonly answer: Value }
   | { readonly kind: 'unavailable'; readonly retryAfterMs: number }
   | { readonly kind: 'overloaded'; readonly retryAfterMs: number }
--- a/packages/gateway/QueueRouter.ts
+++ b/packages/gateway/QueueRouter.ts
@@ -32,7 +32,7 @@
   }
 
   /** Returns the current configuration; undefined before the first one. */
-  readConfiguration(): QueueConfiguration | undefined {
+  getConfiguration(): QueueConfiguration | undefined {
     return this.configuration;
   }
 
@@ -41,12 +41,12 @@
     return this.services.has(service);
   }
 
-  readCustomers(): CustomerDirectory {
+  getCustomers(): CustomerDirectory {
     return this.customers;
   }
 
   /** Returns the route of a host (without port) and path, or undefined. */
-  readRoute(host: string, path: string): QueueRoute | undefined {
+  findRoute(host: string, path: string): QueueRoute | undefined {
     return this.routesByHost.get(host)?.find((route) => path.startsWith(route.pathPrefix));
   }
 }
--- a/packages/gateway/SubmitAnswer.ts
+++ b/packages/gateway/SubmitResult.ts
@@ -4,7 +4,7 @@
  * - `taken`: the id belongs to a job of another customer or queue; nothing was changed.
  * - `impossible`: the job could never run and was rejected.
  */
-export type SubmitAnswer =
+export type SubmitResult =
   | { readonly kind: 'accepted' }
   | { readonly kind: 'taken' }
   | { readonly kind: 'impossible'; readonly reason: string };
--- a/packages/gateway/startSocket.ts
+++ b/packages/gateway/createConnectedSocket.ts
@@ -1,6 +1,6 @@
 import { connect, type Socket } from 'node:net';
 import type { Result } from '../common/Result';
-import { toHostPort } from '../common/toHostPort';
+import { parseHostPort } from '../common/parseHostPort';
 
 interface SocketOptions {
   /** Host and port. */
@@ -9,9 +9,9 @@
 }
 
 /** Opens a TCP connection. The error is a system error code such as ECONNREFUSED, or ETIMEDOUT after `timeoutMs`. */
-export const startSocket = (options: SocketOptions): Promise<Result<Socket, string>> => {
+export const createConnectedSocket = (options: SocketOptions): Promise<Result<Socket, string>> => {
   return new Promise((resolve) => {
-    const socket = connect({ ...toHostPort(options.address), noDelay: true });
+    const socket = connect({ ...parseHostPort(options.address), noDelay: true });
     const timer = setTimeout(() => {
       socket.destroy();
       resolve({ ok: false, error: 'ETIMEDOUT' });
--- a/packages/gateway/toProblem.ts
+++ b/packages/gateway/toProblem.ts
@@ -1,5 +1,5 @@
 import { checkNever } from '../common/checkNever';
-import type { CallAnswer } from './CallAnswer';
+import type { CallResponse } from './CallResponse';
 import { notRunStatuses } from './notRunStatuses';
 
 interface Problem {
@@ -13,7 +13,7 @@
 }
 
 /** Converts a response without a result to RFC 9457 problem details. */
-export const toProblem = (response: Exclude<CallAnswer, { outcome: 'ran' }>): Problem => {
+export const toProblem = (response: Exclude<CallResponse, { outcome: 'ran' }>): Problem => {
   switch (response.outcome) {
     case 'not-run': {
       const { status, title } = notRunStatuses[response.reason];
--- a/packages/leadership/LeaderWatch.ts
+++ b/packages/leadership/LeaderWatch.ts
@@ -1,6 +1,6 @@
 import { connect, type Socket } from 'node:net';
-import { startDelay } from '../common/startDelay';
-import { toHostPort } from '../common/toHostPort';
+import { waitForDelay } from '../common/waitForDelay';
+import { parseHostPort } from '../common/parseHostPort';
 
 interface LeaderWatchOptions {
   /** Called when the port of the leader's box refuses connections, so that the process has ended. */
@@ -40,7 +40,7 @@
   }
 
   private startConnection(watched: Watched): void {
-    const { host, port } = toHostPort(watched.address);
+    const { host, port } = parseHostPort(watched.address);
     const socket = connect({ host, port });
     const timer = setTimeout(() => socket.destroy(), CONNECT_TIMEOUT_MS);
     this.socket = socket;
@@ -63,7 +63,7 @@
   private async retryConnection(watched: Watched, wasEstablished: boolean): Promise<void> {
     // An established connection is reopened at once: a refusal shows that the process has ended. The delay keeps connections that are
     // closed right after they open from being reopened in a tight loop.
-    await startDelay(wasEstablished ? 0 : RECONNECT_DELAY_MS);
+    await waitForDelay(wasEstablished ? 0 : RECONNECT_DELAY_MS);
     if (this.watched === watched) {
       this.startConnection(watched);
     }
--- a/packages/leadership/Leadership.ts
+++ b/packages/leadership/Leadership.ts
@@ -85,7 +85,7 @@
 
   /** Folds records of the states' topic. Only leaders write to it, so that each record shows activity of the leader. */
   foldRecords(records: readonly LogRecord[]): void {
-    const now = this.options.clock.readNow();
+    const now = this.options.clock.getNow();
     this.activeAt = now;
     for (const { key, value } of records) {
       if (key !== leaderKeys.recordKey) {
@@ -108,7 +108,7 @@
     if (record.epoch <= (this.record?.epoch ?? 0)) {
       return false;
     }
-    const now = this.options.clock.readNow();
+    const now = this.options.clock.getNow();
     this.activeAt = now;
     this.leases.recordLeader(record, now);
     this.setRecord(record);
@@ -117,7 +117,7 @@
 
   /** Handles the request to take over from a leader that has stopped. */
   handleHandover(epoch: number): void {
-    this.leases.recordStopped(epoch, this.options.clock.readNow());
+    this.leases.recordStopped(epoch, this.options.clock.getNow());
     this.endedEpoch = epoch;
     this.endedReason = 'the leader handed over';
     this.handleTick();
@@ -126,7 +126,7 @@
   /** Handles the probable end of the process of the leader. */
   handleLeaderEnded(process: string): void {
     if (this.record?.process === process) {
-      this.endedAt = this.endedEpoch === this.record.epoch ? this.endedAt : this.options.clock.readNow();
+      this.endedAt = this.endedEpoch === this.record.epoch ? this.endedAt : this.options.clock.getNow();
       this.endedEpoch = this.record.epoch;
       this.endedReason = 'the leader process has ended';
     }
@@ -134,7 +134,7 @@
 
   /** Handles the loss or recovery of read access to the log. Heartbeat timeouts count only while the log is readable. */
   handleConnection(isConnected: boolean): void {
-    this.readableSince = isConnected ? this.options.clock.readNow() : undefined;
+    this.readableSince = isConnected ? this.options.clock.getNow() : undefined;
   }
 
   /** Claims leadership if there is no leader. */
@@ -154,7 +154,7 @@
   /** Handles that this process no longer leads. */
   handleLeadershipLost(): void {
     this.isLeading = false;
-    this.activeAt = this.options.clock.readNow();
+    this.activeAt = this.options.clock.getNow();
     this.leases.recordActivity(this.activeAt);
   }
 
@@ -183,7 +183,7 @@
     if (this.readableSince === undefined || !follower.isFollowing()) {
       return undefined;
     }
-    const now = clock.readNow();
+    const now = clock.getNow();
     const rankDelayMs = this.options.isOutranked() ? OUTRANKED_DELAY_MS : 0;
     const inactiveMs = now - this.activeAt;
     if (this.record === undefined) {
@@ -221,7 +221,7 @@
 
   /** Returns true if the leader was active within a time in milliseconds, and after a monotonic time. */
   hasActivitySince(after: number, withinMs: number): boolean {
-    return this.activeAt > after && this.options.clock.readNow() - this.activeAt <= withinMs;
+    return this.activeAt > after && this.options.clock.getNow() - this.activeAt <= withinMs;
   }
 
   private async sendClaim(reason: ClaimReason): Promise<void> {
@@ -230,9 +230,9 @@
     logger.info('Claiming leadership.', {
       epoch,
       reason,
-      silentMs: Math.round(clock.readNow() - this.activeAt),
+      silentMs: Math.round(clock.getNow() - this.activeAt),
     });
-    const claimedAt = clock.readNow();
+    const claimedAt = clock.getNow();
     const response = await client.append({
       topic,
       writes: [{ key: leaderKeys.recordKey, value: this.formatRecord(epoch, false) }],
--- a/packages/peers/ForwardClient.ts
+++ b/packages/peers/ForwardClient.ts
@@ -1,5 +1,5 @@
 import { Pool } from 'undici';
-import { toErrorText } from '../common/toErrorText';
+import { formatError } from '../common/formatError';
 import type { Call } from '../gateway/Call';
 import { headerNames } from '../gateway/headerNames';
 import type { ForwardResult } from './ForwardResult';
@@ -63,7 +63,7 @@
         : { kind: 'answered', answer };
     } catch (thrown) {
       const code = (thrown as { code?: string }).code ?? '';
-      const reason = toErrorText(thrown);
+      const reason = formatError(thrown);
       return NOT_CONNECTED.has(code) ? { kind: 'notSent', reason } : { kind: 'unknown', reason };
     } finally {
       this.underWay -= 1;
--- a/packages/peers/PeerClient.ts
+++ b/packages/peers/PeerClient.ts
@@ -1,8 +1,8 @@
 import { createTRPCClient, createWSClient, wsLink, type TRPCClient } from '@trpc/client';
 import type { ByteCounter } from '../common/ByteCounter';
 import type { Result } from '../common/Result';
-import { toErrorText } from '../common/toErrorText';
-import { startSocket } from '../gateway/startSocket';
+import { formatError } from '../common/formatError';
+import { createConnectedSocket } from '../gateway/createConnectedSocket';
 import { createCountedSocket } from './createCountedSocket';
 import { PEERS } from './constants';
 import type { PeerAddress } from './PeerAddress';
@@ -47,7 +47,7 @@
       return { ok: true, value: await call(AbortSignal.timeout(this.timeoutMs)) };
     } catch (thrown) {
       this.renewSocket();
-      return { ok: false, error: await this.checkRefusal(toErrorText(thrown)) };
+      return { ok: false, error: await this.checkRefusal(formatError(thrown)) };
     }
   }
 
@@ -60,7 +60,7 @@
 
   /** Tells a port that refuses, which proves that nobody listens, from mere silence. */
   private async checkRefusal(reason: string): Promise<PeerError> {
-    const probe = await startSocket({ address: this.address.peers, timeoutMs: this.timeoutMs });
+    const probe = await createConnectedSocket({ address: this.address.peers, timeoutMs: this.timeoutMs });
     if (probe.ok) {
       probe.value.destroy();
       return { kind: 'silent', reason };
--- a/packages/peers/PeerServer.ts
+++ b/packages/peers/PeerServer.ts
@@ -2,9 +2,9 @@
 import { applyWSSHandler } from '@trpc/server/adapters/ws';
 import type { FastifyInstance } from 'fastify';
 import { WebSocketServer } from 'ws';
-import type { CallAnswer } from '../gateway/CallAnswer';
+import type { CallResponse } from '../gateway/CallResponse';
 import type { Call } from '../gateway/Call';
-import { createBufferApp } from '../gateway/createBufferApp';
+import { createRawBodyApp } from '../gateway/createRawBodyApp';
 import { headerNames } from '../gateway/headerNames';
 import { parseCall } from '../gateway/parseCall';
 import type { ByteCounter } from '../common/ByteCounter';
@@ -21,7 +21,7 @@
   readonly bodyLimit: number;
   readonly counter: ByteCounter;
   readonly handlers: PeerHandlers;
-  readonly handleCall: (call: Call, signal: AbortSignal) => Promise<CallAnswer>;
+  readonly handleCall: (call: Call, signal: AbortSignal) => Promise<CallResponse>;
 }
 
 interface ForwardRoute {
@@ -34,7 +34,7 @@
   private readonly sockets: WebSocketServer;
 
   constructor(private readonly options: PeerServerOptions) {
-    this.app = createBufferApp(options.bodyLimit);
+    this.app = createRawBodyApp(options.bodyLimit);
     this.app.post<ForwardRoute>('/forward/:row', async (request, reply) => {
       const id = toId<RequestId>(String(request.headers[headerNames.request] ?? ''));
       const body = (request.body as Buffer | undefined) ?? Buffer.alloc(0);
@@ -57,7 +57,7 @@
       return reply.code(200).headers(formatted.headers).type('application/octet-stream').send(formatted.body);
     });
     this.sockets = new WebSocketServer({ server: this.app.server, path: PEERS.path, maxPayload: 8_388_608 });
-    this.sockets.on('connection', (_socket, request) => options.counter.recordSocket(request.socket));
+    this.sockets.on('connection', (_socket, request) => options.counter.addSocket(request.socket));
     applyWSSHandler({ wss: this.sockets, router: createPeerRouter(options.handlers) });
   }
 
--- a/packages/peers/createCountedSocket.ts
+++ b/packages/peers/createCountedSocket.ts
@@ -6,7 +6,7 @@
   class CountedSocket extends WebSocket {
     constructor(url: string) {
       super(url);
-      this.on('upgrade', (response) => counter.recordSocket(response.socket));
+      this.on('upgrade', (response) => counter.addSocket(response.socket));
     }
   }
   return CountedSocket as unknown as typeof globalThis.WebSocket;
--- a/packages/peers/formatForwardAnswer.ts
+++ b/packages/peers/formatForwardAnswer.ts
@@ -1,4 +1,4 @@
-import type { CallAnswer } from '../gateway/CallAnswer';
+import type { CallResponse } from '../gateway/CallResponse';
 import { headerNames } from '../gateway/headerNames';
 
 interface ForwardAnswer {
@@ -7,7 +7,7 @@
 }
 
 /** Formats an answer for the entry box that sent the call on. */
-export const formatForwardAnswer = (answer: CallAnswer): ForwardAnswer => {
+export const formatForwardAnswer = (answer: CallResponse): ForwardAnswer => {
   const { body, rest } =
     answer.outcome === 'ran'
       ? { body: answer.body, rest: { ...answer, body: undefined } }
--- a/packages/platform/PlatformClient.ts
+++ b/packages/platform/PlatformClient.ts
@@ -4,7 +4,7 @@
 import type { Clock } from '../common/Clock';
 import type { HallId } from '../common/HallId';
 import type { Result } from '../common/Result';
-import { toErrorText } from '../common/toErrorText';
+import { formatError } from '../common/formatError';
 import type { WorkerId } from '../common/WorkerId';
 import type { WorkerReport } from '../ownership/WorkerReport';
 import { createCountedConnector } from './createCountedConnector';
@@ -63,7 +63,7 @@
 
   /** Reads a page from `from` on; with `waitMs` the platform waits that long for a record when there is none. */
   async readPage(stream: StreamName, from: number, waitMs: number): Promise<Result<LogPage, PlatformError>> {
-    const askedAt = this.options.clock.readNow();
+    const askedAt = this.options.clock.getNow();
     const path = `/streams/${encodeURIComponent(stream)}/records?from=${from}&limit=${PAGE_LIMIT}&waitMs=${waitMs}`;
     const timeoutMs = this.options.timeoutMs + waitMs;
     const answer = await this.send({ method: 'GET', path, timeoutMs }, platformSchemas.page);
@@ -132,7 +132,7 @@
     if (signal.aborted) {
       return { kind: 'timeout', afterMs: call.timeoutMs };
     }
-    return { kind: 'unreachable', reason: toErrorText(thrown) };
+    return { kind: 'unreachable', reason: formatError(thrown) };
   }
 
   private parseAnswer<Form extends z.ZodType>(
@@ -152,7 +152,7 @@
             error: { kind: 'badAnswer', reason: parsed.error.issues[0]?.message ?? 'unknown form' },
           };
     } catch (thrown) {
-      return { ok: false, error: { kind: 'badAnswer', reason: toErrorText(thrown) } };
+      return { ok: false, error: { kind: 'badAnswer', reason: formatError(thrown) } };
     }
   }
 }
--- a/packages/platform/StreamReader.ts
+++ b/packages/platform/StreamReader.ts
@@ -1,6 +1,6 @@
 import { Backoff } from '../common/Backoff';
 import type { Random } from '../common/Random';
-import { startDelay } from '../common/startDelay';
+import { waitForDelay } from '../common/waitForDelay';
 import type { LogPage } from './LogPage';
 import type { PlatformClient } from './PlatformClient';
 import type { PlatformError } from './PlatformError';
@@ -44,7 +44,7 @@
         this.options.handlePage(page.value);
       } else {
         this.options.handleError(page.error);
-        await startDelay(backoff.chooseDelay(), this.stopping.signal);
+        await waitForDelay(backoff.computeNextDelay(), this.stopping.signal);
       }
     }
   }
--- a/packages/platform/createCountedConnector.ts
+++ b/packages/platform/createCountedConnector.ts
@@ -8,7 +8,7 @@
   return (options, handleSocket) => {
     connect(options, (...result) => {
       if (result[1] !== null) {
-        counter.recordSocket(result[1] as Socket);
+        counter.addSocket(result[1] as Socket);
       }
       handleSocket(...result);
     });
--- a/packages/replay/readTrace.ts
+++ b/packages/replay/readTrace.ts
@@ -1,7 +1,7 @@
 import { readFileSync } from 'node:fs';
 import { z } from 'zod';
 import type { Result } from '../common/Result';
-import { toErrorText } from '../common/toErrorText';
+import { formatError } from '../common/formatError';
 import type { Trace } from './Trace';
 import type { TraceLine } from './TraceLine';
 
@@ -53,7 +53,7 @@
   try {
     texts = readFileSync(file, 'utf8').trimEnd().split('\n');
   } catch (thrown) {
-    return { ok: false, error: { line: 0, expected: `a readable file: ${toErrorText(thrown)}` } };
+    return { ok: false, error: { line: 0, expected: `a readable file: ${formatError(thrown)}` } };
   }
   const header = headerSchema.safeParse(parseJson(texts[0] ?? ''));
   if (!header.success) {
--- a/packages/serve/ConfigurationDesk.ts
+++ b/packages/serve/ConfigurationDesk.ts
@@ -70,12 +70,12 @@
   /** Milliseconds since the version in force here was known to be the newest, at most. */
   readAgeMs(): number {
     const { clock, readFollowedAt } = this.options;
-    return clock.readLongestSince(Math.max(readFollowedAt(), this.confirmedAt));
+    return clock.getMaxElapsedSince(Math.max(readFollowedAt(), this.confirmedAt));
   }
 
   /** What this box tells another that has a version. */
   readAnswer(knownVersion: number): ConfigurationAnswer {
-    const configuration = this.options.router.readConfiguration();
+    const configuration = this.options.router.getConfiguration();
     const isNewer = configuration !== undefined && configuration.version > knownVersion;
     return { ageMs: this.readAgeMs(), ...(isNewer ? { configuration } : {}) };
   }
@@ -83,9 +83,9 @@
   /** Asks another box when the log does not answer. */
   applyTime(): void {
     const { clock, isFollowing, source } = this.options;
-    const isDue = clock.readNow() - this.askedAt >= ASK_EVERY_MS;
+    const isDue = clock.getNow() - this.askedAt >= ASK_EVERY_MS;
     if (configurationSources[source].asksBoxes && isDue && !this.isAsking && !isFollowing()) {
-      this.askedAt = clock.readNow();
+      this.askedAt = clock.getNow();
       void this.startAsking();
     }
   }
@@ -98,8 +98,8 @@
       return;
     }
     this.isAsking = true;
-    const sentAt = clock.readNow();
-    const version = router.readConfiguration()?.version ?? -1;
+    const sentAt = clock.getNow();
+    const version = router.getConfiguration()?.version ?? -1;
     const answer = await other.client.sendConfigurationQuestion(version, ASK_TIMEOUT_MS);
     this.isAsking = false;
     if (answer === undefined) {
--- a/packages/serve/JobDesk.ts
+++ b/packages/serve/JobDesk.ts
@@ -5,10 +5,10 @@
 import { hasAccess } from '../customers/hasAccess';
 import type { JobCaller } from '../customers/JobCaller';
 import type { JobCustomer } from '../customers/JobCustomer';
-import type { JobOutcome } from '../gateway/JobOutcome';
+import type { JobServiceResult } from '../gateway/JobServiceResult';
 import type { JobService } from '../gateway/JobService';
 import type { JobSubmission } from '../gateway/JobSubmission';
-import type { SubmitAnswer } from '../gateway/SubmitAnswer';
+import type { SubmitResult } from '../gateway/SubmitResult';
 import type { JobDefinition } from '../jobs/JobDefinition';
 import { formatDefinition } from '../jobs/formatDefinition';
 import type { JobId } from '../jobs/JobId';
@@ -75,13 +75,13 @@
 
   constructor(private readonly options: JobDeskOptions) {}
 
-  async writeJob(
+  async createJob(
     id: JobId,
     queue: JobQueue,
     customer: CustomerPolicy | undefined,
     submission: JobSubmission,
     deadline: number,
-  ): Promise<JobOutcome<SubmitAnswer>> {
+  ): Promise<JobServiceResult<SubmitResult>> {
     const { replica, writer, clock, metrics } = this.options;
     const known = replica.getDefinition(id);
     if (known !== undefined) {
@@ -100,13 +100,13 @@
     if (this.isLogOut()) {
       return this.createUnavailable(id, queue.name);
     }
-    const startedAt = clock.readNow();
+    const startedAt = clock.getNow();
     const definition: JobDefinition = {
       id,
       queue,
       ...(customer === undefined ? {} : { customer: this.toJobCustomer(customer) }),
       ...submission,
-      acceptedAtMs: Math.round(clock.readWall()),
+      acceptedAtMs: Math.round(clock.getWallTime()),
     };
     const check = await this.options.door.startCheck(definition, this.readRefreshDeadline(deadline));
     if (check.kind === 'known') {
@@ -118,7 +118,7 @@
     }
     const write = { key: jobKeys.toDefinitionKey(id), value: formatDefinition(definition) };
     const outcome = await writer.writeRecord(write, this.readWriteLimit(startedAt, deadline));
-    const tookMs = Math.round(clock.readNow() - startedAt);
+    const tookMs = Math.round(clock.getNow() - startedAt);
     if (outcome === 'refused') {
       return this.createUnavailable(id, queue.name);
     }
@@ -129,7 +129,7 @@
       return { kind: 'unknown' };
     }
     metrics.recordCount('accepted');
-    metrics.recordTime('acceptMs', clock.readNow() - startedAt);
+    metrics.recordTime('acceptMs', clock.getNow() - startedAt);
     this.recordDecision('Job accepted.', id, queue.name, {
       tookMs,
       priority: queue.priority,
@@ -149,7 +149,7 @@
     known: JobDefinition,
     queue: JobQueue,
     customer: CustomerPolicy | undefined,
-  ): JobOutcome<SubmitAnswer> {
+  ): JobServiceResult<SubmitResult> {
     const isSame = known.queue.name === queue.name && known.customer?.name === customer?.name;
     if (isSame) {
       this.recordDecision('Job was accepted before.', known.id, queue.name, {});
@@ -161,9 +161,13 @@
     return TAKEN;
   }
 
-  async readJob(id: JobId, caller: JobCaller, deadline: number): Promise<JobOutcome<JobState | 'absent'>> {
+  async getJobState(
+    id: JobId,
+    caller: JobCaller,
+    deadline: number,
+  ): Promise<JobServiceResult<JobState | 'absent'>> {
     const { replica, clock, metrics } = this.options;
-    const startedAt = clock.readNow();
+    const startedAt = clock.getNow();
     metrics.recordCount('reads');
     const known = replica.getState(id);
     if (known === undefined) {
@@ -177,7 +181,7 @@
     }
     const isOver = isEnded(replica.getState(id));
     const newest = isOver ? undefined : await this.readNewestState(id, caller, deadline);
-    metrics.recordTime('readMs', clock.readNow() - startedAt);
+    metrics.recordTime('readMs', clock.getNow() - startedAt);
     const held = replica.getState(id);
     const answer = isEnded(held) ? held : (newest ?? held);
     return { kind: 'answered', answer: answer ?? 'absent' };
@@ -196,25 +200,25 @@
     if (isLeading()) {
       return undefined;
     }
-    if (clock.readNow() >= this.askLeaderFrom) {
+    if (clock.getNow() >= this.askLeaderFrom) {
       const timeoutMs = Math.min(LEADER_ANSWER_MS, this.readRefreshLimit(deadline));
       const answer = await startAskingLeader(id, caller, timeoutMs);
       if (answer !== undefined && answer !== 'absent') {
         return answer;
       }
-      this.askLeaderFrom = clock.readNow() + LEADER_AVOID_MS;
+      this.askLeaderFrom = clock.getNow() + LEADER_AVOID_MS;
     }
     await this.startRefresh(statesFollower, deadline);
     return undefined;
   }
 
-  async writeCancel(
+  async cancelJob(
     id: JobId,
     caller: JobCaller,
     deadline: number,
-  ): Promise<JobOutcome<'cancelled' | 'absent'>> {
+  ): Promise<JobServiceResult<'cancelled' | 'absent'>> {
     const { replica, writer, clock, metrics } = this.options;
-    const startedAt = clock.readNow();
+    const startedAt = clock.getNow();
     if (replica.getDefinition(id) === undefined) {
       const isFresh = await this.startRefresh(this.options.jobsFollower, deadline);
       if (replica.getDefinition(id) === undefined) {
@@ -229,7 +233,7 @@
     }
     const write = { key: jobKeys.toCancelKey(id), value: '1' };
     const outcome = await writer.writeRecord(write, this.readWriteLimit(startedAt, deadline));
-    const tookMs = Math.round(clock.readNow() - startedAt);
+    const tookMs = Math.round(clock.getNow() - startedAt);
     this.recordDecision('Cancel.', id, '', { outcome, tookMs });
     if (outcome === 'written') {
       metrics.recordCount('cancels');
@@ -241,7 +245,7 @@
       : { kind: 'unavailable', retryAfterMs: RETRY_AFTER_MS };
   }
 
-  readPendingCount(queueName: string): JobOutcome<number> {
+  countPendingJobs(queueName: string): JobServiceResult<number> {
     const { replica, jobsFollower } = this.options;
     return jobsFollower.getOffset() === undefined
       ? { kind: 'unavailable', retryAfterMs: RETRY_AFTER_MS }
@@ -253,7 +257,7 @@
     id: JobId,
     caller: JobCaller,
     deadline: number,
-  ): Promise<JobOutcome<JobState | 'absent'>> {
+  ): Promise<JobServiceResult<JobState | 'absent'>> {
     const answer = await this.options.startAskingLeader(id, caller, this.readRefreshLimit(deadline));
     return answer === undefined
       ? { kind: 'unavailable', retryAfterMs: RETRY_AFTER_MS }
@@ -276,7 +280,7 @@
     return startedAt + Math.min(WRITE_LIMIT_MS, (deadline - startedAt) * WRITE_SHARE);
   }
 
-  private createUnavailable(id: JobId, queue: string): JobOutcome<never> {
+  private createUnavailable(id: JobId, queue: string): JobServiceResult<never> {
     const failingMs = Math.round(this.options.writer.getOutageMs());
     this.options.metrics.recordCount('notTaken');
     this.recordDecision('Job not taken: the log is out.', id, queue, { failingMs });
@@ -288,11 +292,11 @@
   }
 
   private readRefreshDeadline(deadline: number): number {
-    return this.options.clock.readNow() + this.readRefreshLimit(deadline);
+    return this.options.clock.getNow() + this.readRefreshLimit(deadline);
   }
 
   private readRefreshLimit(deadline: number): number {
-    const leftMs = deadline - this.options.clock.readNow();
+    const leftMs = deadline - this.options.clock.getNow();
     return Math.max(1, Math.min(REFRESH_LIMIT_MS, leftMs));
   }
 
--- a/packages/serve/LeaderHandOver.ts
+++ b/packages/serve/LeaderHandOver.ts
@@ -2,7 +2,7 @@
 import type { BoxClients } from '../boxes/BoxClients';
 import type { BoxDirectory } from '../boxes/BoxDirectory';
 import type { Clock } from '../common/Clock';
-import { startDelay } from '../common/startDelay';
+import { waitForDelay } from '../common/waitForDelay';
 import type { LeaderController } from '../dispatch/LeaderController';
 import type { ServeSettings } from './ServeSettings';
 
@@ -47,7 +47,7 @@
   constructor(private readonly options: LeaderHandOverOptions) {}
 
   recordElected(): void {
-    this.leadingSince = this.options.clock.readNow();
+    this.leadingSince = this.options.clock.getNow();
   }
 
   /** Looks whether another box would lead better. */
@@ -61,7 +61,7 @@
       this.startOnce(() => this.startLeavingToServed());
       return;
     }
-    const isSettled = clock.readNow() - this.leadingSince > SETTLED_MS;
+    const isSettled = clock.getNow() - this.leadingSince > SETTLED_MS;
     if (isSettled && directory.readStronger(settings).length > 0) {
       this.startOnce(() => this.startLeavingToStronger());
     }
@@ -74,12 +74,12 @@
   async startLeaving(): Promise<void> {
     const { clock, settings, boxes, readDuty, readEpoch, handleLeft } = this.options;
     this.isHandingOver = true;
-    const until = clock.readNow() + settings.graceMs - STOP_RESERVE_MS;
-    while ((readDuty()?.getLogOutageMs() ?? 0) > 0 && clock.readNow() < until) {
+    const until = clock.getNow() + settings.graceMs - STOP_RESERVE_MS;
+    while ((readDuty()?.getLogOutageMs() ?? 0) > 0 && clock.getNow() < until) {
       if ((await boxes.startChoosingLogUser()) !== undefined) {
         break;
       }
-      await startDelay(LEAVE_POLL_MS);
+      await waitForDelay(LEAVE_POLL_MS);
     }
     const duty = readDuty();
     if (duty === undefined) {
@@ -101,7 +101,7 @@
 
   /** A leader on a weak box hands over to a stronger one, which can do more of the same work in time. */
   private async startLeavingToStronger(): Promise<void> {
-    this.leadingSince = this.options.clock.readNow();
+    this.leadingSince = this.options.clock.getNow();
     const next = await this.options.boxes.startChoosingStronger();
     const duty = this.options.readDuty();
     if (next !== undefined && duty?.getLogOutageMs() === 0) {
@@ -117,7 +117,7 @@
       return;
     }
     startCallsAgain();
-    await startDelay(RETURN_CHECK_MS);
+    await waitForDelay(RETURN_CHECK_MS);
     const canRead = await startLogRead();
     const duty = readDuty();
     if (duty === undefined || duty.getLogOutageMs() === 0) {
--- a/packages/serve/LeaderIntroducer.ts
+++ b/packages/serve/LeaderIntroducer.ts
@@ -64,7 +64,7 @@
     if (introduction === undefined) {
       return;
     }
-    const now = this.options.clock.readNow();
+    const now = this.options.clock.getNow();
     if (introduction.record.epoch !== this.ledEpoch) {
       this.ledEpoch = introduction.record.epoch;
       this.ledSince = now;
@@ -100,7 +100,7 @@
     }
     if (told.tries < MAX_TRIES) {
       const retryMs = Math.min(MAX_RETRY_MS, FIRST_RETRY_MS * 2 ** (told.tries - 1));
-      told.nextAt = this.options.clock.readNow() + retryMs;
+      told.nextAt = this.options.clock.getNow() + retryMs;
       return;
     }
     this.options.logger.info('A box does not answer the leader.', {
--- a/packages/serve/LeaderWriter.ts
+++ b/packages/serve/LeaderWriter.ts
@@ -85,7 +85,7 @@
     if (contact.kind !== 'known') {
       return { leader: undefined, why: contact.kind };
     }
-    if (clock.readNow() - this.unansweredAt < AVOID_MS) {
+    if (clock.getNow() - this.unansweredAt < AVOID_MS) {
       return { leader: undefined, why: 'avoided' };
     }
     const isAlive = !isReadingSigns() || hasSignSince(this.unansweredAt, SIGN_AGE_MS);
@@ -110,21 +110,21 @@
     // A box in a hall that is cut off reaches neither the log nor the leader. A question that can do no harm finds out, so that its
     // caller is told truthfully that nothing was taken, and after 0.2 s.
     if (!isReadingSigns()) {
-      const askedAt = clock.readNow();
+      const askedAt = clock.getNow();
       const log = await leader.sendLogQuestion();
       if (log !== 'usable') {
-        this.unansweredAt = clock.readNow();
-        const tookMs = Math.round(clock.readNow() - askedAt);
+        this.unansweredAt = clock.getNow();
+        const tookMs = Math.round(clock.getNow() - askedAt);
         logger.info('The leader is not asked to write.', { record: write.key, log, tookMs });
         return 'refused';
       }
     }
-    const sentAt = clock.readNow();
+    const sentAt = clock.getNow();
     const timeoutMs = Math.max(1, Math.min(this.answerMs, deadline - sentAt));
     const outcome = await leader.sendWrite(write, timeoutMs);
-    const tookMs = clock.readNow() - sentAt;
+    const tookMs = clock.getNow() - sentAt;
     if (outcome === undefined) {
-      this.unansweredAt = clock.readNow();
+      this.unansweredAt = clock.getNow();
       logger.info('The leader gives no answer about a write.', {
         record: write.key,
         box: leader.address,
--- a/packages/serve/LoadDoor.ts
+++ b/packages/serve/LoadDoor.ts
@@ -86,7 +86,7 @@
 
   private readLoad(): KnownLoad | undefined {
     const { clock, readEpoch, view } = this.options;
-    return view.getLoad({ now: clock.readNow(), wallMs: clock.readWall(), epoch: readEpoch() });
+    return view.getLoad({ now: clock.getNow(), wallMs: clock.getWallTime(), epoch: readEpoch() });
   }
 
   private chooseAnswer(load: KnownLoad | undefined, newcomer: Newcomer, deadline: number): AdmissionDecision {
@@ -96,8 +96,8 @@
       queue: newcomer.queue,
       customer: newcomer.customer?.name,
       steps: newcomer.steps,
-      dueInMs: Math.max(0, newcomer.firstRunMs - clock.readWall()),
-      leftMs: deadline - clock.readNow(),
+      dueInMs: Math.max(0, newcomer.firstRunMs - clock.getWallTime()),
+      leftMs: deadline - clock.getNow(),
     });
   }
 
--- a/packages/serve/OtherBoxes.ts
+++ b/packages/serve/OtherBoxes.ts
@@ -2,7 +2,7 @@
 import { BoxDirectory } from '../boxes/BoxDirectory';
 import type { Clock } from '../common/Clock';
 import type { Logger } from '../common/Logger';
-import { startDelay } from '../common/startDelay';
+import { waitForDelay } from '../common/waitForDelay';
 import type { JobCaller } from '../customers/JobCaller';
 import type { JobId } from '../jobs/JobId';
 import type { JobState } from '../jobs/JobState';
@@ -58,11 +58,11 @@
     const { clock, isStopping } = this.options;
     const write = this.createAnnouncement();
     while (!isStopping()) {
-      const outcome = await writer.writeRecord(write, clock.readNow() + ANNOUNCE_LIMIT_MS);
+      const outcome = await writer.writeRecord(write, clock.getNow() + ANNOUNCE_LIMIT_MS);
       if (outcome === 'written') {
         return;
       }
-      await startDelay(ANNOUNCE_AGAIN_MS);
+      await waitForDelay(ANNOUNCE_AGAIN_MS);
     }
   }
 
--- a/packages/serve/ServeAdapter.ts
+++ b/packages/serve/ServeAdapter.ts
@@ -1,6 +1,6 @@
 import type { Result } from '../common/Result';
 import type { AdviceClient } from '../dispatch/advice/AdviceClient';
-import type { CallerGate } from '../gateway/CallerGate';
+import type { CallerAuthorizer } from '../gateway/CallerAuthorizer';
 import type { EndpointClient } from '../dispatch/endpoints/EndpointClient';
 import type { EndpointProfile } from '../dispatch/endpoints/EndpointProfile';
 import type { JobService } from '../gateway/JobService';
@@ -13,7 +13,7 @@
   readonly jobs: JobService;
   readonly isReady: () => boolean;
   readonly isLeaving: () => boolean;
-  readonly gate: CallerGate;
+  readonly gate: CallerAuthorizer;
 }
 
 interface CallerServerParts {
--- a/packages/serve/ServeProcess.ts
+++ b/packages/serve/ServeProcess.ts
@@ -2,13 +2,13 @@
 import type { MachineClock } from '../common/MachineClock';
 import type { Logger } from '../common/Logger';
 import type { Random } from '../common/Random';
-import { startDelay } from '../common/startDelay';
+import { waitForDelay } from '../common/waitForDelay';
 import type { AdviceClient } from '../dispatch/advice/AdviceClient';
 import { LeaderController } from '../dispatch/LeaderController';
 import { QueueRouter } from '../gateway/QueueRouter';
 import { formatCustomerMetrics } from '../customers/formatCustomerMetrics';
 import type { JobCaller } from '../customers/JobCaller';
-import { CallerGate } from '../gateway/CallerGate';
+import { CallerAuthorizer } from '../gateway/CallerAuthorizer';
 import type { JobDefinition } from '../jobs/JobDefinition';
 import type { JobId } from '../jobs/JobId';
 import { JobReplica } from '../jobs/JobReplica';
@@ -164,9 +164,9 @@
     this.isStopping = true;
     this.logger.info('Stopping.', { isLeading: this.duty !== undefined });
     this.leadership.stop();
-    const leaveAt = this.options.clock.readNow() + LEAVE_NOTICE_MS;
+    const leaveAt = this.options.clock.getNow() + LEAVE_NOTICE_MS;
     await this.handOver.startLeaving();
-    await startDelay(Math.max(0, leaveAt - this.options.clock.readNow()));
+    await waitForDelay(Math.max(0, leaveAt - this.options.clock.getNow()));
     clearInterval(this.timer);
     this.watch.setLeader(undefined);
     await this.callers.stop();
@@ -183,7 +183,7 @@
 
   /** True while callers should be sent here. */
   isReady(): boolean {
-    return !this.isStopping && this.hasLog() && this.router.readConfiguration() !== undefined;
+    return !this.isStopping && this.hasLog() && this.router.getConfiguration() !== undefined;
   }
 
   /** True while the log answers this box. Topics are read at different paces: whichever notices first counts. */
@@ -204,7 +204,7 @@
     if (this.duty?.isActive() !== true) {
       return undefined;
     }
-    const outcome = await this.jobs.readJob(id, caller, this.options.clock.readNow() + timeoutMs);
+    const outcome = await this.jobs.getJobState(id, caller, this.options.clock.getNow() + timeoutMs);
     return outcome.kind === 'answered' ? outcome.answer : undefined;
   }
 
@@ -213,7 +213,7 @@
     if (this.isStopping || this.writer.getOutageMs() > LOG_OUT_MS) {
       return 'refused';
     }
-    const deadline = this.options.clock.readNow() + timeoutMs * FORWARDED_SHARE;
+    const deadline = this.options.clock.getNow() + timeoutMs * FORWARDED_SHARE;
     const outcome = await this.writer.writeRecord(write, deadline);
     if (outcome === 'written') {
       this.handleJobWrites([write]);
@@ -255,7 +255,7 @@
       logger: this.options.createPartLogger('jobs'),
       metrics: this.metrics,
       readEpoch: () => this.leadership.getRecord()?.epoch,
-      startJobsRefresh: (deadline) => this.followers.jobs.waitForRefresh(deadline - clock.readNow()),
+      startJobsRefresh: (deadline) => this.followers.jobs.waitForRefresh(deadline - clock.getNow()),
       isKnown: (id) => this.replica.getDefinition(id) !== undefined,
     });
   }
@@ -281,7 +281,7 @@
       directory: this.others.directory,
       readDuty: () => this.duty,
       readEpoch: () => this.leadership.getRecord()?.epoch ?? 0,
-      startCallsAgain: () => this.handleLogBack(clock.readNow()),
+      startCallsAgain: () => this.handleLogBack(clock.getNow()),
       startLogRead: () => this.followers.jobs.waitForRefresh(FRESH_LOG_MS),
       handleLeft: () => {
         this.duty = undefined;
@@ -312,7 +312,7 @@
 
   private foldLoad(records: readonly LogWrite[]): void {
     const epoch = this.leadership.getRecord()?.epoch ?? 0;
-    const refusedCount = this.load.foldRecords(records, this.options.clock.readNow(), epoch);
+    const refusedCount = this.load.foldRecords(records, this.options.clock.getNow(), epoch);
     if (refusedCount > 0) {
       this.metrics.recordCount('digestsRefused', refusedCount);
       this.logger.warn('Load that no leader has told is passed over.', { records: refusedCount, epoch });
@@ -327,7 +327,7 @@
   }
 
   private handleJobRecords(records: readonly LogRecord[]): void {
-    this.others.directory.foldRecords(records, this.options.clock.readNow());
+    this.others.directory.foldRecords(records, this.options.clock.getNow());
     this.handleJobWrites(records);
   }
 
@@ -354,16 +354,16 @@
     });
   }
 
-  private createGate(): CallerGate {
-    return new CallerGate({
+  private createGate(): CallerAuthorizer {
+    return new CallerAuthorizer({
       router: this.router,
       isFresh: () => this.configuration.isFresh(),
-      handleRefused: (queue, reason) => {
+      handleRejected: (queue, reason) => {
         this.metrics.recordCount('keysRefused');
         this.logger.info('Call refused for its key.', {
           queue,
           reason,
-          configuration: this.router.readConfiguration()?.version,
+          configuration: this.router.getConfiguration()?.version,
           configurationAgeMs: Math.round(this.configuration.readAgeMs()),
         });
       },
@@ -408,7 +408,7 @@
       ...(admissionModes[settings.door].isLoadPublished
         ? { handleLoadDigest: (value) => this.foldLoad([{ key: loadKeys.digestKey, value }]) }
         : {}),
-      getLimit: (customer) => this.router.readCustomers().findByName(customer)?.limit,
+      getLimit: (customer) => this.router.getCustomers().findByName(customer)?.limit,
       parseEndpoint: (id, text) => adapter.parseEndpoint(id, text),
       createEndpointClient: (profile, readToken) => adapter.createEndpointClient(profile, readToken),
       isServiceRouted: (service) => this.router.hasService(service),
@@ -447,14 +447,14 @@
     if (this.duty?.isHeartbeatFresh() === true && !this.isStopping && this.writer.getOutageMs() === 0) {
       return true;
     }
-    const askedAt = clock.readNow();
+    const askedAt = clock.getNow();
     const isReading = await this.followers.states.waitForRefresh(FRESH_LOG_MS);
     const failingMs = this.writer.getOutageMs();
     const isUsable = isReading && failingMs === 0 && !this.isStopping;
     if (!isUsable) {
       this.logger.info('Another box was told that the log cannot be used from here.', {
         isReading,
-        readMs: Math.round(clock.readNow() - askedAt),
+        readMs: Math.round(clock.getNow() - askedAt),
         writesFailingMs: Math.round(failingMs),
         isStopping: this.isStopping,
       });
@@ -484,7 +484,7 @@
       liveJobs: this.duty?.getDispatcher().countJobs() ?? 0,
       slowEndpoints: speeds?.slow ?? 0,
       fastEndpoints: speeds?.fast ?? 0,
-      configurationVersion: this.router.readConfiguration()?.version ?? 0,
+      configurationVersion: this.router.getConfiguration()?.version ?? 0,
       logWriteFailingMs: Math.round(this.writer.getOutageMs()),
       readingOperatorTopic: Number(this.followers.operator.isFollowing()),
       readingStatesTopic: Number(this.followers.states.isFollowing()),
@@ -499,16 +499,16 @@
   private readLoadGauges(): Readonly<Record<string, number>> {
     const { clock } = this.options;
     const epoch = this.leadership.getRecord()?.epoch;
-    const ageMs = this.load.getAgeMs({ now: clock.readNow(), wallMs: clock.readWall(), epoch });
+    const ageMs = this.load.getAgeMs({ now: clock.getNow(), wallMs: clock.getWallTime(), epoch });
     return ageMs === undefined ? {} : { loadDigestAgeMs: Math.round(ageMs) };
   }
 
   /** Nobody but the leader knows what runs. */
   private formatCustomers(): string {
     const dispatcher = this.duty?.getDispatcher();
-    const wallMs = this.options.clock.readWall();
+    const wallMs = this.options.clock.getWallTime();
     return dispatcher === undefined
       ? ''
-      : formatCustomerMetrics(readCustomerFigures(this.router.readCustomers(), dispatcher, wallMs));
+      : formatCustomerMetrics(readCustomerFigures(this.router.getCustomers(), dispatcher, wallMs));
   }
 }
--- a/packages/settings/readSettings.ts
+++ b/packages/settings/readSettings.ts
@@ -9,7 +9,7 @@
 } from 'jsonc-parser';
 import type { Result } from '../common/Result';
 import type { RowName } from '../common/RowName';
-import { toErrorText } from '../common/toErrorText';
+import { formatError } from '../common/formatError';
 import { toId } from '../common/toId';
 import { checkRow } from '../table/checkRow';
 import { formatTableError } from '../table/formatTableError';
@@ -96,7 +96,7 @@
   try {
     text = readFileSync(file, 'utf8');
   } catch (thrown) {
-    return { ok: false, error: [{ path: '', line: 0, expected: `a readable file: ${toErrorText(thrown)}` }] };
+    return { ok: false, error: [{ path: '', line: 0, expected: `a readable file: ${formatError(thrown)}` }] };
   }
   const syntaxErrors: ParseError[] = [];
   const root = parseTree(text, syntaxErrors, { allowTrailingComma: true });
--- a/packages/standins/platform/LogStandin.ts
+++ b/packages/standins/platform/LogStandin.ts
@@ -1,5 +1,5 @@
 import { createServer, type IncomingMessage, type Server, type ServerResponse } from 'node:http';
-import { startDelay } from '../../common/startDelay';
+import { waitForDelay } from '../../common/waitForDelay';
 import { sendJson } from '../sendJson';
 import { startListening } from '../startListening';
 import { KeyedTopic } from './KeyedTopic';
@@ -178,12 +178,12 @@
       return false;
     }
     this.busyUntil.set(topic, startsAt + this.slowMs);
-    await startDelay(startsAt + this.slowMs - now);
+    await waitForDelay(startsAt + this.slowMs - now);
     return true;
   }
 
   private async handleRead({ url, response, link }: LogCall): Promise<void> {
-    await startDelay(this.slowMs);
+    await waitForDelay(this.slowMs);
     const topic = this.readTopic(url.searchParams.get('topic') ?? '');
     const from = Number(url.searchParams.get('from-rev'));
     const waitMs = Number(url.searchParams.get('wait-ms') ?? 0);
--- a/packages/store/ExclusiveWriter.ts
+++ b/packages/store/ExclusiveWriter.ts
@@ -1,5 +1,5 @@
 import type { Clock } from '../common/Clock';
-import { startDelay } from '../common/startDelay';
+import { waitForDelay } from '../common/waitForDelay';
 import { appendRules } from './appendRules';
 import { Interruption } from './Interruption';
 import type { LogClient } from './LogClient';
@@ -67,7 +67,7 @@
 
   /** Returns for how long appends have failed, in milliseconds; 0 after a success. */
   getOutageMs(): number {
-    return this.failingSince === undefined ? 0 : this.options.clock.readNow() - this.failingSince;
+    return this.failingSince === undefined ? 0 : this.options.clock.getNow() - this.failingSince;
   }
 
   /** Calls the handler once everything queued so far is durable, which may be at once. */
@@ -94,14 +94,14 @@
 
   /** Resolves once everything queued is durable, or after the timeout. */
   async waitForFlush(timeoutMs: number): Promise<void> {
-    const until = this.options.clock.readNow() + timeoutMs;
-    while (this.isSending && this.options.clock.readNow() < until) {
-      await startDelay(5);
+    const until = this.options.clock.getNow() + timeoutMs;
+    while (this.isSending && this.options.clock.getNow() < until) {
+      await waitForDelay(5);
     }
   }
 
   private async sendQueued(): Promise<void> {
-    await startDelay(this.options.lingerMs);
+    await waitForDelay(this.options.lingerMs);
     while (this.dirty.size > 0 && !this.isStopped) {
       const writes = this.createBatch();
       // Handlers wait until no change is left for the next append, since theirs may be among those left.
@@ -138,7 +138,7 @@
     this.sequence += 1;
     let timeoutMs: number = appendRules.initialTimeoutMs;
     while (!this.isStopped) {
-      const sentAt = clock.readNow();
+      const sentAt = clock.getNow();
       const writer = { producer, epoch, sequence: this.sequence };
       const response = await this.interruption.waitFor(client.append({ topic, writes, writer, timeoutMs }));
       if (this.hasStopped()) {
@@ -160,14 +160,14 @@
       const detail = response.error.kind === 'forgotten' ? 'forgotten' : response.error.detail;
       this.recordConnection(false, detail, sentAt);
       timeoutMs = Math.min(appendRules.maxTimeoutMs, timeoutMs * 2);
-      await startDelay(RETRY_DELAY_MS);
+      await waitForDelay(RETRY_DELAY_MS);
     }
     return false;
   }
 
   private recordConnection(isConnected: boolean, detail: string, sentAt: number): void {
     if ((this.failingSince === undefined) !== isConnected) {
-      this.failingSince = isConnected ? undefined : this.options.clock.readNow();
+      this.failingSince = isConnected ? undefined : this.options.clock.getNow();
       this.options.handleConnection(isConnected, detail, sentAt);
     }
   }
--- a/packages/store/LogFollower.ts
+++ b/packages/store/LogFollower.ts
@@ -1,8 +1,8 @@
 import { Backoff } from '../common/Backoff';
 import type { Clock } from '../common/Clock';
 import type { Random } from '../common/Random';
-import { startBounded } from '../common/startBounded';
-import { startDelay } from '../common/startDelay';
+import { waitWithTimeout } from '../common/waitWithTimeout';
+import { waitForDelay } from '../common/waitForDelay';
 import { Interruption } from './Interruption';
 import type { LogClient } from './LogClient';
 import type { LogError } from './LogError';
@@ -77,7 +77,7 @@
     this.generation += 1;
     const { generation } = this;
     while (this.isCurrent(generation)) {
-      this.sentAt = this.options.clock.readNow();
+      this.sentAt = this.options.clock.getNow();
       const read = this.offset === undefined ? this.readFirst() : this.readNext(this.offset);
       const error = await this.interruption.waitFor(read.then((failure) => failure ?? 'done'));
       if (!this.isCurrent(generation)) {
@@ -93,10 +93,10 @@
         this.offset = undefined;
         this.newest = new NewestReader(this.options.client, this.options.topic);
         // Avoids a tight loop of full reads when the log retains too little.
-        await this.waitPause(this.backoff.chooseDelay());
+        await this.waitPause(this.backoff.computeNextDelay());
       } else {
         this.recordFailure(error);
-        await this.waitPause(this.backoff.chooseDelay());
+        await this.waitPause(this.backoff.computeNextDelay());
       }
     }
   }
@@ -151,7 +151,7 @@
    * the whole topic has not been read.
    */
   waitForRefresh(timeoutMs: number): Promise<boolean> {
-    return startBounded(this.queueRefresh(timeoutMs), timeoutMs, false);
+    return waitWithTimeout(this.queueRefresh(timeoutMs), timeoutMs, false);
   }
 
   private queueRefresh(timeoutMs: number): Promise<boolean> {
@@ -189,7 +189,7 @@
   /** Reads pages of the newest records until the topic is complete or a read fails. The next attempt resumes after the last page. */
   private async readFirst(): Promise<LogError | undefined> {
     while (this.offset === undefined && !this.isStopped) {
-      this.dueAt = this.options.clock.readNow() + this.timeoutMs;
+      this.dueAt = this.options.clock.getNow() + this.timeoutMs;
       const page = await this.newest.readPage(this.timeoutMs);
       if (!page.ok) {
         return page.error;
@@ -207,7 +207,7 @@
     // No long poll after a failure, so that recovery of the log is noticed early.
     const waitMs = this.isConnected ? this.options.pollMs : 0;
     const timeoutMs = waitMs + this.timeoutMs;
-    this.dueAt = this.options.clock.readNow() + timeoutMs;
+    this.dueAt = this.options.clock.getNow() + timeoutMs;
     const response = await client.readRecords({ topic, fromOffset: offset, waitMs, timeoutMs });
     if (!response.ok) {
       return response.error;
@@ -236,7 +236,7 @@
   }
 
   private recordResponse(): void {
-    this.lastSuccessAt = Math.max(this.lastSuccessAt, Math.min(this.options.clock.readNow(), this.dueAt));
+    this.lastSuccessAt = Math.max(this.lastSuccessAt, Math.min(this.options.clock.getNow(), this.dueAt));
     this.timeoutMs = CALL_TIMEOUT_MS;
     this.hasResponded = true;
     this.isFailing = false;
@@ -261,20 +261,20 @@
       return;
     }
     this.pauseAbort = new AbortController();
-    await startDelay(ms, this.pauseAbort.signal);
+    await waitForDelay(ms, this.pauseAbort.signal);
     this.pauseAbort = undefined;
   }
 
   /** Reads until all records before `offset` have been handled. Resolves to false after the timeout. */
   async waitForOffset(offset: number, timeoutMs: number): Promise<boolean> {
-    const until = this.options.clock.readNow() + timeoutMs;
+    const until = this.options.clock.getNow() + timeoutMs;
     while ((this.offset ?? 0) < offset) {
-      const leftMs = until - this.options.clock.readNow();
+      const leftMs = until - this.options.clock.getNow();
       if (leftMs <= 0 || this.isStopped) {
         return false;
       }
       if (!(await this.waitForRefresh(leftMs))) {
-        await startDelay(RETRY_DELAY_MS);
+        await waitForDelay(RETRY_DELAY_MS);
       }
     }
     return true;
--- a/packages/store/LogWriter.ts
+++ b/packages/store/LogWriter.ts
@@ -1,6 +1,6 @@
 import type { Clock } from '../common/Clock';
 import type { Random } from '../common/Random';
-import { startDelay } from '../common/startDelay';
+import { waitForDelay } from '../common/waitForDelay';
 import { appendRules } from './appendRules';
 import { Interruption } from './Interruption';
 import type { LogClient } from './LogClient';
@@ -59,7 +59,7 @@
 
   /** Returns for how long appends have failed, in milliseconds; 0 after a success. */
   getOutageMs(): number {
-    return this.failingSince === undefined ? 0 : this.options.clock.readNow() - this.failingSince;
+    return this.failingSince === undefined ? 0 : this.options.clock.getNow() - this.failingSince;
   }
 
   /** Retries the pending append at once if appends have been failing. Called when the log is known to have recovered. */
@@ -70,7 +70,7 @@
   }
 
   private async sendQueued(): Promise<void> {
-    await startDelay(this.options.lingerMs);
+    await waitForDelay(this.options.lingerMs);
     while (this.queued.length > 0) {
       const isWritten = await this.sendBatch(this.createBatch());
       if (!isWritten) {
@@ -89,8 +89,8 @@
     const { clock, probe } = this.options;
     this.isProbing = true;
     while (this.failingSince !== undefined) {
-      await startDelay(PROBE_PAUSE_MS * (1 + this.options.random()));
-      await this.writeRecord(probe, clock.readNow() + PROBE_TIMEOUT_MS);
+      await waitForDelay(PROBE_PAUSE_MS * (1 + this.options.random()));
+      await this.writeRecord(probe, clock.getNow() + PROBE_TIMEOUT_MS);
     }
     this.isProbing = false;
   }
@@ -131,13 +131,13 @@
       }
       this.recordFailure(response.error);
       mayBeWritten = mayBeWritten || response.error.kind === 'unknown';
-      const now = this.options.clock.readNow() + RETRY_DELAY_MS;
+      const now = this.options.clock.getNow() + RETRY_DELAY_MS;
       pending
         .filter(({ deadline }) => deadline <= now)
         .forEach(({ resolve }) => resolve(mayBeWritten ? 'unknown' : 'refused'));
       pending = pending.filter(({ deadline }) => deadline > now);
       if (pending.length > 0) {
-        await startDelay(RETRY_DELAY_MS);
+        await waitForDelay(RETRY_DELAY_MS);
       }
     }
     return false;
@@ -145,7 +145,7 @@
 
   private computeMaxRemainingMs(pending: readonly QueuedWrite[]): number {
     const latest = Math.max(...pending.map(({ deadline }) => deadline));
-    return Math.max(1, latest - this.options.clock.readNow());
+    return Math.max(1, latest - this.options.clock.getNow());
   }
 
   private recordSuccess(): void {
@@ -154,7 +154,7 @@
   }
 
   private recordFailure(error: LogError): void {
-    this.failingSince ??= this.options.clock.readNow();
+    this.failingSince ??= this.options.clock.getNow();
     if (error.kind === 'unknown') {
       this.timeoutMs = Math.min(appendRules.maxTimeoutMs, this.timeoutMs * 2);
     }
--- a/packages/timeline/Timeline.ts
+++ b/packages/timeline/Timeline.ts
@@ -29,7 +29,12 @@
   recordEvent(entry: TimelineEntry): void {
     const name = entry.request === undefined ? 'other' : 'request';
     const ring = this.rings[name];
-    const event = { stamp: this.options.clock.createStamp(), box: this.options.box, detail: {}, ...entry };
+    const event = {
+      stamp: this.options.clock.createTimestamp(),
+      box: this.options.box,
+      detail: {},
+      ...entry,
+    };
     if (ring.length < this.options.capacity) {
       ring.push(event);
       return;
--- a/tests/acknowledgedEnds.test.ts
+++ b/tests/acknowledgedEnds.test.ts
@@ -8,7 +8,7 @@
 import { EndpointState } from '../packages/dispatch/endpoints/EndpointState';
 import { EndpointSession } from '../packages/dispatch/endpoints/EndpointSession';
 import type { PollResult } from '../packages/dispatch/endpoints/PollResult';
-import { startDelay } from '../packages/common/startDelay';
+import { waitForDelay } from '../packages/common/waitForDelay';
 import { systemClock } from '../packages/common/systemClock';
 import { toId } from '../packages/common/toId';
 import type { EndpointId } from '../packages/jobs/EndpointId';
@@ -61,7 +61,7 @@
       const order = { task: toTask(number), run: 1, spec: String(RUN_MS), checkpoint: '', ticket: '' };
       expect(await client.sendStart(order, 4000, 500)).toEqual({ kind: 'done' });
     }
-    await startDelay(3 * RUN_MS);
+    await waitForDelay(3 * RUN_MS);
   };
 
   /** Ends the incarnation and starts the next one at once, with ends that no poll has listed. */
@@ -82,12 +82,12 @@
       clock: systemClock,
       isRenewing: () => true,
       handleResponse: () => {
-        endpoint.recordResponse(systemClock.readNow());
+        endpoint.recordResponse(systemClock.getNow());
         return true;
       },
       handleOtherIncarnation: () => undefined,
       handleStatus: handleHeld,
-      handleUnreachable: () => endpoint.recordUnreachable(systemClock.readNow()),
+      handleUnreachable: () => endpoint.recordUnreachable(systemClock.getNow()),
       handleGone: () => undefined,
       handleFenced: () => undefined,
     });
@@ -132,11 +132,11 @@
     });
     void session.run();
     while (polls.length < 2) {
-      await startDelay(5);
+      await waitForDelay(5);
     }
     const next = await startNextIncarnation();
     resume();
-    await startDelay(700);
+    await waitForDelay(700);
     expect(witness.readProblems()).toEqual([]);
     expect(await countEnds(next)).toBe(TASKS);
   });
@@ -153,7 +153,7 @@
     });
     void session.run();
     while (count < 2) {
-      await startDelay(5);
+      await waitForDelay(5);
     }
     const next = await startNextIncarnation();
     await session.sendExtraPoll();
--- a/tests/admission.test.ts
+++ b/tests/admission.test.ts
@@ -120,7 +120,7 @@
     this.door = new LoadDoor({
       door,
       view: this.view,
-      clock: { readNow: () => this.now, readWall: () => this.now },
+      clock: { getNow: () => this.now, getWallTime: () => this.now },
       logger: { info: handleLine, warn: handleLine, error: handleLine },
       metrics: this.metrics,
       readEpoch: () => this.epoch,
--- a/tests/configurationDesk.test.ts
+++ b/tests/configurationDesk.test.ts
@@ -35,7 +35,7 @@
       adapter: { configurationKey: KEY, parseConfiguration },
       router: this.router,
       source,
-      clock: { readNow, readWall: readNow, readLongestSince: (since) => readNow() - since },
+      clock: { getNow: readNow, getWallTime: readNow, getMaxElapsedSince: (since) => readNow() - since },
       random: createRandom(seed),
       logger: { info: record, warn: record, error: record },
       maxAgeMs,
@@ -46,11 +46,11 @@
   }
 
   readVersion(): number {
-    return this.router.readConfiguration()?.version ?? -1;
+    return this.router.getConfiguration()?.version ?? -1;
   }
 
   readWorkingKeys(): readonly string[] {
-    return ALL_KEYS.filter((key) => this.router.readCustomers().findByKey(key) !== undefined);
+    return ALL_KEYS.filter((key) => this.router.getCustomers().findByKey(key) !== undefined);
   }
 
   handleText(text: string): void {
--- a/tests/crashes.test.ts
+++ b/tests/crashes.test.ts
@@ -4,7 +4,7 @@
  */
 import { afterEach, describe, expect, it } from 'vitest';
 import { createRandom } from '../packages/common/createRandom';
-import { startDelay } from '../packages/common/startDelay';
+import { waitForDelay } from '../packages/common/waitForDelay';
 import { toId } from '../packages/common/toId';
 import type { JobDefinition } from '../packages/jobs/JobDefinition';
 import type { TaskName } from '../packages/jobs/TaskName';
@@ -32,7 +32,7 @@
 
 const REST_MS = 5;
 /** Yields to the test runner, which takes a worker for dead that blocks for too long. */
-afterEach(() => startDelay(REST_MS));
+afterEach(() => waitForDelay(REST_MS));
 
 describe('tasks that crash their endpoints', () => {
   it('reach the crash limit after a few crashes, across changes of leader, while other jobs complete', () => {
--- a/tests/customers.test.ts
+++ b/tests/customers.test.ts
@@ -66,9 +66,9 @@
   const router = createRouter(createConfiguration(1, TENANTS));
 
   const checkHeader = (path: string, header: string | undefined, isFresh = true) => {
-    const { isOpen } = router.readRoute('jobs.example', path)!;
+    const { isOpen } = router.findRoute('jobs.example', path)!;
     const key = parseCallerKey(header);
-    const check = checkCaller({ key, isOpen, customers: router.readCustomers(), isFresh });
+    const check = checkCaller({ key, isOpen, customers: router.getCustomers(), isFresh });
     return check.kind === 'admitted' ? (check.customer?.name ?? 'nobody') : check;
   };
 
@@ -99,8 +99,8 @@
   });
 
   it('are optional everywhere when the configuration has no list of customers, and required by default when it has', () => {
-    expect(createRouter(createConfiguration(1)).readRoute('jobs.example', '/jobs/')?.isOpen).toBe(true);
-    expect(createRouter(createConfiguration(1, [])).readRoute('jobs.example', '/jobs/')?.isOpen).toBe(false);
+    expect(createRouter(createConfiguration(1)).findRoute('jobs.example', '/jobs/')?.isOpen).toBe(true);
+    expect(createRouter(createConfiguration(1, [])).findRoute('jobs.example', '/jobs/')?.isOpen).toBe(false);
   });
 
   it('are neither admitted nor refused on closed queues while a fresh configuration is required and missing', () => {
@@ -117,18 +117,18 @@
     }
     expect(changing.applyConfiguration(newer.value)).toBe(true);
     expect(changing.applyConfiguration(older.value)).toBe(false);
-    expect(changing.readCustomers().findByKey(KEYS.clinic)).toBeUndefined();
-    expect(changing.readCustomers().findByKey(KEYS.builders)).toBeUndefined();
-    expect(changing.readCustomers().findByKey(KEYS.clinicSecond)?.name).toBe('clinic');
+    expect(changing.getCustomers().findByKey(KEYS.clinic)).toBeUndefined();
+    expect(changing.getCustomers().findByKey(KEYS.builders)).toBeUndefined();
+    expect(changing.getCustomers().findByKey(KEYS.clinicSecond)?.name).toBe('clinic');
   });
 
   it('are stored and sent to other boxes as digests only', () => {
-    const stored = JSON.stringify(router.readConfiguration());
+    const stored = JSON.stringify(router.getConfiguration());
     Object.values(KEYS).forEach((key) => expect(stored).not.toContain(key));
     expect(stored).toContain(toKeyDigest(KEYS.clinic));
     const sent = configurationSchema.parse(JSON.parse(stored));
     expect(new CustomerDirectory(sent.customers).findByKey(KEYS.clinic)?.name).toBe('clinic');
-    expect(sent).toEqual(router.readConfiguration());
+    expect(sent).toEqual(router.getConfiguration());
   });
 });
 
--- a/tests/endpointFence.test.ts
+++ b/tests/endpointFence.test.ts
@@ -32,7 +32,7 @@
     client = new EndpointClient({
       address,
       maxConnections: 8,
-      answerLimit: 1_000_000,
+      maxResponseBytes: 1_000_000,
       connectTimeoutMs: 500,
       clock: systemClock,
     });
@@ -53,9 +53,9 @@
       task,
       row: 'plan-refresh',
       callerRequest: task,
-      need: NEED,
+      demand: NEED,
       timeLimitMs: 3000,
-      readEndsAt: () => systemClock.readNow() + 3000,
+      getDeadline: () => systemClock.getNow() + 3000,
       body: Buffer.from('body'),
       headers: { 'x-run-ms': String(runMs) },
       hasRight: () => true,
--- a/tests/executorStandin.test.ts
+++ b/tests/executorStandin.test.ts
@@ -1,6 +1,6 @@
 import { request } from 'undici';
 import { describe, expect, it } from 'vitest';
-import { startDelay } from '../packages/common/startDelay';
+import { waitForDelay } from '../packages/common/waitForDelay';
 import { ExecutorStandin } from '../packages/standins/platform/ExecutorStandin';
 import { RunWitness } from '../packages/standins/platform/RunWitness';
 import { chooseFreePorts } from '../dev/fleet/chooseFreePorts';
@@ -24,10 +24,10 @@
       headers: { 'x-stairline-expect-instance': ID },
       body: JSON.stringify(order),
     }).catch((thrown: unknown) => thrown);
-    await startDelay(100);
+    await waitForDelay(100);
     await standin.stop();
     expect(await answer).toBeInstanceOf(Error);
-    await startDelay(LATE_MS);
+    await waitForDelay(LATE_MS);
     expect(witness.readStartCount(TASK)).toBe(0);
   });
 });
--- a/tests/expiredRecords.test.ts
+++ b/tests/expiredRecords.test.ts
@@ -51,7 +51,7 @@
     const sessions = new EndpointSessions({
       client: createLog(),
       topic: 'keyed.servers',
-      clock: { readNow: () => performance.now() * CLOCK_SHARE, readWall: () => Date.now() },
+      clock: { getNow: () => performance.now() * CLOCK_SHARE, getWallTime: () => Date.now() },
       random: () => 0.5,
       logger: { info: record, warn: record, error: record },
       dispatcher,
--- a/tests/failures/atMostOnce.test.ts
+++ b/tests/failures/atMostOnce.test.ts
@@ -1,7 +1,7 @@
 import { afterEach, describe, expect, it } from 'vitest';
 import type { Fleet } from '../../dev/fleet/Fleet';
 import { readDoubled } from '../../dev/demo/readDoubled';
-import { startDelay } from '../../packages/common/startDelay';
+import { waitForDelay } from '../../packages/common/waitForDelay';
 import { createFleet } from '../helpers/createFleet';
 
 const KEY = { 'idempotency-key': 'course-1', 'x-run-ms': '400' };
@@ -27,7 +27,7 @@
     const [left = '', right = ''] = fleet.readBoxes();
     const send = (box: string) => fleet.sendCall(box, 'course-build', { headers: KEY });
     const first = send(left);
-    await startDelay(150);
+    await waitForDelay(150);
     const results = await Promise.all([first, send(left), send(right)]);
     expect(results.map((result) => result.outcome)).toEqual(['ran', 'ran', 'ran']);
     expect(new Set(results.map((result) => result.body)).size).toBe(1);
@@ -48,13 +48,13 @@
     fleet = await createFleet();
     const [killed = '', kept = ''] = fleet.readBoxes();
     const first = fleet.sendCall(killed, 'course-build', { headers: KEY });
-    await startDelay(250);
+    await waitForDelay(250);
     fleet.readProcess(killed).sendSignal('SIGKILL');
     expect((await first).outcome).toBe('cut');
     const again = await fleet.sendCall(kept, 'course-build', { headers: KEY });
     expect(again.outcome).toBe('unknown');
     await fleet.startEntry(killed);
-    await startDelay(1500);
+    await waitForDelay(1500);
     const later = await fleet.sendCall(killed, 'course-build', { headers: KEY });
     expect(later.outcome).toBe('unknown');
     expect(await readStartCount()).toBe(1);
@@ -64,7 +64,7 @@
     fleet = await createFleet();
     const [box = ''] = fleet.readBoxes();
     await fleet.sendFaults({ isDown: true });
-    await startDelay(300);
+    await waitForDelay(300);
     const refused = await fleet.sendCall(box, 'course-build', { headers: KEY });
     expect(refused).toMatchObject({ status: 503, outcome: 'not-run' });
     expect(refused.retryAfter).toBeGreaterThanOrEqual(1);
@@ -91,7 +91,7 @@
     fleet = await createFleet();
     const [paused = '', kept = ''] = fleet.readBoxes();
     const first = fleet.sendCall(paused, 'course-build', { headers: KEY, timeoutMs: 8000 });
-    await startDelay(250);
+    await waitForDelay(250);
     fleet.readProcess(paused).sendSignal('SIGSTOP');
     const again = await fleet.sendCall(kept, 'course-build', {
       headers: { ...KEY, 'x-stairline-deadline-ms': '3000' },
--- a/tests/failures/endpoints.test.ts
+++ b/tests/failures/endpoints.test.ts
@@ -2,7 +2,7 @@
 import type { CallResult } from '../../dev/fleet/CallResult';
 import type { Fleet } from '../../dev/fleet/Fleet';
 import { readDoubled } from '../../dev/demo/readDoubled';
-import { startDelay } from '../../packages/common/startDelay';
+import { waitForDelay } from '../../packages/common/waitForDelay';
 import type { EndpointFault } from '../../packages/standins/EndpointFault';
 import { checkWitness } from '../helpers/checkWitness';
 import { createFleet } from '../helpers/createFleet';
@@ -51,7 +51,7 @@
       expect(outcomes).not.toContain('ran');
       expect(outcomes).toContain('unknown');
       expect(readDoubled(await fleet.readRecords(), ['course-build'])).toEqual([]);
-      await startDelay(fault === 'silent' ? 4500 : 500);
+      await waitForDelay(fault === 'silent' ? 4500 : 500);
     },
   );
 
@@ -65,7 +65,7 @@
           expect(result.body).toBe(`plan-refresh:${fault}-${index}`);
         }
       }
-      await startDelay(500);
+      await waitForDelay(500);
     },
   );
 
@@ -74,7 +74,7 @@
     const box = fleet.readBoxes()[0] ?? '';
     const long = { headers: { 'x-run-ms': '1500', 'x-stairline-deadline-ms': '2500' } };
     const cut = Array.from({ length: 24 }, () => fleet.sendCall(box, 'course-build', long));
-    await startDelay(300);
+    await waitForDelay(300);
     await Promise.all(WORKERS.map((worker) => fleet.sendEndpointFault(worker, 'none')));
     const more = Array.from({ length: 120 }, () =>
       fleet.sendCall(box, 'plan-refresh', { headers: { 'x-run-ms': '100' } }),
@@ -87,7 +87,7 @@
   it('leaving: it gets no new work some seconds after the list says so, also when the list then is out', async () => {
     const [leaving = ''] = WORKERS;
     await fleet.sendBoxState(leaving, 'leaving');
-    await startDelay(1500);
+    await waitForDelay(1500);
     await fleet.sendFaults({ isDown: true });
     const readStarts = async () => {
       const record = (await fleet.readRecords()).find((one) => one.worker === leaving);
--- a/tests/failures/entryBoxes.test.ts
+++ b/tests/failures/entryBoxes.test.ts
@@ -1,6 +1,6 @@
 import { afterEach, describe, expect, it } from 'vitest';
 import type { Fleet } from '../../dev/fleet/Fleet';
-import { startDelay } from '../../packages/common/startDelay';
+import { waitForDelay } from '../../packages/common/waitForDelay';
 import { checkWitness } from '../helpers/checkWitness';
 import { createFleet } from '../helpers/createFleet';
 import { LoadRun } from '../helpers/LoadRun';
@@ -18,7 +18,7 @@
     fleet = await createFleet();
     const [killed = '', kept = ''] = fleet.readBoxes();
     const load = new LoadRun({ fleet, boxes: [kept], ...LOAD });
-    await startDelay(500);
+    await waitForDelay(500);
     fleet.readProcess(killed).sendSignal('SIGKILL');
     await fleet.startWait(async () => (await fleet.readStatus(kept))?.workers.placeable === 4);
     await checkWitness(fleet, await load.stop());
@@ -30,7 +30,7 @@
     const [killed = '', kept = ''] = fleet.readBoxes();
     await fleet.sendFaults({ isDown: true });
     fleet.readProcess(killed).sendSignal('SIGKILL');
-    await startDelay(2500);
+    await waitForDelay(2500);
     const blind = await fleet.readStatus(kept);
     expect(blind?.hasEvidence).toBe(true);
     const result = await fleet.sendCall(kept, 'plan-refresh', { headers: { 'x-run-ms': '10' } });
@@ -43,10 +43,10 @@
     fleet = await createFleet();
     const [paused = '', kept = ''] = fleet.readBoxes();
     const load = new LoadRun({ fleet, boxes: [paused, kept], ...LOAD });
-    await startDelay(500);
+    await waitForDelay(500);
     fleet.readProcess(paused).sendSignal('SIGSTOP');
     await fleet.startWait(async () => (await fleet.readStatus(kept))?.workers.placeable === 4);
-    await startDelay(500);
+    await waitForDelay(500);
     fleet.readProcess(paused).sendSignal('SIGCONT');
     const isWhole = async () => {
       const statuses = await fleet.readAllStatus();
@@ -64,13 +64,13 @@
     const [stopped = '', kept = ''] = fleet.readBoxes();
     const targets = [stopped, kept];
     const load = new LoadRun({ fleet, boxes: targets, ...LOAD });
-    await startDelay(500);
+    await waitForDelay(500);
     fleet.readProcess(stopped).sendSignal('SIGTERM');
     // As the platform's balancer would: not ready, so no more callers there.
     targets.shift();
     const process = fleet.readProcess(stopped);
     expect(await process.exit).toBe(0);
-    await startDelay(500);
+    await waitForDelay(500);
     const results = await load.stop();
     expect(results.filter((result) => result.outcome === 'cut' || result.outcome === 'unknown')).toEqual([]);
     await checkWitness(fleet, results);
@@ -81,10 +81,10 @@
     fleet = await createFleet();
     const [box = ''] = fleet.readBoxes();
     const call = fleet.sendCall(box, 'video-render', { headers: { 'x-run-ms': '3000' } });
-    await startDelay(200);
+    await waitForDelay(200);
     const process = fleet.readProcess(box);
     process.sendSignal('SIGTERM');
-    await startDelay(300);
+    await waitForDelay(300);
     process.sendSignal('SIGTERM');
     expect(await process.exit).toBe(1);
     expect(process.readOutput()).toMatch(/Cut: [1-9]\d* calls and tasks/);
@@ -101,7 +101,7 @@
     const isBack = async () => (await fleet.readStatus(box))?.workers.placeable === before?.workers.placeable;
     await fleet.startWait(isBack);
     const load = new LoadRun({ fleet, boxes: [box, kept], ...LOAD });
-    await startDelay(500);
+    await waitForDelay(500);
     await checkWitness(fleet, await load.stop());
   });
 });
--- a/tests/failures/lateOrders.test.ts
+++ b/tests/failures/lateOrders.test.ts
@@ -15,7 +15,7 @@
 import { resolve } from 'node:path';
 import { afterEach, describe, it } from 'vitest';
 import type { Fleet } from '../../dev/fleet/Fleet';
-import { startDelay } from '../../packages/common/startDelay';
+import { waitForDelay } from '../../packages/common/waitForDelay';
 import { checkWitness } from '../helpers/checkWitness';
 import { createFleet } from '../helpers/createFleet';
 import { LoadRun } from '../helpers/LoadRun';
@@ -44,12 +44,12 @@
     const boxes = fleet.readBoxes();
     const kept = boxes.find((box) => box !== HELD_BOX)!;
     const load = new LoadRun({ fleet, boxes, ...LOAD });
-    await startDelay(500);
+    await waitForDelay(500);
     writeFileSync(file, '');
     await fleet.startWait(async () => Promise.resolve(existsSync(`${file}.held`)));
     const heldAt = performance.now();
     await fleet.startWait(async () => (await fleet?.readStatus(kept))?.workers.placeable === 4);
-    await startDelay(Math.max(500, heldAt + HELD_MS - performance.now()));
+    await waitForDelay(Math.max(500, heldAt + HELD_MS - performance.now()));
     rmSync(file);
     const isWhole = async (): Promise<boolean> => {
       const statuses = (await fleet?.readAllStatus()) ?? [];
--- a/tests/failures/platform.test.ts
+++ b/tests/failures/platform.test.ts
@@ -1,6 +1,6 @@
 import { afterEach, describe, expect, it } from 'vitest';
 import type { Fleet } from '../../dev/fleet/Fleet';
-import { startDelay } from '../../packages/common/startDelay';
+import { waitForDelay } from '../../packages/common/waitForDelay';
 import { checkWitness } from '../helpers/checkWitness';
 import { createFleet } from '../helpers/createFleet';
 import { LoadRun } from '../helpers/LoadRun';
@@ -33,17 +33,17 @@
   it('down: both boxes serve on, call it seldom, and come back without a rush', async () => {
     fleet = await createFleet();
     const load = new LoadRun({ fleet, boxes: fleet.readBoxes(), ...LOAD });
-    await startDelay(300);
+    await waitForDelay(300);
     await fleet.sendFaults({ isDown: true });
     const before = await fleet.readPlatformCounts();
     const ranBefore = load.readCount('ran');
-    await startDelay(4000);
+    await waitForDelay(4000);
     const during = await fleet.readPlatformCounts();
     expect(load.readCount('ran') - ranBefore).toBeGreaterThan(500);
     // Per box: three streams with backoff, the box list and reports: below 25 calls a second.
     expect((during.calls - before.calls) / 4 / 2).toBeLessThan(25);
     await fleet.sendFaults({ isDown: false });
-    await startDelay(1000);
+    await waitForDelay(1000);
     const after = await fleet.readPlatformCounts();
     expect(after.calls - during.calls).toBeLessThan(100);
     const results = await load.stop();
@@ -89,7 +89,7 @@
     fleet = await createFleet();
     const [cut = '', open = ''] = fleet.readBoxes();
     await fleet.sendFaults({ cutBoxes: [cut] });
-    await startDelay(500);
+    await waitForDelay(500);
     const body = { cell: 'row/tile-proof/weight', value: 4, operator: 'anna' };
     const answer = await fleet.sendOperator<EditReply>(open, '/table/edits', body);
     expect(answer).toMatchObject({ kind: 'decided', edit: { decision: 'accepted' }, notSeen: [] });
@@ -108,7 +108,7 @@
     await fleet.startWait(async () => (await readWeights())[0] === 5);
     fleet.readProcess(box).sendSignal('SIGSTOP');
     await fleet.sendFaults({ isDown: false });
-    await startDelay(500);
+    await waitForDelay(500);
     const newer = { ...body, value: 6 };
     await fleet.sendOperator<EditReply>(kept, '/table/edits', newer);
     fleet.readProcess(box).sendSignal('SIGCONT');
@@ -125,7 +125,7 @@
       value: 8,
       operator: 'anna',
     });
-    await startDelay(3500);
+    await waitForDelay(3500);
     await fleet.sendTrim('fleet.table', 2);
     await fleet.sendTrim('fleet.hall.hall-a', 2);
     fleet.readProcess(box).sendSignal('SIGKILL');
--- a/tests/helpers/AdviceSimulation.ts
+++ b/tests/helpers/AdviceSimulation.ts
@@ -148,7 +148,7 @@
 
   private createBalancer(dispatcher: Dispatcher): AdviceBalancer {
     return adviceBalancers[this.options.policy]({
-      clock: { readNow: () => Date.now(), readWall: () => Date.now() },
+      clock: { getNow: () => Date.now(), getWallTime: () => Date.now() },
       listChannels: () => this.channels,
       handleResponse: ({ step, endpoints }, tickets) =>
         dispatcher.handleAdviceResponse(step, endpoints, tickets, Date.now()),
--- a/tests/helpers/IncarnationSimulation.ts
+++ b/tests/helpers/IncarnationSimulation.ts
@@ -1,6 +1,6 @@
 import { createRandom } from '../../packages/common/createRandom';
 import type { Random } from '../../packages/common/Random';
-import { startDelay } from '../../packages/common/startDelay';
+import { waitForDelay } from '../../packages/common/waitForDelay';
 import { toId } from '../../packages/common/toId';
 import type { EndpointClient } from '../../packages/dispatch/endpoints/EndpointClient';
 import type { EndpointProfile } from '../../packages/dispatch/endpoints/EndpointProfile';
@@ -118,9 +118,9 @@
     this.definitions.forEach((definition) => replica.recordDefinition(definition));
     this.replicas.push(replica);
     const clock = {
-      readNow: () => performance.now(),
-      readWall: () => Date.now(),
-      readLongestSince: (since: number) => performance.now() - since,
+      getNow: () => performance.now(),
+      getWallTime: () => Date.now(),
+      getMaxElapsedSince: (since: number) => performance.now() - since,
     };
     const record = (message: string, fields?: object): void =>
       void this.lines.push({ at: Math.round(performance.now()), message, fields });
@@ -190,7 +190,7 @@
     machine.process.stop();
     machine.process = undefined;
     machine.isRefusing = isRefusing;
-    await startDelay(downMs);
+    await waitForDelay(downMs);
     this.startIncarnation(machine, recordAfterMs);
   }
 
@@ -217,7 +217,7 @@
           recordAfterMs: 0,
         }),
     });
-    void startDelay(recordAfterMs).then(() => this.writeRecord(machine, incarnation));
+    void waitForDelay(recordAfterMs).then(() => this.writeRecord(machine, incarnation));
   }
 
   private writeRecord(machine: Machine, incarnation: EndpointIncarnation): void {
@@ -293,13 +293,13 @@
       void this.sendCall(machine, timeoutMs, deliver);
     } else if (pick < 0.6) {
       // Delayed within the timeout, and received by whichever incarnation runs then.
-      void startDelay(this.random() * timeoutMs).then(() => this.sendCall(machine, timeoutMs, deliver));
+      void waitForDelay(this.random() * timeoutMs).then(() => this.sendCall(machine, timeoutMs, deliver));
     } else if (pick < 0.9) {
-      void startDelay(this.random() * MAX_DELAY_MS).then(
+      void waitForDelay(this.random() * MAX_DELAY_MS).then(
         () => process?.isOver === false && deliver(process, incarnation),
       );
     }
-    await startDelay(timeoutMs);
+    await waitForDelay(timeoutMs);
     return { kind: 'unanswered', detail: 'lost' };
   }
 
@@ -309,17 +309,17 @@
     timeoutMs: number,
     deliver: Delivery<Response>,
   ): Promise<Response | Extract<CommandResult, { kind: 'unanswered' | 'undelivered' }>> {
-    await startDelay(LATENCY_MS);
+    await waitForDelay(LATENCY_MS);
     const { process, incarnation } = machine;
     if (process === undefined && machine.isRefusing && !machine.isPartitioned) {
       return { kind: 'undelivered', detail: 'refused' };
     }
     if (process === undefined || machine.isPartitioned) {
-      await startDelay(timeoutMs);
+      await waitForDelay(timeoutMs);
       return { kind: 'unanswered', detail: 'no answer' };
     }
     const response = await deliver(process, incarnation);
-    await startDelay(LATENCY_MS);
+    await waitForDelay(LATENCY_MS);
     return process.isOver || machine.isPartitioned ? { kind: 'unanswered', detail: 'reset' } : response;
   }
 }
--- a/tests/helpers/LoadRun.ts
+++ b/tests/helpers/LoadRun.ts
@@ -1,6 +1,6 @@
 import type { CallResult } from '../../dev/fleet/CallResult';
 import type { Fleet } from '../../dev/fleet/Fleet';
-import { startDelay } from '../../packages/common/startDelay';
+import { waitForDelay } from '../../packages/common/waitForDelay';
 
 interface LoadRunOptions {
   readonly fleet: Fleet;
@@ -43,7 +43,7 @@
       if (result.outcome === 'ran' && result.status === 200 && result.body !== `${row}:${body}`) {
         throw new Error(`the answer of another request: ${result.body} for ${body}`);
       }
-      await startDelay(gapMs);
+      await waitForDelay(gapMs);
     }
   }
 }
--- a/tests/helpers/MemoryLog.ts
+++ b/tests/helpers/MemoryLog.ts
@@ -1,4 +1,4 @@
-import { startDelay } from '../../packages/common/startDelay';
+import { waitForDelay } from '../../packages/common/waitForDelay';
 import type { Random } from '../../packages/common/Random';
 import type { LogClient } from '../../packages/store/LogClient';
 import { KeyedTopic } from '../../packages/standins/platform/KeyedTopic';
@@ -25,13 +25,13 @@
     writer,
     timeoutMs,
   }: Parameters<LogClient['append']>[0]): ReturnType<LogClient['append']> {
-    await startDelay(LATENCY_MS);
+    await waitForDelay(LATENCY_MS);
     const response = this.getTopic(topic).append(logFrames.formatWrites(writes), writer);
     if (response.status === 409) {
       return { ok: false, error: { kind: 'fenced', detail: response.body.reason } };
     }
     if (this.random() < this.lostResponseShare) {
-      await startDelay(timeoutMs);
+      await waitForDelay(timeoutMs);
       return { ok: false, error: { kind: 'unknown', detail: 'lost' } };
     }
     return { ok: true, value: response.body.offset };
@@ -46,7 +46,7 @@
     if (topicState.readEnd() <= fromOffset) {
       await topicState.startWait(waitMs);
     }
-    await startDelay(LATENCY_MS);
+    await waitForDelay(LATENCY_MS);
     return { ok: true, value: logFrames.parseRecords(fromOffset, topicState.readFrames(fromOffset)!) };
   }
 
@@ -54,7 +54,7 @@
     topic,
     afterKey = '',
   }: Parameters<LogClient['readNewestPage']>[0]): ReturnType<LogClient['readNewestPage']> {
-    await startDelay(LATENCY_MS);
+    await waitForDelay(LATENCY_MS);
     const topicState = this.getTopic(topic);
     const records = topicState
       .readNewest(afterKey)
--- a/tests/leadership.test.ts
+++ b/tests/leadership.test.ts
@@ -13,9 +13,9 @@
 const LEADER = { epoch: 1, box: 'box-0', process: 'box-0#1', isResigned: false };
 
 /** Creates a readable log that never responds to claims. */
-const createLog = (claims: number[], readNow: () => number): LogClient => ({
+const createLog = (claims: number[], getNow: () => number): LogClient => ({
   append: () => {
-    claims.push(readNow());
+    claims.push(getNow());
     return new Promise(() => undefined);
   },
   readNewestPage: () => Promise.resolve({ ok: true, value: { records: [], endOffset: 0, hasMore: false } }),
@@ -27,9 +27,9 @@
   /** Returns the time from the end to the claim, in milliseconds on a simulated clock. */
   const computeClaimMs = async (isOutranked: boolean, inactiveBeforeMs: number): Promise<number> => {
     let now = 1000;
-    const clock = { readNow: () => now, readWall: () => now };
+    const clock = { getNow: () => now, getWallTime: () => now };
     const claims: number[] = [];
-    const client = createLog(claims, clock.readNow);
+    const client = createLog(claims, clock.getNow);
     const logger = { info: () => undefined, warn: () => undefined, error: () => undefined };
     const follower = new LogFollower({
       client,
@@ -85,11 +85,11 @@
   const computeClaimMs = (isOutranked: boolean, random: number, readsEarlierMs = 0): number => {
     let now = 1000;
     let lastOkAt = now;
-    const clock = { readNow: () => now, readWall: () => now };
+    const clock = { getNow: () => now, getWallTime: () => now };
     const claims: number[] = [];
     const follower = { getLastSuccessAt: () => lastOkAt, isFollowing: () => true, getOffset: () => 0 };
     const leadership = new Leadership({
-      client: createLog(claims, clock.readNow),
+      client: createLog(claims, clock.getNow),
       topic: 'keyed.states',
       follower: follower as unknown as LogFollower,
       box: 'box-1',
--- a/tests/logFollower.test.ts
+++ b/tests/logFollower.test.ts
@@ -72,14 +72,14 @@
     const started = startFollower(readTimes);
     await waitFor(20);
     expect(readTimes).toHaveLength(1);
-    started.retryPending(systemClock.readNow());
+    started.retryPending(systemClock.getNow());
     await waitFor(IMMEDIATE_MS);
     expect(readTimes).toHaveLength(2);
   });
 
   it('does not retry for the response to a call sent before its pending read', async () => {
     const readTimes: number[] = [];
-    const earlier = systemClock.readNow();
+    const earlier = systemClock.getNow();
     const started = startFollower(readTimes);
     await waitFor(20);
     started.retryPending(earlier);
--- a/tests/logWriter.test.ts
+++ b/tests/logWriter.test.ts
@@ -30,7 +30,7 @@
       random: () => 0.5,
       probe: PROBE,
     });
-    const now = systemClock.readNow();
+    const now = systemClock.getNow();
     const first = writer.writeRecord({ key: 'j/1', value: 'job' }, now + DEADLINE_MS);
     await new Promise((resolve) => setTimeout(resolve, 100));
     const second = writer.writeRecord({ key: 'j/2', value: 'job' }, now + 2 * DEADLINE_MS);
--- a/tests/serve/calls.test.ts
+++ b/tests/serve/calls.test.ts
@@ -2,7 +2,7 @@
 import type { Socket } from 'node:net';
 import { afterEach, beforeEach, describe, expect, it } from 'vitest';
 import { chooseFreePorts } from '../../dev/fleet/chooseFreePorts';
-import { HttpCaller } from '../../packages/common/HttpCaller';
+import { HttpClient } from '../../packages/common/HttpClient';
 
 describe('calls to one address', () => {
   let server: Server;
@@ -38,9 +38,9 @@
 
   it('wait their turn beyond the number of connections, and their limit counts from the sending', async () => {
     answerMs = 100;
-    const caller = new HttpCaller({ address, connections: 1 });
+    const caller = new HttpClient({ address, connections: 1 });
     const call = { method: 'GET', path: '/', timeoutMs: 250 } as const;
-    const results = await Promise.all(Array.from({ length: 6 }, () => caller.sendCall(call)));
+    const results = await Promise.all(Array.from({ length: 6 }, () => caller.sendRequest(call)));
     expect(results.map(({ kind }) => kind)).toEqual(Array.from({ length: 6 }, () => 'answered'));
     expect(connectionCount).toBe(1);
     await caller.stop();
@@ -48,10 +48,10 @@
 
   it('are not given up for a pause of this very process', async () => {
     answerMs = 10;
-    const caller = new HttpCaller({ address, connections: 1 });
+    const caller = new HttpClient({ address, connections: 1 });
     const call = { method: 'GET', path: '/', timeoutMs: 100 } as const;
-    await caller.sendCall(call);
-    const result = caller.sendCall(call);
+    await caller.sendRequest(call);
+    const result = caller.sendRequest(call);
     await new Promise((resolve) => setImmediate(resolve));
     const until = performance.now() + 300;
     while (performance.now() < until) {
@@ -64,14 +64,18 @@
 
   it('lose one time limit when all kept connections have gone silent, not one for each', async () => {
     answerMs = 20;
-    const caller = new HttpCaller({ address, connections: 4 });
+    const caller = new HttpClient({ address, connections: 4 });
     const call = { method: 'GET', path: '/', timeoutMs: 200 } as const;
-    await Promise.all(Array.from({ length: 4 }, () => caller.sendCall(call)));
+    await Promise.all(Array.from({ length: 4 }, () => caller.sendRequest(call)));
     expect(connectionCount).toBe(4);
     silent = new Set(open);
     const startedAt = performance.now();
-    expect((await caller.sendCall(call)).kind).toBe('unanswered');
-    const later = [await caller.sendCall(call), await caller.sendCall(call), await caller.sendCall(call)];
+    expect((await caller.sendRequest(call)).kind).toBe('unanswered');
+    const later = [
+      await caller.sendRequest(call),
+      await caller.sendRequest(call),
+      await caller.sendRequest(call),
+    ];
     expect(later.map(({ kind }) => kind)).toEqual(['answered', 'answered', 'answered']);
     expect(performance.now() - startedAt).toBeLessThan(500);
     await caller.stop();
@@ -82,8 +86,8 @@
     const rejected: unknown[] = [];
     const handleRejection = (reason: unknown): void => void rejected.push(reason);
     process.on('unhandledRejection', handleRejection);
-    const caller = new HttpCaller({ address, connections: 1 });
-    const call = caller.sendCall({ method: 'GET', path: '/', timeoutMs: 500 });
+    const caller = new HttpClient({ address, connections: 1 });
+    const call = caller.sendRequest({ method: 'GET', path: '/', timeoutMs: 500 });
     await new Promise((resolve) => setTimeout(resolve, 50));
     await caller.stop();
     expect((await call).kind).toBe('unanswered');
@@ -95,12 +99,12 @@
 
   it('end without an answer after their limit, and say when nobody listens', async () => {
     answerMs = 1000;
-    const caller = new HttpCaller({ address, connections: 1 });
+    const caller = new HttpClient({ address, connections: 1 });
     const call = { method: 'GET', path: '/', timeoutMs: 100 } as const;
-    expect((await caller.sendCall(call)).kind).toBe('unanswered');
+    expect((await caller.sendRequest(call)).kind).toBe('unanswered');
     const [free] = await chooseFreePorts(1);
-    const nobody = new HttpCaller({ address: `127.0.0.1:${free!}`, connections: 1 });
-    expect((await nobody.sendCall(call)).kind).toBe('refused');
+    const nobody = new HttpClient({ address: `127.0.0.1:${free!}`, connections: 1 });
+    expect((await nobody.sendRequest(call)).kind).toBe('refused');
     await caller.stop();
     await nobody.stop();
   });
--- a/tests/serve/lives.test.ts
+++ b/tests/serve/lives.test.ts
@@ -16,7 +16,7 @@
 import { afterEach, describe, expect, it } from 'vitest';
 import { Cell } from '../../dev/cell/Cell';
 import { toJobIdText } from '../../dev/cell/toJobIdText';
-import { startDelay } from '../../packages/common/startDelay';
+import { waitForDelay } from '../../packages/common/waitForDelay';
 
 const JOBS = 30;
 const JOB_EVERY_MS = 250;
@@ -44,14 +44,14 @@
     for (const id of ids) {
       const body = { spec: String(TASK_MS), steps: [{ count: 10, cpu: 1000, 'mem-mb': 100 }] };
       expect((await cell.sendJob(cell.boxes[1]!, id, body)).status).toBe(200);
-      await startDelay(JOB_EVERY_MS);
+      await waitForDelay(JOB_EVERY_MS);
     }
     return ids;
   };
 
   const startRestarts = async (downMs: number, recordAfterMs: number): Promise<void> => {
     for (let count = 0; count < RESTARTS; count += 1) {
-      await startDelay(RESTART_EVERY_MS);
+      await waitForDelay(RESTART_EVERY_MS);
       for (let index = count % 2; index < EXECUTORS; index += 2) {
         void cell.startExecutorAgain(`i-${index}`, { downMs, recordAfterMs });
       }
--- a/tests/serve/turnedAway.test.ts
+++ b/tests/serve/turnedAway.test.ts
@@ -12,7 +12,7 @@
  */
 import { afterEach, describe, expect, it } from 'vitest';
 import { Cell } from '../../dev/cell/Cell';
-import { startDelay } from '../../packages/common/startDelay';
+import { waitForDelay } from '../../packages/common/waitForDelay';
 import { toJobIdText } from '../../dev/cell/toJobIdText';
 
 const BODY = { spec: '20', steps: [{ count: 1, cpu: 1000, 'mem-mb': 100 }] };
@@ -35,7 +35,7 @@
     cell.log.applyFault('busy', away.name);
     await cell.startLaterBoxes();
     await cell.startUntil(async () => Promise.resolve(cell.readLeaders().some((box) => box !== away)));
-    await startDelay(LEARN_MS);
+    await waitForDelay(LEARN_MS);
     expect((await cell.sendJob(away, toJobIdText(1), BODY)).status).toBe(200);
     await cell.startState(away, toJobIdText(1), 'completed');
     expect(cell.readLeaders()).not.toContain(away);
@@ -45,10 +45,10 @@
     cell = await Cell.create({ boxes: 3, executors: 2, roomPerExecutor: 4 });
     const leader = await cell.startLeader();
     const away = cell.boxes.find((one) => one !== leader)!;
-    await startDelay(1500);
+    await waitForDelay(1500);
     cell.log.applySlowness(SLOW_MS);
     cell.log.applyFault('busy', away.name);
-    await startDelay(2500);
+    await waitForDelay(2500);
     for (let number = 1; number <= 5; number += 1) {
       expect((await cell.sendJob(away, toJobIdText(number), BODY)).status).toBe(200);
     }
--- a/tests/stepFilteredClock.test.ts
+++ b/tests/stepFilteredClock.test.ts
@@ -11,7 +11,7 @@
 
   beforeEach(() => {
     [now, stepMs, steps] = [50, 0, []];
-    const source = { readNow: () => now, readWall: () => STARTED_AT + now + stepMs };
+    const source = { getNow: () => now, getWallTime: () => STARTED_AT + now + stepMs };
     clock = new StepFilteredClock({ source, handleStep: (byMs) => steps.push(byMs) });
   });
 
@@ -19,7 +19,7 @@
   const listOffsets = (durationMs: number): ReadonlySet<number> => {
     const offsets = new Set<number>();
     for (const until = now + durationMs; now < until; now += 100) {
-      offsets.add(clock.readWall() - STARTED_AT - now);
+      offsets.add(clock.getWallTime() - STARTED_AT - now);
     }
     return offsets;
   };
--- a/tests/stopApp.test.ts
+++ b/tests/stopApp.test.ts
@@ -1,11 +1,11 @@
 import { connect, type AddressInfo } from 'node:net';
 import { describe, expect, it } from 'vitest';
-import { createBufferApp } from '../packages/gateway/createBufferApp';
+import { createRawBodyApp } from '../packages/gateway/createRawBodyApp';
 import { stopApp } from '../packages/gateway/stopApp';
 
 describe('stopApp', () => {
   it('does not wait for a connection without a request', async () => {
-    const app = createBufferApp(1000);
+    const app = createRawBodyApp(1000);
     await app.listen({ host: '127.0.0.1', port: 0 });
     const { port } = app.server.address() as AddressInfo;
     const socket = connect({ host: '127.0.0.1', port });
@@ -20,7 +20,7 @@
 
 describe('stopApp with upgraded connections', () => {
   it('does not wait for an open upgraded connection', async () => {
-    const app = createBufferApp(1000);
+    const app = createRawBodyApp(1000);
     app.server.on('upgrade', (_request, socket) => {
       socket.write('HTTP/1.1 101 Switching Protocols\r\nUpgrade: raw\r\nConnection: Upgrade\r\n\r\n');
     });
