--- a/tests/suspension.test.ts
+++ b/tests/suspension.test.ts
@@ -38,8 +38,8 @@
   constructor() {
     this.suspensionAware = new SuspensionAwareClock({
       source: {
-        readNow: () => this.monotonicMs,
-        readWall: () => STARTED_AT + this.monotonicMs + this.suspendedMs + this.wallStepMs,
+        getNow: () => this.monotonicMs,
+        getWallTime: () => STARTED_AT + this.monotonicMs + this.suspendedMs + this.wallStepMs,
       },
       readUptimeMs: () => this.computeUptimeMs(),
       handleSuspension: (byMs) => this.suspensions.push(byMs),
@@ -52,16 +52,16 @@
     });
   }
 
-  readNow(): number {
-    return this.suspensionAware.readNow();
+  getNow(): number {
+    return this.suspensionAware.getNow();
   }
 
-  readWall(): number {
-    return this.stepFiltered.readWall();
+  getWallTime(): number {
+    return this.stepFiltered.getWallTime();
   }
 
-  readLongestSince(since: number): number {
-    return this.suspensionAware.readLongestSince(since);
+  getMaxElapsedSince(since: number): number {
+    return this.suspensionAware.getMaxElapsedSince(since);
   }
 
   /** Returns the real time, as other machines measure it. */
@@ -72,7 +72,7 @@
   /** Advances the time, and reads the clock every 100 ms. */
   runFor(durationMs: number): void {
     for (const until = this.monotonicMs + durationMs; this.monotonicMs < until; this.monotonicMs += 100) {
-      this.readWall();
+      this.getWallTime();
     }
   }
 
@@ -99,48 +99,48 @@
   });
 
   it('include the suspension, and the wall clock follows at once', () => {
-    const before = machine.readNow();
+    const before = machine.getNow();
     machine.addSuspension(7000);
-    expect(machine.readNow() - before).toBeCloseTo(7000, -2);
-    expect(machine.readWall() - STARTED_AT - machine.getTrueTime()).toBeCloseTo(0, -2);
+    expect(machine.getNow() - before).toBeCloseTo(7000, -2);
+    expect(machine.getWallTime() - STARTED_AT - machine.getTrueTime()).toBeCloseTo(0, -2);
     machine.runFor(20_000);
-    expect(machine.readNow() - before).toBeCloseTo(27_000, -2);
+    expect(machine.getNow() - before).toBeCloseTo(27_000, -2);
     expect([machine.suspensions.length, machine.unverifiedSteps, machine.steps]).toEqual([1, [], []]);
   });
 
   it('distinguish a suspension from a step of the wall clock, also if both happen at once', () => {
-    const before = machine.readNow();
+    const before = machine.getNow();
     machine.addWallStep(3000);
-    expect(machine.readNow()).toBe(before);
-    expect(machine.readLongestSince(before)).toBe(0);
+    expect(machine.getNow()).toBe(before);
+    expect(machine.getMaxElapsedSince(before)).toBe(0);
     machine.runFor(1000);
     machine.addWallStep(-3000);
     machine.addSuspension(2000);
-    expect(machine.readNow() - before).toBeCloseTo(3000, -2);
+    expect(machine.getNow() - before).toBeCloseTo(3000, -2);
     expect(machine.suspensions).toHaveLength(1);
   });
 
   it('include each of several suspensions', () => {
-    const before = machine.readNow();
+    const before = machine.getNow();
     for (let count = 0; count < 3; count += 1) {
       machine.addSuspension(2000);
       machine.runFor(1000);
     }
-    expect(machine.readNow() - before).toBeCloseTo(9000, -2);
+    expect(machine.getNow() - before).toBeCloseTo(9000, -2);
   });
 
   it('count a forward step only in the upper bound of the elapsed time if the uptime clock is not usable', () => {
     machine.hasForeignUptime = true;
     machine.runFor(5000);
-    const before = machine.readNow();
+    const before = machine.getNow();
     machine.addSuspension(6000);
-    expect(machine.readNow()).toBe(before);
-    expect(machine.readLongestSince(before - 100)).toBe(6100);
+    expect(machine.getNow()).toBe(before);
+    expect(machine.getMaxElapsedSince(before - 100)).toBe(6100);
     machine.runFor(100);
-    expect(machine.readLongestSince(machine.readNow())).toBe(0);
+    expect(machine.getMaxElapsedSince(machine.getNow())).toBe(0);
     expect([machine.suspensions, machine.unverifiedSteps]).toEqual([[], [6000]]);
     machine.addWallStep(-2000);
-    expect(machine.readLongestSince(before - 100)).toBe(6200);
+    expect(machine.getMaxElapsedSince(before - 100)).toBe(6200);
   });
 });
 
@@ -166,7 +166,7 @@
     };
     const journal = new LeaderJournal({
       epoch: 3,
-      claimedAt: machine.readNow(),
+      claimedAt: machine.getNow(),
       client,
       statesTopic: 'keyed.states',
       progressTopic: 'keyed.progress',
@@ -180,7 +180,7 @@
     });
     const isRenewing = (): boolean => journal.isAcknowledgedWithin(leaderTimings.unconfirmedGraceMs);
     const startAppend = async (): Promise<void> => {
-      journal.handleTick(machine.readNow() + leaderTimings.heartbeatMs);
+      journal.handleTick(machine.getNow() + leaderTimings.heartbeatMs);
       while (pendingResponses.length === 0) {
         await new Promise((resolve) => setTimeout(resolve, 5));
       }
@@ -201,7 +201,7 @@
   });
 
   it('considers the configuration from before the suspension outdated', () => {
-    const followedAt = machine.readNow();
+    const followedAt = machine.getNow();
     const desk = new ConfigurationDesk({
       adapter: { configurationKey: 'config', parseConfiguration: handleUnexpectedCall },
       router: new QueueRouter(),
@@ -248,11 +248,11 @@
     while (sendResponse === undefined) {
       await new Promise((resolve) => setTimeout(resolve, 5));
     }
-    const sentAt = machine.readNow();
+    const sentAt = machine.getNow();
     machine.addSuspension(6000);
     sendResponse();
     await new Promise((resolve) => setTimeout(resolve, 5));
-    expect(machine.readNow() - sentAt).toBeCloseTo(6000, -2);
+    expect(machine.getNow() - sentAt).toBeCloseTo(6000, -2);
     expect(follower.getLastSuccessAt() - sentAt).toBeLessThanOrEqual(1000);
     follower.stop();
   });
