--- a/packages/cli/Command.ts
+++ b/packages/cli/Command.ts
@@ -1,14 +1,14 @@
 import type { CommandInput } from './CommandInput';
 
-/** One subcommand, registered in a table and found by name. */
+/** A subcommand of the command line. */
 export interface Command {
   readonly name: string;
-  /** One line for the list of commands. */
+  /** Sentence for the list of commands. */
   readonly summary: string;
-  /** Positional arguments, for the usage line. */
+  /** Arguments, for the usage line. */
   readonly usage: string;
-  /** Options of `util.parseArgs` with a line of help each. */
+  /** Options of `util.parseArgs`, each with its help text. */
   readonly options: Readonly<Record<string, { readonly type: 'string' | 'boolean'; readonly help: string }>>;
-  /** Runs to the exit code: 0 done, 1 failed or refused, 2 called wrongly. */
+  /** Runs the command; resolves to one of `exitCodes`. */
   readonly start: (input: CommandInput) => Promise<number>;
 }
--- a/packages/cli/OperatorClient.ts
+++ b/packages/cli/OperatorClient.ts
@@ -3,37 +3,38 @@
 import { toErrorText } from '../common/toErrorText';
 import type { Settings } from '../settings/Settings';
 
-interface BoxAnswer<Answer> {
+/** Response of one box, or the error of the request. */
+interface BoxResponse<Body> {
   readonly box: string;
-  readonly answer: Result<Answer, string>;
+  readonly answer: Result<Body, string>;
 }
 
-const TIMEOUT_MS = 15_000;
-const ASK_TIMEOUT_MS = 2000;
+const POST_TIMEOUT_MS = 15_000;
+const GET_TIMEOUT_MS = 2000;
 
-/** Calls the operators' listeners of the entry boxes. */
+/** HTTP client of the operator APIs of the entry boxes. */
 export class OperatorClient {
   constructor(
     private readonly settings: Settings,
-    /** Only this box when given. */
+    /** Restricts requests to this box; undefined allows all boxes. */
     private readonly box: string | undefined,
   ) {}
 
-  /** Reads a path from every box. */
-  async readAll<Answer>(path: string): Promise<readonly BoxAnswer<Answer>[]> {
+  /** Requests a path from every box. */
+  async requestFromAll<Body>(path: string): Promise<readonly BoxResponse<Body>[]> {
     return Promise.all(
-      this.readEntries().map(async (entry) => ({
+      this.getEntries().map(async (entry) => ({
         box: entry.box,
-        answer: await this.send<Answer>(entry.operators, path, undefined, ASK_TIMEOUT_MS),
+        answer: await this.sendRequest<Body>(entry.operators, path, undefined, GET_TIMEOUT_MS),
       })),
     );
   }
 
-  /** Reads a path from the first box that answers. */
-  async readAny<Answer>(path: string): Promise<Result<Answer, string>> {
-    let last: Result<Answer, string> = { ok: false, error: 'no entry box is named in the settings' };
-    for (const entry of this.readEntries()) {
-      last = await this.send<Answer>(entry.operators, path, undefined, ASK_TIMEOUT_MS);
+  /** Requests a path from one box after the other until one responds. */
+  async requestFromAny<Body>(path: string): Promise<Result<Body, string>> {
+    let last: Result<Body, string> = { ok: false, error: 'no entry box is named in the settings' };
+    for (const entry of this.getEntries()) {
+      last = await this.sendRequest<Body>(entry.operators, path, undefined, GET_TIMEOUT_MS);
       if (last.ok) {
         return last;
       }
@@ -41,35 +42,35 @@
     return last;
   }
 
-  /** Posts to the first box that can be reached; never to a second one once the first may have taken it. */
-  async writeAny<Answer>(path: string, body: unknown): Promise<Result<Answer, string>> {
-    for (const entry of this.readEntries()) {
-      const alive = await this.send<object>(entry.operators, '/status', undefined, ASK_TIMEOUT_MS);
-      if (alive.ok) {
-        return this.send<Answer>(entry.operators, path, body, TIMEOUT_MS);
+  /** Posts to the first reachable box. Never retries on another box, since the first may have applied the request. */
+  async sendToAny<Body>(path: string, body: unknown): Promise<Result<Body, string>> {
+    for (const entry of this.getEntries()) {
+      const status = await this.sendRequest<object>(entry.operators, '/status', undefined, GET_TIMEOUT_MS);
+      if (status.ok) {
+        return this.sendRequest<Body>(entry.operators, path, body, POST_TIMEOUT_MS);
       }
     }
-    return { ok: false, error: 'no entry box answers' };
+    return { ok: false, error: 'no entry box responds' };
   }
 
-  private readEntries(): Settings['entries'] {
+  private getEntries(): Settings['entries'] {
     return this.settings.entries.filter((entry) => this.box === undefined || entry.box === this.box);
   }
 
-  private async send<Answer>(
+  private async sendRequest<Body>(
     address: string,
     path: string,
     body: unknown,
     timeoutMs: number,
-  ): Promise<Result<Answer, string>> {
+  ): Promise<Result<Body, string>> {
     try {
-      const answer = await request(`http://${address}${path}`, {
+      const response = await request(`http://${address}${path}`, {
         method: body === undefined ? 'GET' : 'POST',
         headers: body === undefined ? {} : { 'content-type': 'application/json' },
         body: body === undefined ? null : JSON.stringify(body),
         signal: AbortSignal.timeout(timeoutMs),
       });
-      return { ok: true, value: (await answer.body.json()) as Answer };
+      return { ok: true, value: (await response.body.json()) as Body };
     } catch (thrown) {
       return { ok: false, error: toErrorText(thrown) };
     }
--- a/packages/cli/checkCommand.ts
+++ b/packages/cli/checkCommand.ts
@@ -4,7 +4,7 @@
 import { sharedOptions } from './sharedOptions';
 import { writeLine } from './writeLine';
 
-/** `stairline check`: tells all that is wrong in a settings file at once. */
+/** `stairline check`: validates a settings file and prints all problems. */
 export const checkCommand: Command = {
   name: 'check',
   summary: 'Check a settings file; print every problem with its path, line and what was expected.',
@@ -17,7 +17,7 @@
     }
     const rows = Object.keys(settings.rows).length;
     writeLine(
-      `The settings are good: cell ${settings.cell}, ${settings.entries.length} entry boxes, ${rows} rows.`,
+      `The settings are valid: cell ${settings.cell}, ${settings.entries.length} entry boxes, ${rows} rows.`,
     );
     return exitCodes.done;
   },
--- a/packages/cli/commands.ts
+++ b/packages/cli/commands.ts
@@ -11,7 +11,7 @@
 import { tableCommand } from './tableCommand';
 import { timelineCommand } from './timelineCommand';
 
-/** All commands of the binary, in the order of the help. */
+/** All subcommands, in the order of the help text. */
 export const commands: readonly Command[] = [
   serveCommand,
   explainJobCommand,
--- a/packages/cli/createOperatorClient.ts
+++ b/packages/cli/createOperatorClient.ts
@@ -2,7 +2,7 @@
 import { OperatorClient } from './OperatorClient';
 import { readCheckedSettings } from './readCheckedSettings';
 
-/** Creates the client that `--settings` and `--box` name; undefined, with the problems printed, when they are wrong. */
+/** Creates a client for `--settings` and `--box`. Prints the problems and returns undefined when the settings are invalid. */
 export const createOperatorClient = (input: CommandInput): OperatorClient | undefined => {
   const settings = readCheckedSettings(input);
   const box = input.values['box'];
--- a/packages/cli/endedCommand.ts
+++ b/packages/cli/endedCommand.ts
@@ -14,15 +14,15 @@
 import { writeError } from './writeError';
 import { writeLine } from './writeLine';
 
-/** `stairline ended`: an operator's word that a process has ended. */
+/** `stairline ended`: records an operator's confirmation that an entry process has ended. */
 export const endedCommand: Command = {
   name: 'ended',
-  summary: 'Record your word that an entry process has ended, so that its hall need not wait for it.',
+  summary: 'Confirm that an entry process has ended, so that its hall does not wait for it.',
   usage: 'PROCESS-ID --settings FILE --hall HALL --i-have-checked',
   options: {
     settings: sharedOptions.settings,
-    hall: { type: 'string', help: 'hall of the process (needed)' },
-    'i-have-checked': { type: 'boolean', help: 'needed: a wrong word can overfill boxes' },
+    hall: { type: 'string', help: 'hall of the process (required)' },
+    'i-have-checked': { type: 'boolean', help: 'required: a wrong confirmation can overcommit boxes' },
   },
   start: async (input) => {
     const [process] = input.positionals;
@@ -32,7 +32,7 @@
       return exitCodes.usage;
     }
     if (input.values['i-have-checked'] !== true) {
-      writeError('ended: make sure that the process is gone, then say so with --i-have-checked.');
+      writeError('ended: make sure that the process has ended, then confirm it with --i-have-checked.');
       return exitCodes.usage;
     }
     const settings = readCheckedSettings(input);
@@ -51,7 +51,7 @@
     const appended = await client.appendRecord(streams.toHallStream(cell, toId<HallId>(hall)), record);
     await client.stop();
     if (!appended.ok) {
-      writeError(`${formatPlatformError(appended.error)} Saying it again does no harm.`);
+      writeError(`${formatPlatformError(appended.error)} It is safe to run the command again.`);
       return exitCodes.failed;
     }
     writeLine(`Recorded at offset ${appended.value}.`);
--- a/packages/cli/entryCommand.ts
+++ b/packages/cli/entryCommand.ts
@@ -10,21 +10,25 @@
 
 const SIGNALS = ['SIGTERM', 'SIGINT'] as const;
 
-/** Resolves to the exit code once the process was told to stop and has finished, or was told twice. */
-const handleSignals = (entry: EntryProcess): Promise<number> =>
+/** Waits for a signal and for the graceful stop, and resolves to the exit code. A second signal exits at once. */
+const waitForExitCode = (entry: EntryProcess): Promise<number> =>
   new Promise((resolve) => {
     let isStopping = false;
     const handleSignal = () => {
       if (isStopping) {
-        writeError(`Ended by a second signal. Cut: ${entry.readUnderWay()} calls and tasks under way.`);
+        writeError(
+          `Stopped by a second signal. Interrupted: ${entry.readUnderWay()} calls and tasks in progress.`,
+        );
         process.exit(exitCodes.failed);
       }
       isStopping = true;
-      void entry.stop().then((cut) => {
-        if (cut > 0) {
-          writeError(`The limit for stopping has passed. Cut: ${cut} calls and tasks under way.`);
+      void entry.stop().then((interrupted) => {
+        if (interrupted > 0) {
+          writeError(
+            `The time limit for stopping has passed. Interrupted: ${interrupted} calls and tasks in progress.`,
+          );
         }
-        resolve(cut === 0 ? exitCodes.done : exitCodes.failed);
+        resolve(interrupted === 0 ? exitCodes.done : exitCodes.failed);
       });
     };
     for (const signal of SIGNALS) {
@@ -32,15 +36,15 @@
     }
   });
 
-/** `stairline entry`: one entry process. */
+/** `stairline entry`: runs an entry process. */
 export const entryCommand: Command = {
   name: 'entry',
-  summary: 'Run one entry process. SIGTERM stops it by plan; a second signal ends it at once.',
+  summary: 'Run one entry process. SIGTERM stops it gracefully; a second signal ends it at once.',
   usage: '--settings FILE [--box NAME]',
   options: {
     settings: sharedOptions.settings,
     box: sharedOptions.box,
-    record: { type: 'string', help: 'file or pipe for a trace of the decision core, for development' },
+    record: { type: 'string', help: 'file or pipe for a trace of scheduling decisions, for development' },
   },
   start: async (input) => {
     const settings = readCheckedSettings(input);
@@ -62,7 +66,7 @@
       incarnation: `${Date.now().toString(36)}${randomBytes(3).toString('hex')}`,
       ...(recordFile === undefined ? {} : { recordFile }),
     });
-    const stopped = handleSignals(entry);
+    const stopped = waitForExitCode(entry);
     try {
       await entry.start();
     } catch (thrown) {
@@ -70,7 +74,7 @@
       return exitCodes.failed;
     }
     const code = await stopped;
-    // Long polls and idle links would hold the process for seconds more.
+    // Long polls and idle connections would keep the process running for seconds.
     process.exit(code);
   },
 };
--- a/packages/cli/exitCodes.ts
+++ b/packages/cli/exitCodes.ts
@@ -1,8 +1,8 @@
 /** Exit codes of the command line. */
 export const exitCodes = {
   done: 0,
-  /** Refused, failed, or something was cut. */
+  /** The command failed or was refused, or work was interrupted. */
   failed: 1,
-  /** The arguments or the settings are wrong. */
+  /** The arguments or the settings are invalid. */
   usage: 2,
 } as const;
--- a/packages/cli/explainCommand.ts
+++ b/packages/cli/explainCommand.ts
@@ -8,16 +8,16 @@
 import { writeError } from './writeError';
 import { writeLine } from './writeLine';
 
-/** `stairline explain`: where a request ran, what it waited for, why that box. */
+/** `stairline explain`: shows where a request ran, what it waited for, and why that box was chosen. */
 export const explainCommand: Command = {
   name: 'explain',
-  summary: 'Tell where a request ran, what it waited for and why that box was chosen.',
+  summary: 'Show where a request ran, what it waited for and why that box was chosen.',
   usage: 'REQUEST-ID --settings FILE [--json]',
   options: sharedOptions,
   start: async (input) => {
     const [id] = input.positionals;
     if (id === undefined) {
-      writeError('explain: expected a request id, as the answer carried it in x-stairline-request.');
+      writeError('explain: expected a request id, from the response header x-stairline-request.');
       return exitCodes.usage;
     }
     const client = createOperatorClient(input);
@@ -30,8 +30,8 @@
       return events.length > 0 ? exitCodes.done : exitCodes.failed;
     }
     if (events.length === 0) {
-      const missing = silent.length > 0 ? ` No answer from: ${silent.join(', ')}.` : '';
-      writeError(`No entry box remembers request ${id}.${missing}`);
+      const missing = silent.length > 0 ? ` No response from: ${silent.join(', ')}.` : '';
+      writeError(`No entry box has events of request ${id}.${missing}`);
       return exitCodes.failed;
     }
     for (const sentence of formatExplanation(events)) {
--- a/packages/cli/explainJobCommand.ts
+++ b/packages/cli/explainJobCommand.ts
@@ -13,29 +13,29 @@
     .map(([name, value]) => `${name}=${typeof value === 'string' ? value : JSON.stringify(value)}`)
     .join(' ');
 
-/** `stairline explain-job`: the story of one job from the logs of all boxes. */
+/** `stairline explain-job`: prints the events of one job from the logs of all boxes. */
 export const explainJobCommand: Command = {
   name: 'explain-job',
   summary:
-    'Tell from the logs of all boxes what happened to a job, to its endpoints and to leadership meanwhile.',
+    'Show from the logs of all boxes what happened to a job, its endpoints and the leadership during the job.',
   usage: 'JOB LOG-FILE...',
   options: {},
   start: (input) => {
     const [job, ...files] = input.positionals;
     if (job === undefined || files.length === 0) {
-      writeError('Give the id of a job and at least one log file.');
+      writeError('Expected the id of a job and at least one log file.');
       return Promise.resolve(exitCodes.usage);
     }
     const texts = readLogFiles(files);
     if (texts === undefined) {
       return Promise.resolve(exitCodes.usage);
     }
-    const story = readJobStory(texts, job);
-    for (const line of story) {
+    const events = readJobStory(texts, job);
+    for (const line of events) {
       writeLine(`${line.time} ${line.box} [${line.part}] ${line.message} ${formatFields(line)}`);
     }
-    if (story.length === 0) {
-      writeError(`No line of the logs names ${job}.`);
+    if (events.length === 0) {
+      writeError(`No log line mentions ${job}.`);
       return Promise.resolve(exitCodes.failed);
     }
     return Promise.resolve(exitCodes.done);
--- a/packages/cli/formatColumns.ts
+++ b/packages/cli/formatColumns.ts
@@ -1,7 +1,10 @@
-/** Formats lines of cells as columns of even width. */
-export const formatColumns = (heads: readonly string[], lines: readonly (readonly unknown[])[]): string => {
-  const texts = [heads, ...lines.map((line) => line.map((cell) => String(cell)))];
-  const widths = heads.map((_, column) => Math.max(...texts.map((line) => (line[column] ?? '').length)));
+/** Formats a text table with aligned columns. */
+export const formatColumns = (
+  headings: readonly string[],
+  lines: readonly (readonly unknown[])[],
+): string => {
+  const texts = [headings, ...lines.map((line) => line.map((cell) => String(cell)))];
+  const widths = headings.map((_, column) => Math.max(...texts.map((line) => (line[column] ?? '').length)));
   const formatLine = (line: readonly string[]) =>
     line
       .map((cell, column) => cell.padEnd(widths[column] ?? 0))
--- a/packages/cli/formatCommandList.ts
+++ b/packages/cli/formatCommandList.ts
@@ -2,7 +2,7 @@
 
 const NAME_WIDTH = 10;
 
-/** Formats the list of commands. */
+/** Formats the usage of the binary, with all commands. */
 export const formatCommandList = (commands: readonly Command[]): string => {
   const lines = commands.map((command) => `  ${command.name.padEnd(NAME_WIDTH)} ${command.summary}`);
   return [
@@ -11,6 +11,6 @@
     'commands:',
     ...lines,
     '',
-    '`stairline COMMAND --help` tells more. Exit codes: 0 done, 1 failed or refused, 2 called wrongly.',
+    '`stairline COMMAND --help` shows the options of a command. Exit codes: 0 done, 1 failed or refused, 2 invalid arguments or settings.',
   ].join('\n');
 };
--- a/packages/cli/formatExplanation.ts
+++ b/packages/cli/formatExplanation.ts
@@ -1,40 +1,40 @@
 import type { TimelineEvent } from '../timeline/TimelineEvent';
 
-type Teller = (event: TimelineEvent) => string;
+type EventFormatter = (event: TimelineEvent) => string;
 
-const WAITS: Readonly<Record<string, string>> = {
-  nothing: 'nothing: there was room at once',
-  room: 'room on a worker',
+const WAIT_CAUSES: Readonly<Record<string, string>> = {
+  nothing: 'nothing: capacity was free at once',
+  room: 'free capacity on a worker',
   limit: "a limit of its row or its team's quota",
 };
 
-const PLACEMENTS: Readonly<Record<string, string>> = {
-  spread: 'it had the most room for this demand (row says spread)',
-  pack: 'it had the least room that still fits (row says pack)',
+const PLACEMENT_REASONS: Readonly<Record<string, string>> = {
+  spread: 'it had the most free capacity for this demand (placement of the row: spread)',
+  pack: 'it had the least free capacity that fits this demand (placement of the row: pack)',
 };
 
-const TELLERS: Readonly<Record<string, Teller>> = {
+const EVENT_FORMATTERS: Readonly<Record<string, EventFormatter>> = {
   arrived: ({ box, detail }) => `It arrived at ${box} for row ${detail['row']}.`,
-  'sent on': ({ box, detail }) => `${box} had no room at once and sent it on to ${detail['to']}.`,
+  'sent on': ({ box, detail }) => `${box} had no free capacity at once and forwarded it to ${detail['to']}.`,
   placed: ({ box, detail }) => {
-    const waited = WAITS[String(detail['waitedFor'])] ?? String(detail['waitedFor']);
-    const why = PLACEMENTS[String(detail['placement'])] ?? '';
+    const waited = WAIT_CAUSES[String(detail['waitedFor'])] ?? String(detail['waitedFor']);
+    const why = PLACEMENT_REASONS[String(detail['placement'])] ?? '';
     return `${box} placed it on ${detail['worker']} after ${detail['waitedMs']} ms, waiting for ${waited}; chosen because ${why}.`;
   },
   'not sent': ({ detail }) =>
-    `Nothing was sent to ${detail['worker']}: ${detail['reason']}. It waited again.`,
+    `Nothing was sent to ${detail['worker']}: ${detail['reason']}. It was queued again.`,
   'yield asked': ({ detail }) => `It was asked to yield ${detail['worker']} to ${detail['inFavourOf']}.`,
-  yielded: ({ detail }) => `It yielded by checkpoint on ${detail['worker']} and waited again.`,
+  yielded: ({ detail }) => `It yielded by checkpoint on ${detail['worker']} and was queued again.`,
   'end not seen': ({ detail }) => `Its end on ${detail['worker']} was not seen: ${detail['reason']}.`,
   ended: ({ detail }) => `It ended on ${detail['worker']} with status ${detail['status']}.`,
-  refused: ({ detail }) => `It was given up on: ${detail['reason']}.`,
+  refused: ({ detail }) => `It was refused: ${detail['reason']}.`,
   answered: ({ box, detail }) =>
-    `${box} answered ${detail['outcome']}${detail['why'] === '' ? '' : ` (${detail['why']})`}.`,
+    `${box} responded ${detail['outcome']}${detail['why'] === '' ? '' : ` (${detail['why']})`}.`,
 };
 
 /** Formats the events of one request as sentences. */
 export const formatExplanation = (events: readonly TimelineEvent[]): readonly string[] =>
   events.flatMap((event) => {
-    const teller = TELLERS[event.kind];
-    return teller === undefined ? [] : [teller(event)];
+    const formatter = EVENT_FORMATTERS[event.kind];
+    return formatter === undefined ? [] : [formatter(event)];
   });
--- a/packages/cli/formatHelp.ts
+++ b/packages/cli/formatHelp.ts
@@ -2,7 +2,7 @@
 
 const NAME_WIDTH = 22;
 
-/** Formats the help of one command. */
+/** Formats the help text of one command. */
 export const formatHelp = (command: Command): string => {
   const options = Object.entries(command.options).map(([name, option]) => {
     const flag = option.type === 'string' ? `--${name} VALUE` : `--${name}`;
--- a/packages/cli/ledgerCommand.ts
+++ b/packages/cli/ledgerCommand.ts
@@ -12,30 +12,30 @@
 const DEFAULT_WORST_COUNT = 10;
 const MS_PER_SECOND = 1000;
 
-/** Reads an option that must be a number above zero; undefined when it is not. */
-const readPositive = (value: string | boolean | undefined, otherwise: number): number | undefined => {
-  const number = value === undefined ? otherwise : Number(value);
+/** Parses an option as a positive number; returns undefined when it is not one. */
+const parsePositive = (value: string | boolean | undefined, defaultValue: number): number | undefined => {
+  const number = value === undefined ? defaultValue : Number(value);
   return number > 0 && Number.isFinite(number) ? number : undefined;
 };
 
-/** `stairline ledger`: where the time of jobs went, from the logs of all boxes. */
+/** `stairline ledger`: breaks down the time of jobs into phases, from the logs of all boxes. */
 export const ledgerCommand: Command = {
   name: 'ledger',
-  summary: 'Sum from the logs of all boxes what the time of jobs went into, and name the slowest jobs.',
+  summary: 'Break down the time of jobs into phases from the logs of all boxes, and list the slowest jobs.',
   usage: '[--window SECONDS] [--worst COUNT] [--json] LOG-FILE...',
   options: {
     window: {
       type: 'string',
-      help: `seconds of acceptance that are summed together (${DEFAULT_WINDOW_SECONDS})`,
+      help: `length in seconds of the windows of acceptance that jobs are summed by (${DEFAULT_WINDOW_SECONDS})`,
     },
-    worst: { type: 'string', help: `how many of the slowest jobs are shown (${DEFAULT_WORST_COUNT})` },
-    json: { type: 'boolean', help: 'the path of each job as one JSON object a line' },
+    worst: { type: 'string', help: `number of slowest jobs to show (${DEFAULT_WORST_COUNT})` },
+    json: { type: 'boolean', help: 'print the phases of each job as one JSON object a line' },
   },
   start: ({ positionals, values }) => {
-    const windowSeconds = readPositive(values['window'], DEFAULT_WINDOW_SECONDS);
-    const worstCount = readPositive(values['worst'], DEFAULT_WORST_COUNT);
+    const windowSeconds = parsePositive(values['window'], DEFAULT_WINDOW_SECONDS);
+    const worstCount = parsePositive(values['worst'], DEFAULT_WORST_COUNT);
     if (positionals.length === 0 || windowSeconds === undefined || worstCount === undefined) {
-      writeError('Give at least one log file; --window and --worst take numbers above zero.');
+      writeError('Expected at least one log file, and positive numbers for --window and --worst.');
       return Promise.resolve(exitCodes.usage);
     }
     const lines = readLogFiles(positionals);
@@ -44,7 +44,7 @@
     }
     const accounts = readAccounts(lines);
     if (accounts.length === 0) {
-      writeError('No line of the logs tells of an accepted job.');
+      writeError('The logs contain no accepted job.');
       return Promise.resolve(exitCodes.failed);
     }
     const isJson = values['json'] === true;
--- a/packages/cli/parseChoice.ts
+++ b/packages/cli/parseChoice.ts
@@ -1,7 +1,7 @@
-/** The key of a table that an option names; the default without the option, undefined when the table has no such key. */
+/** Parses an option as a key of `choices`. Returns the default without the option, undefined when there is no such key. */
 export const parseChoice = <Choice extends string>(
-  table: Readonly<Record<Choice, unknown>>,
+  choices: Readonly<Record<Choice, unknown>>,
   text: unknown,
   defaultChoice: Choice,
 ): Choice | undefined =>
-  text === undefined ? defaultChoice : (Object.keys(table) as Choice[]).find((choice) => choice === text);
+  text === undefined ? defaultChoice : (Object.keys(choices) as Choice[]).find((choice) => choice === text);
--- a/packages/cli/wayOptions.ts
+++ b/packages/cli/policyOptions.ts
@@ -8,56 +8,56 @@
 import { configurationSources } from '../serve/configurationSources';
 import { jobWritings } from '../serve/jobWritings';
 import type { ServeWays } from '../serve/ServeWays';
-import type { WayOption } from './WayOption';
+import type { PolicyOption } from './PolicyOption';
 
-/** The options of `stairline serve` that choose a way, by the setting that they set. */
-export const wayOptions: { readonly [Way in keyof ServeWays]: WayOption<ServeWays[Way]> } = {
+/** Policy options of `stairline serve`, by the setting that they set. */
+export const policyOptions: { readonly [Setting in keyof ServeWays]: PolicyOption<ServeWays[Setting]> } = {
   configurationSource: {
     name: 'configuration',
-    table: configurationSources,
+    choices: configurationSources,
     defaultChoice: 'boxes',
-    help: 'where new versions of the configuration come from while the log is out: the log alone, or other boxes',
+    help: 'source of new versions of the configuration while the log is unavailable: the log alone, or other boxes too',
   },
   jobWriting: {
     name: 'writing',
-    table: jobWritings,
+    choices: jobWritings,
     defaultChoice: 'leader',
-    help: 'who appends accepted jobs to the log: own, or the leader',
+    help: 'box that appends accepted jobs to the log: the own one, or the leader',
   },
   door: {
     name: 'door',
-    table: admissionModes,
+    choices: admissionModes,
     defaultChoice: 'open',
-    help: 'whether jobs are refused for load: never, never but told of, or truthfully when they are hopeless',
+    help: 'refusal of jobs by load: never, never with the load published, or when they cannot be of use in time',
   },
   placementOrder: {
     name: 'order',
-    table: placementOrders,
+    choices: placementOrders,
     defaultChoice: defaultPolicies.placementOrder,
     help: 'order of placement within a priority',
   },
   speedChoice: {
     name: 'speeds',
-    table: speedPolicies,
+    choices: speedPolicies,
     defaultChoice: defaultPolicies.speedChoice,
-    help: 'how the speed of endpoints counts',
+    help: 'use of the speed of endpoints in placement',
   },
   hallChoice: {
     name: 'halls',
-    table: hallPolicies,
+    choices: hallPolicies,
     defaultChoice: defaultPolicies.hallChoice,
-    help: 'over which halls the tasks of a job go',
+    help: 'distribution of the tasks of a job over halls',
   },
   turnChoice: {
     name: 'turns',
-    table: advicePolicies,
+    choices: advicePolicies,
     defaultChoice: defaultPolicies.turnChoice,
-    help: 'when turns at the advice service are taken',
+    help: 'timing and size of requests to the advice service',
   },
   stopChoice: {
     name: 'stops',
-    table: stopPolicies,
+    choices: stopPolicies,
     defaultChoice: defaultPolicies.stopChoice,
-    help: 'what is stopped for more urgent work, or moved',
+    help: 'choice of runs to preempt, evict or move',
   },
 };
--- a/packages/cli/readCheckedSettings.ts
+++ b/packages/cli/readCheckedSettings.ts
@@ -3,11 +3,11 @@
 import type { CommandInput } from './CommandInput';
 import { writeError } from './writeError';
 
-/** Reads the settings that `--settings` names; prints all problems and gives undefined when there are any. */
+/** Reads the settings file of `--settings`. Prints all problems and returns undefined when there are any. */
 export const readCheckedSettings = (input: CommandInput): Settings | undefined => {
   const file = input.values['settings'];
   if (typeof file !== 'string') {
-    writeError('--settings FILE is needed.');
+    writeError('--settings FILE is required.');
     return undefined;
   }
   const settings = readSettings(file);
--- a/packages/cli/readLogFiles.ts
+++ b/packages/cli/readLogFiles.ts
@@ -2,7 +2,7 @@
 import { toErrorText } from '../common/toErrorText';
 import { writeError } from './writeError';
 
-/** Reads the lines of some log files; says which one cannot be read, and gives undefined then. */
+/** Reads the lines of log files. Prints an error and returns undefined when a file cannot be read. */
 export const readLogFiles = (files: readonly string[]): readonly string[] | undefined => {
   const lines: string[] = [];
   for (const file of files) {
--- a/packages/cli/readMergedEvents.ts
+++ b/packages/cli/readMergedEvents.ts
@@ -4,14 +4,14 @@
 
 interface MergedEvents {
   readonly events: readonly TimelineEvent[];
-  /** Boxes that did not answer: their events are missing. */
+  /** Boxes that did not respond; their events are missing. */
   readonly silent: readonly string[];
 }
 
-/** Reads the events of all boxes and merges them in causal order. */
+/** Requests the events of all boxes and merges them in causal order. */
 export const readMergedEvents = async (client: OperatorClient, path: string): Promise<MergedEvents> => {
-  const answers = await client.readAll<{ events: readonly TimelineEvent[] }>(path);
-  const events = answers.flatMap(({ answer }) => (answer.ok ? answer.value.events : []));
-  const silent = answers.filter(({ answer }) => !answer.ok).map(({ box }) => box);
+  const responses = await client.requestFromAll<{ events: readonly TimelineEvent[] }>(path);
+  const events = responses.flatMap(({ answer }) => (answer.ok ? answer.value.events : []));
+  const silent = responses.filter(({ answer }) => !answer.ok).map(({ box }) => box);
   return { events: [...events].sort(checkStampOrder), silent };
 };
--- a/packages/cli/replayCommand.ts
+++ b/packages/cli/replayCommand.ts
@@ -9,11 +9,11 @@
 import { writeError } from './writeError';
 import { writeLine } from './writeLine';
 
-/** `stairline replay`: runs a recorded trace through the decision core on a virtual clock. */
+/** `stairline replay`: replays a recorded trace of scheduling decisions on a virtual clock. */
 export const replayCommand: Command = {
   name: 'replay',
   summary:
-    'Run a recorded trace through the decision code on a virtual clock; print waiting, packing and a digest.',
+    'Replay a recorded trace through the scheduler on a virtual clock; print waiting times, packing and a digest.',
   usage: 'TRACE [--policy NAME] [--json]',
   options: {
     policy: { type: 'string', help: `one of ${Object.keys(policies).join(', ')}` },
@@ -23,7 +23,9 @@
     const [file] = input.positionals;
     const policy = (input.values['policy'] ?? 'stairline') as PolicyName;
     if (file === undefined || !(policy in policies)) {
-      writeError(`replay: expected a trace file, and a policy of ${Object.keys(policies).join(', ')}.`);
+      writeError(
+        `replay: expected a trace file, and one of the policies ${Object.keys(policies).join(', ')}.`,
+      );
       return exitCodes.usage;
     }
     const trace = readTrace(file);
--- a/packages/cli/serveCommand.ts
+++ b/packages/cli/serveCommand.ts
@@ -11,18 +11,18 @@
 import { DecisionLog } from '../logging/DecisionLog';
 import type { Command } from './Command';
 import { exitCodes } from './exitCodes';
-import { formatWayHelp } from './formatWayHelp';
-import { readWays } from './readWays';
-import type { WayOption } from './WayOption';
-import { wayOptions } from './wayOptions';
+import { formatPolicyHelp } from './formatPolicyHelp';
+import { parsePolicies } from './parsePolicies';
+import type { PolicyOption } from './PolicyOption';
+import { policyOptions } from './policyOptions';
 import { writeError } from './writeError';
 
 const LOG_LINES_PER_SECOND = 400;
-/** Between looks whether lines that were left out are to be told. */
+/** Interval at which the number of dropped log lines is reported. */
 const LOG_TICK_MS = 1000;
 
-/** Resolves once the process was told to stop and has finished. */
-const handleSignals = (serve: ServeProcess): Promise<void> =>
+/** Waits for SIGTERM or SIGINT and for the graceful stop; SIGHUP reloads the settings. */
+const waitForStop = (serve: ServeProcess): Promise<void> =>
   new Promise((resolve) => {
     const handleStop = (): void => void serve.stop().then(resolve);
     process.on('SIGTERM', handleStop);
@@ -30,24 +30,29 @@
     process.on('SIGHUP', () => serve.handleReload());
   });
 
-const WAYS: readonly WayOption<string>[] = Object.values<WayOption<string>>(wayOptions);
+const POLICY_OPTIONS: readonly PolicyOption<string>[] = Object.values<PolicyOption<string>>(policyOptions);
 
-/** `stairline serve`: one entry process on the platform. */
+/** `stairline serve`: runs an entry process on the platform. */
 export const serveCommand: Command = {
   name: 'serve',
-  summary:
-    'Run one entry process on the platform. SIGTERM stops it by plan, SIGHUP reads the settings again.',
-  usage: `[--settings FILE] ${WAYS.map(({ name }) => `[--${name} NAME]`).join(' ')}`,
+  summary: 'Run one entry process on the platform. SIGTERM stops it gracefully, SIGHUP reloads the settings.',
+  usage: `[--settings FILE] ${POLICY_OPTIONS.map(({ name }) => `[--${name} NAME]`).join(' ')}`,
   options: {
-    settings: { type: 'string', help: `settings file; without it, ${wireNames.settingsVariable} names it` },
+    settings: {
+      type: 'string',
+      help: `settings file (default: the one named by ${wireNames.settingsVariable})`,
+    },
     ...Object.fromEntries(
-      WAYS.map((way) => [way.name, { type: 'string', help: formatWayHelp(way) } as const]),
+      POLICY_OPTIONS.map((option) => [
+        option.name,
+        { type: 'string', help: formatPolicyHelp(option) } as const,
+      ]),
     ),
   },
   start: async (input) => {
     const file = input.values['settings'] ?? process.env[wireNames.settingsVariable];
     if (typeof file !== 'string' || file === '') {
-      writeError(`No settings: give --settings FILE or set ${wireNames.settingsVariable}.`);
+      writeError(`No settings: expected --settings FILE or ${wireNames.settingsVariable}.`);
       return exitCodes.usage;
     }
     const settings = readPlatformSettings(file);
@@ -55,9 +60,9 @@
       settings.error.forEach((problem) => writeError(`Settings: ${problem}`));
       return exitCodes.usage;
     }
-    const ways = readWays(input.values);
-    if (!ways.ok) {
-      ways.error.forEach(writeError);
+    const policies = parsePolicies(input.values);
+    if (!policies.ok) {
+      policies.error.forEach(writeError);
       return exitCodes.usage;
     }
     const incarnation = `${Date.now().toString(36)}${randomBytes(3).toString('hex')}`;
@@ -73,16 +78,16 @@
     const createPartLogger = (part: string): Logger => decisionLog.createLogger(part);
     const clock = createMachineClock(createPartLogger('clock'));
     const serve = new ServeProcess({
-      settings: { ...settings.value, ...ways.value },
+      settings: { ...settings.value, ...policies.value },
       adapter: createPlatformAdapter(settings.value, clock),
       clock,
       random: createRandom(randomBytes(4).readUInt32LE()),
       process: `${settings.value.box}#${incarnation}`,
       createPartLogger,
     });
-    // A collector that goes away must not end the box: lines are then lost.
+    // The process goes on without logs when the log collector closes the pipe.
     process.stdout.on('error', () => undefined);
-    const stopped = handleSignals(serve);
+    const stopped = waitForStop(serve);
     try {
       await serve.start();
     } catch (thrown) {
@@ -91,7 +96,7 @@
     }
     await stopped;
     decisionLog.stop();
-    // Long polls would hold the process for seconds more.
+    // Long polls would keep the process running for seconds.
     process.exit(exitCodes.done);
   },
 };
--- a/packages/cli/startCommand.ts
+++ b/packages/cli/startCommand.ts
@@ -7,7 +7,7 @@
 import { writeError } from './writeError';
 import { writeLine } from './writeLine';
 
-/** Finds the command of the first argument, parses the rest and runs it. Resolves to the exit code. */
+/** Runs the command that the first argument names, with the other arguments. Resolves to the exit code. */
 export const startCommand = async (
   args: readonly string[],
   commands: readonly Command[],
@@ -22,7 +22,7 @@
     writeError(`Unknown command: ${name}.\n${formatCommandList(commands)}`);
     return exitCodes.usage;
   }
-  const options = { ...command.options, help: { type: 'boolean', help: 'this text' } } as const;
+  const options = { ...command.options, help: { type: 'boolean', help: 'show this text' } } as const;
   try {
     const { values, positionals } = parseArgs({ args: rest, options, allowPositionals: true, strict: true });
     if (values.help === true) {
--- a/packages/cli/statusCommand.ts
+++ b/packages/cli/statusCommand.ts
@@ -6,7 +6,7 @@
 import { sharedOptions } from './sharedOptions';
 import { writeLine } from './writeLine';
 
-const HEADS = [
+const HEADINGS = [
   'box',
   'hall',
   'ready',
@@ -42,7 +42,7 @@
   ];
 };
 
-/** `stairline status`: one line an entry box. */
+/** `stairline status`: prints one line for each entry box. */
 export const statusCommand: Command = {
   name: 'status',
   summary: 'Show each entry box: readiness, view, table offset, workers, waiting and running.',
@@ -53,15 +53,15 @@
     if (client === undefined) {
       return exitCodes.usage;
     }
-    const answers = await client.readAll<EntryStatus>('/status');
+    const responses = await client.requestFromAll<EntryStatus>('/status');
     if (input.values['json'] === true) {
-      writeLine(JSON.stringify(answers));
+      writeLine(JSON.stringify(responses));
     } else {
-      const lines = answers.map(({ box, answer }) =>
-        answer.ok ? toCells(answer.value) : [box, `no answer: ${answer.error}`],
+      const lines = responses.map(({ box, answer }) =>
+        answer.ok ? toCells(answer.value) : [box, `no response: ${answer.error}`],
       );
-      writeLine(formatColumns(HEADS, lines));
+      writeLine(formatColumns(HEADINGS, lines));
     }
-    return answers.some(({ answer }) => answer.ok) ? exitCodes.done : exitCodes.failed;
+    return responses.some(({ answer }) => answer.ok) ? exitCodes.done : exitCodes.failed;
   },
 };
--- a/packages/cli/tableCommand.ts
+++ b/packages/cli/tableCommand.ts
@@ -14,7 +14,7 @@
 import { writeError } from './writeError';
 import { writeLine } from './writeLine';
 
-interface TableAnswer {
+interface TableResponse {
   readonly offset: number;
   readonly isShared: boolean;
   readonly rows: readonly Row[];
@@ -23,7 +23,7 @@
 
 type Action = (client: OperatorClient, input: CommandInput) => Promise<number>;
 
-/** A value is JSON where it can be read as such, and plain text otherwise. */
+/** Parses a value as JSON, or returns the text itself when it is not JSON. */
 const parseValue = (text: string): CellValue => {
   try {
     return JSON.parse(text) as CellValue;
@@ -32,7 +32,8 @@
   }
 };
 
-const toOperatorName = (): string => {
+/** Returns the login name in the form that operators' names have. */
+const getOperatorName = (): string => {
   const name = userInfo()
     .username.toLowerCase()
     .replace(/[^a-z0-9-]/g, '-');
@@ -40,19 +41,19 @@
 };
 
 const writeTable: Action = async (client, input) => {
-  const answer = await client.readAny<TableAnswer>('/table');
-  if (!answer.ok) {
-    writeError(`No entry box answers: ${answer.error}.`);
+  const response = await client.requestFromAny<TableResponse>('/table');
+  if (!response.ok) {
+    writeError(`No entry box responds: ${response.error}.`);
     return exitCodes.failed;
   }
-  const table = answer.value;
+  const table = response.value;
   if (input.values['json'] === true) {
     writeLine(JSON.stringify(table));
     return exitCodes.done;
   }
   const origin = table.isShared
     ? `offset ${table.offset}`
-    : 'from the settings alone: no log and no peer was read yet';
+    : 'from the settings alone: neither the log nor a peer has been read yet';
   writeLine(`Table at ${origin}`);
   const columns = Object.keys(table.rows[0] ?? { name: '' });
   const lines = table.rows.map((row) => columns.map((column) => row[column as keyof Row]));
@@ -70,16 +71,16 @@
 };
 
 const writeHistory: Action = async (client, input) => {
-  const answer = await client.readAny<{ history: readonly AppliedEdit[] }>('/table/history');
-  if (!answer.ok) {
-    writeError(`No entry box answers: ${answer.error}.`);
+  const response = await client.requestFromAny<{ history: readonly AppliedEdit[] }>('/table/history');
+  if (!response.ok) {
+    writeError(`No entry box responds: ${response.error}.`);
     return exitCodes.failed;
   }
   if (input.values['json'] === true) {
-    writeLine(JSON.stringify(answer.value.history));
+    writeLine(JSON.stringify(response.value.history));
     return exitCodes.done;
   }
-  const lines = answer.value.history.map((edit) => [
+  const lines = response.value.history.map((edit) => [
     edit.offset,
     edit.decision,
     edit.cell,
@@ -92,20 +93,20 @@
   return exitCodes.done;
 };
 
-const writeEditAnswer = (answer: EditAnswer): number => {
-  switch (answer.kind) {
+const writeEditResult = (result: EditAnswer): number => {
+  switch (result.kind) {
     case 'refused':
-      writeError(`Refused before the log: ${answer.reason}.`);
+      writeError(`The edit was refused before it was appended: ${result.reason}.`);
       return exitCodes.failed;
     case 'unknown':
       writeError(
-        `Not known: ${answer.reason} Look for edit ${answer.editId} with \`stairline table history\`.`,
+        `Unknown result: ${result.reason} Look for edit ${result.editId} in \`stairline table history\`.`,
       );
       return exitCodes.failed;
     case 'decided':
       break;
   }
-  const { edit, inForce, notSeen } = answer;
+  const { edit, inForce, notSeen } = result;
   if (edit.decision === 'refused') {
     writeError(`Refused at offset ${edit.offset}: ${edit.reason}.`);
     return exitCodes.failed;
@@ -113,7 +114,7 @@
   writeLine(`Accepted: edit ${edit.editId} at offset ${edit.offset}. In force on: ${inForce.join(', ')}.`);
   if (notSeen.length > 0) {
     writeLine(
-      `Could not be asked, or has not read so far: ${notSeen.join(', ')}. It follows when it can read the log or a peer.`,
+      `Unreachable or behind: ${notSeen.join(', ')}. They apply the edit once they can read the log or a peer.`,
     );
   }
   return exitCodes.done;
@@ -129,27 +130,27 @@
   const body = {
     cell,
     value: parseValue(text),
-    operator: typeof input.values['operator'] === 'string' ? input.values['operator'] : toOperatorName(),
+    operator: typeof input.values['operator'] === 'string' ? input.values['operator'] : getOperatorName(),
     ...(typeof basedOn === 'string' ? { basedOn: Number(basedOn) } : {}),
   };
-  const answer = await client.writeAny<EditAnswer>('/table/edits', body);
-  if (!answer.ok) {
+  const response = await client.sendToAny<EditAnswer>('/table/edits', body);
+  if (!response.ok) {
     writeError(
-      `No answer: ${answer.error}. Look with \`stairline table history\` whether the edit took effect.`,
+      `No response: ${response.error}. Check with \`stairline table history\` whether the edit was applied.`,
     );
     return exitCodes.failed;
   }
   if (input.values['json'] === true) {
-    writeLine(JSON.stringify(answer.value));
-    const isAccepted = answer.value.kind === 'decided' && answer.value.edit.decision === 'accepted';
+    writeLine(JSON.stringify(response.value));
+    const isAccepted = response.value.kind === 'decided' && response.value.edit.decision === 'accepted';
     return isAccepted ? exitCodes.done : exitCodes.failed;
   }
-  return writeEditAnswer(answer.value);
+  return writeEditResult(response.value);
 };
 
 const ACTIONS: Readonly<Record<string, Action>> = { show: writeTable, set: sendEdit, history: writeHistory };
 
-/** `stairline table`: the operators' table. */
+/** `stairline table`: shows and edits the operators' table. */
 export const tableCommand: Command = {
   name: 'table',
   summary:
@@ -157,8 +158,11 @@
   usage: 'show|set CELL VALUE|history --settings FILE [--json]',
   options: {
     ...sharedOptions,
-    operator: { type: 'string', help: 'name that the edit carries; the login name without it' },
-    'based-on': { type: 'string', help: "offset of the cell's last edit that you have seen" },
+    operator: { type: 'string', help: 'operator recorded with the edit (default: the login name)' },
+    'based-on': {
+      type: 'string',
+      help: "offset of the cell's last known edit; a newer one refuses this edit",
+    },
   },
   start: async (input) => {
     const action = ACTIONS[input.positionals[0] ?? ''];
--- a/packages/cli/timelineCommand.ts
+++ b/packages/cli/timelineCommand.ts
@@ -7,7 +7,7 @@
 import { writeError } from './writeError';
 import { writeLine } from './writeLine';
 
-/** `stairline timeline`: the events of all processes in causal order. */
+/** `stairline timeline`: prints the events of all entry processes in causal order. */
 export const timelineCommand: Command = {
   name: 'timeline',
   summary: 'Show the events of all entry processes, merged in causal order.',
@@ -27,7 +27,7 @@
       }
     }
     if (silent.length > 0) {
-      writeError(`No answer from: ${silent.join(', ')}. Their events are missing.`);
+      writeError(`No response from: ${silent.join(', ')}. Their events are missing.`);
     }
     return exitCodes.done;
   },
--- a/packages/cli/writeLine.ts
+++ b/packages/cli/writeLine.ts
@@ -1,6 +1,6 @@
 let isGuarded = false;
 
-/** A reader that has seen enough closes the pipe: that ends the command, without an error. */
+/** Exits without an error when the reader closes the pipe. */
 const startGuard = (): void => {
   isGuarded = true;
   process.stdout.on('error', () => process.exit(0));
