--- a/tests/cli.test.ts
+++ b/tests/cli.test.ts
@@ -14,11 +14,11 @@
 }
 
 const BINARY = 'dist/stairline';
-const startFile = promisify(execFile);
+const runFile = promisify(execFile);
 
-const startCli = async (...args: string[]): Promise<CliResult> => {
+const runCli = async (...args: string[]): Promise<CliResult> => {
   try {
-    const { stdout, stderr } = await startFile(BINARY, args);
+    const { stdout, stderr } = await runFile(BINARY, args);
     return { code: 0, out: stdout, err: stderr };
   } catch (thrown) {
     const failed = thrown as { code: number; stdout: string; stderr: string };
@@ -44,7 +44,7 @@
 }
 `;
 
-describe('the one binary', () => {
+describe('the command line', () => {
   let fleet: Fleet;
   let settings = '';
 
@@ -58,51 +58,51 @@
     await fleet.stop();
   });
 
-  it('lists its commands, and tells the usage of each', async () => {
-    const help = await startCli('help');
+  it('lists its commands and shows the usage of each', async () => {
+    const help = await runCli('help');
     expect(help.code).toBe(0);
     for (const name of ['entry', 'check', 'status', 'table', 'timeline', 'explain', 'replay', 'ended']) {
       expect(help.out).toContain(`  ${name} `);
-      const one = await startCli(name, '--help');
+      const one = await runCli(name, '--help');
       expect(one).toMatchObject({ code: 0, out: expect.stringContaining(`usage: stairline ${name}`) });
     }
   });
 
-  it('exits with 2 when it is called wrongly', async () => {
-    expect((await startCli()).code).toBe(2);
-    expect((await startCli('dance')).code).toBe(2);
-    expect((await startCli('check')).code).toBe(2);
-    expect((await startCli('check', '--colour')).code).toBe(2);
-    expect((await startCli('entry', '--settings', settings, '--box', 'nobody')).err).toContain(
+  it('exits with 2 on invalid arguments', async () => {
+    expect((await runCli()).code).toBe(2);
+    expect((await runCli('dance')).code).toBe(2);
+    expect((await runCli('check')).code).toBe(2);
+    expect((await runCli('check', '--colour')).code).toBe(2);
+    expect((await runCli('entry', '--settings', settings, '--box', 'nobody')).err).toContain(
       'box: expected one of',
     );
   });
 
-  it('accepts the ready settings of both deployments', async () => {
+  it('accepts the settings files of both deployments', async () => {
     for (const name of ['almaty', 'gangetic-east']) {
-      const checked = await startCli('check', '--settings', `settings/${name}.jsonc`);
+      const checked = await runCli('check', '--settings', `settings/${name}.jsonc`);
       expect(checked).toMatchObject({ code: 0, out: expect.stringContaining('6 entry boxes') });
     }
   });
 
-  it('tells all that is wrong in a settings file at once, each with its place', async () => {
+  it('reports all problems of a settings file at once, each with its line and path', async () => {
     const file = writeSettings(BAD_SETTINGS);
-    const checked = await startCli('check', '--settings', file);
+    const checked = await runCli('check', '--settings', file);
     expect(checked.code).toBe(2);
     expect(checked.err).toContain(`${file}:4: platform: expected an IP number and a port`);
     expect(checked.err).toContain(`${file}:7: rows.plan-refresh.wait: Unrecognized key`);
     expect(checked.err).toContain(`${file}:8: rows.course-build.class: `);
   });
 
-  it('names the line of broken JSON and of a file that is not there', async () => {
+  it('reports the line of a JSON syntax error, and a missing file', async () => {
     const file = writeSettings('{\n  "cell": "a",\n  "box" 3\n}\n');
-    expect((await startCli('check', '--settings', file)).err).toContain(`${file}:3:`);
-    expect((await startCli('check', '--settings', 'no-such-file')).err).toContain(
+    expect((await runCli('check', '--settings', file)).err).toContain(`${file}:3:`);
+    expect((await runCli('check', '--settings', 'no-such-file')).err).toContain(
       'expected a readable file'.slice(9),
     );
   });
 
-  it('runs an entry process by itself', async () => {
+  it('runs an entry process on its own', async () => {
     const [box = ''] = fleet.readBoxes();
     fleet.readProcess(box).sendSignal('SIGKILL');
     await fleet.readProcess(box).exit;
@@ -117,9 +117,9 @@
   });
 
   it('shows and edits the table', async () => {
-    const shown = await startCli('table', 'show', '--settings', settings);
+    const shown = await runCli('table', 'show', '--settings', settings);
     expect(shown.out).toMatch(/gazetteer-watch\s+standing/);
-    const set = await startCli(
+    const set = await runCli(
       'table',
       'set',
       'row/tile-proof/weight',
@@ -130,26 +130,26 @@
       'anna',
     );
     expect(set).toMatchObject({ code: 0, out: expect.stringContaining('Accepted') });
-    const bad = await startCli('table', 'set', 'row/tile-proof/weight', 'heavy', '--settings', settings);
+    const bad = await runCli('table', 'set', 'row/tile-proof/weight', 'heavy', '--settings', settings);
     expect(bad).toMatchObject({ code: 1, err: expect.stringContaining('bad value for row/tile-proof') });
-    const history = await startCli('table', 'history', '--settings', settings, '--json');
+    const history = await runCli('table', 'history', '--settings', settings, '--json');
     expect(JSON.parse(history.out)).toMatchObject([{ cell: 'row/tile-proof/weight', decision: 'accepted' }]);
   });
 
-  it('shows status, time line and the explanation of a request', async () => {
-    const status = await startCli('status', '--settings', settings);
+  it('shows the status, the timeline and the explanation of a request', async () => {
+    const status = await runCli('status', '--settings', settings);
     expect(status.out).toContain(fleet.readBoxes()[1]);
-    const timeline = await startCli('timeline', '--settings', settings);
+    const timeline = await runCli('timeline', '--settings', settings);
     expect(timeline.out).toContain('[hall] view');
     const result = await fleet.sendCall(fleet.readBoxes()[1] ?? '', 'plan-refresh', {
       headers: { 'x-run-ms': '5' },
     });
-    const explained = await startCli('explain', result.request, '--settings', settings);
+    const explained = await runCli('explain', result.request, '--settings', settings);
     expect(explained.out).toMatch(/placed it on hall-a-worker-\d .* waiting for nothing/);
-    expect((await startCli('explain', 'nothing', '--settings', settings)).code).toBe(1);
+    expect((await runCli('explain', 'nothing', '--settings', settings)).code).toBe(1);
   });
 
-  it('gives the operators a page', async () => {
+  it('serves a status page to operators', async () => {
     const file = JSON.parse((await import('node:fs')).readFileSync(settings, 'utf8')) as {
       entries: { operators: string }[];
     };
