--- a/packages/cli/formatExplanation.ts
+++ b/packages/cli/formatExplanation.ts
@@ -29,7 +29,7 @@
   ended: ({ detail }) => `It ended on ${detail['worker']} with status ${detail['status']}.`,
   refused: ({ detail }) => `It was refused: ${detail['reason']}.`,
   answered: ({ box, detail }) =>
-    `${box} responded ${detail['outcome']}${detail['why'] === '' ? '' : ` (${detail['why']})`}.`,
+    `${box} responded with ${detail['outcome']}${detail['why'] === '' ? '' : ` (${detail['why']})`}.`,
 };
 
 /** Formats the events of one request as sentences. */
--- a/packages/cli/ledgerCommand.ts
+++ b/packages/cli/ledgerCommand.ts
@@ -26,7 +26,7 @@
   options: {
     window: {
       type: 'string',
-      help: `length in seconds of the windows of acceptance that jobs are summed by (${DEFAULT_WINDOW_SECONDS})`,
+      help: `seconds of acceptance time that jobs are grouped by (${DEFAULT_WINDOW_SECONDS})`,
     },
     worst: { type: 'string', help: `number of slowest jobs to show (${DEFAULT_WORST_COUNT})` },
     json: { type: 'boolean', help: 'print the phases of each job as one JSON object a line' },
--- a/packages/cli/policyOptions.ts
+++ b/packages/cli/policyOptions.ts
@@ -22,7 +22,7 @@
     name: 'writing',
     choices: jobWritings,
     defaultChoice: 'leader',
-    help: 'box that appends accepted jobs to the log: the own one, or the leader',
+    help: 'box that appends accepted jobs to the log: the one that accepted them, or the leader',
   },
   door: {
     name: 'door',
--- a/packages/cli/serveCommand.ts
+++ b/packages/cli/serveCommand.ts
@@ -18,7 +18,7 @@
 import { writeError } from './writeError';
 
 const LOG_LINES_PER_SECOND = 400;
-/** Interval at which the number of dropped log lines is reported. */
+/** Interval of checks whether the counts of suppressed log lines are due. */
 const LOG_TICK_MS = 1000;
 
 /** Waits for SIGTERM or SIGINT and for the graceful stop; SIGHUP reloads the settings. */
--- a/packages/cli/tableCommand.ts
+++ b/packages/cli/tableCommand.ts
@@ -161,7 +161,7 @@
     operator: { type: 'string', help: 'operator recorded with the edit (default: the login name)' },
     'based-on': {
       type: 'string',
-      help: "offset of the cell's last known edit; a newer one refuses this edit",
+      help: "offset of the cell's last known edit; refused when there is a newer one",
     },
   },
   start: async (input) => {
--- a/tests/cli.test.ts
+++ b/tests/cli.test.ts
@@ -102,7 +102,7 @@
     );
   });
 
-  it('runs an entry process on its own', async () => {
+  it('runs an entry process by itself', async () => {
     const [box = ''] = fleet.readBoxes();
     fleet.readProcess(box).sendSignal('SIGKILL');
     await fleet.readProcess(box).exit;
