--- a/app/main.ts
+++ b/app/main.ts
@@ -1,6 +1,6 @@
 import { commands } from '../packages/cli/commands';
-import { startCommand } from '../packages/cli/startCommand';
+import { runCommand } from '../packages/cli/runCommand';
 
-void startCommand(process.argv.slice(2), commands).then((code) => {
+void runCommand(process.argv.slice(2), commands).then((code) => {
   process.exitCode = code;
 });
--- a/dev/bench/benchCommand.ts
+++ b/dev/bench/benchCommand.ts
@@ -9,7 +9,7 @@
   summary: 'Measure decisions, policies, overload, memory and control cost.',
   usage: '[SECTION ...]',
   options: {},
-  start: async ({ positionals }) => {
+  run: async ({ positionals }) => {
     for (const section of benchSections) {
       if (positionals.length === 0 || positionals.includes(section.name)) {
         writeLine(`\n## ${section.name}: ${section.about}\n`);
--- a/dev/demo/demoCommand.ts
+++ b/dev/demo/demoCommand.ts
@@ -52,7 +52,7 @@
   summary: 'Run a small deployment for some ten seconds, kill an entry box, stop an endpoint by plan.',
   usage: '',
   options: {},
-  start: async () => {
+  run: async () => {
     const fleet = await Fleet.create({
       halls: [
         { name: 'hall-medeu', entries: 2, workers: 6 },
--- a/dev/endpointsCommand.ts
+++ b/dev/endpointsCommand.ts
@@ -18,7 +18,7 @@
     boxes: { type: 'string', help: 'JSON list of boxes, as the platform stand-in takes it' },
     platform: { type: 'string', help: 'address of the platform stand-in' },
   },
-  start: async ({ values }) => {
+  run: async ({ values }) => {
     const boxes = JSON.parse(readFileSync(String(values['boxes']), 'utf8')) as readonly StandinBox[];
     const endpoints = boxes.map((box) => new EndpointStandin(box));
     await Promise.all(endpoints.map((endpoint) => endpoint.start()));
--- a/dev/explorer/exploreCommand.ts
+++ b/dev/explorer/exploreCommand.ts
@@ -17,7 +17,7 @@
     'held-orders': { type: 'string', help: 'orders leave in a step of their own: guarded, or unguarded' },
     mutation: { type: 'string', help: `a rule made wrong: ${Object.keys(mutations).join(', ')}` },
   },
-  start: async ({ values }) => {
+  run: async ({ values }) => {
     const heldOrders = values['held-orders'] as 'guarded' | 'unguarded' | undefined;
     const mutation = mutations[String(values['mutation'])];
     const { counts, failure } = startExploration({
--- a/dev/main.ts
+++ b/dev/main.ts
@@ -1,6 +1,6 @@
-import { startCommand } from '../packages/cli/startCommand';
+import { runCommand } from '../packages/cli/runCommand';
 import { devCommands } from './devCommands';
 
-void startCommand(process.argv.slice(2), devCommands).then((code) => {
+void runCommand(process.argv.slice(2), devCommands).then((code) => {
   process.exitCode = code;
 });
--- a/dev/platformCommand.ts
+++ b/dev/platformCommand.ts
@@ -14,7 +14,7 @@
     'report-lag-ms': { type: 'string', help: 'lag of reports (200)' },
     'list-lag-ms': { type: 'string', help: 'lag of the box list (500)' },
   },
-  start: async ({ values }) => {
+  run: async ({ values }) => {
     const platform = new PlatformStandin({
       address: String(values['address']),
       reportLagMs: Number(values['report-lag-ms'] ?? 200),
--- a/dev/replayAllCommand.ts
+++ b/dev/replayAllCommand.ts
@@ -23,7 +23,7 @@
   summary: 'Replay all generated traces and compare with the outcomes stated in traces/.',
   usage: '[--write]',
   options: { write: { type: 'boolean', help: 'state the outcomes anew' } },
-  start: async ({ values }) => {
+  run: async ({ values }) => {
     let differing = 0;
     for (const shape of traceShapes) {
       const result = measureReplay(createTrace(shape), 'stairline');
--- a/dev/soak/soakCommand.ts
+++ b/dev/soak/soakCommand.ts
@@ -17,7 +17,7 @@
     boxes: { type: 'string', help: 'entry processes (3)' },
     endpoints: { type: 'string', help: 'endpoints (6)' },
   },
-  start: async ({ values }) => {
+  run: async ({ values }) => {
     const first = Number(values['seed'] ?? 1);
     const runs = Number(values['runs'] ?? 1);
     for (let seed = first; seed < first + runs; seed += 1) {
--- a/packages/cli/Command.ts
+++ b/packages/cli/Command.ts
@@ -10,5 +10,5 @@
   /** Options of `util.parseArgs`, each with its help text. */
   readonly options: Readonly<Record<string, { readonly type: 'string' | 'boolean'; readonly help: string }>>;
   /** Runs the command; resolves to one of `exitCodes`. */
-  readonly start: (input: CommandInput) => Promise<number>;
+  readonly run: (input: CommandInput) => Promise<number>;
 }
--- a/packages/cli/checkCommand.ts
+++ b/packages/cli/checkCommand.ts
@@ -10,7 +10,7 @@
   summary: 'Check a settings file; print every problem with its path, line and what was expected.',
   usage: '--settings FILE',
   options: { settings: sharedOptions.settings },
-  start: async (input) => {
+  run: async (input) => {
     const settings = readCheckedSettings(input);
     if (settings === undefined) {
       return exitCodes.usage;
--- a/packages/cli/endedCommand.ts
+++ b/packages/cli/endedCommand.ts
@@ -24,7 +24,7 @@
     hall: { type: 'string', help: 'hall of the process (required)' },
     'i-have-checked': { type: 'boolean', help: 'required: a wrong confirmation can overcommit boxes' },
   },
-  start: async (input) => {
+  run: async (input) => {
     const [process] = input.positionals;
     const hall = input.values['hall'];
     if (process === undefined || !process.includes('#') || typeof hall !== 'string') {
--- a/packages/cli/entryCommand.ts
+++ b/packages/cli/entryCommand.ts
@@ -46,7 +46,7 @@
     box: sharedOptions.box,
     record: { type: 'string', help: 'file or pipe for a trace of scheduling decisions, for development' },
   },
-  start: async (input) => {
+  run: async (input) => {
     const settings = readCheckedSettings(input);
     if (settings === undefined) {
       return exitCodes.usage;
--- a/packages/cli/explainCommand.ts
+++ b/packages/cli/explainCommand.ts
@@ -14,7 +14,7 @@
   summary: 'Show where a request ran, what it waited for and why that box was chosen.',
   usage: 'REQUEST-ID --settings FILE [--json]',
   options: sharedOptions,
-  start: async (input) => {
+  run: async (input) => {
     const [id] = input.positionals;
     if (id === undefined) {
       writeError('explain: expected a request id, from the response header x-stairline-request.');
--- a/packages/cli/explainJobCommand.ts
+++ b/packages/cli/explainJobCommand.ts
@@ -20,7 +20,7 @@
     'Show from the logs of all boxes what happened to a job, its endpoints and the leadership during the job.',
   usage: 'JOB LOG-FILE...',
   options: {},
-  start: (input) => {
+  run: (input) => {
     const [job, ...files] = input.positionals;
     if (job === undefined || files.length === 0) {
       writeError('Expected the id of a job and at least one log file.');
--- a/packages/cli/ledgerCommand.ts
+++ b/packages/cli/ledgerCommand.ts
@@ -31,7 +31,7 @@
     worst: { type: 'string', help: `number of slowest jobs to show (${DEFAULT_WORST_COUNT})` },
     json: { type: 'boolean', help: 'print the phases of each job as one JSON object a line' },
   },
-  start: ({ positionals, values }) => {
+  run: ({ positionals, values }) => {
     const windowSeconds = parsePositive(values['window'], DEFAULT_WINDOW_SECONDS);
     const worstCount = parsePositive(values['worst'], DEFAULT_WORST_COUNT);
     if (positionals.length === 0 || windowSeconds === undefined || worstCount === undefined) {
--- a/packages/cli/replayCommand.ts
+++ b/packages/cli/replayCommand.ts
@@ -19,7 +19,7 @@
     policy: { type: 'string', help: `one of ${Object.keys(policies).join(', ')}` },
     json: sharedOptions.json,
   },
-  start: async (input) => {
+  run: async (input) => {
     const [file] = input.positionals;
     const policy = (input.values['policy'] ?? 'stairline') as PolicyName;
     if (file === undefined || !(policy in policies)) {
--- a/packages/cli/startCommand.ts
+++ b/packages/cli/runCommand.ts
@@ -8,10 +8,7 @@
 import { writeLine } from './writeLine';
 
 /** Runs the command that the first argument names, with the other arguments. Resolves to the exit code. */
-export const startCommand = async (
-  args: readonly string[],
-  commands: readonly Command[],
-): Promise<number> => {
+export const runCommand = async (args: readonly string[], commands: readonly Command[]): Promise<number> => {
   const [name, ...rest] = args;
   if (name === undefined || name === '--help' || name === 'help') {
     writeLine(formatCommandList(commands));
@@ -29,7 +26,7 @@
       writeLine(formatHelp(command));
       return exitCodes.done;
     }
-    return await command.start({ values: values as Record<string, string | boolean>, positionals });
+    return await command.run({ values: values as Record<string, string | boolean>, positionals });
   } catch (thrown) {
     writeError(`${formatError(thrown)}\n${formatHelp(command)}`);
     return exitCodes.usage;
--- a/packages/cli/serveCommand.ts
+++ b/packages/cli/serveCommand.ts
@@ -49,7 +49,7 @@
       ]),
     ),
   },
-  start: async (input) => {
+  run: async (input) => {
     const file = input.values['settings'] ?? process.env[wireNames.settingsVariable];
     if (typeof file !== 'string' || file === '') {
       writeError(`No settings: expected --settings FILE or ${wireNames.settingsVariable}.`);
--- a/packages/cli/statusCommand.ts
+++ b/packages/cli/statusCommand.ts
@@ -48,7 +48,7 @@
   summary: 'Show each entry box: readiness, view, table offset, workers, waiting and running.',
   usage: '--settings FILE [--box NAME] [--json]',
   options: sharedOptions,
-  start: async (input) => {
+  run: async (input) => {
     const client = createOperatorClient(input);
     if (client === undefined) {
       return exitCodes.usage;
--- a/packages/cli/tableCommand.ts
+++ b/packages/cli/tableCommand.ts
@@ -164,7 +164,7 @@
       help: "offset of the cell's last known edit; refused when there is a newer one",
     },
   },
-  start: async (input) => {
+  run: async (input) => {
     const action = ACTIONS[input.positionals[0] ?? ''];
     if (action === undefined) {
       writeError('table: expected show, set or history.');
--- a/packages/cli/timelineCommand.ts
+++ b/packages/cli/timelineCommand.ts
@@ -13,7 +13,7 @@
   summary: 'Show the events of all entry processes, merged in causal order.',
   usage: '--settings FILE [--box NAME] [--json]',
   options: sharedOptions,
-  start: async (input) => {
+  run: async (input) => {
     const client = createOperatorClient(input);
     if (client === undefined) {
       return exitCodes.usage;
--- a/tests/acknowledgedEnds.test.ts
+++ b/tests/acknowledgedEnds.test.ts
@@ -16,7 +16,7 @@
 import type { TaskName } from '../packages/jobs/TaskName';
 import { ExecutorStandin } from '../packages/standins/platform/ExecutorStandin';
 import { RunWitness } from '../packages/standins/platform/RunWitness';
-import { PlatformEndpoint } from '../platform/PlatformEndpoint';
+import { HttpEndpointClient } from '../platform/HttpEndpointClient';
 import { createProfile } from './helpers/createProfile';
 
 const ID = toId<EndpointId>('i-0');
@@ -31,7 +31,7 @@
   let address: string;
   let witness: RunWitness;
   let standin: ExecutorStandin;
-  const clients: PlatformEndpoint[] = [];
+  const clients: HttpEndpointClient[] = [];
   const sessions: EndpointSession[] = [];
 
   const startIncarnation = async (startedAtMs: number): Promise<void> => {
@@ -39,15 +39,15 @@
     await standin.start();
   };
 
-  const createClient = (startedAtMs: number): PlatformEndpoint => {
+  const createClient = (startedAtMs: number): HttpEndpointClient => {
     const incarnation = endpointIncarnations.toIncarnation(ID, startedAtMs);
     const readNow = (): number => performance.now();
-    const client = new PlatformEndpoint({
+    const client = new HttpEndpointClient({
       address,
       id: ID,
-      life: incarnation,
-      readToken: () => 7,
-      readNow,
+      incarnation,
+      getToken: () => 7,
+      getNow: readNow,
       clockMs: 0,
     });
     clients.push(client);
@@ -55,7 +55,7 @@
   };
 
   /** Runs some tasks to their ends, which no poll has listed yet. */
-  const runToEnds = async (client: PlatformEndpoint, first: number): Promise<void> => {
+  const runToEnds = async (client: HttpEndpointClient, first: number): Promise<void> => {
     await client.sendPoll({ lastSeen: 0, leaseMs: 4000, waitMs: 0, timeoutMs: 500 });
     for (let number = first; number < first + TASKS; number += 1) {
       const order = { task: toTask(number), run: 1, spec: String(RUN_MS), checkpoint: '', ticket: '' };
@@ -65,7 +65,7 @@
   };
 
   /** Ends the incarnation and starts the next one at once, with ends that no poll has listed. */
-  const startNextIncarnation = async (): Promise<PlatformEndpoint> => {
+  const startNextIncarnation = async (): Promise<HttpEndpointClient> => {
     await standin.stop();
     await startIncarnation(STARTED_AT_MS + 1);
     const next = createClient(STARTED_AT_MS + 1);
@@ -73,7 +73,7 @@
     return next;
   };
 
-  const createSession = (client: PlatformEndpoint, handleHeld: () => Promise<void>): EndpointSession => {
+  const createSession = (client: HttpEndpointClient, handleHeld: () => Promise<void>): EndpointSession => {
     const incarnation = endpointIncarnations.toIncarnation(ID, STARTED_AT_MS);
     const endpoint = new EndpointState(createProfile(ID, { incarnation, address }), 0, new CustomerUsage());
     const session = new EndpointSession({
@@ -95,7 +95,7 @@
     return session;
   };
 
-  const countEnds = async (client: PlatformEndpoint): Promise<number> => {
+  const countEnds = async (client: HttpEndpointClient): Promise<number> => {
     const result: PollResult = await client.sendPoll({
       lastSeen: 0,
       leaseMs: undefined,
--- a/tests/platformEndpoint.test.ts
+++ b/tests/platformEndpoint.test.ts
@@ -5,7 +5,7 @@
 import type { EndpointId } from '../packages/jobs/EndpointId';
 import { endpointIncarnations } from '../packages/jobs/endpointIncarnations';
 import type { TaskName } from '../packages/jobs/TaskName';
-import { PlatformEndpoint } from '../platform/PlatformEndpoint';
+import { HttpEndpointClient } from '../platform/HttpEndpointClient';
 
 const ID = toId<EndpointId>('i-0');
 const STARTED_AT_MS = 1_775_000_000_000;
@@ -23,18 +23,18 @@
   let server: Server;
   let responses: ScriptedResponse[];
   let calls: Record<string, unknown>[];
-  let endpoint: PlatformEndpoint;
+  let endpoint: HttpEndpointClient;
   let token: number;
   let now: number;
 
   const startClient = (startedAtMs: number | undefined): void => {
     const { port } = server.address() as AddressInfo;
-    endpoint = new PlatformEndpoint({
+    endpoint = new HttpEndpointClient({
       address: `127.0.0.1:${port}`,
       id: ID,
-      life: endpointIncarnations.toIncarnation(ID, startedAtMs),
-      readToken: () => token,
-      readNow: () => now,
+      incarnation: endpointIncarnations.toIncarnation(ID, startedAtMs),
+      getToken: () => token,
+      getNow: () => now,
       clockMs: undefined,
     });
   };
@@ -62,7 +62,7 @@
     await new Promise((resolve) => server.close(resolve));
   });
 
-  const sendPoll = async (body: unknown, status = 200): ReturnType<PlatformEndpoint['sendPoll']> => {
+  const sendPoll = async (body: unknown, status = 200): ReturnType<HttpEndpointClient['sendPoll']> => {
     responses.push({ status, body });
     return endpoint.sendPoll(POLL);
   };
