--- a/packages/ledger/CauseSums.ts
+++ b/packages/ledger/CauseSums.ts
@@ -2,28 +2,29 @@
 import { ledgerCauses } from './ledgerCauses';
 import type { LedgerSpan } from './LedgerSpan';
 
-/** Milliseconds by cause, over some jobs. */
+/** Sums the time of several jobs by cause, in milliseconds. */
 export class CauseSums {
   private readonly sums = new Map<LedgerCause, number>();
-  private jobs = 0;
+  private jobCount = 0;
 
-  recordPath(spans: readonly LedgerSpan[]): void {
-    this.jobs += 1;
+  /** Adds the critical path of one job. */
+  addPath(spans: readonly LedgerSpan[]): void {
+    this.jobCount += 1;
     for (const { cause, from, to } of spans) {
       this.sums.set(cause, (this.sums.get(cause) ?? 0) + to - from);
     }
   }
 
-  readJobCount(): number {
-    return this.jobs;
+  countJobs(): number {
+    return this.jobCount;
   }
 
-  /** Mean milliseconds a job by cause; 0 for causes that were not met. */
+  /** Returns the mean milliseconds per job that a cause took; 0 when no job had it. */
   readMean(cause: LedgerCause): number {
-    return this.jobs === 0 ? 0 : (this.sums.get(cause) ?? 0) / this.jobs;
+    return this.jobCount === 0 ? 0 : (this.sums.get(cause) ?? 0) / this.jobCount;
   }
 
-  /** Mean milliseconds a job over all causes. */
+  /** Returns the mean milliseconds per job over all causes. */
   readMeanTotal(): number {
     return ledgerCauses.reduce((total, cause) => total + this.readMean(cause), 0);
   }
--- a/packages/ledger/JobAccount.ts
+++ b/packages/ledger/JobAccount.ts
@@ -1,26 +1,26 @@
 import type { LedgerSpan } from './LedgerSpan';
 import type { RunAccount } from './RunAccount';
-import type { WaitNote } from './WaitNote';
+import type { WaitSample } from './WaitSample';
 
-/** One job, as the logs of all boxes tell it. Times are in milliseconds since 1970. */
+/** History of one job, collected from the logs of all boxes. Times are in milliseconds since 1970. */
 export interface JobAccount {
   readonly job: string;
   readonly queue: string;
-  /** When it was durable. */
+  /** When the job was durable. */
   readonly acceptedAt: number;
-  /** Time that this took. */
+  /** Time from the request until the job was durable, in milliseconds. */
   readonly acceptMs: number;
-  /** When the first leader had it; undefined when no line says so. */
+  /** When a leader first added the job; undefined when no line says so. */
   takenInAt: number | undefined;
-  /** When its end was noted; undefined while it is open. */
+  /** When the end of the job was recorded; undefined while it is open. */
   endedAt: number | undefined;
   ending: string;
   /** By task and run number. */
   readonly runs: Map<string, RunAccount>;
-  /** What leaders told of its waits while they went on, in order of time. */
-  readonly notes: readonly WaitNote[];
+  /** Waits that leaders logged while they lasted, in order of time. */
+  readonly notes: readonly WaitSample[];
   /** When leaders took over, in order. */
   readonly takeOvers: readonly number[];
-  /** Where its time went by its leader's one line about a job that ended late; undefined where there is none. */
+  /** Critical path that the leader logged because the job failed or ended late; undefined otherwise. */
   toldPath: readonly LedgerSpan[] | undefined;
 }
--- a/packages/ledger/LedgerCause.ts
+++ b/packages/ledger/LedgerCause.ts
@@ -1,18 +1,18 @@
 /**
- * What a job's time went into.
- * - `accept`: until the job was durable.
- * - `handOver`: until the leader had it.
- * - `round`, `turn`, `answer`, `room`, `limit`, `pause`: a task could start and was not placed; see `WaitCause`.
+ * Cause that a part of a job's time is attributed to.
+ * - `accept`: from the request until the job was durable.
+ * - `handOver`: until the leader had added the job.
+ * - `round`, `turn`, `answer`, `room`, `limit`, `pause`: a task was ready and not yet placed; see `WaitCause`.
  * - `record`: until the placement was durable.
- * - `start`: until the endpoint had answered the order to start.
- * - `running`: a run that ended in success.
+ * - `start`: until the endpoint had responded to the start command.
+ * - `running`: a run that succeeded.
  * - `failed`: a run that failed.
- * - `stopped`: a run that we stopped, until its end was known.
+ * - `stopped`: a run that the leader stopped, until its end was known.
  * - `lost`: a run that ended in any other way.
- * - `retry`: from the end of such a run until the wait of the task's next start is known.
- * - `noted`: from the last end until the job's end was noted.
- * - `leader`: it waited under a leader that went before it had told for what, or for the next leader.
- * - `unknown`: the logs do not tell; lines may have been left out.
+ * - `retry`: from the end of an unsuccessful run until the first known wait of the task's next run.
+ * - `noted`: from the end of the last run until the end of the job was recorded.
+ * - `leader`: a change of leader, with any wait that the previous leader had not logged.
+ * - `unknown`: no line covers the time; lines may have been sampled out.
  */
 export type LedgerCause =
   | 'accept'
--- a/packages/ledger/RunAccount.ts
+++ b/packages/ledger/RunAccount.ts
@@ -1,23 +1,23 @@
 import type { LedgerCause } from './LedgerCause';
 
-/** One run of a task, as the leader tells it. Times are in milliseconds since 1970. */
+/** History of one run of a task, as the leader logged it. Times are in milliseconds since 1970. */
 export interface RunAccount {
   readonly task: string;
   readonly run: number;
   readonly placedAt: number;
-  /** Milliseconds that the task had waited before, by cause. */
+  /** Milliseconds that the task waited before the placement, by cause. */
   readonly waits: Readonly<Partial<Record<LedgerCause, number>>>;
   endedAt: number | undefined;
   outcome: string;
-  /** The endpoint's own word of the end; empty where it gave none. */
+  /** How the run ended as the endpoint reported it; empty without a report. */
   how: string;
-  /** Why we stopped it; empty when we did not. */
+  /** Why the leader stopped the run; empty when it did not. */
   why: string;
-  /** Where it ran; empty when that is not known. */
+  /** Endpoint that ran it; empty when unknown. */
   endpoint: string;
   hall: string;
-  /** From the placement until its record was durable. */
+  /** Time from the placement until its record was durable. */
   recordMs: number;
-  /** From then until the endpoint had answered. */
+  /** Time from then until the endpoint had responded to the start command. */
   startMs: number;
 }
--- a/packages/ledger/WaitNote.ts
+++ b/packages/ledger/WaitSample.ts
@@ -1,9 +1,9 @@
 import type { LedgerCause } from './LedgerCause';
 
-/** What a leader told of a step that waits. */
-export interface WaitNote {
+/** Wait of a step that a leader logged before the wait ended. */
+export interface WaitSample {
   /** Milliseconds since 1970. */
   readonly at: number;
-  /** Milliseconds that it had waited by then, by cause. */
+  /** Milliseconds waited so far, by cause. */
   readonly waits: Readonly<Partial<Record<LedgerCause, number>>>;
 }
--- a/packages/ledger/createLedger.ts
+++ b/packages/ledger/createLedger.ts
@@ -7,18 +7,19 @@
 interface LedgerOptions {
   readonly windowMs: number;
   readonly worstCount: number;
+  /** Highest sampling level of the logs. */
   readonly depth?: number;
 }
 
 interface LedgerJob {
   readonly account: JobAccount;
   readonly path: readonly LedgerSpan[];
-  /** From the caller's call to the job's end. */
+  /** Time from the caller's request to the end of the job. */
   readonly totalMs: number;
 }
 
 interface LedgerWindow {
-  /** Milliseconds from the first acceptance on. */
+  /** Start of the window, in milliseconds since the first job was accepted. */
   readonly fromMs: number;
   readonly sums: CauseSums;
 }
@@ -26,19 +27,20 @@
 interface LedgerQueue {
   readonly queue: string;
   readonly sums: CauseSums;
-  /** Jobs without an end: those that last, those that were under way when the logs end, and those whose end has no line. */
+  /** Number of jobs without a logged end. */
   readonly openCount: number;
-  /** By the time of acceptance, in order. */
+  /** Windows of the time of acceptance, in order. */
   readonly windows: readonly LedgerWindow[];
 }
 
 interface Ledger {
-  /** Over all jobs, or over those of the smallest share that was told whole. */
+  /** Sums of all jobs, or of those in the sample that was logged completely. */
   readonly queues: readonly LedgerQueue[];
-  /** Over all jobs that their leader says have ended late, whatever their share. */
+  /** Sums of all jobs that a leader logged as failed or late, in the sample or not. */
   readonly lateQueues: readonly LedgerQueue[];
-  /** One in 2^n jobs is summed by queue, where lines of the others were left out. */
-  readonly depth: number;
+  /** `queues` holds the sums of one in 2^n jobs. */
+  readonly samplingLevel: number;
+  /** Jobs that took longest. */
   readonly worst: readonly LedgerJob[];
 }
 
@@ -51,7 +53,7 @@
   for (const { account, path } of jobs) {
     const fromMs = Math.floor((account.acceptedAt - startedAt) / windowMs) * windowMs;
     const sums = windows.get(fromMs) ?? new CauseSums();
-    sums.recordPath(path);
+    sums.addPath(path);
     windows.set(fromMs, sums);
   }
   return [...windows]
@@ -67,7 +69,7 @@
   windowMs: number,
 ): LedgerQueue => {
   const sums = new CauseSums();
-  jobs.forEach(({ path }) => sums.recordPath(path));
+  jobs.forEach(({ path }) => sums.addPath(path));
   const windows = createWindows(jobs, startedAt, windowMs);
   return { queue, sums, openCount: accounts.length - jobs.length, windows };
 };
@@ -77,7 +79,6 @@
   return { account, path, totalMs: path.reduce((sum, { from, to }) => sum + to - from, 0) };
 };
 
-/** Sums jobs by queue. */
 const createQueues = (
   accounts: readonly JobAccount[],
   jobs: readonly LedgerJob[],
@@ -97,21 +98,21 @@
 };
 
 /**
- * Sums where the time of jobs went, by queue, window of acceptance and cause, and names the jobs that took longest. `depth` is that of the smallest share of
- * jobs that was told whole: a sum over jobs whose lines are partly missing, and over the late ones that are told always, would mislead.
+ * Creates the sums of job time by queue, window of acceptance and cause, and lists the jobs that took longest. The sums by queue cover only
+ * the sample of jobs that was logged completely, since late jobs are logged outside of it too and would bias the means.
  */
 export const createLedger = (
   accounts: readonly JobAccount[],
-  { windowMs, worstCount, depth = 0 }: LedgerOptions,
+  { windowMs, worstCount, depth: samplingLevel = 0 }: LedgerOptions,
 ): Ledger => {
-  const startedAt = accounts.reduce((first, { acceptedAt }) => Math.min(first, acceptedAt), Infinity);
-  const isInShare = ({ job }: JobAccount): boolean => computeSamplingLevel(job) >= depth;
+  const startedAt = accounts.reduce((earliest, { acceptedAt }) => Math.min(earliest, acceptedAt), Infinity);
+  const isSampled = ({ job }: JobAccount): boolean => computeSamplingLevel(job) >= samplingLevel;
   const isLate = ({ toldPath }: JobAccount): boolean => toldPath !== undefined;
   const ended = accounts.filter(({ endedAt }) => endedAt !== undefined).map(toLedgerJob);
-  const chosen = ended.filter(({ account }) => isInShare(account));
+  const sampled = ended.filter(({ account }) => isSampled(account));
   const late = ended.filter(({ account }) => isLate(account));
-  const queues = createQueues(accounts.filter(isInShare), chosen, startedAt, windowMs);
+  const queues = createQueues(accounts.filter(isSampled), sampled, startedAt, windowMs);
   const lateQueues = createQueues(accounts.filter(isLate), late, startedAt, windowMs);
   const worst = [...ended].sort((left, right) => right.totalMs - left.totalMs).slice(0, worstCount);
-  return { queues, lateQueues, depth, worst };
+  return { queues, lateQueues, samplingLevel, worst };
 };
--- a/packages/ledger/formatLedger.ts
+++ b/packages/ledger/formatLedger.ts
@@ -8,39 +8,40 @@
 
 const MS_PER_SECOND = 1000;
 
-const toMs = (value: number): string => value.toFixed(0);
+const formatMs = (value: number): string => value.toFixed(0);
 
 const toCells = (sums: CauseSums): readonly string[] => [
-  String(sums.readJobCount()),
-  toMs(sums.readMeanTotal()),
-  ...ledgerCauses.map((cause) => toMs(sums.readMean(cause))),
+  String(sums.countJobs()),
+  formatMs(sums.readMeanTotal()),
+  ...ledgerCauses.map((cause) => formatMs(sums.readMean(cause))),
 ];
 
 const formatJob = ({ account, path, totalMs }: LedgerJob): string => {
-  const steps = path.map(
-    ({ cause, from, to, run }) => `${cause} ${toMs(to - from)}${run === '' ? '' : ` (${run})`}`,
+  const spans = path.map(
+    ({ cause, from, to, run }) => `${cause} ${formatMs(to - from)}${run === '' ? '' : ` (${run})`}`,
   );
-  return `${account.job} ${account.queue} ${account.ending} ${toMs(totalMs)} ms: ${steps.join(', ')}`;
+  return `${account.job} ${account.queue} ${account.ending} ${formatMs(totalMs)} ms: ${spans.join(', ')}`;
 };
 
-/** Formats a ledger for people: mean milliseconds a job, by queue, then by window, then the jobs that took longest. */
-export const formatLedger = ({ queues, lateQueues, depth, worst }: Ledger): string => {
-  const heads = ['jobs', 'total', ...ledgerCauses];
+/** Formats a ledger as text: mean milliseconds per job by queue, then by window of acceptance, then the jobs that took longest. */
+export const formatLedger = ({ queues, lateQueues, samplingLevel, worst }: Ledger): string => {
+  const headers = ['jobs', 'total', ...ledgerCauses];
   const totals = queues.map(({ queue, openCount, sums }) => [queue, openCount, ...toCells(sums)]);
   const late = lateQueues.map(({ queue, sums }) => [queue, ...toCells(sums)]);
-  const part = depth === 0 ? '' : `, of one in ${2 ** depth} jobs: lines of others were left out`;
-  const windows = queues.flatMap((one) =>
-    one.windows.map(({ fromMs, sums }) => [one.queue, fromMs / MS_PER_SECOND, ...toCells(sums)]),
+  const sampleNote =
+    samplingLevel === 0 ? '' : `, of one in ${2 ** samplingLevel} jobs: lines of others were left out`;
+  const windows = queues.flatMap((row) =>
+    row.windows.map(({ fromMs, sums }) => [row.queue, fromMs / MS_PER_SECOND, ...toCells(sums)]),
   );
   return [
-    `Mean milliseconds a job that has ended, by queue${part}:`,
-    formatColumns(['queue', 'open', ...heads], totals),
+    `Mean milliseconds a job that has ended, by queue${sampleNote}:`,
+    formatColumns(['queue', 'open', ...headers], totals),
     '',
     ...(late.length === 0
       ? []
-      : ['Jobs that ended late or failed, all:', formatColumns(['queue', ...heads], late), '']),
+      : ['Jobs that ended late or failed, all:', formatColumns(['queue', ...headers], late), '']),
     'By time of acceptance, in seconds from the first job:',
-    formatColumns(['queue', 'from', ...heads], windows),
+    formatColumns(['queue', 'from', ...headers], windows),
     '',
     'The jobs that took longest:',
     ...worst.map(formatJob),
--- a/packages/ledger/ledgerCauses.ts
+++ b/packages/ledger/ledgerCauses.ts
@@ -1,6 +1,6 @@
 import type { LedgerCause } from './LedgerCause';
 
-/** All causes, in the order in which a job meets them. */
+/** All causes, in the order in which they occur in a job. */
 export const ledgerCauses: readonly LedgerCause[] = [
   'accept',
   'handOver',
--- a/packages/ledger/readAccounts.ts
+++ b/packages/ledger/readAccounts.ts
@@ -7,9 +7,9 @@
 import { ledgerCauses } from './ledgerCauses';
 import type { RunAccount } from './RunAccount';
 import { toRunKey } from './toRunKey';
-import type { WaitNote } from './WaitNote';
+import type { WaitSample } from './WaitSample';
 
-type Account = JobAccount & { readonly notes: WaitNote[] };
+type Account = JobAccount & { readonly notes: WaitSample[] };
 type Accounts = Map<string, Account>;
 type LineHandler = (accounts: Accounts, line: LogLine, at: number, takeOvers: readonly number[]) => void;
 
@@ -22,7 +22,7 @@
   placed: z.array(z.object({ task: z.string(), run: z.number(), endpoint: z.string().optional() })),
 });
 const waitsRowSchema = z.object({ job: z.string(), waits: z.record(z.string(), z.number()) });
-/** A line about one step, or about several. */
+/** Accepts a line about one step and a line with rows about several. */
 const waitsSchema = z.union([
   waitsRowSchema.transform((row) => [row]),
   z.object({ rows: z.array(waitsRowSchema) }).transform(({ rows }) => rows),
@@ -46,9 +46,9 @@
 });
 
 const createAccount = (
-  known: Pick<Account, 'job' | 'queue' | 'acceptedAt' | 'acceptMs' | 'takeOvers'>,
+  fields: Pick<Account, 'job' | 'queue' | 'acceptedAt' | 'acceptMs' | 'takeOvers'>,
 ): Account => ({
-  ...known,
+  ...fields,
   takenInAt: undefined,
   endedAt: undefined,
   ending: '',
@@ -66,7 +66,7 @@
   accounts.set(job, createAccount({ job, queue, acceptedAt: at, acceptMs: tookMs, takeOvers }));
 };
 
-const handleTakenIn: LineHandler = (accounts, line, at) => {
+const handleAdded: LineHandler = (accounts, line, at) => {
   const account = accounts.get(jobSchema.safeParse(line).data?.job ?? '');
   if (account !== undefined) {
     account.takenInAt ??= at;
@@ -80,9 +80,9 @@
     return;
   }
   for (const { task, run, endpoint = '' } of parsed.placed) {
-    const open = { endedAt: undefined, outcome: '', how: '', why: '', hall: '', recordMs: 0, startMs: 0 };
+    const initial = { endedAt: undefined, outcome: '', how: '', why: '', hall: '', recordMs: 0, startMs: 0 };
     const placed = { task, run, endpoint, placedAt: at, waits: parsed.waits };
-    account.runs.set(toRunKey({ task, run }), { ...placed, ...open });
+    account.runs.set(toRunKey({ task, run }), { ...placed, ...initial });
   }
 };
 
@@ -110,7 +110,7 @@
   const parsed = jobEndedSchema.safeParse(line).data;
   const account = accounts.get(parsed?.job ?? '');
   if (parsed !== undefined && account !== undefined) {
-    // A leader that went before the end was durable told it too soon: the next one's word counts.
+    // A leader may log an end that it couldn't make durable, so the line of a later leader replaces it.
     account.endedAt = at;
     account.ending = parsed.ending;
   }
@@ -118,8 +118,8 @@
 
 const isCause = (text: string): text is LedgerCause => ledgerCauses.some((cause) => cause === text);
 
-/** Sets the rows of a told path, which give only how long each took, on times; the last of them ends at `endedAt`. */
-const toToldPath = (rows: z.infer<typeof lateSchema>['path'], endedAt: number): readonly LedgerSpan[] => {
+/** Converts the rows of a logged path, which hold only durations, to spans, the last of which ends at `endedAt`. */
+const toLoggedPath = (rows: z.infer<typeof lateSchema>['path'], endedAt: number): readonly LedgerSpan[] => {
   let from = endedAt - rows.reduce((sum, { ms }) => sum + ms, 0);
   return rows.map(({ cause, ms, run = '' }) => {
     const span = { cause: isCause(cause) ? cause : 'unknown', from, to: from + ms, run };
@@ -128,7 +128,7 @@
   });
 };
 
-/** Also for a job that no other line tells of. */
+/** Creates the account when the logs hold no other line about the job. */
 const handleEndedLate: LineHandler = (accounts, line, at, takeOvers) => {
   const parsed = lateSchema.safeParse(line).data;
   if (parsed === undefined) {
@@ -140,16 +140,16 @@
   accounts.set(job, account);
   account.endedAt = at;
   account.ending = ending;
-  account.toldPath = toToldPath(path, account.endedAt);
+  account.toldPath = toLoggedPath(path, account.endedAt);
 };
 
-/** The line of a leader that has taken over. */
-const TAKE_OVER_SENTENCE = 'Leading.';
+/** Logged by a leader that has taken over. */
+const TAKEOVER_MESSAGE = 'Leading.';
 
-/** Lines that tell of a job's time, by their sentence. */
+/** Handlers of the lines about a job, by their message. */
 const HANDLERS: Readonly<Record<string, LineHandler>> = {
   'Job accepted.': handleAccepted,
-  'Job taken in.': handleTakenIn,
+  'Job taken in.': handleAdded,
   'Step waits.': handleWaits,
   'Tasks placed.': handlePlaced,
   'Run ended.': handleRunEnded,
@@ -157,19 +157,19 @@
   'Job ended late.': handleEndedLate,
 };
 
-/** Folds the lines of all boxes' logs into one account a job, in the order in which the jobs were accepted. */
+/** Reads the logs of all boxes into one account per job, in the order in which the jobs were accepted. */
 export const readAccounts = (texts: Iterable<string>): readonly JobAccount[] => {
   const lines: { readonly line: LogLine; readonly at: number }[] = [];
   const takeOvers: number[] = [];
   for (const text of texts) {
     const line = parseLogLine(text);
-    if (line?.message === TAKE_OVER_SENTENCE) {
+    if (line?.message === TAKEOVER_MESSAGE) {
       takeOvers.push(Date.parse(line.time));
     } else if (line !== undefined && HANDLERS[line.message] !== undefined) {
       lines.push({ line, at: Date.parse(line.time) });
     }
   }
-  // Clocks of boxes differ by milliseconds: a job's acceptance must come before what the leader says of it.
+  // The clocks of boxes differ, so acceptances are sorted before the lines of leaders whatever their time.
   const toRank = ({ line }: { readonly line: LogLine }): number => (line.message === 'Job accepted.' ? 0 : 1);
   lines.sort((left, right) => toRank(left) - toRank(right) || left.at - right.at);
   takeOvers.sort((left, right) => left - right);
--- a/packages/ledger/readBestPath.ts
+++ b/packages/ledger/readBestPath.ts
@@ -3,41 +3,44 @@
 import type { LedgerSpan } from './LedgerSpan';
 import { readCriticalPath } from './readCriticalPath';
 
-/** What clocks of boxes, and the rounding of a told path, may make of the same time. */
-const SLACK_MS = 50;
-/** Causes that say only that another knows, or nobody. */
-const VAGUE: ReadonlySet<LedgerCause> = new Set(['unknown', 'handOver', 'leader']);
+/** Tolerance for clock differences between boxes and for the rounding of logged paths. */
+const TOLERANCE_MS = 50;
+/** Causes that don't explain what the job waited for. */
+const VAGUE_CAUSES: ReadonlySet<LedgerCause> = new Set(['unknown', 'handOver', 'leader']);
 
-const readVagueMs = (path: readonly LedgerSpan[]): number =>
-  path.filter(({ cause }) => VAGUE.has(cause)).reduce((sum, { from, to }) => sum + to - from, 0);
+const computeVagueMs = (path: readonly LedgerSpan[]): number =>
+  path.filter(({ cause }) => VAGUE_CAUSES.has(cause)).reduce((sum, { from, to }) => sum + to - from, 0);
 
-/** When the leader that told the path had taken the job in. */
-const readToldFrom = ([first]: readonly LedgerSpan[], otherwise: number): number =>
-  first?.cause === 'handOver' ? first.to : (first?.from ?? otherwise);
+/** Returns when the leader that logged the path had added the job. */
+const getAddedAt = ([first]: readonly LedgerSpan[], fallback: number): number =>
+  first?.cause === 'handOver' ? first.to : (first?.from ?? fallback);
 
-/** By the lines of earlier leaders until the leader that told the path had the job, and from then on as that told it. */
-const createJoinedPath = (account: JobAccount, toldPath: readonly LedgerSpan[]): readonly LedgerSpan[] => {
-  const toldFrom = readToldFrom(toldPath, account.acceptedAt);
-  const endedBefore = [...account.runs].filter(([, { endedAt = Infinity }]) => endedAt <= toldFrom);
-  // The leader's line that it leads follows when it has taken all jobs in.
-  const takeOvers = account.takeOvers.map((at) => (Math.abs(at - toldFrom) <= SLACK_MS ? toldFrom : at));
-  const before = { ...account, endedAt: toldFrom, runs: new Map(endedBefore), takeOvers };
-  const isToldAnew = ({ from }: LedgerSpan): boolean => from >= toldFrom;
-  return [...readCriticalPath(before), ...toldPath.filter(isToldAnew)];
+/** Merges the path from the lines of earlier leaders with the logged path, which begins when its leader had added the job. */
+const mergePaths = (account: JobAccount, loggedPath: readonly LedgerSpan[]): readonly LedgerSpan[] => {
+  const addedAt = getAddedAt(loggedPath, account.acceptedAt);
+  const earlierRuns = [...account.runs].filter(([, { endedAt = Infinity }]) => endedAt <= addedAt);
+  // A new leader logs its takeover only after it has added all jobs.
+  const takeOvers = account.takeOvers.map((at) => (Math.abs(at - addedAt) <= TOLERANCE_MS ? addedAt : at));
+  const accountBefore = { ...account, endedAt: addedAt, runs: new Map(earlierRuns), takeOvers };
+  const isFromLeader = ({ from }: LedgerSpan): boolean => from >= addedAt;
+  return [...readCriticalPath(accountBefore), ...loggedPath.filter(isFromLeader)];
 };
 
 /**
- * The path of a job that has ended, from what tells most: its leader's one line about it, which goes first since lines may be missing between those that
- * are there, that line with those of earlier leaders, or the lines alone.
+ * Chooses the critical path of an ended job that leaves the least time unexplained: the path that its leader logged, that path merged with
+ * the lines of earlier leaders, or the lines alone. The logged path is preferred, since other lines may be missing.
  */
 export const readBestPath = (account: JobAccount): readonly LedgerSpan[] => {
-  const { toldPath, acceptedAt, acceptMs } = account;
-  const lines = readCriticalPath(account);
-  if (toldPath === undefined) {
-    return lines;
+  const { toldPath: loggedPath, acceptedAt, acceptMs } = account;
+  const pathFromLines = readCriticalPath(account);
+  if (loggedPath === undefined) {
+    return pathFromLines;
   }
   const accept: LedgerSpan = { cause: 'accept', from: acceptedAt - acceptMs, to: acceptedAt, run: '' };
-  const told = acceptMs > 0 ? [accept, ...toldPath] : toldPath;
-  const others = [createJoinedPath(account, toldPath), lines];
-  return others.reduce((best, one) => (readVagueMs(one) + SLACK_MS < readVagueMs(best) ? one : best), told);
+  const preferred = acceptMs > 0 ? [accept, ...loggedPath] : loggedPath;
+  const alternatives = [mergePaths(account, loggedPath), pathFromLines];
+  return alternatives.reduce(
+    (best, path) => (computeVagueMs(path) + TOLERANCE_MS < computeVagueMs(best) ? path : best),
+    preferred,
+  );
 };
--- a/packages/ledger/readCriticalPath.ts
+++ b/packages/ledger/readCriticalPath.ts
@@ -3,34 +3,35 @@
 import type { LedgerSpan } from './LedgerSpan';
 import type { RunAccount } from './RunAccount';
 import { toRunName } from './toRunName';
-import type { WaitNote } from './WaitNote';
+import type { WaitSample } from './WaitSample';
 
-/** Waits before a placement, the one nearest to it first. */
-const WAITS: readonly LedgerCause[] = ['pause', 'limit', 'room', 'answer', 'turn', 'round'];
-/** The line of an end may come so much later than that of what it made possible: both are written in one turn. */
+/** Causes of waits before a placement, latest first. */
+const WAIT_CAUSES: readonly LedgerCause[] = ['pause', 'limit', 'room', 'answer', 'turn', 'round'];
+/** Tolerance for the order of lines that a leader writes in the same event loop turn. */
 const SAME_TURN_MS = 2;
-/** A job's end is noted with the end of its last run, or with the leader's next look at the time: after more, the line of a run's end is missing. */
-const LONGEST_NOTED_MS = 150;
+/** Maximum time from the end of the last run until the end of the job is recorded; a longer one means that the line of a run is missing. */
+const MAX_NOTED_MS = 150;
 
-/** Builds the path from its end back to its beginning; spans may not overlap, so each ends where the later one begins. */
+/** Builds a path backwards from its end. Each span ends where the next later one starts, so that spans never overlap. */
 class PathBuilder {
   readonly spans: LedgerSpan[] = [];
 
   constructor(
-    private at: number,
-    private readonly beginsAt: number,
+    private start: number,
+    private readonly earliestStart: number,
   ) {}
 
-  readAt(): number {
-    return this.at;
+  /** Returns the start of the earliest span so far. */
+  getStart(): number {
+    return this.start;
   }
 
-  /** Gives the time from `from` until what is known already to a cause. */
-  recordSpan(cause: LedgerCause, from: number, run = ''): void {
-    const start = Math.max(this.beginsAt, Math.min(from, this.at));
-    if (start < this.at) {
-      this.spans.unshift({ cause, from: start, to: this.at, run });
-      this.at = start;
+  /** Adds a span in front, from `from` to the current start of the path. */
+  addSpan(cause: LedgerCause, from: number, run = ''): void {
+    const start = Math.max(this.earliestStart, Math.min(from, this.start));
+    if (start < this.start) {
+      this.spans.unshift({ cause, from: start, to: this.start, run });
+      this.start = start;
     }
   }
 }
@@ -42,37 +43,37 @@
   return why === '' ? 'lost' : 'stopped';
 };
 
-/** The run of the same task before this one; undefined for the first, and where its end has no line. */
-const readEarlierTry = (runs: Iterable<RunAccount>, later: RunAccount): RunAccount | undefined => {
-  let earlier: RunAccount | undefined;
+/** Finds the previous ended run of the same task. */
+const findPreviousRun = (runs: Iterable<RunAccount>, later: RunAccount): RunAccount | undefined => {
+  let previous: RunAccount | undefined;
   for (const run of runs) {
     const isEarlier = run.task === later.task && run.run < later.run && run.endedAt !== undefined;
-    if (isEarlier && run.run > (earlier?.run ?? 0)) {
-      earlier = run;
+    if (isEarlier && run.run > (previous?.run ?? 0)) {
+      previous = run;
     }
   }
-  return earlier;
+  return previous;
 };
 
-const toStep = ({ task }: RunAccount): string => task.slice(0, task.lastIndexOf('.'));
+const toStepName = ({ task }: RunAccount): string => task.slice(0, task.lastIndexOf('.'));
 
-/** Tasks of the same step that were placed just when the wait of others was counted anew. */
-const readEarlierBatch = (
+/** Finds a run of an earlier batch of the same step that was placed at a time. */
+const findEarlierBatch = (
   runs: Iterable<RunAccount>,
   later: RunAccount,
   at: number,
 ): RunAccount | undefined => {
   for (const run of runs) {
-    const isAtOnce = Math.abs(run.placedAt - at) <= SAME_TURN_MS && run.placedAt < later.placedAt;
-    if (isAtOnce && toStep(run) === toStep(later)) {
+    const isPlacedThen = Math.abs(run.placedAt - at) <= SAME_TURN_MS && run.placedAt < later.placedAt;
+    if (isPlacedThen && toStepName(run) === toStepName(later)) {
       return run;
     }
   }
   return undefined;
 };
 
-/** Gives the time before `at` to what was waited for until then; returns when that began. */
-const recordTimes = (
+/** Adds waits that ended at `at`, none of them before `notBefore`, and returns when the first of them began. */
+const addWaits = (
   path: PathBuilder,
   at: number,
   waits: RunAccount['waits'],
@@ -80,18 +81,18 @@
   run = '',
 ): number => {
   let from = at;
-  for (const cause of WAITS) {
+  for (const cause of WAIT_CAUSES) {
     from -= waits[cause] ?? 0;
-    path.recordSpan(cause, Math.max(from, notBefore), run);
+    path.addSpan(cause, Math.max(from, notBefore), run);
   }
   return from;
 };
 
 /**
- * What a run's task waited for before it was placed, at the longest back to a time. Where tasks of a step are placed in turns, each turn tells only what was
- * waited since the one before.
+ * Adds the waits of a run's task before its placement. When a step is placed in several batches, each batch logs only the wait since the
+ * previous one.
  */
-const recordWaits = (
+const addRunWaits = (
   path: PathBuilder,
   run: RunAccount,
   runs: readonly RunAccount[],
@@ -100,21 +101,22 @@
   const name = toRunName(run);
   let batch: RunAccount | undefined = run;
   while (batch !== undefined) {
-    const from = recordTimes(path, batch.placedAt, batch.waits, notBefore, name);
-    batch = readEarlierBatch(runs, batch, from);
+    const from = addWaits(path, batch.placedAt, batch.waits, notBefore, name);
+    batch = findEarlierBatch(runs, batch, from);
   }
 };
 
-const recordRun = (path: PathBuilder, account: RunAccount): void => {
+/** Adds a run from its placement to its end. */
+const addRun = (path: PathBuilder, account: RunAccount): void => {
   const name = toRunName(account);
   const recordedAt = account.placedAt + account.recordMs;
-  path.recordSpan(toRunCause(account), recordedAt + account.startMs, name);
-  path.recordSpan('start', recordedAt, name);
-  path.recordSpan('record', account.placedAt, name);
+  path.addSpan(toRunCause(account), recordedAt + account.startMs, name);
+  path.addSpan('start', recordedAt, name);
+  path.addSpan('record', account.placedAt, name);
 };
 
-/** The run that ended last before a time: what happened next had to wait for it. */
-const readLastEnded = (runs: readonly RunAccount[], before: number): RunAccount | undefined => {
+/** Finds the run that ended last before a time, which the next event had to wait for. */
+const findLastEnded = (runs: readonly RunAccount[], before: number): RunAccount | undefined => {
   let last: RunAccount | undefined;
   for (const run of runs) {
     const isEarlier =
@@ -126,57 +128,57 @@
   return last;
 };
 
-const readLastNote = ({ notes }: JobAccount, from: number, to: number): WaitNote | undefined =>
+const findLastSample = ({ notes }: JobAccount, from: number, to: number): WaitSample | undefined =>
   notes.findLast(({ at }) => at > from && at <= to + SAME_TURN_MS);
 
-/** Time of which no run's line tells: by what leaders told of the wait while it went on, and by the change of leader that ended their telling. */
-const recordGap = (
+/** Adds a time that no run covers: the waits that leaders logged while they lasted, and changes of leader after them. */
+const addGap = (
   path: PathBuilder,
   account: JobAccount,
   from: number,
-  { otherwise = 'unknown', run = '' }: { readonly otherwise?: LedgerCause; readonly run?: string } = {},
+  { fallback = 'unknown', run = '' }: { readonly fallback?: LedgerCause; readonly run?: string } = {},
 ): void => {
-  const recordPiece = (pieceFrom: number): void => {
-    const isTakenOver = account.takeOvers.some((at) => at > pieceFrom && at <= path.readAt());
-    path.recordSpan(isTakenOver ? 'leader' : otherwise, pieceFrom, run);
+  const addUnloggedSpan = (start: number): void => {
+    const isTakenOver = account.takeOvers.some((at) => at > start && at <= path.getStart());
+    path.addSpan(isTakenOver ? 'leader' : fallback, start, run);
   };
-  let note = readLastNote(account, from, path.readAt());
-  while (note !== undefined) {
-    recordPiece(note.at);
-    recordTimes(path, note.at, note.waits, from, run);
-    note = readLastNote(account, from, path.readAt() - 2 * SAME_TURN_MS);
+  let sample = findLastSample(account, from, path.getStart());
+  while (sample !== undefined) {
+    addUnloggedSpan(sample.at);
+    addWaits(path, sample.at, sample.waits, from, run);
+    sample = findLastSample(account, from, path.getStart() - 2 * SAME_TURN_MS);
   }
-  recordPiece(from);
+  addUnloggedSpan(from);
 };
 
 /**
- * The chain of what a job that has ended waited for, from its acceptance to its end, without gaps: of tasks that ran side by side
- * only the one on which the rest waited counts.
+ * Computes the critical path of an ended job, from the request to its end without gaps: of tasks that ran in parallel only the one that
+ * ended last is on it. Returns no spans for an open job.
  */
 export const readCriticalPath = (account: JobAccount): readonly LedgerSpan[] => {
   if (account.endedAt === undefined) {
     return [];
   }
-  const beginsAt = account.acceptedAt - account.acceptMs;
-  const path = new PathBuilder(account.endedAt, beginsAt);
-  const open = new Set(account.runs.values());
-  let run = readLastEnded([...open], path.readAt());
+  const startsAt = account.acceptedAt - account.acceptMs;
+  const path = new PathBuilder(account.endedAt, startsAt);
+  const remaining = new Set(account.runs.values());
+  let run = findLastEnded([...remaining], path.getStart());
   const lastEndedAt = run?.endedAt ?? account.endedAt;
-  if (account.endedAt - lastEndedAt <= LONGEST_NOTED_MS) {
-    path.recordSpan('noted', lastEndedAt);
+  if (account.endedAt - lastEndedAt <= MAX_NOTED_MS) {
+    path.addSpan('noted', lastEndedAt);
   }
   while (run !== undefined) {
-    open.delete(run);
-    recordGap(path, account, run.endedAt!);
-    const earlier = readEarlierTry(open, run);
-    recordRun(path, run);
-    recordWaits(path, run, [...account.runs.values()], earlier?.endedAt ?? -Infinity);
-    const retriedFrom = earlier?.endedAt ?? path.readAt();
-    recordGap(path, account, retriedFrom, { otherwise: 'retry', run: toRunName(run) });
-    run = earlier ?? readLastEnded([...open], path.readAt());
+    remaining.delete(run);
+    addGap(path, account, run.endedAt!);
+    const previous = findPreviousRun(remaining, run);
+    addRun(path, run);
+    addRunWaits(path, run, [...account.runs.values()], previous?.endedAt ?? -Infinity);
+    const retryStart = previous?.endedAt ?? path.getStart();
+    addGap(path, account, retryStart, { fallback: 'retry', run: toRunName(run) });
+    run = previous ?? findLastEnded([...remaining], path.getStart());
   }
-  recordGap(path, account, account.takenInAt ?? account.acceptedAt);
-  path.recordSpan('handOver', account.acceptedAt);
-  path.recordSpan('accept', beginsAt);
+  addGap(path, account, account.takenInAt ?? account.acceptedAt);
+  path.addSpan('handOver', account.acceptedAt);
+  path.addSpan('accept', startsAt);
   return path.spans;
 };
--- a/packages/ledger/readToldDepth.ts
+++ b/packages/ledger/readToldDepth.ts
@@ -1,18 +1,21 @@
 import { z } from 'zod';
 import { parseLogLine } from '../timeline/parseLogLine';
 
-const LEFT_OUT_SENTENCE = 'Lines left out.';
+const LEFT_OUT_MESSAGE = 'Lines left out.';
 const leftOutSchema = z.object({ share: z.string().regex(/^1\/\d+$/u) });
 
-/** The depth of the smallest share of jobs that any of the logs told whole: 0 where no line of a job was left out. */
+/**
+ * Reads the highest sampling level that any of the logs reports: one in 2^n jobs was logged completely. Returns 0 when no line was sampled
+ * out.
+ */
 export const readToldDepth = (texts: Iterable<string>): number => {
-  let depth = 0;
+  let samplingLevel = 0;
   for (const text of texts) {
-    const line = text.includes(LEFT_OUT_SENTENCE) ? parseLogLine(text) : undefined;
+    const line = text.includes(LEFT_OUT_MESSAGE) ? parseLogLine(text) : undefined;
     const share = leftOutSchema.safeParse(line).data?.share;
-    if (line?.message === LEFT_OUT_SENTENCE && share !== undefined) {
-      depth = Math.max(depth, Math.log2(Number(share.slice(2))));
+    if (line?.message === LEFT_OUT_MESSAGE && share !== undefined) {
+      samplingLevel = Math.max(samplingLevel, Math.log2(Number(share.slice(2))));
     }
   }
-  return depth;
+  return samplingLevel;
 };
--- a/packages/ledger/toRunName.ts
+++ b/packages/ledger/toRunName.ts
@@ -1,3 +1,3 @@
-/** Names a run for people. */
+/** Returns the display name of a run. */
 export const toRunName = ({ task, run }: { readonly task: string; readonly run: number }): string =>
   `${task} run ${run}`;
--- a/tests/ledger.test.ts
+++ b/tests/ledger.test.ts
@@ -8,7 +8,7 @@
 
 const START = Date.parse('2026-01-01T00:00:00.000Z');
 
-/** A line as a process writes it, some milliseconds after the start. */
+/** Creates a log line that was written at a time in milliseconds after `START`. */
 const createLine = (atMs: number, message: string, fields: object): string =>
   JSON.stringify({
     time: new Date(START + atMs).toISOString(),
@@ -62,8 +62,8 @@
   ];
 };
 
-describe('the ledger of a job', () => {
-  it('follows what the end waited for, without gaps from the call to the end', () => {
+describe('ledger', () => {
+  it('computes the critical path from the request to the end without gaps', () => {
     const [account] = readAccounts(createJobLines('a', 0));
     const path = readCriticalPath(account!).map(({ cause, from, to }) => [cause, to - from]);
     expect(path).toEqual([
@@ -83,7 +83,7 @@
     ]);
   });
 
-  it('takes the lines of many logs in any order, says what it cannot know, and counts jobs that are open', () => {
+  it('accepts lines in any order, attributes missing time to unknown and counts open jobs', () => {
     const lines = [
       ...createJobLines('a', 0).filter((line) => !line.includes('Job taken in')),
       ...createJobLines('b', 2500),
@@ -101,13 +101,13 @@
     ]);
     expect(worst.map(({ totalMs }) => totalMs)).toEqual([701]);
     expect(queues[0]!.sums.readMean('lost')).toBe(205);
-    // Without the line that the leader has it, the 5 ms before the round are given to nobody in particular.
+    // Without the line that the leader added the job, the 5 ms before the round have no known cause.
     expect(queues[0]!.windows[0]!.sums.readMean('unknown')).toBe(5);
     expect(queues[0]!.windows[0]!.sums.readMeanTotal()).toBe(701);
     expect(formatLedger(ledger)).toMatch(/jobs +0 +2 +701/);
   });
 
-  it('gives the time between an unsuccessful run and the next start to the retry, and tells how such runs ended', () => {
+  it('attributes the time between an unsuccessful run and the next wait to retry, and the run to how it ended', () => {
     const job = 'a';
     const task = `${job}.0.0.0`;
     const [placed, ended] = ['Tasks placed.', 'Run ended.'];
@@ -117,7 +117,7 @@
       createLine(10, 'Job taken in.', { job, queue: 'jobs' }),
       createLine(510, placed, toRun(1)),
       createLine(700, ended, { job, task, run: 1, outcome: 'failed', how: 'failed' }),
-      // The step has waited for room since long before this task did so.
+      // The wait of the step began before this task's previous run ended.
       createLine(900, placed, toRun(2)),
       createLine(1000, ended, { job, task, run: 2, outcome: 'interrupted', how: 'stopped', why: 'slow' }),
       createLine(1800, placed, toRun(3)),
@@ -137,16 +137,16 @@
     ]);
   });
 
-  it('adds up what tasks waited for that are placed in turns', () => {
+  it('joins the waits of a step that is placed in several batches', () => {
     const job = 'a';
-    const toTurn = (index: number, atMs: number, waits: object): string =>
+    const toBatch = (index: number, atMs: number, waits: object): string =>
       createLine(atMs, 'Tasks placed.', { job, waits, placed: [{ task: `${job}.0.0.${index}`, run: 1 }] });
     const lines = [
       createLine(10, 'Job accepted.', { job, queue: 'jobs', tookMs: 10 }),
       createLine(10, 'Job taken in.', { job, queue: 'jobs' }),
-      toTurn(0, 100, { answer: 90 }),
-      toTurn(1, 300, { room: 200 }),
-      toTurn(2, 600, { limit: 300 }),
+      toBatch(0, 100, { answer: 90 }),
+      toBatch(1, 300, { room: 200 }),
+      toBatch(2, 600, { limit: 300 }),
       ...[0, 1, 2].map((index) =>
         createLine(800 + index, 'Run ended.', { job, task: `${job}.0.0.${index}`, run: 1, outcome: 'done' }),
       ),
@@ -162,7 +162,7 @@
     ]);
   });
 
-  it('tells what a job waited for under a leader that went, as far as that told, and what it took to follow it', () => {
+  it('attributes the time under a previous leader to its logged waits, and the rest to the change of leader', () => {
     const job = 'a';
     const task = `${job}.0.0.0`;
     const lines = [
@@ -186,27 +186,27 @@
     ]);
   });
 
-  it('takes the end that the later of two leaders told: the earlier could not make it durable', () => {
-    const again = [
+  it('uses the end that the later of two leaders logged', () => {
+    const laterLines = [
       createLine(900, 'Leading.', { epoch: 2 }),
       createLine(950, 'Run ended.', { job: 'a', task: 'a.0.0.0', run: 2, outcome: 'done' }),
       createLine(950, 'Job ended.', { job: 'a', queue: 'jobs', ending: 'completed' }),
     ];
-    const sums = createLedger(readAccounts([...createJobLines('a', 0), ...again]), {
+    const sums = createLedger(readAccounts([...createJobLines('a', 0), ...laterLines]), {
       windowMs: 2000,
       worstCount: 1,
     }).queues[0]!.sums;
     expect([sums.readMeanTotal(), sums.readMean('unknown')]).toEqual([950, 0]);
   });
 
-  it('does not give to the end what is missing before it', () => {
+  it('attributes the time of a missing run to unknown and not to the end of the job', () => {
     const lines = createJobLines('a', 0).filter((line) => !line.includes('"run":2'));
     const sums = createLedger(readAccounts(lines), { windowMs: 2000, worstCount: 1 }).queues[0]!.sums;
     expect(sums.readMean('noted')).toBe(0);
     expect(sums.readMean('unknown')).toBe(201);
   });
 
-  it('takes the one line about a late job where others are missing, and sums the jobs of the told share by queue', () => {
+  it('uses the path logged for a late job when other lines are missing, and sums only sampled jobs by queue', () => {
     const ids = [...'0123456789abcdef'];
     const late = {
       job: '3',
@@ -226,22 +226,22 @@
       createLine(915, 'Job ended late.', late),
       createLine(1000, 'Lines left out.', { total: 5, share: '1/2', counts: { 'Run ended.': 5 } }),
     ];
-    const depth = readToldDepth(lines);
-    expect(depth).toBe(1);
+    const samplingLevel = readToldDepth(lines);
+    expect(samplingLevel).toBe(1);
     const { queues, lateQueues } = createLedger(readAccounts(lines), {
       windowMs: 2000,
       worstCount: 1,
-      depth,
+      depth: samplingLevel,
     });
-    expect(lateQueues.map(({ sums }) => sums.readJobCount())).toEqual([1]);
+    expect(lateQueues.map(({ sums }) => sums.countJobs())).toEqual([1]);
     expect(lateQueues[0]!.sums.readMean('room')).toBe(700);
     expect(lateQueues[0]!.sums.readMean('accept')).toBe(15);
-    const chosen = ids.filter((id) => computeSamplingLevel(id) >= 1);
-    expect(chosen).toEqual(['b', 'd', 'f']);
-    expect(queues[0]!.sums.readJobCount()).toBe(chosen.length);
+    const sampled = ids.filter((id) => computeSamplingLevel(id) >= 1);
+    expect(sampled).toEqual(['b', 'd', 'f']);
+    expect(queues[0]!.sums.countJobs()).toBe(sampled.length);
   });
 
-  it('gives nothing for logs without jobs', () => {
+  it('returns no accounts for logs without jobs', () => {
     expect(readAccounts(['', 'text'])).toEqual([]);
   });
 });
