--- a/packages/timeline/Timeline.ts
+++ b/packages/timeline/Timeline.ts
@@ -7,7 +7,7 @@
 interface TimelineOptions {
   readonly box: BoxId;
   readonly clock: HybridClock;
-  /** Most events of requests kept, and apart from them most of all others. */
+  /** Maximum number of request events, and separately of other events. */
   readonly capacity: number;
 }
 
@@ -18,14 +18,15 @@
   readonly detail?: TimelineEvent['detail'];
 }
 
-/** A bounded ring of events of one process. Request events have a ring of their own, so that they cannot push out rarer ones. */
+/** Bounded history of the events of one process. Request events have a ring buffer of their own, so that they can't evict rarer events. */
 export class Timeline {
   private readonly rings = { request: [] as TimelineEvent[], other: [] as TimelineEvent[] };
+  /** Index of the oldest event of each full ring. */
   private readonly starts = { request: 0, other: 0 };
 
   constructor(private readonly options: TimelineOptions) {}
 
-  /** Records an event with the next stamp. */
+  /** Records an event with a new timestamp, and drops the oldest event of a full ring. */
   recordEvent(entry: TimelineEntry): void {
     const name = entry.request === undefined ? 'other' : 'request';
     const ring = this.rings[name];
@@ -38,7 +39,7 @@
     this.starts[name] = (this.starts[name] + 1) % this.options.capacity;
   }
 
-  /** Reads the kept events in order: all but request events, or those of one request. */
+  /** Returns the kept events of a request, or without one all events that belong to no request, in order of time. */
   readEvents(request?: RequestId): readonly TimelineEvent[] {
     const events =
       request === undefined
--- a/packages/timeline/TimelineEvent.ts
+++ b/packages/timeline/TimelineEvent.ts
@@ -2,11 +2,11 @@
 import type { HybridTime } from '../common/HybridTime';
 import type { RequestId } from '../common/RequestId';
 
-/** One event of the time line. */
+/** Event of a process's timeline. */
 export interface TimelineEvent {
   readonly stamp: HybridTime;
   readonly box: BoxId;
-  /** The part that recorded it, for example `scheduler`. */
+  /** Component that recorded it, for example `scheduler`. */
   readonly part: string;
   /** What happened, in one or two words. */
   readonly kind: string;
--- a/packages/timeline/formatEvent.ts
+++ b/packages/timeline/formatEvent.ts
@@ -1,6 +1,6 @@
 import type { TimelineEvent } from './TimelineEvent';
 
-/** Formats an event as one line for people. */
+/** Formats an event as one line of text. */
 export const formatEvent = (event: TimelineEvent): string => {
   const time = new Date(event.stamp.ms).toISOString().slice(11, 23);
   const detail = Object.entries(event.detail)
--- a/packages/timeline/parseLogLine.ts
+++ b/packages/timeline/parseLogLine.ts
@@ -1,7 +1,7 @@
 import { parseJson } from '../common/parseJson';
 import type { LogLine } from './LogLine';
 
-/** Parses one line of a process's log; undefined when it is none. Collectors may put a time or a name before it. */
+/** Parses one line of a process's log, with or without a prefix that a log collector adds. Returns undefined for any other text. */
 export const parseLogLine = (text: string): LogLine | undefined => {
   const start = text.indexOf('{"time"');
   const value = start < 0 ? undefined : (parseJson(text.slice(start)) as Partial<LogLine> | undefined);
