--- a/packages/standins/EndpointFault.ts
+++ b/packages/standins/EndpointFault.ts
@@ -1,19 +1,19 @@
-/** How an endpoint stand-in spoils its next answers. */
+/** Fault that an endpoint stand-in injects into its next runs and responses. */
 export type EndpointFault =
   | 'none'
-  /** Cuts the connection before it runs anything. */
+  /** Closes the connection before it runs the task. */
   | 'resetBefore'
-  /** Runs, then cuts the connection without an answer. */
+  /** Runs the task, then closes the connection without a response. */
   | 'resetAfter'
-  /** Answers with fewer bytes than it announced. */
+  /** Sends fewer bytes than the response's content length. */
   | 'truncate'
-  /** Answers with another task's id. */
+  /** Responds with another task's id. */
   | 'cross'
-  /** Writes the answer twice on one connection. */
+  /** Writes a second response after the first one on the connection. */
   | 'double'
-  /** Runs ten times as long. */
+  /** Runs tasks ten times as long. */
   | 'slow'
-  /** Cuts the connection at once and runs on. */
+  /** Closes the connection at once and keeps running the task. */
   | 'dropAndRunOn'
-  /** Never answers. */
+  /** Runs the task until its lease ends, without completing it. */
   | 'silent';
--- a/packages/standins/EndpointRecord.ts
+++ b/packages/standins/EndpointRecord.ts
@@ -1,15 +1,15 @@
 import type { Demand } from '../table/Demand';
 
-/** What an endpoint stand-in has witnessed. */
+/** Statistics of an endpoint stand-in, for tests. */
 export interface EndpointRecord {
   readonly worker: string;
-  /** Highest sums ever running together. */
+  /** Maximum demand of concurrently running tasks, by resource. */
   readonly peak: Demand;
   readonly peakConnections: number;
   readonly capacity: Demand;
   readonly runningCount: number;
-  /** How often each request was started, by `ROW REQUEST`. */
+  /** Number of starts of each request, by `ROW REQUEST`. */
   readonly starts: Readonly<Record<string, number>>;
-  /** Names of standing replicas that were ever running twice at once here. */
+  /** Task ids of the standing replicas that run now. */
   readonly runningSeats: readonly string[];
 }
--- a/packages/standins/EndpointStandin.ts
+++ b/packages/standins/EndpointStandin.ts
@@ -14,8 +14,8 @@
 const DEFAULT_RUN_MS = 20;
 
 /**
- * Stands in for one endpoint box that guards nothing but its highest token: it runs whatever else it is given and keeps count, so that a
- * test can ask it whether it was ever overfilled. How long a task runs comes with the request.
+ * Stands in for an endpoint box in tests. It rejects only commands with an outdated fencing token, runs everything else without a check of
+ * its capacity, and keeps statistics by which tests detect overcommitment. The request says how long its task runs.
  */
 export class EndpointStandin {
   private readonly tasks = new Map<string, StandinTask>();
@@ -24,8 +24,8 @@
   private peakConnections = 0;
   private connections = 0;
   private fault: EndpointFault = 'none';
-  /** The highest token seen; an order with a lower one is refused. */
-  private token = 0;
+  /** Highest fencing token seen; requests with a lower one are rejected. */
+  private highestToken = 0;
   private server: Server | undefined;
 
   constructor(private readonly box: StandinBox) {}
@@ -51,13 +51,13 @@
     this.server?.closeAllConnections();
   }
 
-  /** Creates the report that a worker sends to the platform. */
+  /** Creates the report of running tasks that a worker sends to the platform. */
   createReport(): StandinReport {
     const now = performance.now();
     const tasks = [...this.tasks.values()].map((task) => ({
       task: task.task,
-      need: task.need,
-      endsWithinMs: Math.max(0, task.endsAt - now),
+      need: task.demand,
+      endsWithinMs: Math.max(0, task.leaseEndsAt - now),
     }));
     return { worker: this.box.worker, hall: this.box.hall, ageMs: 0, tasks };
   }
@@ -104,7 +104,7 @@
       chunks.push(chunk as Buffer);
     }
     const body = Buffer.concat(chunks);
-    if (!this.hasTakenToken(request)) {
+    if (!this.applyToken(request)) {
       response.setHeader('x-task-id', String(request.headers['x-task-id'] ?? ''));
       response.setHeader('x-fenced', '1');
       sendJson(response, 409, { error: 'lower token' });
@@ -119,21 +119,21 @@
     if (fault === 'dropAndRunOn') {
       request.socket.destroy();
     }
-    this.startLease(task);
+    this.scheduleLeaseEnd(task);
   }
 
-  /** Takes an order's token; false when a higher one has been seen. Orders without one are those of hand-made tests. */
-  private hasTakenToken(request: IncomingMessage): boolean {
-    const token = Number(request.headers['x-owner-token'] ?? this.token);
-    if (token < this.token) {
+  /** Applies the fencing token of a request and returns whether it is current. Requests without one always pass. */
+  private applyToken(request: IncomingMessage): boolean {
+    const token = Number(request.headers['x-owner-token'] ?? this.highestToken);
+    if (token < this.highestToken) {
       return false;
     }
-    this.token = token;
+    this.highestToken = token;
     return true;
   }
 
   private handleFence(request: IncomingMessage, response: ServerResponse): void {
-    if (this.hasTakenToken(request)) {
+    if (this.applyToken(request)) {
       sendJson(response, 200, { tasks: this.createReport().tasks });
     } else {
       sendJson(response, 409, { error: 'lower token' });
@@ -142,15 +142,15 @@
 
   private startTask(row: string, request: IncomingMessage, response: ServerResponse): StandinTask {
     const id = String(request.headers['x-task-id'] ?? 'unnamed');
-    const need = JSON.parse(
+    const demand = JSON.parse(
       String(request.headers['x-demand'] ?? '{"cpus":0,"memoryMb":0,"accelerators":0,"slots":1}'),
     ) as Demand;
     const limitMs = Number(request.headers['x-time-limit-ms'] ?? 60_000);
     const task: StandinTask = {
       task: id,
       row,
-      need,
-      endsAt: performance.now() + limitMs,
+      demand,
+      leaseEndsAt: performance.now() + limitMs,
       response,
       timers: [],
     };
@@ -162,20 +162,20 @@
     return task;
   }
 
-  /** The worker ends a task at its lease, whatever its caller does. */
-  private startLease(task: StandinTask): void {
-    const remainingMs = task.endsAt - performance.now();
+  /** Stops a task when its lease ends; a renewal postpones the check. */
+  private scheduleLeaseEnd(task: StandinTask): void {
+    const remainingMs = task.leaseEndsAt - performance.now();
     if (remainingMs <= 0) {
       this.stopTask(task, 410, 'lease ended');
       return;
     }
-    task.timers.push(setTimeout(() => this.startLease(task), remainingMs + 1));
+    task.timers.push(setTimeout(() => this.scheduleLeaseEnd(task), remainingMs + 1));
   }
 
   private recordPeak(): void {
     let sum = demandMath.NOTHING;
     for (const task of this.tasks.values()) {
-      sum = demandMath.toSum(sum, task.need);
+      sum = demandMath.toSum(sum, task.demand);
     }
     this.peak = {
       cpus: Math.max(this.peak.cpus, sum.cpus),
@@ -193,7 +193,7 @@
     }
     const actions: Readonly<Record<string, () => void>> = {
       renew: () => {
-        task.endsAt = performance.now() + Number(request.headers['x-time-limit-ms'] ?? 0);
+        task.leaseEndsAt = performance.now() + Number(request.headers['x-time-limit-ms'] ?? 0);
       },
       checkpoint: () => this.stopTask(task, 409, 'checkpoint'),
       stop: () => this.stopTask(task, 409, 'stopped'),
@@ -202,17 +202,17 @@
     sendJson(response, 200, {});
   }
 
-  private stopTask(task: StandinTask, status: number, why: string): void {
-    this.handleGone(task);
+  private stopTask(task: StandinTask, status: number, reason: string): void {
+    this.removeTask(task);
     if (task.response.destroyed) {
       return;
     }
     task.response.setHeader('x-task-id', task.task);
-    task.response.setHeader('x-yielded', why === 'checkpoint' ? '1' : '0');
-    sendJson(task.response, status, { error: why });
+    task.response.setHeader('x-yielded', reason === 'checkpoint' ? '1' : '0');
+    sendJson(task.response, status, { error: reason });
   }
 
-  private handleGone(task: StandinTask): void {
+  private removeTask(task: StandinTask): void {
     this.tasks.delete(task.task);
     for (const timer of task.timers) {
       clearTimeout(timer);
@@ -220,25 +220,25 @@
   }
 
   private handleEnd(task: StandinTask, body: Buffer, fault: EndpointFault): void {
-    this.handleGone(task);
+    this.removeTask(task);
     const { response } = task;
     if (response.destroyed) {
       return;
     }
-    const answer = Buffer.concat([Buffer.from(`${task.row}:`), body]);
+    const responseBody = Buffer.concat([Buffer.from(`${task.row}:`), body]);
     const id = fault === 'cross' ? 'another/task' : task.task;
     if (fault === 'resetAfter') {
       response.destroy();
       return;
     }
     if (fault === 'truncate') {
-      response.writeHead(200, { 'x-task-id': id, 'content-length': answer.length + 10 });
-      response.write(answer);
+      response.writeHead(200, { 'x-task-id': id, 'content-length': responseBody.length + 10 });
+      response.write(responseBody);
       response.socket?.destroySoon();
       return;
     }
-    response.writeHead(200, { 'x-task-id': id, 'content-length': answer.length });
-    response.end(answer);
+    response.writeHead(200, { 'x-task-id': id, 'content-length': responseBody.length });
+    response.end(responseBody);
     if (fault === 'double') {
       response.socket?.write(`HTTP/1.1 200 OK\r\nx-task-id: ${id}\r\ncontent-length: 5\r\n\r\nagain`);
     }
--- a/packages/standins/PlatformStandin.ts
+++ b/packages/standins/PlatformStandin.ts
@@ -8,11 +8,11 @@
 import { StandinStream } from './StandinStream';
 
 interface PlatformStandinOptions {
-  /** Host and port to listen on. */
+  /** `HOST:PORT` to listen on. */
   readonly address: string;
-  /** How long a worker's report lies before it is shown, in milliseconds. */
+  /** Delay until a worker's report becomes visible, in milliseconds. */
   readonly reportLagMs: number;
-  /** How long a change of the box list lies before it is shown, in milliseconds. */
+  /** Delay until a change of the box list becomes visible, in milliseconds. */
   readonly listLagMs: number;
 }
 
@@ -25,27 +25,27 @@
 
 /**
  * Stands in for the platform in development and tests: log, box list and worker reports over HTTP.
- * Paths under /standin steer it and bring about its failures.
+ * Requests under /standin set its state and inject faults.
  */
 export class PlatformStandin {
   private readonly streams = new Map<string, StandinStream>();
   private boxes: readonly StandinBox[] = [];
-  private shownBoxes: readonly StandinBox[] = [];
-  private shownVersion = 0;
+  private visibleBoxes: readonly StandinBox[] = [];
+  private visibleVersion = 0;
   private readonly reports = new Map<string, StoredReport[]>();
   private faults: StandinFaults = { isDown: false, delayMs: 0, loseAnswers: 0, cutBoxes: [] };
   private server: Server | undefined;
   private appendCount = 0;
   private readCount = 0;
-  /** Calls that came, answered or not. */
-  private callCount = 0;
+  /** Number of requests received, with or without a response. */
+  private requestCount = 0;
 
   private readonly handlers: Readonly<Record<string, Handler>> = {
     'POST /streams': (url, request, response) => this.handleAppend(url, request, response),
     'GET /streams': (url, _request, response) => this.handleRead(url, response),
     'GET /boxes': (url, request, response) => this.handleBoxes(url, request, response),
     'GET /reports': (url, _request, response) => this.handleReports(url, response),
-    'POST /standin': (url, request, response) => this.handleStandin(url, request, response),
+    'POST /standin': (url, request, response) => this.handleControl(url, request, response),
     'GET /standin': (_url, _request, response) => this.handleCounts(response),
   };
 
@@ -66,15 +66,15 @@
   private async handleRequest(request: IncomingMessage, response: ServerResponse): Promise<void> {
     const url = new URL(request.url ?? '/', 'http://platform');
     const part = `/${url.pathname.split('/')[1] ?? ''}`;
-    const isSteering = part === '/standin';
-    const caller = request.headers['user-agent']?.split(' ')[1] ?? '';
-    const isCut = this.faults.isDown || this.faults.cutBoxes.includes(caller);
-    this.callCount += isSteering ? 0 : 1;
-    if (!isSteering && isCut) {
+    const isControl = part === '/standin';
+    const client = request.headers['user-agent']?.split(' ')[1] ?? '';
+    const isPartitioned = this.faults.isDown || this.faults.cutBoxes.includes(client);
+    this.requestCount += isControl ? 0 : 1;
+    if (!isControl && isPartitioned) {
       request.socket.destroy();
       return;
     }
-    if (!isSteering && this.faults.delayMs > 0) {
+    if (!isControl && this.faults.delayMs > 0) {
       await new Promise((resolve) => setTimeout(resolve, this.faults.delayMs));
     }
     const handler = this.handlers[`${request.method} ${part}`];
@@ -85,7 +85,7 @@
     await handler(url, request, response);
   }
 
-  private readStream(url: URL): StandinStream {
+  private getStream(url: URL): StandinStream {
     const name = decodeURIComponent(url.pathname.split('/')[2] ?? '');
     const stream = this.streams.get(name) ?? new StandinStream();
     this.streams.set(name, stream);
@@ -94,7 +94,7 @@
 
   private async handleAppend(url: URL, request: IncomingMessage, response: ServerResponse): Promise<void> {
     const body = (await readJsonBody(request)) as { value: unknown };
-    const offset = this.readStream(url).appendValue(body.value);
+    const offset = this.getStream(url).appendValue(body.value);
     this.appendCount += 1;
     const isLost = Math.random() < this.faults.loseAnswers || this.faults.isDown;
     if (isLost) {
@@ -106,67 +106,68 @@
 
   private async handleRead(url: URL, response: ServerResponse): Promise<void> {
     this.readCount += 1;
-    const stream = this.readStream(url);
+    const stream = this.getStream(url);
     const from = Number(url.searchParams.get('from') ?? 0);
     const limit = Number(url.searchParams.get('limit') ?? 500);
-    await stream.startWait(from, Number(url.searchParams.get('waitMs') ?? 0));
+    await stream.waitForRecord(from, Number(url.searchParams.get('waitMs') ?? 0));
     if (this.faults.isDown) {
       response.destroy();
       return;
     }
-    sendJson(response, 200, stream.readPage(from, limit));
+    sendJson(response, 200, stream.getPage(from, limit));
   }
 
   private async handleBoxes(url: URL, request: IncomingMessage, response: ServerResponse): Promise<void> {
     const hall = url.searchParams.get('hall');
-    const tag = `"${this.shownVersion}"`;
+    const tag = `"${this.visibleVersion}"`;
     if (request.headers['if-none-match'] === tag) {
       response.writeHead(304).end();
       return;
     }
     response.setHeader('etag', tag);
-    sendJson(response, 200, { boxes: this.shownBoxes.filter((box) => box.hall === hall) });
+    sendJson(response, 200, { boxes: this.visibleBoxes.filter((box) => box.hall === hall) });
   }
 
   private async handleReports(url: URL, response: ServerResponse): Promise<void> {
     const hall = url.searchParams.get('hall');
     const now = performance.now();
-    const shown = [];
+    const visibleReports = [];
     for (const stored of this.reports.values()) {
-      const visible = stored.filter((entry) => entry.storedAt <= now - this.options.reportLagMs).at(-1);
-      if (visible !== undefined && visible.report.hall === hall) {
-        const { worker, tasks, ageMs } = visible.report;
-        shown.push({ worker, tasks, ageMs: ageMs + now - visible.storedAt });
+      const newest = stored.filter((entry) => entry.storedAt <= now - this.options.reportLagMs).at(-1);
+      if (newest !== undefined && newest.report.hall === hall) {
+        const { worker, tasks, ageMs } = newest.report;
+        visibleReports.push({ worker, tasks, ageMs: ageMs + now - newest.storedAt });
       }
     }
-    sendJson(response, 200, { reports: shown });
+    sendJson(response, 200, { reports: visibleReports });
   }
 
-  private async handleStandin(url: URL, request: IncomingMessage, response: ServerResponse): Promise<void> {
+  private async handleControl(url: URL, request: IncomingMessage, response: ServerResponse): Promise<void> {
     const body = await readJsonBody(request);
-    const steer: Readonly<Record<string, (value: unknown) => void>> = {
-      '/standin/boxes': (value) => this.applyBoxes(value as readonly StandinBox[]),
-      '/standin/faults': (value) => this.applyFaults(value as Partial<StandinFaults>),
+    const setters: Readonly<Record<string, (value: unknown) => void>> = {
+      '/standin/boxes': (value) => this.updateBoxes(value as readonly StandinBox[]),
+      '/standin/faults': (value) => this.setFaults(value as Partial<StandinFaults>),
       '/standin/reports': (value) => this.recordReports(value as readonly StandinReport[]),
       '/standin/trim': (value) => this.applyTrim(value as { stream: string; first: number }),
     };
-    steer[url.pathname]?.(body);
+    setters[url.pathname]?.(body);
     sendJson(response, 200, {});
   }
 
   private async handleCounts(response: ServerResponse): Promise<void> {
-    sendJson(response, 200, { appends: this.appendCount, reads: this.readCount, calls: this.callCount });
+    sendJson(response, 200, { appends: this.appendCount, reads: this.readCount, calls: this.requestCount });
   }
 
-  private applyBoxes(boxes: readonly StandinBox[]): void {
+  /** Makes a new box list visible after the configured delay. */
+  private updateBoxes(boxes: readonly StandinBox[]): void {
     this.boxes = boxes;
     setTimeout(() => {
-      this.shownBoxes = boxes;
-      this.shownVersion += 1;
+      this.visibleBoxes = boxes;
+      this.visibleVersion += 1;
     }, this.options.listLagMs);
   }
 
-  private applyFaults(faults: Partial<StandinFaults>): void {
+  private setFaults(faults: Partial<StandinFaults>): void {
     this.faults = { ...this.faults, ...faults };
     if (this.faults.isDown) {
       this.server?.closeIdleConnections();
@@ -174,15 +175,15 @@
   }
 
   private applyTrim(trim: { stream: string; first: number }): void {
-    this.streams.get(trim.stream)?.applyTrim(trim.first);
+    this.streams.get(trim.stream)?.removeBefore(trim.first);
   }
 
   private recordReports(reports: readonly StandinReport[]): void {
     const storedAt = performance.now();
     for (const report of reports) {
-      const kept = (this.reports.get(report.worker) ?? []).slice(-20);
-      kept.push({ report, storedAt });
-      this.reports.set(report.worker, kept);
+      const recent = (this.reports.get(report.worker) ?? []).slice(-20);
+      recent.push({ report, storedAt });
+      this.reports.set(report.worker, recent);
     }
   }
 }
--- a/packages/standins/StandinBox.ts
+++ b/packages/standins/StandinBox.ts
@@ -1,6 +1,6 @@
 import type { BoxListing } from '../platform/BoxListing';
 
-/** A worker as the platform stand-in lists it. */
+/** Worker in the box list of the platform stand-in. */
 export interface StandinBox extends BoxListing {
   readonly hall: string;
 }
--- a/packages/standins/StandinFaults.ts
+++ b/packages/standins/StandinFaults.ts
@@ -1,11 +1,11 @@
-/** Failures that the platform stand-in brings about on request. */
+/** Faults that the platform stand-in injects. */
 export interface StandinFaults {
-  /** Connections are cut at once. */
+  /** Closes all connections without a response. */
   readonly isDown: boolean;
-  /** Every answer is held back this long, in milliseconds. */
+  /** Delay of every request, in milliseconds. */
   readonly delayMs: number;
-  /** Share of appends that take effect and lose their answer, from 0 to 1. */
+  /** Fraction of appends, from 0 to 1, that take effect but whose response is lost. */
   readonly loseAnswers: number;
-  /** Entry boxes that are cut off from the platform alone. */
+  /** Entry boxes that are partitioned from the platform. */
   readonly cutBoxes: readonly string[];
 }
--- a/packages/standins/StandinReport.ts
+++ b/packages/standins/StandinReport.ts
@@ -1,6 +1,6 @@
 import type { WorkerReport } from '../ownership/WorkerReport';
 
-/** What a worker stand-in reports to the platform stand-in. */
+/** Report of a worker stand-in to the platform stand-in. */
 export interface StandinReport extends WorkerReport {
   readonly worker: string;
   readonly hall: string;
--- a/packages/standins/StandinTask.ts
+++ b/packages/standins/StandinTask.ts
@@ -1,13 +1,13 @@
 import type { ServerResponse } from 'node:http';
 import type { Demand } from '../table/Demand';
 
-/** A task that an endpoint stand-in runs. */
+/** Task that an endpoint stand-in runs. */
 export interface StandinTask {
   readonly task: string;
   readonly row: string;
-  readonly need: Demand;
-  /** Monotonic time when its lease ends, in milliseconds. */
-  endsAt: number;
+  readonly demand: Demand;
+  /** Monotonic time at which its lease ends, in milliseconds. */
+  leaseEndsAt: number;
   readonly response: ServerResponse;
   readonly timers: NodeJS.Timeout[];
 }
--- a/packages/standins/sendJson.ts
+++ b/packages/standins/sendJson.ts
@@ -1,6 +1,6 @@
 import type { ServerResponse } from 'node:http';
 
-/** Sends a JSON answer. */
+/** Sends a JSON response. */
 export const sendJson = (response: ServerResponse, status: number, value: unknown): void => {
   const text = JSON.stringify(value);
   response.writeHead(status, {
--- a/packages/standins/startListening.ts
+++ b/packages/standins/startListening.ts
@@ -1,7 +1,7 @@
 import type { Server } from 'node:net';
 import { toHostPort } from '../common/toHostPort';
 
-/** Starts a server on `HOST:PORT` and resolves once it listens. */
+/** Starts a server on `HOST:PORT`. Resolves once it listens, and rejects when it can't. */
 export const startListening = (server: Server, address: string): Promise<void> => {
   const { host, port } = toHostPort(address);
   return new Promise((resolve, reject) => {
