--- a/packages/standins/platform/AdviceStandin.ts
+++ b/packages/standins/platform/AdviceStandin.ts
@@ -2,33 +2,33 @@
 import { readJsonBody } from '../readJsonBody';
 import { sendJson } from '../sendJson';
 import { startListening } from '../startListening';
-import { SilentSockets } from './SilentSockets';
+import { BlackholedConnections } from './BlackholedConnections';
 import { ticketTexts } from './ticketTexts';
 
-/** Stands in for the advice service: every endpoint but those refused may run every step. */
+/** Stands in for the advice service. It approves all endpoints for all steps, except for the rejected ones. */
 export class AdviceStandin {
   private server: Server | undefined;
-  private questionCount = 0;
-  private refused: readonly string[] = [];
-  private readonly sockets = new SilentSockets();
+  private requestCount = 0;
+  private rejectedEndpoints: readonly string[] = [];
+  private readonly connections = new BlackholedConnections();
 
   constructor(private readonly address: string) {}
 
   async start(): Promise<void> {
     this.server = createServer((request, response) => {
       void readJsonBody(request).then((body) => {
-        if (this.sockets.isSilent(request)) {
+        if (this.connections.isBlackholed(request)) {
           return;
         }
-        this.questionCount += 1;
+        this.requestCount += 1;
         const { step, workers } = body as { step: string; workers: readonly string[] };
         const good = workers
-          .filter((id) => !this.refused.includes(id))
+          .filter((id) => !this.rejectedEndpoints.includes(id))
           .map((id) => [id, ticketTexts.format(step, id)]);
         sendJson(response, 200, { good });
       });
     });
-    this.sockets.recordServer(this.server);
+    this.connections.addServer(this.server);
     await startListening(this.server, this.address);
   }
 
@@ -37,16 +37,18 @@
     await new Promise((resolve) => this.server?.close(resolve));
   }
 
-  /** Silences all connections that are open now. New ones work. */
+  /** Blackholes all connections that are open now. New connections work. */
   applySilence(): void {
-    this.sockets.applySilence();
+    this.connections.applyBlackhole();
   }
 
+  /** Sets the endpoints that no step may run on. */
   applyRefused(endpoints: readonly string[]): void {
-    this.refused = endpoints;
+    this.rejectedEndpoints = endpoints;
   }
 
+  /** Returns the number of advice requests that got a response. */
   readQuestionCount(): number {
-    return this.questionCount;
+    return this.requestCount;
   }
 }
--- /dev/null
+++ b/packages/standins/platform/BlackholedConnections.ts
@@ -0,0 +1,28 @@
+import type { IncomingMessage, Server } from 'node:http';
+import type { Socket } from 'node:net';
+
+/** Connections of a stand-in that stay open but get no more responses, as when a network device drops their state without a reset. */
+export class BlackholedConnections {
+  private readonly open = new Set<Socket>();
+  private readonly blackholed = new Set<Socket>();
+
+  /** Tracks the connections of a server. */
+  addServer(server: Server): void {
+    server.on('connection', (socket: Socket) => {
+      this.open.add(socket);
+      socket.once('close', () => {
+        this.open.delete(socket);
+        this.blackholed.delete(socket);
+      });
+    });
+  }
+
+  /** Blackholes all connections that are open now, for good. New connections work. */
+  applyBlackhole(): void {
+    this.open.forEach((socket) => this.blackholed.add(socket));
+  }
+
+  isBlackholed({ socket }: IncomingMessage): boolean {
+    return this.blackholed.has(socket);
+  }
+}
--- a/packages/standins/platform/ExecutorFault.ts
+++ b/packages/standins/platform/ExecutorFault.ts
@@ -1,10 +1,10 @@
 /**
- * What an endpoint stand-in does wrong.
- * - `silent`: answers nothing and does nothing.
- * - `lateStarts`: answers no start and carries it out later.
- * - `lateAnswers`: carries starts out at once and answers them late.
- * - `slow`: runs take several times as long.
- * - `failing`: every run ends as failed.
- * - `hanging`: runs never end.
+ * Fault that an endpoint stand-in injects.
+ * - `silent`: ignores all requests and sends no response.
+ * - `lateStarts`: sends no response to start commands, and carries them out after a delay.
+ * - `lateAnswers`: carries start commands out at once, and responds after a delay.
+ * - `slow`: new runs take several times as long.
+ * - `failing`: new runs fail.
+ * - `hanging`: new runs never end.
  */
 export type ExecutorFault = 'none' | 'silent' | 'lateStarts' | 'lateAnswers' | 'slow' | 'failing' | 'hanging';
--- a/packages/standins/platform/ExecutorRun.ts
+++ b/packages/standins/platform/ExecutorRun.ts
@@ -1,4 +1,4 @@
-/** One run on an endpoint stand-in. */
+/** Run on an endpoint stand-in. Times are in milliseconds of its own clock. */
 export interface ExecutorRun {
   readonly task: string;
   readonly run: number;
--- a/packages/standins/platform/KeyedTopic.ts
+++ b/packages/standins/platform/KeyedTopic.ts
@@ -9,13 +9,15 @@
 interface ProducerState {
   epoch: number;
   sequence: number;
-  readonly answers: Map<number, { readonly offset: number; readonly end: number }>;
+  /** Results of the newest appends, by sequence number. */
+  readonly results: Map<number, { readonly offset: number; readonly end: number }>;
 }
 
-type AppendAnswer =
+type AppendResponse =
   | { readonly status: 200; readonly body: { readonly offset: number; readonly end: number } }
   | { readonly status: 409; readonly body: { readonly reason: string; readonly wanted?: number } };
 
+/** Producer of an append, for fencing and deduplication. */
 interface AppendWriter {
   readonly producer: string;
   readonly epoch: number;
@@ -23,25 +25,27 @@
 }
 
 const LENGTH_BYTES = 4;
-const REMEMBERED_ANSWERS = 5;
+const MAX_KEPT_RESULTS = 5;
 
-/** One keyed topic of the stand-in for the platform's log: appends in order, producer epochs, newest record by key. */
+/** Keyed topic of the stand-in for the platform's log. Checks the epochs and sequence numbers of producers, and keeps the newest record by key. */
 export class KeyedTopic {
   private readonly records: StoredRecord[] = [];
   private readonly newest = new Map<string, number>();
   private readonly producers = new Map<string, ProducerState>();
   private readonly waiters = new Waiters();
-  private firstKept = 0;
+  /** Offset of the first record that can still be read. */
+  private firstOffset = 0;
 
-  append(frames: Buffer, writer: AppendWriter | undefined): AppendAnswer {
-    const state = writer === undefined ? undefined : this.readProducer(writer);
+  /** Appends records. Repeats the earlier result for a sequence number that the producer has used, and rejects outdated epochs and gaps. */
+  append(frames: Buffer, writer: AppendWriter | undefined): AppendResponse {
+    const state = writer === undefined ? undefined : this.getProducer(writer);
     if (writer !== undefined && state !== undefined) {
       if (writer.epoch < state.epoch) {
         return { status: 409, body: { reason: 'fenced' } };
       }
-      const repeated = writer.epoch === state.epoch ? state.answers.get(writer.sequence) : undefined;
-      if (repeated !== undefined) {
-        return { status: 200, body: repeated };
+      const earlierResult = writer.epoch === state.epoch ? state.results.get(writer.sequence) : undefined;
+      if (earlierResult !== undefined) {
+        return { status: 200, body: earlierResult };
       }
       if (writer.epoch === state.epoch && state.sequence !== -1 && writer.sequence !== state.sequence + 1) {
         return { status: 409, body: { reason: 'seq', wanted: state.sequence + 1 } };
@@ -49,34 +53,35 @@
     }
     const offset = this.records.length;
     this.recordFrames(frames);
-    const answer = { offset, end: this.records.length };
+    const result = { offset, end: this.records.length };
     if (writer !== undefined && state !== undefined) {
-      this.recordAnswer(state, writer, answer);
+      this.recordResult(state, writer, result);
     }
-    this.waiters.stopAll();
-    return { status: 200, body: answer };
+    this.waiters.releaseAll();
+    return { status: 200, body: result };
   }
 
-  /** The read answer from an offset on; undefined when those records are gone. */
+  /** Returns the response body of a read from an offset on; undefined when the offset has been removed. */
   readFrames(fromOffset: number): Buffer | undefined {
-    if (fromOffset < this.firstKept) {
+    if (fromOffset < this.firstOffset) {
       return undefined;
     }
     const header = Buffer.alloc(16);
     header.writeBigUInt64BE(BigInt(this.records.length), 0);
-    header.writeBigUInt64BE(BigInt(this.firstKept), 8);
+    header.writeBigUInt64BE(BigInt(this.firstOffset), 8);
     return Buffer.concat([header, ...this.records.slice(fromOffset).map((record) => record.frame)]);
   }
 
+  /** Returns the offset of the next record. */
   readEnd(): number {
     return this.records.length;
   }
 
-  readFirstKept(): number {
-    return this.firstKept;
+  getFirstOffset(): number {
+    return this.firstOffset;
   }
 
-  /** Newest record of each key, in the order of the keys, after a key. */
+  /** Returns the newest record of each key greater than `afterKey`, sorted by key. */
   readNewest(afterKey: string): readonly { key: string; value: Buffer; offset: number }[] {
     return [...this.newest]
       .filter(([key]) => key > afterKey)
@@ -84,34 +89,35 @@
       .map(([key, offset]) => ({ key, value: this.records[offset]!.value, offset }));
   }
 
-  /** Resolves at the next append, or after a time. */
+  /** Resolves at the next append, or after a timeout. */
   startWait(waitMs: number): Promise<void> {
-    return this.waiters.startWait(waitMs);
+    return this.waiters.waitForRelease(waitMs);
   }
 
-  /** Forgets the history; the newest record of each key stays. */
-  applyCompaction(): void {
-    this.firstKept = this.records.length;
+  /** Removes all records but the newest one of each key. */
+  runCompaction(): void {
+    this.firstOffset = this.records.length;
   }
 
-  private readProducer(writer: AppendWriter): ProducerState {
-    const known = this.producers.get(writer.producer);
-    if (known !== undefined && known.epoch >= writer.epoch) {
-      return known;
+  /** Returns the state of a producer, which begins anew with each higher epoch. */
+  private getProducer(writer: AppendWriter): ProducerState {
+    const current = this.producers.get(writer.producer);
+    if (current !== undefined && current.epoch >= writer.epoch) {
+      return current;
     }
-    const created: ProducerState = { epoch: writer.epoch, sequence: -1, answers: new Map() };
+    const created: ProducerState = { epoch: writer.epoch, sequence: -1, results: new Map() };
     this.producers.set(writer.producer, created);
     return created;
   }
 
-  private recordAnswer(
+  private recordResult(
     state: ProducerState,
     writer: AppendWriter,
-    answer: { offset: number; end: number },
+    result: { offset: number; end: number },
   ): void {
     state.sequence = writer.sequence;
-    state.answers.set(writer.sequence, answer);
-    state.answers.delete(writer.sequence - REMEMBERED_ANSWERS);
+    state.results.set(writer.sequence, result);
+    state.results.delete(writer.sequence - MAX_KEPT_RESULTS);
   }
 
   private recordFrames(frames: Buffer): void {
--- a/packages/standins/platform/LogStandin.ts
+++ b/packages/standins/platform/LogStandin.ts
@@ -4,54 +4,54 @@
 import { startListening } from '../startListening';
 import { KeyedTopic } from './KeyedTopic';
 import type { LogFault } from './LogFault';
-import { NarrowLink } from './NarrowLink';
-import { SilentSockets } from './SilentSockets';
+import { RateLimitedLink } from './RateLimitedLink';
+import { BlackholedConnections } from './BlackholedConnections';
 
-interface LogCall {
+interface LogRequest {
   readonly url: URL;
   readonly request: IncomingMessage;
   readonly response: ServerResponse;
-  readonly isAnswerLost: boolean;
-  /** The link of the box that calls. */
-  readonly link: NarrowLink;
+  readonly isResponseLost: boolean;
+  /** Link of the box that sent the request. */
+  readonly link: RateLimitedLink;
 }
 
-type Handler = (call: LogCall) => Promise<void>;
+type Handler = (logRequest: LogRequest) => Promise<void>;
 
 const PAGE_ITEMS = 500;
 const LENGTH_BYTES = 4;
 const MAX_APPEND_WAIT_MS = 2000;
 
-/** Stands in for the platform's log over HTTP: keyed topics of one partition, in the form of the platform's pages. */
+/** Stands in for the platform's log over HTTP: keyed topics of one partition, with the paths and bodies that the platform documents. */
 export class LogStandin {
   private readonly topics = new Map<string, KeyedTopic>();
   private readonly servers: Server[] = [];
   private readonly faults = new Map<string, LogFault>();
-  private readonly links = new Map<string, NarrowLink>();
-  /** Reads that wait for a record, by door. */
-  private readonly waiting = new Map<ServerResponse, string>();
-  /** How long one append takes, and at least each answer of a read, in milliseconds. */
-  private slowMs = 0;
-  /** Until when a topic is busy with the appends that it has taken in; it makes one after the other. */
+  private readonly links = new Map<string, RateLimitedLink>();
+  /** Listener of each request in progress, by its response. */
+  private readonly pending = new Map<ServerResponse, string>();
+  /** Duration of an append, and minimum duration of a read, in milliseconds. */
+  private latencyMs = 0;
+  /** Monotonic time until which each topic is busy; a topic processes its appends one after the other. */
   private readonly busyUntil = new Map<string, number>();
-  private callCount = 0;
-  private readonly sockets = new SilentSockets();
+  private requestCount = 0;
+  private readonly connections = new BlackholedConnections();
 
   private readonly handlers: Readonly<Record<string, Handler>> = {
-    'POST /log-append': (call) => this.handleAppend(call),
-    'GET /log-read': (call) => this.handleRead(call),
-    'GET /log-newest': (call) => this.handleNewest(call),
+    'POST /log-append': (logRequest) => this.handleAppend(logRequest),
+    'GET /log-read': (logRequest) => this.handleRead(logRequest),
+    'GET /log-newest': (logRequest) => this.handleNewest(logRequest),
   };
 
-  /** Starts one way in: each box gets an address of its own, so that a fault can strike it alone. */
+  /** Starts a listener. Each box gets a listener of its own, so that a fault can be injected for one box. */
   async startDoor(name: string, address: string): Promise<void> {
     const server = createServer((request, response) => {
       this.handleRequest(name, request, response).catch(() => response.destroy());
     });
     this.servers.push(server);
-    this.sockets.recordServer(server);
+    this.connections.addServer(server);
     this.faults.set(name, 'none');
-    this.links.set(name, new NarrowLink());
+    this.links.set(name, new RateLimitedLink());
     await startListening(server, address);
   }
 
@@ -62,39 +62,41 @@
     }
   }
 
-  /** Sets what goes wrong, behind one door or all. Silence also takes the answers of reads that wait at that time. */
-  applyFault(fault: LogFault, door?: string): void {
-    for (const name of door === undefined ? [...this.faults.keys()] : [door]) {
+  /** Sets the fault of one listener, or of all. With `silent`, pending long polls get no response either. */
+  applyFault(fault: LogFault, listener?: string): void {
+    for (const name of listener === undefined ? [...this.faults.keys()] : [listener]) {
       this.faults.set(name, fault);
     }
-    for (const [response, name] of fault === 'silent' ? [...this.waiting] : []) {
-      if (door === undefined || door === name) {
-        this.waiting.delete(response);
+    for (const [response, name] of fault === 'silent' ? [...this.pending] : []) {
+      if (listener === undefined || listener === name) {
+        this.pending.delete(response);
       }
     }
   }
 
-  /** Silences all connections that are open now, with the reads that wait on them. New ones work. */
+  /** Blackholes all connections that are open now, with their pending long polls. New connections work. */
   applySilence(): void {
-    this.sockets.applySilence();
-    this.waiting.clear();
+    this.connections.applyBlackhole();
+    this.pending.clear();
   }
 
-  /** Sets the rate of each box's link in megabits a second; Infinity for no limit. */
+  /** Sets the rate of each box's link in megabits per second; Infinity for no limit. */
   applyLinkRate(megabits: number): void {
-    this.links.forEach((link) => link.applyRate(megabits));
+    this.links.forEach((link) => link.setRate(megabits));
   }
 
-  /** Sets how long each call takes, in milliseconds; a topic makes one append after the other, and refuses with over 2 s waiting. */
-  applySlowness(slowMs: number): void {
-    this.slowMs = slowMs;
+  /** Sets the duration of each append and read in milliseconds. A topic processes one append at a time, and rejects appends while its queue is too long. */
+  applySlowness(latencyMs: number): void {
+    this.latencyMs = latencyMs;
   }
 
+  /** Returns the number of requests received, with or without a response. */
   readCallCount(): number {
-    return this.callCount;
+    return this.requestCount;
   }
 
-  readTopic(name: string): KeyedTopic {
+  /** Returns a topic, which is created on first use. */
+  getTopic(name: string): KeyedTopic {
     const known = this.topics.get(name);
     if (known !== undefined) {
       return known;
@@ -104,24 +106,24 @@
     return created;
   }
 
-  /** Writes one record as the platform itself. An empty value drops the key. */
+  /** Appends a record on behalf of the platform. An empty string as the value deletes the key. */
   writeRecord(topic: string, key: string, value: unknown): void {
     const keyBytes = Buffer.from(key);
     const valueBytes = Buffer.from(value === '' ? '' : JSON.stringify(value));
     const frame = Buffer.alloc(LENGTH_BYTES + 1);
     frame.writeUInt32BE(1 + keyBytes.length + valueBytes.length, 0);
     frame.writeUInt8(keyBytes.length, LENGTH_BYTES);
-    this.readTopic(topic).append(Buffer.concat([frame, keyBytes, valueBytes]), undefined);
+    this.getTopic(topic).append(Buffer.concat([frame, keyBytes, valueBytes]), undefined);
   }
 
   private async handleRequest(
-    door: string,
+    listener: string,
     request: IncomingMessage,
     response: ServerResponse,
   ): Promise<void> {
-    this.callCount += 1;
-    const fault = this.faults.get(door);
-    if (fault === 'silent' || this.sockets.isSilent(request)) {
+    this.requestCount += 1;
+    const fault = this.faults.get(listener);
+    if (fault === 'silent' || this.connections.isBlackholed(request)) {
       return;
     }
     if (fault === 'busy') {
@@ -134,17 +136,17 @@
       sendJson(response, 404, {});
       return;
     }
-    this.waiting.set(response, door);
-    const link = this.links.get(door) ?? new NarrowLink();
-    await handler({ url, request, response, isAnswerLost: fault === 'loseAnswers', link });
-    this.waiting.delete(response);
+    this.pending.set(response, listener);
+    const link = this.links.get(listener) ?? new RateLimitedLink();
+    await handler({ url, request, response, isResponseLost: fault === 'loseAnswers', link });
+    this.pending.delete(response);
   }
 
-  private async handleAppend({ url, request, response, isAnswerLost, link }: LogCall): Promise<void> {
+  private async handleAppend({ url, request, response, isResponseLost, link }: LogRequest): Promise<void> {
     const chunks: Buffer[] = [];
     for await (const chunk of request) {
       chunks.push(chunk as Buffer);
-      await link.startPassing((chunk as Buffer).length);
+      await link.waitForTransfer((chunk as Buffer).length);
     }
     const { searchParams } = url;
     const producer = searchParams.get('producer');
@@ -157,19 +159,19 @@
             sequence: Number(searchParams.get('call-seq')),
           };
     const topic = searchParams.get('topic') ?? '';
-    if (!(await this.startAppendTurn(topic))) {
+    if (!(await this.waitForAppend(topic))) {
       sendJson(response, 503, {});
       return;
     }
-    const answer = this.readTopic(topic).append(Buffer.concat(chunks), writer);
-    if (!isAnswerLost) {
-      sendJson(response, answer.status, answer.body);
+    const result = this.getTopic(topic).append(Buffer.concat(chunks), writer);
+    if (!isResponseLost) {
+      sendJson(response, result.status, result.body);
     }
   }
 
-  /** Waits until the topic has made all earlier appends and this one; false when too many wait. */
-  private async startAppendTurn(topic: string): Promise<boolean> {
-    if (this.slowMs === 0) {
+  /** Waits until the topic has had time for all earlier appends and this one. Returns false when its queue is too long. */
+  private async waitForAppend(topic: string): Promise<boolean> {
+    if (this.latencyMs === 0) {
       return true;
     }
     const now = performance.now();
@@ -177,39 +179,39 @@
     if (startsAt - now > MAX_APPEND_WAIT_MS) {
       return false;
     }
-    this.busyUntil.set(topic, startsAt + this.slowMs);
-    await startDelay(startsAt + this.slowMs - now);
+    this.busyUntil.set(topic, startsAt + this.latencyMs);
+    await startDelay(startsAt + this.latencyMs - now);
     return true;
   }
 
-  private async handleRead({ url, response, link }: LogCall): Promise<void> {
-    await startDelay(this.slowMs);
-    const topic = this.readTopic(url.searchParams.get('topic') ?? '');
+  private async handleRead({ url, response, link }: LogRequest): Promise<void> {
+    await startDelay(this.latencyMs);
+    const topic = this.getTopic(url.searchParams.get('topic') ?? '');
     const from = Number(url.searchParams.get('from-rev'));
     const waitMs = Number(url.searchParams.get('wait-ms') ?? 0);
     if (topic.readEnd() <= from && waitMs > 0) {
       await topic.startWait(waitMs);
-      if (!this.waiting.has(response)) {
+      if (!this.pending.has(response)) {
         return;
       }
     }
     const frames = topic.readFrames(from);
     if (frames === undefined) {
-      sendJson(response, 410, { first: topic.readFirstKept() });
+      sendJson(response, 410, { first: topic.getFirstOffset() });
       return;
     }
-    await link.sendAnswer(response, frames, 'application/octet-stream');
+    await link.sendResponse(response, frames, 'application/octet-stream');
   }
 
-  private async handleNewest({ url, response, link }: LogCall): Promise<void> {
-    const topic = this.readTopic(url.searchParams.get('topic') ?? '');
+  private async handleNewest({ url, response, link }: LogRequest): Promise<void> {
+    const topic = this.getTopic(url.searchParams.get('topic') ?? '');
     const all = topic.readNewest(url.searchParams.get('depends-on') ?? '');
     const items = all.slice(0, PAGE_ITEMS).map(({ key, value, offset }) => ({
       'private-key': key,
       value: value.toString('base64'),
       offset,
     }));
-    const answer = { items, more: all.length > items.length, end: topic.readEnd() };
-    await link.sendAnswer(response, Buffer.from(JSON.stringify(answer)), 'application/json');
+    const page = { items, more: all.length > items.length, end: topic.readEnd() };
+    await link.sendResponse(response, Buffer.from(JSON.stringify(page)), 'application/json');
   }
 }
--- a/packages/standins/platform/NarrowLink.ts
+++ b/packages/standins/platform/RateLimitedLink.ts
@@ -2,21 +2,21 @@
 
 const CHUNK_BYTES = 8192;
 const BITS_PER_BYTE = 8;
-/** One megabit a second in bits a millisecond. */
+/** Bits per millisecond at one megabit per second. */
 const BITS_PER_MS = 1000;
 
-/** A link of limited rate, shared by all that passes it in turn, chunk by chunk. */
-export class NarrowLink {
+/** Network link with a limited rate, which requests and responses share chunk by chunk. */
+export class RateLimitedLink {
   private freeAt = 0;
   private bytesPerMs = Infinity;
 
-  /** Sets the rate in megabits a second; Infinity for no limit. */
-  applyRate(megabits: number): void {
+  /** Sets the rate in megabits per second; Infinity for no limit. */
+  setRate(megabits: number): void {
     this.bytesPerMs = (megabits * BITS_PER_MS) / BITS_PER_BYTE;
   }
 
-  /** Resolves once so many bytes have passed. */
-  async startPassing(bytes: number): Promise<void> {
+  /** Waits until the link has transferred a number of bytes. */
+  async waitForTransfer(bytes: number): Promise<void> {
     if (this.bytesPerMs === Infinity) {
       return;
     }
@@ -25,12 +25,12 @@
     await new Promise((resolve) => setTimeout(resolve, this.freeAt - now));
   }
 
-  /** Sends a whole answer at the link's rate. What is left is dropped when the reader goes away. */
-  async sendAnswer(response: ServerResponse, body: Buffer, contentType: string): Promise<void> {
+  /** Sends a response at the link's rate, until the reader disconnects. */
+  async sendResponse(response: ServerResponse, body: Buffer, contentType: string): Promise<void> {
     response.writeHead(200, { 'content-type': contentType, 'content-length': body.length });
     for (let start = 0; start < body.length && !response.destroyed; start += CHUNK_BYTES) {
       const chunk = body.subarray(start, start + CHUNK_BYTES);
-      await this.startPassing(chunk.length);
+      await this.waitForTransfer(chunk.length);
       response.write(chunk);
     }
     response.end();
--- a/packages/standins/platform/RunWitness.ts
+++ b/packages/standins/platform/RunWitness.ts
@@ -1,60 +1,60 @@
-interface SeenRun {
+interface ObservedRun {
   readonly endpoint: string;
   readonly task: string;
   readonly run: number;
 }
 
-/** After so many endpoints that ended under it a task may be started twice more. */
-const LOSSES_BORNE = 3;
+/** Number of lost endpoints after which starts of a task are counted separately. */
+const LOSS_THRESHOLD = 3;
 
-/** Sees every start and end on all endpoint stand-ins, and says which promises were broken. */
+/** Observes the starts and ends of runs on all endpoint stand-ins, and collects violations of the scheduler's guarantees. */
 export class RunWitness {
-  private readonly running = new Map<string, SeenRun[]>();
-  /** The first run of each task that was done. */
+  private readonly running = new Map<string, ObservedRun[]>();
+  /** Run number of the first completed run of each task. */
   private readonly doneRuns = new Map<string, number>();
-  /** Starts of tasks that were done but not noted yet: they count once that end is noted. */
-  private readonly startsAfterDone = new Map<string, string>();
-  private readonly notedRuns = new Set<string>();
+  /** Starts after a completed run, by the key of that run. They are violations once its end has been acknowledged. */
+  private readonly startsAfterCompletion = new Map<string, string>();
+  private readonly acknowledgedRuns = new Set<string>();
   private readonly startCounts = new Map<string, number>();
-  private readonly perEndpoint = new Map<string, number>();
+  private readonly runningCounts = new Map<string, number>();
   private readonly lostCounts = new Map<string, number>();
-  private readonly lateStartCounts = new Map<string, number>();
-  private readonly problems: string[] = [];
+  private readonly startCountsAfterLosses = new Map<string, number>();
+  private readonly violations: string[] = [];
 
-  /** `maxRuns`: tasks that one endpoint has room for. */
+  /** `maxRuns` is the number of tasks that fit on one endpoint. */
   constructor(private readonly maxRuns: number) {}
 
   recordStart(endpoint: string, task: string, run: number): void {
-    const others = this.running.get(task) ?? [];
-    if (others.length > 0) {
-      this.problems.push(
-        `${task} run ${run} on ${endpoint} beside run ${others[0]!.run} on ${others[0]!.endpoint}`,
+    const parallelRuns = this.running.get(task) ?? [];
+    if (parallelRuns.length > 0) {
+      this.violations.push(
+        `${task} run ${run} on ${endpoint} beside run ${parallelRuns[0]!.run} on ${parallelRuns[0]!.endpoint}`,
       );
     }
     const doneRun = this.doneRuns.get(task);
     if (doneRun !== undefined) {
       const key = `${task}#${doneRun}`;
-      this.startsAfterDone.set(key, `${task} run ${run} on ${endpoint} after run ${doneRun} was done`);
-      this.checkNoted(key);
+      this.startsAfterCompletion.set(key, `${task} run ${run} on ${endpoint} after run ${doneRun} was done`);
+      this.checkAcknowledged(key);
     }
-    this.running.set(task, [...others, { endpoint, task, run }]);
+    this.running.set(task, [...parallelRuns, { endpoint, task, run }]);
     this.startCounts.set(task, (this.startCounts.get(task) ?? 0) + 1);
-    if (this.readLostCount(task) >= LOSSES_BORNE) {
-      this.lateStartCounts.set(task, this.readStartsAfterLosses(task) + 1);
+    if (this.readLostCount(task) >= LOSS_THRESHOLD) {
+      this.startCountsAfterLosses.set(task, this.readStartsAfterLosses(task) + 1);
     }
-    const count = (this.perEndpoint.get(endpoint) ?? 0) + 1;
-    this.perEndpoint.set(endpoint, count);
+    const count = (this.runningCounts.get(endpoint) ?? 0) + 1;
+    this.runningCounts.set(endpoint, count);
     if (count > this.maxRuns) {
-      this.problems.push(`${endpoint} runs ${count} tasks of ${this.maxRuns}`);
+      this.violations.push(`${endpoint} runs ${count} tasks of ${this.maxRuns}`);
     }
   }
 
   recordEnd(endpoint: string, task: string, run: number, how: string): void {
-    const others = (this.running.get(task) ?? []).filter(
-      (seen) => seen.endpoint !== endpoint || seen.run !== run,
+    const remaining = (this.running.get(task) ?? []).filter(
+      (other) => other.endpoint !== endpoint || other.run !== run,
     );
-    this.running.set(task, others);
-    this.perEndpoint.set(endpoint, (this.perEndpoint.get(endpoint) ?? 1) - 1);
+    this.running.set(task, remaining);
+    this.runningCounts.set(endpoint, (this.runningCounts.get(endpoint) ?? 1) - 1);
     if (how === 'gone') {
       this.lostCounts.set(task, (this.lostCounts.get(task) ?? 0) + 1);
     }
@@ -63,51 +63,52 @@
     }
   }
 
-  /** The end of a run was acknowledged although no answer had listed it. */
+  /** Records that the end of a run was acknowledged before a response had listed it. */
   recordUnlistedNote(endpoint: string, task: string, run: number): void {
-    this.problems.push(`${task} run ${run} on ${endpoint}: end acknowledged before it was listed`);
+    this.violations.push(`${task} run ${run} on ${endpoint}: end acknowledged before it was listed`);
   }
 
-  /** The end of a run was acknowledged before its endpoint's lease ran out. */
+  /** Records that the end of a run was acknowledged before its endpoint's lease expired. */
   recordNoted(task: string, run: number): void {
     const key = `${task}#${run}`;
-    this.notedRuns.add(key);
-    this.checkNoted(key);
+    this.acknowledgedRuns.add(key);
+    this.checkAcknowledged(key);
   }
 
+  /** Returns a description of each violation so far. */
   readProblems(): readonly string[] {
-    return this.problems;
+    return this.violations;
   }
 
   readStartCount(task: string): number {
     return this.startCounts.get(task) ?? 0;
   }
 
-  /** Endpoints that ended while a run of the task was there. */
+  /** Returns how many endpoints ended while they ran the task. */
   readLostCount(task: string): number {
     return this.lostCounts.get(task) ?? 0;
   }
 
-  /** Most endpoints that ended while a run of one task of the job was there. */
+  /** Returns the maximum over the job's tasks of the number of endpoints that ended while they ran the task. */
   readMostLost(job: string): number {
     const counts = [...this.lostCounts].filter(([task]) => task.startsWith(`${job}.`));
     return Math.max(0, ...counts.map(([, count]) => count));
   }
 
-  /** Starts of the task after three endpoints had ended while a run of it was there. */
+  /** Returns the number of starts of the task after three endpoints had ended while they ran it. */
   readStartsAfterLosses(task: string): number {
-    return this.lateStartCounts.get(task) ?? 0;
+    return this.startCountsAfterLosses.get(task) ?? 0;
   }
 
   readTotalStarts(): number {
     return [...this.startCounts.values()].reduce((sum, count) => sum + count, 0);
   }
 
-  private checkNoted(key: string): void {
-    const start = this.startsAfterDone.get(key);
-    if (start !== undefined && this.notedRuns.has(key)) {
-      this.problems.push(start);
-      this.startsAfterDone.delete(key);
+  private checkAcknowledged(key: string): void {
+    const violation = this.startsAfterCompletion.get(key);
+    if (violation !== undefined && this.acknowledgedRuns.has(key)) {
+      this.violations.push(violation);
+      this.startsAfterCompletion.delete(key);
     }
   }
 }
--- a/packages/standins/platform/Waiters.ts
+++ b/packages/standins/platform/Waiters.ts
@@ -1,23 +1,24 @@
-/** Answers that wait for something to happen, each for a limited time. */
+/** Set of long polls that wait for the same event, each with a timeout. */
 export class Waiters {
-  private readonly waiting = new Set<() => void>();
+  private readonly releases = new Set<() => void>();
 
-  /** Resolves when `stopAll` is called, or after a time. */
-  startWait(waitMs: number): Promise<void> {
+  /** Resolves when `releaseAll` is called, or after a timeout. */
+  waitForRelease(waitMs: number): Promise<void> {
     return new Promise((resolve) => {
-      const handleEnd = (): void => {
+      const release = (): void => {
         clearTimeout(timer);
-        this.waiting.delete(handleEnd);
+        this.releases.delete(release);
         resolve();
       };
-      const timer = setTimeout(handleEnd, waitMs);
-      this.waiting.add(handleEnd);
+      const timer = setTimeout(release, waitMs);
+      this.releases.add(release);
     });
   }
 
-  stopAll(): void {
-    for (const handleEnd of [...this.waiting]) {
-      handleEnd();
+  /** Resolves all waits. */
+  releaseAll(): void {
+    for (const release of [...this.releases]) {
+      release();
     }
   }
 }
--- a/packages/standins/platform/ticketTexts.ts
+++ b/packages/standins/platform/ticketTexts.ts
@@ -1,7 +1,7 @@
-/** How long a ticket holds, in milliseconds: as the cell's configuration says. */
+/** Validity of a ticket; must match `validity-ms` in the configuration of the test cell. */
 const VALIDITY_MS = 2500;
 
-/** Tickets of the advice stand-in, which say themselves until when they hold. */
+/** Formats and checks the tickets of the advice stand-in, which contain their time of expiry. */
 export const ticketTexts = {
   format: (step: string, endpoint: string): string =>
     `${step} ${endpoint} ${Math.round(performance.now()) + VALIDITY_MS}`,
--- a/tests/executorStandin.test.ts
+++ b/tests/executorStandin.test.ts
@@ -7,27 +7,27 @@
 
 const ID = 'i-0';
 const TASK = '0000000000000001.0.0.0';
-/** Longer than a late start waits. */
-const LATE_MS = 1700;
+/** Longer than the delay of the `lateStarts` fault. */
+const LATE_START_WAIT_MS = 1700;
 
-describe('the stand-in of one life of an endpoint', () => {
-  it('carries out nothing once it is over, also what it had taken before', async () => {
+describe('stand-in of one incarnation of an endpoint', () => {
+  it('carries out no start command after its stop, even one received before', async () => {
     const [port] = await chooseFreePorts(1);
     const address = `127.0.0.1:${port}`;
     const witness = new RunWitness(4);
     const standin = new ExecutorStandin({ id: ID, address, witness, bornAtMs: 5 });
     await standin.start();
     standin.applyFault('lateStarts');
-    const order = { task: TASK, run: 1, spec: '100', 'expires-ms': 10_000, 'fencing-token': 1 };
-    const answer = request(`http://${address}/run-start`, {
+    const command = { task: TASK, run: 1, spec: '100', 'expires-ms': 10_000, 'fencing-token': 1 };
+    const response = request(`http://${address}/run-start`, {
       method: 'POST',
       headers: { 'x-stairline-expect-instance': ID },
-      body: JSON.stringify(order),
+      body: JSON.stringify(command),
     }).catch((thrown: unknown) => thrown);
     await startDelay(100);
     await standin.stop();
-    expect(await answer).toBeInstanceOf(Error);
-    await startDelay(LATE_MS);
+    expect(await response).toBeInstanceOf(Error);
+    await startDelay(LATE_START_WAIT_MS);
     expect(witness.readStartCount(TASK)).toBe(0);
   });
 });
