--- a/packages/standins/platform/ExecutorStandin.ts
+++ b/packages/standins/platform/ExecutorStandin.ts
@@ -69,7 +69,7 @@
   private server: Server | undefined;
   private readonly waiters = new Waiters();
   private readonly startedAt = performance.now();
-  /** Id of this incarnation for the witness. */
+  /** Id of this incarnation in the records of the run checker. */
   private readonly incarnation: string;
   /** Number of the last end that a response has listed. */
   private lastListedEnd = 0;
--- a/tests/executorStandin.test.ts
+++ b/tests/executorStandin.test.ts
@@ -14,8 +14,8 @@
   it('carries out no start command after its stop, even one received before', async () => {
     const [port] = await chooseFreePorts(1);
     const address = `127.0.0.1:${port}`;
-    const witness = new RunWitness(4);
-    const standin = new ExecutorStandin({ id: ID, address, witness, bornAtMs: 5 });
+    const runChecker = new RunWitness(4);
+    const standin = new ExecutorStandin({ id: ID, address, witness: runChecker, bornAtMs: 5 });
     await standin.start();
     standin.applyFault('lateStarts');
     const command = { task: TASK, run: 1, spec: '100', 'expires-ms': 10_000, 'fencing-token': 1 };
@@ -28,6 +28,6 @@
     await standin.stop();
     expect(await response).toBeInstanceOf(Error);
     await startDelay(LATE_START_WAIT_MS);
-    expect(witness.readStartCount(TASK)).toBe(0);
+    expect(runChecker.readStartCount(TASK)).toBe(0);
   });
 });
