--- a/packages/standins/EndpointStandin.ts
+++ b/packages/standins/EndpointStandin.ts
@@ -74,13 +74,13 @@
       this.fault = (await readJsonBody(request)) as EndpointFault;
       sendJson(response, 200, {});
     } else if (part === 'standin') {
-      sendJson(response, 200, this.createRecord());
+      sendJson(response, 200, this.createStats());
     } else {
       sendJson(response, 404, { error: 'unknown path' });
     }
   }
 
-  private createRecord(): EndpointRecord {
+  private createStats(): EndpointRecord {
     const running = [...this.tasks.values()];
     return {
       worker: this.box.worker,
--- a/packages/standins/PlatformStandin.ts
+++ b/packages/standins/PlatformStandin.ts
@@ -37,7 +37,7 @@
   private server: Server | undefined;
   private appendCount = 0;
   private readCount = 0;
-  /** Number of requests received, with or without a response. */
+  /** Number of requests received apart from control requests, with or without a response. */
   private requestCount = 0;
 
   private readonly handlers: Readonly<Record<string, Handler>> = {
