--- a/dev/bench/leaderSection.ts
+++ b/dev/bench/leaderSection.ts
@@ -46,7 +46,7 @@
     const seconds = MEASURE_MS / 1000;
     const leaderCores = (leader.process.readCpuSeconds() - leaderBefore!) / seconds;
     const followerCores = (follower.process.readCpuSeconds() - followerBefore!) / seconds;
-    const starts = cell.witness.readTotalStarts();
+    const starts = cell.runChecker.countAllStarts();
     leader.process.sendSignal('SIGKILL');
     await waitForDelay(AFTER_KILL_MS);
     const replaced = cell.boxes.filter(({ process }) => process.readOutput().includes('leader is silent'));
@@ -58,7 +58,7 @@
       leaderCores.toFixed(3),
       followerCores.toFixed(3),
       replaced.length,
-      cell.witness.readProblems().length,
+      cell.runChecker.getViolations().length,
     ];
   } finally {
     await cell.stop();
--- a/dev/cell/Cell.ts
+++ b/dev/cell/Cell.ts
@@ -6,7 +6,7 @@
 import { AdviceStandin } from '../../packages/standins/platform/AdviceStandin';
 import { ExecutorStandin } from '../../packages/standins/platform/ExecutorStandin';
 import { LogStandin } from '../../packages/standins/platform/LogStandin';
-import { RunWitness } from '../../packages/standins/platform/RunWitness';
+import { RunChecker } from '../../packages/standins/platform/RunChecker';
 import { chooseFreePorts } from '../fleet/chooseFreePorts';
 import { ManagedProcess } from '../fleet/ManagedProcess';
 
@@ -81,7 +81,7 @@
 
 /** One cell on this machine: real entry processes, and stand-ins for log, endpoints and advice. */
 export class Cell {
-  readonly witness: RunWitness;
+  readonly runChecker: RunChecker;
   readonly boxes: CellBox[] = [];
   readonly executors: CellExecutor[] = [];
   /** Executors that tasks have ended. */
@@ -97,7 +97,7 @@
     readonly advice: AdviceStandin,
     private readonly adviceAddress: string,
   ) {
-    this.witness = new RunWitness(options.roomPerExecutor);
+    this.runChecker = new RunChecker(options.roomPerExecutor);
   }
 
   /** Creates a cell, starts everything, and waits until a box takes callers. */
@@ -168,7 +168,7 @@
     const handleCrash = (): void => void this.handleCrash(id);
     const bornAtMs = this.options.keepsIds === true ? this.createBirth() : undefined;
     const born = bornAtMs === undefined ? {} : { bornAtMs };
-    const standin = new ExecutorStandin({ id, address, witness: this.witness, handleCrash, ...born });
+    const standin = new ExecutorStandin({ id, address, runChecker: this.runChecker, handleCrash, ...born });
     await standin.start();
     this.executors.push({ id, address, bornAtMs, standin });
     await waitForDelay(recordAfterMs);
@@ -343,7 +343,7 @@
   private async startNewBox(addresses: readonly string[]): Promise<void> {
     const name = `box-${this.boxes.length}`;
     const [front, ready, internal, log] = addresses as [string, string, string, string];
-    await this.log.startDoor(name, log);
+    await this.log.startListener(name, log);
     const port = Number(internal.split(':')[1]);
     const settingsFile = join(this.folder, `${name}.json`);
     const isStrong = this.boxes.length < (this.options.strongBoxes ?? 0);
--- a/dev/demo/demoCommand.ts
+++ b/dev/demo/demoCommand.ts
@@ -4,7 +4,7 @@
 import { exitCodes } from '../../packages/cli/exitCodes';
 import { formatColumns } from '../../packages/cli/formatColumns';
 import { writeLine } from '../../packages/cli/writeLine';
-import { checkStampOrder } from '../../packages/timeline/checkStampOrder';
+import { compareEvents } from '../../packages/timeline/compareEvents';
 import { formatEvent } from '../../packages/timeline/formatEvent';
 import type { TimelineEvent } from '../../packages/timeline/TimelineEvent';
 import { Fleet } from '../fleet/Fleet';
@@ -39,7 +39,7 @@
   const answers = await Promise.all(
     boxes.map((box) => fleet.sendOperator<{ events: TimelineEvent[] }>(box, '/timeline')),
   );
-  const events = answers.flatMap((answer) => answer.events).sort(checkStampOrder);
+  const events = answers.flatMap((answer) => answer.events).sort(compareEvents);
   writeLine('\nTime line (requests left out):');
   for (const event of events) {
     writeLine(formatEvent(event));
--- a/dev/demo/readDoubled.ts
+++ b/dev/demo/readDoubled.ts
@@ -1,8 +1,8 @@
-import type { EndpointRecord } from '../../packages/standins/EndpointRecord';
+import type { EndpointStats } from '../../packages/standins/EndpointStats';
 
 /** Requests of some rows that were started more than once over all endpoints. */
 export const readDoubled = (
-  records: readonly EndpointRecord[],
+  records: readonly EndpointStats[],
   rows: readonly string[],
 ): readonly string[] => {
   const counts = new Map<string, number>();
--- a/dev/fleet/Fleet.ts
+++ b/dev/fleet/Fleet.ts
@@ -4,7 +4,7 @@
 import { Agent, request } from 'undici';
 import type { EntryStatus } from '../../packages/entry/EntryStatus';
 import type { EndpointFault } from '../../packages/standins/EndpointFault';
-import type { EndpointRecord } from '../../packages/standins/EndpointRecord';
+import type { EndpointStats } from '../../packages/standins/EndpointStats';
 import type { StandinBox } from '../../packages/standins/StandinBox';
 import type { StandinFaults } from '../../packages/standins/StandinFaults';
 import type { BoxListing } from '../../packages/platform/BoxListing';
@@ -175,11 +175,11 @@
   }
 
   /** What the endpoints have witnessed. */
-  async readRecords(): Promise<readonly EndpointRecord[]> {
+  async readRecords(): Promise<readonly EndpointStats[]> {
     return Promise.all(
       this.plan.boxes.map(async (box) => {
         const response = await request(`http://${box.address}/standin`, { dispatcher: this.agent });
-        return (await response.body.json()) as EndpointRecord;
+        return (await response.body.json()) as EndpointStats;
       }),
     );
   }
--- a/dev/soak/soakTroubles.ts
+++ b/dev/soak/soakTroubles.ts
@@ -16,15 +16,15 @@
 
 const startExecutorFault = async (world: SoakWorld, fault: ExecutorFault): Promise<void> => {
   const executor = world.chooseExecutor();
-  executor?.standin.applyFault(fault);
+  executor?.standin.setFault(fault);
   await world.startPause(FAULT_MS);
-  executor?.standin.applyFault('none');
+  executor?.standin.setFault('none');
 };
 
 const startLogFault = async (world: SoakWorld, fault: LogFault, door?: string): Promise<void> => {
-  world.cell.log.applyFault(fault, door);
+  world.cell.log.setFault(fault, door);
   await world.startPause(FAULT_MS);
-  world.cell.log.applyFault('none', door);
+  world.cell.log.setFault('none', door);
 };
 
 const startReturn = async (world: SoakWorld, downMs: number, recordAfterMs: number): Promise<void> => {
@@ -93,16 +93,16 @@
     world.isBursting = false;
   },
   silentConnections: async (world) => {
-    world.chooseExecutor()?.standin.applySilence();
+    world.chooseExecutor()?.standin.applyBlackhole();
     await waitForDelay(0);
   },
   silentLog: (world) => startLogFault(world, 'silent'),
   busyLogForOne: (world) =>
     startLogFault(world, 'busy', world.cell.boxes[world.chooseUpTo(world.cell.boxes.length - 1)]?.name),
   slowLog: async (world) => {
-    world.cell.log.applySlowness(SLOW_LOG_MS);
+    world.cell.log.setLatency(SLOW_LOG_MS);
     await world.startPause(FAULT_MS);
-    world.cell.log.applySlowness(0);
+    world.cell.log.setLatency(0);
   },
   changeConfiguration: async (world) => {
     world.writeNextConfiguration();
--- a/dev/soak/startSoak.ts
+++ b/dev/soak/startSoak.ts
@@ -93,9 +93,9 @@
 ): Promise<readonly string[]> => {
   const first = `${id}.0.0.0`;
   if (fate === 'refused') {
-    return cell.witness.readStartCount(first) > 0 ? [`${id} was refused and ran`] : [];
+    return cell.runChecker.countStarts(first) > 0 ? [`${id} was refused and ran`] : [];
   }
-  const lateStarts = cell.witness.readStartsAfterLosses(first);
+  const lateStarts = cell.runChecker.countStartsAfterLosses(first);
   if (isHarmful && lateStarts > MAX_LATE_STARTS) {
     return [`${first} was started ${lateStarts} times more after three endpoints had ended under it`];
   }
@@ -112,7 +112,7 @@
     return [];
   }
   const { body } = await cell.readState(box, id);
-  const isBorne = body.state === 'failed' && cell.witness.readMostLost(id) > 1;
+  const isBorne = body.state === 'failed' && cell.runChecker.computeMaxLosses(id) > 1;
   return isBorne ? [] : [`${id} is ${body.state ?? 'not known'}, not ${expected}`];
 };
 
@@ -139,10 +139,14 @@
     const problems = [...unready, ...checked];
     const dead = cell.boxes.filter(({ process }) => !process.isAlive());
     return {
-      problems: [...cell.witness.readProblems(), ...problems, ...dead.map(({ name }) => `${name} has ended`)],
+      problems: [
+        ...cell.runChecker.getViolations(),
+        ...problems,
+        ...dead.map(({ name }) => `${name} has ended`),
+      ],
       accepted: jobs.filter(({ fate }) => fate === 'accepted').length,
       refused: jobs.filter(({ fate }) => fate === 'refused').length,
-      starts: cell.witness.readTotalStarts(),
+      starts: cell.runChecker.countAllStarts(),
       troubles,
     };
   } finally {
--- a/packages/cli/explainJobCommand.ts
+++ b/packages/cli/explainJobCommand.ts
@@ -1,4 +1,4 @@
-import { readJobStory } from '../timeline/readJobStory';
+import { readJobLines } from '../timeline/readJobLines';
 import type { Command } from './Command';
 import { exitCodes } from './exitCodes';
 import { readLogFiles } from './readLogFiles';
@@ -30,7 +30,7 @@
     if (texts === undefined) {
       return Promise.resolve(exitCodes.usage);
     }
-    const events = readJobStory(texts, job);
+    const events = readJobLines(texts, job);
     for (const line of events) {
       writeLine(`${line.time} ${line.box} [${line.part}] ${line.message} ${formatFields(line)}`);
     }
--- a/packages/cli/ledgerCommand.ts
+++ b/packages/cli/ledgerCommand.ts
@@ -1,7 +1,7 @@
 import { createLedger } from '../ledger/createLedger';
 import { formatLedger } from '../ledger/formatLedger';
-import { readAccounts } from '../ledger/readAccounts';
-import { readToldDepth } from '../ledger/readToldDepth';
+import { readJobHistories } from '../ledger/readJobHistories';
+import { readSamplingLevel } from '../ledger/readSamplingLevel';
 import type { Command } from './Command';
 import { exitCodes } from './exitCodes';
 import { readLogFiles } from './readLogFiles';
@@ -42,7 +42,7 @@
     if (lines === undefined) {
       return Promise.resolve(exitCodes.usage);
     }
-    const accounts = readAccounts(lines);
+    const accounts = readJobHistories(lines);
     if (accounts.length === 0) {
       writeError('The logs contain no accepted job.');
       return Promise.resolve(exitCodes.failed);
@@ -50,7 +50,7 @@
     const isJson = values['json'] === true;
     const ledger = createLedger(accounts, {
       windowMs: windowSeconds * MS_PER_SECOND,
-      depth: readToldDepth(lines),
+      samplingLevel: readSamplingLevel(lines),
       worstCount: isJson ? accounts.length : worstCount,
     });
     if (isJson) {
--- a/packages/cli/readMergedEvents.ts
+++ b/packages/cli/readMergedEvents.ts
@@ -1,4 +1,4 @@
-import { checkStampOrder } from '../timeline/checkStampOrder';
+import { compareEvents } from '../timeline/compareEvents';
 import type { TimelineEvent } from '../timeline/TimelineEvent';
 import type { OperatorClient } from './OperatorClient';
 
@@ -13,5 +13,5 @@
   const responses = await client.requestFromAll<{ events: readonly TimelineEvent[] }>(path);
   const events = responses.flatMap(({ answer }) => (answer.ok ? answer.value.events : []));
   const silent = responses.filter(({ answer }) => !answer.ok).map(({ box }) => box);
-  return { events: [...events].sort(checkStampOrder), silent };
+  return { events: [...events].sort(compareEvents), silent };
 };
--- a/packages/entry/OperatorServer.ts
+++ b/packages/entry/OperatorServer.ts
@@ -52,7 +52,7 @@
     this.app.get('/table/history', async () => ({ history: options.readTable().history }));
     this.app.get<{ Querystring: { request?: string } }>('/timeline', async (request) => {
       const id = request.query.request;
-      return { events: options.timeline.readEvents(id === undefined ? undefined : toId<RequestId>(id)) };
+      return { events: options.timeline.listEvents(id === undefined ? undefined : toId<RequestId>(id)) };
     });
     this.app.post('/table/edits', async (request, reply) => {
       const parsed = editSchema.safeParse(request.body);
--- a/packages/ledger/CauseSums.ts
+++ b/packages/ledger/CauseSums.ts
@@ -20,12 +20,12 @@
   }
 
   /** Returns the mean milliseconds per job that a cause took; 0 when no job had it. */
-  readMean(cause: LedgerCause): number {
+  getMeanMs(cause: LedgerCause): number {
     return this.jobCount === 0 ? 0 : (this.sums.get(cause) ?? 0) / this.jobCount;
   }
 
   /** Returns the mean milliseconds per job over all causes. */
-  readMeanTotal(): number {
-    return ledgerCauses.reduce((total, cause) => total + this.readMean(cause), 0);
+  getMeanTotalMs(): number {
+    return ledgerCauses.reduce((total, cause) => total + this.getMeanMs(cause), 0);
   }
 }
--- a/packages/ledger/RunAccount.ts
+++ b/packages/ledger/RunHistory.ts
@@ -1,7 +1,7 @@
 import type { LedgerCause } from './LedgerCause';
 
 /** History of one run of a task, as the leader logged it. Times are in milliseconds since 1970. */
-export interface RunAccount {
+export interface RunHistory {
   readonly task: string;
   readonly run: number;
   readonly placedAt: number;
@@ -10,9 +10,9 @@
   endedAt: number | undefined;
   outcome: string;
   /** How the run ended as the endpoint reported it; empty without a report. */
-  how: string;
+  reportedEnd: string;
   /** Why the leader stopped the run; empty when it did not. */
-  why: string;
+  stopCause: string;
   /** Endpoint that ran it; empty when unknown. */
   endpoint: string;
   hall: string;
--- a/packages/ledger/readBestPath.ts
+++ b/packages/ledger/chooseCriticalPath.ts
@@ -1,7 +1,7 @@
-import type { JobAccount } from './JobAccount';
+import type { JobHistory } from './JobHistory';
 import type { LedgerCause } from './LedgerCause';
 import type { LedgerSpan } from './LedgerSpan';
-import { readCriticalPath } from './readCriticalPath';
+import { computeCriticalPath } from './computeCriticalPath';
 
 /** Tolerance for clock differences between boxes and for the rounding of logged paths. */
 const TOLERANCE_MS = 50;
@@ -16,23 +16,23 @@
   first?.cause === 'handOver' ? first.to : (first?.from ?? fallback);
 
 /** Merges the path from the lines of earlier leaders with the logged path, which begins when its leader had added the job. */
-const mergePaths = (account: JobAccount, loggedPath: readonly LedgerSpan[]): readonly LedgerSpan[] => {
+const mergePaths = (account: JobHistory, loggedPath: readonly LedgerSpan[]): readonly LedgerSpan[] => {
   const addedAt = getAddedAt(loggedPath, account.acceptedAt);
   const earlierRuns = [...account.runs].filter(([, { endedAt = Infinity }]) => endedAt <= addedAt);
   // A new leader logs its takeover only after it has added all jobs.
   const takeOvers = account.takeOvers.map((at) => (Math.abs(at - addedAt) <= TOLERANCE_MS ? addedAt : at));
   const accountBefore = { ...account, endedAt: addedAt, runs: new Map(earlierRuns), takeOvers };
   const isFromLeader = ({ from }: LedgerSpan): boolean => from >= addedAt;
-  return [...readCriticalPath(accountBefore), ...loggedPath.filter(isFromLeader)];
+  return [...computeCriticalPath(accountBefore), ...loggedPath.filter(isFromLeader)];
 };
 
 /**
  * Chooses the critical path of an ended job that leaves the least time unexplained: the path that its leader logged, that path merged with
  * the lines of earlier leaders, or the lines alone. The logged path is preferred, since other lines may be missing.
  */
-export const readBestPath = (account: JobAccount): readonly LedgerSpan[] => {
-  const { toldPath: loggedPath, acceptedAt, acceptMs } = account;
-  const pathFromLines = readCriticalPath(account);
+export const chooseCriticalPath = (account: JobHistory): readonly LedgerSpan[] => {
+  const { loggedPath, acceptedAt, acceptMs } = account;
+  const pathFromLines = computeCriticalPath(account);
   if (loggedPath === undefined) {
     return pathFromLines;
   }
--- a/packages/ledger/readCriticalPath.ts
+++ b/packages/ledger/computeCriticalPath.ts
@@ -1,7 +1,7 @@
-import type { JobAccount } from './JobAccount';
+import type { JobHistory } from './JobHistory';
 import type { LedgerCause } from './LedgerCause';
 import type { LedgerSpan } from './LedgerSpan';
-import type { RunAccount } from './RunAccount';
+import type { RunHistory } from './RunHistory';
 import { toRunName } from './toRunName';
 import type { WaitSample } from './WaitSample';
 
@@ -36,7 +36,7 @@
   }
 }
 
-const toRunCause = ({ outcome, why }: RunAccount): LedgerCause => {
+const toRunCause = ({ outcome, stopCause: why }: RunHistory): LedgerCause => {
   if (outcome === 'done' || outcome === 'failed') {
     return outcome === 'done' ? 'running' : 'failed';
   }
@@ -44,8 +44,8 @@
 };
 
 /** Finds the previous ended run of the same task. */
-const findPreviousRun = (runs: Iterable<RunAccount>, later: RunAccount): RunAccount | undefined => {
-  let previous: RunAccount | undefined;
+const findPreviousRun = (runs: Iterable<RunHistory>, later: RunHistory): RunHistory | undefined => {
+  let previous: RunHistory | undefined;
   for (const run of runs) {
     const isEarlier = run.task === later.task && run.run < later.run && run.endedAt !== undefined;
     if (isEarlier && run.run > (previous?.run ?? 0)) {
@@ -55,14 +55,14 @@
   return previous;
 };
 
-const toStepName = ({ task }: RunAccount): string => task.slice(0, task.lastIndexOf('.'));
+const toStepName = ({ task }: RunHistory): string => task.slice(0, task.lastIndexOf('.'));
 
 /** Finds a run of an earlier batch of the same step that was placed at a time. */
 const findEarlierBatch = (
-  runs: Iterable<RunAccount>,
-  later: RunAccount,
+  runs: Iterable<RunHistory>,
+  later: RunHistory,
   at: number,
-): RunAccount | undefined => {
+): RunHistory | undefined => {
   for (const run of runs) {
     const isPlacedThen = Math.abs(run.placedAt - at) <= SAME_TURN_MS && run.placedAt < later.placedAt;
     if (isPlacedThen && toStepName(run) === toStepName(later)) {
@@ -76,7 +76,7 @@
 const addWaits = (
   path: PathBuilder,
   at: number,
-  waits: RunAccount['waits'],
+  waits: RunHistory['waits'],
   notBefore: number,
   run = '',
 ): number => {
@@ -94,12 +94,12 @@
  */
 const addRunWaits = (
   path: PathBuilder,
-  run: RunAccount,
-  runs: readonly RunAccount[],
+  run: RunHistory,
+  runs: readonly RunHistory[],
   notBefore: number,
 ): void => {
   const name = toRunName(run);
-  let batch: RunAccount | undefined = run;
+  let batch: RunHistory | undefined = run;
   while (batch !== undefined) {
     const from = addWaits(path, batch.placedAt, batch.waits, notBefore, name);
     batch = findEarlierBatch(runs, batch, from);
@@ -107,7 +107,7 @@
 };
 
 /** Adds a run from its placement to its end. */
-const addRun = (path: PathBuilder, account: RunAccount): void => {
+const addRun = (path: PathBuilder, account: RunHistory): void => {
   const name = toRunName(account);
   const recordedAt = account.placedAt + account.recordMs;
   path.addSpan(toRunCause(account), recordedAt + account.startMs, name);
@@ -116,8 +116,8 @@
 };
 
 /** Finds the run that ended last before a time, which the next event had to wait for. */
-const findLastEnded = (runs: readonly RunAccount[], before: number): RunAccount | undefined => {
-  let last: RunAccount | undefined;
+const findLastEnded = (runs: readonly RunHistory[], before: number): RunHistory | undefined => {
+  let last: RunHistory | undefined;
   for (const run of runs) {
     const isEarlier =
       run.endedAt !== undefined && run.endedAt <= before + SAME_TURN_MS && run.placedAt < before;
@@ -128,13 +128,16 @@
   return last;
 };
 
-const findLastSample = ({ notes }: JobAccount, from: number, to: number): WaitSample | undefined =>
-  notes.findLast(({ at }) => at > from && at <= to + SAME_TURN_MS);
+const findLastSample = (
+  { waitSamples: notes }: JobHistory,
+  from: number,
+  to: number,
+): WaitSample | undefined => notes.findLast(({ at }) => at > from && at <= to + SAME_TURN_MS);
 
 /** Adds a time that no run covers: the waits that leaders logged while they lasted, and changes of leader after them. */
 const addGap = (
   path: PathBuilder,
-  account: JobAccount,
+  account: JobHistory,
   from: number,
   { fallback = 'unknown', run = '' }: { readonly fallback?: LedgerCause; readonly run?: string } = {},
 ): void => {
@@ -155,7 +158,7 @@
  * Computes the critical path of an ended job, from the request to its end without gaps: of tasks that ran in parallel only the one that
  * ended last is on it. Returns no spans for an open job.
  */
-export const readCriticalPath = (account: JobAccount): readonly LedgerSpan[] => {
+export const computeCriticalPath = (account: JobHistory): readonly LedgerSpan[] => {
   if (account.endedAt === undefined) {
     return [];
   }
@@ -177,7 +180,7 @@
     addGap(path, account, retryStart, { fallback: 'retry', run: toRunName(run) });
     run = previous ?? findLastEnded([...remaining], path.getStart());
   }
-  addGap(path, account, account.takenInAt ?? account.acceptedAt);
+  addGap(path, account, account.addedAt ?? account.acceptedAt);
   path.addSpan('handOver', account.acceptedAt);
   path.addSpan('accept', startsAt);
   return path.spans;
--- a/packages/ledger/createLedger.ts
+++ b/packages/ledger/createLedger.ts
@@ -1,18 +1,18 @@
 import { CauseSums } from './CauseSums';
-import type { JobAccount } from './JobAccount';
+import type { JobHistory } from './JobHistory';
 import type { LedgerSpan } from './LedgerSpan';
 import { computeSamplingLevel } from '../logging/computeSamplingLevel';
-import { readBestPath } from './readBestPath';
+import { chooseCriticalPath } from './chooseCriticalPath';
 
 interface LedgerOptions {
   readonly windowMs: number;
   readonly worstCount: number;
   /** Highest sampling level of the logs. */
-  readonly depth?: number;
+  readonly samplingLevel?: number;
 }
 
 interface LedgerJob {
-  readonly account: JobAccount;
+  readonly account: JobHistory;
   readonly path: readonly LedgerSpan[];
   /** Time from the caller's request to the end of the job. */
   readonly totalMs: number;
@@ -63,7 +63,7 @@
 
 const createQueue = (
   queue: string,
-  accounts: readonly JobAccount[],
+  accounts: readonly JobHistory[],
   jobs: readonly LedgerJob[],
   startedAt: number,
   windowMs: number,
@@ -74,13 +74,13 @@
   return { queue, sums, openCount: accounts.length - jobs.length, windows };
 };
 
-const toLedgerJob = (account: JobAccount): LedgerJob => {
-  const path = readBestPath(account);
+const toLedgerJob = (account: JobHistory): LedgerJob => {
+  const path = chooseCriticalPath(account);
   return { account, path, totalMs: path.reduce((sum, { from, to }) => sum + to - from, 0) };
 };
 
 const createQueues = (
-  accounts: readonly JobAccount[],
+  accounts: readonly JobHistory[],
   jobs: readonly LedgerJob[],
   startedAt: number,
   windowMs: number,
@@ -102,12 +102,12 @@
  * the sample of jobs that was logged completely, since late jobs are logged outside of it too and would bias the means.
  */
 export const createLedger = (
-  accounts: readonly JobAccount[],
-  { windowMs, worstCount, depth: samplingLevel = 0 }: LedgerOptions,
+  accounts: readonly JobHistory[],
+  { windowMs, worstCount, samplingLevel = 0 }: LedgerOptions,
 ): Ledger => {
   const startedAt = accounts.reduce((earliest, { acceptedAt }) => Math.min(earliest, acceptedAt), Infinity);
-  const isSampled = ({ job }: JobAccount): boolean => computeSamplingLevel(job) >= samplingLevel;
-  const isLate = ({ toldPath }: JobAccount): boolean => toldPath !== undefined;
+  const isSampled = ({ job }: JobHistory): boolean => computeSamplingLevel(job) >= samplingLevel;
+  const isLate = ({ loggedPath }: JobHistory): boolean => loggedPath !== undefined;
   const ended = accounts.filter(({ endedAt }) => endedAt !== undefined).map(toLedgerJob);
   const sampled = ended.filter(({ account }) => isSampled(account));
   const late = ended.filter(({ account }) => isLate(account));
--- a/packages/ledger/formatLedger.ts
+++ b/packages/ledger/formatLedger.ts
@@ -12,8 +12,8 @@
 
 const toCells = (sums: CauseSums): readonly string[] => [
   String(sums.countJobs()),
-  formatMs(sums.readMeanTotal()),
-  ...ledgerCauses.map((cause) => formatMs(sums.readMean(cause))),
+  formatMs(sums.getMeanTotalMs()),
+  ...ledgerCauses.map((cause) => formatMs(sums.getMeanMs(cause))),
 ];
 
 const formatJob = ({ account, path, totalMs }: LedgerJob): string => {
--- a/packages/ledger/readAccounts.ts
+++ b/packages/ledger/readJobHistories.ts
@@ -1,15 +1,15 @@
 import { z } from 'zod';
 import type { LogLine } from '../timeline/LogLine';
 import { parseLogLine } from '../timeline/parseLogLine';
-import type { JobAccount } from './JobAccount';
+import type { JobHistory } from './JobHistory';
 import type { LedgerCause } from './LedgerCause';
 import type { LedgerSpan } from './LedgerSpan';
 import { ledgerCauses } from './ledgerCauses';
-import type { RunAccount } from './RunAccount';
+import type { RunHistory } from './RunHistory';
 import { toRunKey } from './toRunKey';
 import type { WaitSample } from './WaitSample';
 
-type Account = JobAccount & { readonly notes: WaitSample[] };
+type Account = JobHistory & { readonly waitSamples: WaitSample[] };
 type Accounts = Map<string, Account>;
 type LineHandler = (accounts: Accounts, line: LogLine, at: number, takeOvers: readonly number[]) => void;
 
@@ -49,12 +49,12 @@
   fields: Pick<Account, 'job' | 'queue' | 'acceptedAt' | 'acceptMs' | 'takeOvers'>,
 ): Account => ({
   ...fields,
-  takenInAt: undefined,
+  addedAt: undefined,
   endedAt: undefined,
   ending: '',
-  runs: new Map<string, RunAccount>(),
-  notes: [],
-  toldPath: undefined,
+  runs: new Map<string, RunHistory>(),
+  waitSamples: [],
+  loggedPath: undefined,
 });
 
 const handleAccepted: LineHandler = (accounts, line, at, takeOvers) => {
@@ -69,7 +69,7 @@
 const handleAdded: LineHandler = (accounts, line, at) => {
   const account = accounts.get(jobSchema.safeParse(line).data?.job ?? '');
   if (account !== undefined) {
-    account.takenInAt ??= at;
+    account.addedAt ??= at;
   }
 };
 
@@ -80,7 +80,15 @@
     return;
   }
   for (const { task, run, endpoint = '' } of parsed.placed) {
-    const initial = { endedAt: undefined, outcome: '', how: '', why: '', hall: '', recordMs: 0, startMs: 0 };
+    const initial = {
+      endedAt: undefined,
+      outcome: '',
+      reportedEnd: '',
+      stopCause: '',
+      hall: '',
+      recordMs: 0,
+      startMs: 0,
+    };
     const placed = { task, run, endpoint, placedAt: at, waits: parsed.waits };
     account.runs.set(toRunKey({ task, run }), { ...placed, ...initial });
   }
@@ -94,15 +102,15 @@
   }
   run.endedAt = at;
   run.outcome = parsed.outcome;
-  run.how = parsed.how ?? '';
-  run.why = parsed.why ?? '';
+  run.reportedEnd = parsed.how ?? '';
+  run.stopCause = parsed.why ?? '';
   run.recordMs = parsed.recordMs ?? 0;
   run.startMs = parsed.startMs ?? 0;
 };
 
 const handleWaits: LineHandler = (accounts, line, at) => {
   for (const { job, waits } of waitsSchema.safeParse(line).data ?? []) {
-    accounts.get(job)?.notes.push({ at, waits });
+    accounts.get(job)?.waitSamples.push({ at, waits });
   }
 };
 
@@ -140,7 +148,7 @@
   accounts.set(job, account);
   account.endedAt = at;
   account.ending = ending;
-  account.toldPath = toLoggedPath(path, account.endedAt);
+  account.loggedPath = toLoggedPath(path, account.endedAt);
 };
 
 /** Logged by a leader that has taken over. */
@@ -158,7 +166,7 @@
 };
 
 /** Reads the logs of all boxes into one account per job, in the order in which the jobs were accepted. */
-export const readAccounts = (texts: Iterable<string>): readonly JobAccount[] => {
+export const readJobHistories = (texts: Iterable<string>): readonly JobHistory[] => {
   const lines: { readonly line: LogLine; readonly at: number }[] = [];
   const takeOvers: number[] = [];
   for (const text of texts) {
--- a/packages/ledger/readToldDepth.ts
+++ b/packages/ledger/readSamplingLevel.ts
@@ -8,7 +8,7 @@
  * Reads the highest sampling level that any of the logs reports: one in 2^n jobs was logged completely. Returns 0 when no line was sampled
  * out.
  */
-export const readToldDepth = (texts: Iterable<string>): number => {
+export const readSamplingLevel = (texts: Iterable<string>): number => {
   let samplingLevel = 0;
   for (const text of texts) {
     const line = text.includes(LEFT_OUT_MESSAGE) ? parseLogLine(text) : undefined;
--- a/packages/logging/JobTrace.ts
+++ b/packages/logging/JobTrace.ts
@@ -2,8 +2,8 @@
 import type { PlacedRun } from '../dispatch/runs/PlacedRun';
 import type { RunEnd } from '../dispatch/runs/RunEnd';
 import type { JobDefinition } from '../jobs/JobDefinition';
-import type { JobAccount } from '../ledger/JobAccount';
-import type { RunAccount } from '../ledger/RunAccount';
+import type { JobHistory } from '../ledger/JobHistory';
+import type { RunHistory } from '../ledger/RunHistory';
 import { toRunKey } from '../ledger/toRunKey';
 
 /** Maximum number of runs kept per job, enough for the critical path with retries. */
@@ -12,7 +12,7 @@
 /** Ended runs of a live job, from which a late end can be explained. Time arguments are monotonic. */
 export class JobTrace {
   /** In order of their ends. */
-  private runs: RunAccount[] = [];
+  private runs: RunHistory[] = [];
   private newestAt: number;
 
   constructor(private readonly takenInAt: number) {
@@ -33,8 +33,8 @@
       waits: run.waits ?? {},
       endedAt: now,
       outcome,
-      how: reportedEnd ?? '',
-      why: run.stopCause ?? '',
+      reportedEnd: reportedEnd ?? '',
+      stopCause: run.stopCause ?? '',
       endpoint: incarnation,
       hall,
       recordMs: run.recordedAt - run.placedAt,
@@ -44,7 +44,7 @@
   }
 
   /** Creates the account of the job, which has ended at a wall clock time in Unix milliseconds. */
-  createAccount({ id, queue, ...definition }: JobDefinition, ending: string, wallMs: number): JobAccount {
+  createAccount({ id, queue, ...definition }: JobDefinition, ending: string, wallMs: number): JobHistory {
     const offsetMs = wallMs - this.newestAt;
     const dueAt = definition.firstRunMs + (definition.times - 1) * definition.intervalMs;
     const acceptedAt = Math.max(definition.acceptedAtMs, dueAt);
@@ -58,13 +58,13 @@
       queue: queue.name,
       acceptedAt,
       acceptMs: 0,
-      takenInAt: Math.max(acceptedAt, this.takenInAt + offsetMs),
+      addedAt: Math.max(acceptedAt, this.takenInAt + offsetMs),
       endedAt: wallMs,
       ending,
       runs: new Map(runs.map((run) => [toRunKey(run), run])),
-      notes: [],
+      waitSamples: [],
       takeOvers: [],
-      toldPath: undefined,
+      loggedPath: undefined,
     };
   }
 
--- a/packages/logging/formatLateJob.ts
+++ b/packages/logging/formatLateJob.ts
@@ -1,7 +1,7 @@
-import type { JobAccount } from '../ledger/JobAccount';
+import type { JobHistory } from '../ledger/JobHistory';
 import type { LedgerSpan } from '../ledger/LedgerSpan';
-import { readCriticalPath } from '../ledger/readCriticalPath';
-import type { RunAccount } from '../ledger/RunAccount';
+import { computeCriticalPath } from '../ledger/computeCriticalPath';
+import type { RunHistory } from '../ledger/RunHistory';
 import { toRunName } from '../ledger/toRunName';
 import type { LineFields } from './LineFields';
 
@@ -9,7 +9,7 @@
 const MAX_SPANS = 40;
 const MAX_RUNS = 12;
 
-const toDurationMs = ({ placedAt, endedAt = placedAt }: RunAccount): number => endedAt - placedAt;
+const toDurationMs = ({ placedAt, endedAt = placedAt }: RunHistory): number => endedAt - placedAt;
 
 /** Chooses the spans of the critical path that are logged: the longest ones, in order. */
 const choosePathRows = (path: readonly LedgerSpan[]): readonly LineFields[] => {
@@ -34,7 +34,7 @@
 };
 
 /** Chooses the runs on the critical path that are logged: the longest ones, in order. */
-const chooseRunRows = (account: JobAccount, path: readonly LedgerSpan[]): readonly LineFields[] => {
+const chooseRunRows = (account: JobHistory, path: readonly LedgerSpan[]): readonly LineFields[] => {
   const names = new Set(path.map(({ run }) => run));
   const runs = [...account.runs.values()].filter((run) => names.has(toRunName(run)));
   const longest = [...runs]
@@ -47,16 +47,16 @@
       endpoint: run.endpoint,
       hall: run.hall,
       outcome: run.outcome,
-      ...(run.how === '' ? {} : { how: run.how }),
-      ...(run.why === '' ? {} : { why: run.why }),
+      ...(run.reportedEnd === '' ? {} : { how: run.reportedEnd }),
+      ...(run.stopCause === '' ? {} : { why: run.stopCause }),
       ms: Math.round(toDurationMs(run)),
     }));
 };
 
 /** Formats the log fields of a job that failed or ended late: its time by cause, and the runs on its critical path. */
-export const formatLateJob = (account: JobAccount, lateMs: number): LineFields => {
+export const formatLateJob = (account: JobHistory, lateMs: number): LineFields => {
   const { job, queue, ending, acceptedAt, endedAt = acceptedAt } = account;
-  const path = readCriticalPath(account);
+  const path = computeCriticalPath(account);
   return {
     job,
     queue,
--- a/packages/standins/EndpointStandin.ts
+++ b/packages/standins/EndpointStandin.ts
@@ -2,7 +2,7 @@
 import { demandMath } from '../scheduler/demandMath';
 import type { Demand } from '../table/Demand';
 import type { EndpointFault } from './EndpointFault';
-import type { EndpointRecord } from './EndpointRecord';
+import type { EndpointStats } from './EndpointStats';
 import { readJsonBody } from './readJsonBody';
 import { sendJson } from './sendJson';
 import type { StandinBox } from './StandinBox';
@@ -80,7 +80,7 @@
     }
   }
 
-  private createStats(): EndpointRecord {
+  private createStats(): EndpointStats {
     const running = [...this.tasks.values()];
     return {
       worker: this.box.worker,
--- a/packages/standins/EndpointRecord.ts
+++ b/packages/standins/EndpointStats.ts
@@ -1,7 +1,7 @@
 import type { Demand } from '../table/Demand';
 
 /** Statistics of an endpoint stand-in, for tests. */
-export interface EndpointRecord {
+export interface EndpointStats {
   readonly worker: string;
   /** Maximum demand of concurrently running tasks, by resource. */
   readonly peak: Demand;
--- a/packages/standins/platform/AdviceStandin.ts
+++ b/packages/standins/platform/AdviceStandin.ts
@@ -38,17 +38,17 @@
   }
 
   /** Blackholes all connections that are open now. New connections work. */
-  applySilence(): void {
+  applyBlackhole(): void {
     this.connections.applyBlackhole();
   }
 
   /** Sets the endpoints that no step may run on. */
-  applyRefused(endpoints: readonly string[]): void {
+  setRejectedEndpoints(endpoints: readonly string[]): void {
     this.rejectedEndpoints = endpoints;
   }
 
   /** Returns the number of advice requests that got a response. */
-  readQuestionCount(): number {
+  countRequests(): number {
     return this.requestCount;
   }
 }
--- a/packages/standins/platform/ExecutorStandin.ts
+++ b/packages/standins/platform/ExecutorStandin.ts
@@ -4,7 +4,7 @@
 import { startListening } from '../startListening';
 import type { ExecutorFault } from './ExecutorFault';
 import type { ExecutorRun } from './ExecutorRun';
-import type { RunWitness } from './RunWitness';
+import type { RunChecker } from './RunChecker';
 import { BlackholedConnections } from './BlackholedConnections';
 import { ticketTexts } from './ticketTexts';
 import { Waiters } from './Waiters';
@@ -14,7 +14,7 @@
   /** Start of the incarnation in Unix milliseconds, returned with lists of runs. Without it an id has only one incarnation. */
   readonly bornAtMs?: number;
   readonly address: string;
-  readonly witness: RunWitness;
+  readonly runChecker: RunChecker;
   /** Called when a task crashes the endpoint. */
   readonly handleCrash?: () => void;
 }
@@ -100,7 +100,7 @@
     clearTimeout(this.leaseTimer);
     for (const run of this.runs.values()) {
       clearTimeout(run.timer);
-      this.options.witness.recordEnd(this.incarnation, run.task, run.run, 'gone');
+      this.options.runChecker.recordEnd(this.incarnation, run.task, run.run, 'gone');
     }
     this.runs.clear();
     this.server?.closeAllConnections();
@@ -108,22 +108,22 @@
   }
 
   /** Sets the fault to inject from now on. */
-  applyFault(fault: ExecutorFault): void {
+  setFault(fault: ExecutorFault): void {
     this.fault = fault;
   }
 
   /** Blackholes all connections that are open now. New connections work. */
-  applySilence(): void {
+  applyBlackhole(): void {
     this.connections.applyBlackhole();
   }
 
   /** Returns the number of start commands rejected because their ticket had expired. */
-  readExpiredTicketCount(): number {
+  countExpiredTickets(): number {
     return this.expiredTicketCount;
   }
 
   /** Returns the number of runs in progress. */
-  readRunCount(): number {
+  countRuns(): number {
     return this.runs.size;
   }
 
@@ -201,7 +201,7 @@
     const how = this.fault === 'failing' ? 'failed' : 'done';
     const timer = runMs === Infinity ? undefined : setTimeout(() => this.recordEnd(task, how), runMs);
     this.runs.set(task, { task, run, spec, startedAt: this.getClockMs(), runMs, timer });
-    this.options.witness.recordStart(this.incarnation, task, run);
+    this.options.runChecker.recordStart(this.incarnation, task, run);
     return undefined;
   }
 
@@ -244,10 +244,10 @@
   private recordAcknowledged(lastSeen: number): void {
     for (const [number, task, run, how] of this.ends) {
       if (number <= lastSeen && number > this.lastListedEnd) {
-        this.options.witness.recordUnlistedNote(this.incarnation, task, run);
+        this.options.runChecker.recordEarlyAcknowledgement(this.incarnation, task, run);
       }
       if (number <= lastSeen && number > this.lastExpiredEnd && how === 'done') {
-        this.options.witness.recordNoted(task, run);
+        this.options.runChecker.recordAcknowledged(task, run);
       }
     }
     this.ends = this.ends.filter((end) => end[0] > lastSeen);
@@ -288,7 +288,7 @@
     this.endedRuns.set(task, Math.max(this.endedRuns.get(task) ?? 0, run.run));
     this.endCount += 1;
     this.ends.push([this.endCount, task, run.run, how, '']);
-    this.options.witness.recordEnd(this.incarnation, task, run.run, how);
+    this.options.runChecker.recordEnd(this.incarnation, task, run.run, how);
     this.waiters.releaseAll();
   }
 
--- a/packages/standins/platform/KeyedTopic.ts
+++ b/packages/standins/platform/KeyedTopic.ts
@@ -62,7 +62,7 @@
   }
 
   /** Returns the response body of a read from an offset on; undefined when the offset has been removed. */
-  readFrames(fromOffset: number): Buffer | undefined {
+  getFrames(fromOffset: number): Buffer | undefined {
     if (fromOffset < this.firstOffset) {
       return undefined;
     }
@@ -73,7 +73,7 @@
   }
 
   /** Returns the offset of the next record. */
-  readEnd(): number {
+  getEndOffset(): number {
     return this.records.length;
   }
 
@@ -82,7 +82,7 @@
   }
 
   /** Returns the newest record of each key greater than `afterKey`, sorted by key. */
-  readNewest(afterKey: string): readonly { key: string; value: Buffer; offset: number }[] {
+  listNewest(afterKey: string): readonly { key: string; value: Buffer; offset: number }[] {
     return [...this.newest]
       .filter(([key]) => key > afterKey)
       .sort(([left], [right]) => (left < right ? -1 : 1))
@@ -90,7 +90,7 @@
   }
 
   /** Resolves at the next append, or after a timeout. */
-  startWait(waitMs: number): Promise<void> {
+  waitForAppend(waitMs: number): Promise<void> {
     return this.waiters.waitForRelease(waitMs);
   }
 
--- a/packages/standins/platform/LogStandin.ts
+++ b/packages/standins/platform/LogStandin.ts
@@ -44,7 +44,7 @@
   };
 
   /** Starts a listener. Each box gets a listener of its own, so that a fault can be injected for one box. */
-  async startDoor(name: string, address: string): Promise<void> {
+  async startListener(name: string, address: string): Promise<void> {
     const server = createServer((request, response) => {
       this.handleRequest(name, request, response).catch(() => response.destroy());
     });
@@ -63,7 +63,7 @@
   }
 
   /** Sets the fault of one listener, or of all. With `silent`, pending long polls get no response either. */
-  applyFault(fault: LogFault, listener?: string): void {
+  setFault(fault: LogFault, listener?: string): void {
     for (const name of listener === undefined ? [...this.faults.keys()] : [listener]) {
       this.faults.set(name, fault);
     }
@@ -75,23 +75,23 @@
   }
 
   /** Blackholes all connections that are open now, with their pending long polls. New connections work. */
-  applySilence(): void {
+  applyBlackhole(): void {
     this.connections.applyBlackhole();
     this.pending.clear();
   }
 
   /** Sets the rate of each box's link in megabits per second; Infinity for no limit. */
-  applyLinkRate(megabits: number): void {
+  setLinkRate(megabits: number): void {
     this.links.forEach((link) => link.setRate(megabits));
   }
 
   /** Sets the duration of each append and read in milliseconds. A topic processes one append at a time, and rejects appends while its queue is too long. */
-  applySlowness(latencyMs: number): void {
+  setLatency(latencyMs: number): void {
     this.latencyMs = latencyMs;
   }
 
   /** Returns the number of requests received, with or without a response. */
-  readCallCount(): number {
+  countRequests(): number {
     return this.requestCount;
   }
 
@@ -180,22 +180,22 @@
       return false;
     }
     this.busyUntil.set(topic, startsAt + this.latencyMs);
-    await startDelay(startsAt + this.latencyMs - now);
+    await waitForDelay(startsAt + this.latencyMs - now);
     return true;
   }
 
   private async handleRead({ url, response, link }: LogRequest): Promise<void> {
-    await startDelay(this.latencyMs);
+    await waitForDelay(this.latencyMs);
     const topic = this.getTopic(url.searchParams.get('topic') ?? '');
     const from = Number(url.searchParams.get('from-rev'));
     const waitMs = Number(url.searchParams.get('wait-ms') ?? 0);
-    if (topic.readEnd() <= from && waitMs > 0) {
-      await topic.startWait(waitMs);
+    if (topic.getEndOffset() <= from && waitMs > 0) {
+      await topic.waitForAppend(waitMs);
       if (!this.pending.has(response)) {
         return;
       }
     }
-    const frames = topic.readFrames(from);
+    const frames = topic.getFrames(from);
     if (frames === undefined) {
       sendJson(response, 410, { first: topic.getFirstOffset() });
       return;
@@ -205,13 +205,13 @@
 
   private async handleNewest({ url, response, link }: LogRequest): Promise<void> {
     const topic = this.getTopic(url.searchParams.get('topic') ?? '');
-    const all = topic.readNewest(url.searchParams.get('depends-on') ?? '');
+    const all = topic.listNewest(url.searchParams.get('depends-on') ?? '');
     const items = all.slice(0, PAGE_ITEMS).map(({ key, value, offset }) => ({
       'private-key': key,
       value: value.toString('base64'),
       offset,
     }));
-    const page = { items, more: all.length > items.length, end: topic.readEnd() };
+    const page = { items, more: all.length > items.length, end: topic.getEndOffset() };
     await link.sendResponse(response, Buffer.from(JSON.stringify(page)), 'application/json');
   }
 }
--- a/packages/standins/platform/RunWitness.ts
+++ b/packages/standins/platform/RunChecker.ts
@@ -8,7 +8,7 @@
 const LOSS_THRESHOLD = 3;
 
 /** Observes the starts and ends of runs on all endpoint stand-ins, and collects violations of the scheduler's guarantees. */
-export class RunWitness {
+export class RunChecker {
   private readonly running = new Map<string, ObservedRun[]>();
   /** Run number of the first completed run of each task. */
   private readonly doneRuns = new Map<string, number>();
@@ -39,8 +39,8 @@
     }
     this.running.set(task, [...parallelRuns, { endpoint, task, run }]);
     this.startCounts.set(task, (this.startCounts.get(task) ?? 0) + 1);
-    if (this.readLostCount(task) >= LOSS_THRESHOLD) {
-      this.startCountsAfterLosses.set(task, this.readStartsAfterLosses(task) + 1);
+    if (this.countLosses(task) >= LOSS_THRESHOLD) {
+      this.startCountsAfterLosses.set(task, this.countStartsAfterLosses(task) + 1);
     }
     const count = (this.runningCounts.get(endpoint) ?? 0) + 1;
     this.runningCounts.set(endpoint, count);
@@ -64,43 +64,43 @@
   }
 
   /** Records that the end of a run was acknowledged before a response had listed it. */
-  recordUnlistedNote(endpoint: string, task: string, run: number): void {
+  recordEarlyAcknowledgement(endpoint: string, task: string, run: number): void {
     this.violations.push(`${task} run ${run} on ${endpoint}: end acknowledged before it was listed`);
   }
 
   /** Records that the end of a run was acknowledged before its endpoint's lease expired. */
-  recordNoted(task: string, run: number): void {
+  recordAcknowledged(task: string, run: number): void {
     const key = `${task}#${run}`;
     this.acknowledgedRuns.add(key);
     this.checkAcknowledged(key);
   }
 
   /** Returns a description of each violation so far. */
-  readProblems(): readonly string[] {
+  getViolations(): readonly string[] {
     return this.violations;
   }
 
-  readStartCount(task: string): number {
+  countStarts(task: string): number {
     return this.startCounts.get(task) ?? 0;
   }
 
   /** Returns how many endpoints ended while they ran the task. */
-  readLostCount(task: string): number {
+  countLosses(task: string): number {
     return this.lostCounts.get(task) ?? 0;
   }
 
   /** Returns the maximum over the job's tasks of the number of endpoints that ended while they ran the task. */
-  readMostLost(job: string): number {
+  computeMaxLosses(job: string): number {
     const counts = [...this.lostCounts].filter(([task]) => task.startsWith(`${job}.`));
     return Math.max(0, ...counts.map(([, count]) => count));
   }
 
   /** Returns the number of starts of the task after three endpoints had ended while they ran it. */
-  readStartsAfterLosses(task: string): number {
+  countStartsAfterLosses(task: string): number {
     return this.startCountsAfterLosses.get(task) ?? 0;
   }
 
-  readTotalStarts(): number {
+  countAllStarts(): number {
     return [...this.startCounts.values()].reduce((sum, count) => sum + count, 0);
   }
 
--- a/packages/timeline/Timeline.ts
+++ b/packages/timeline/Timeline.ts
@@ -1,7 +1,7 @@
 import type { BoxId } from '../common/BoxId';
 import type { HybridClock } from '../common/HybridClock';
 import type { RequestId } from '../common/RequestId';
-import { checkStampOrder } from './checkStampOrder';
+import { compareEvents } from './compareEvents';
 import type { TimelineEvent } from './TimelineEvent';
 
 interface TimelineOptions {
@@ -45,11 +45,11 @@
   }
 
   /** Returns the kept events of a request, or without one all events that belong to no request, in order of time. */
-  readEvents(request?: RequestId): readonly TimelineEvent[] {
+  listEvents(request?: RequestId): readonly TimelineEvent[] {
     const events =
       request === undefined
         ? [...this.rings.other]
         : this.rings.request.filter((event) => event.request === request);
-    return events.sort(checkStampOrder);
+    return events.sort(compareEvents);
   }
 }
--- a/packages/timeline/readJobStory.ts
+++ b/packages/timeline/readJobLines.ts
@@ -25,7 +25,7 @@
  * Returns the log lines that explain what happened to a job, in order of time: lines about the job, and between the first and the last of
  * these the lines about its endpoints and the lines that concern all jobs.
  */
-export const readJobStory = (texts: Iterable<string>, job: string): readonly LogLine[] => {
+export const readJobLines = (texts: Iterable<string>, job: string): readonly LogLine[] => {
   const lines = [...texts].map(parseLogLine).filter((line) => line !== undefined);
   const jobLines = lines.filter((line) => isAboutJob(line, job)).map((line) => removeOtherRows(line, job));
   const times = jobLines.map(({ time }) => time).sort();
--- a/tests/acknowledgedEnds.test.ts
+++ b/tests/acknowledgedEnds.test.ts
@@ -15,7 +15,7 @@
 import { endpointIncarnations } from '../packages/jobs/endpointIncarnations';
 import type { TaskName } from '../packages/jobs/TaskName';
 import { ExecutorStandin } from '../packages/standins/platform/ExecutorStandin';
-import { RunWitness } from '../packages/standins/platform/RunWitness';
+import { RunChecker } from '../packages/standins/platform/RunChecker';
 import { HttpEndpointClient } from '../platform/HttpEndpointClient';
 import { createProfile } from './helpers/createProfile';
 
@@ -29,13 +29,13 @@
 
 describe('ends of an incarnation that has ended', () => {
   let address: string;
-  let witness: RunWitness;
+  let witness: RunChecker;
   let standin: ExecutorStandin;
   const clients: HttpEndpointClient[] = [];
   const sessions: EndpointSession[] = [];
 
   const startIncarnation = async (startedAtMs: number): Promise<void> => {
-    standin = new ExecutorStandin({ id: ID, bornAtMs: startedAtMs, address, witness });
+    standin = new ExecutorStandin({ id: ID, bornAtMs: startedAtMs, address, runChecker: witness });
     await standin.start();
   };
 
@@ -108,7 +108,7 @@
   beforeEach(async () => {
     const [port] = await chooseFreePorts(1);
     address = `127.0.0.1:${port}`;
-    witness = new RunWitness(CAPACITY);
+    witness = new RunChecker(CAPACITY);
     await startIncarnation(STARTED_AT_MS);
   });
 
@@ -137,7 +137,7 @@
     const next = await startNextIncarnation();
     resume();
     await waitForDelay(700);
-    expect(witness.readProblems()).toEqual([]);
+    expect(witness.getViolations()).toEqual([]);
     expect(await countEnds(next)).toBe(TASKS);
   });
 
@@ -157,7 +157,7 @@
     }
     const next = await startNextIncarnation();
     await session.sendExtraPoll();
-    expect(witness.readProblems()).toEqual([]);
+    expect(witness.getViolations()).toEqual([]);
     expect(await countEnds(next)).toBe(TASKS);
   });
 });
--- a/tests/executorStandin.test.ts
+++ b/tests/executorStandin.test.ts
@@ -2,7 +2,7 @@
 import { describe, expect, it } from 'vitest';
 import { waitForDelay } from '../packages/common/waitForDelay';
 import { ExecutorStandin } from '../packages/standins/platform/ExecutorStandin';
-import { RunWitness } from '../packages/standins/platform/RunWitness';
+import { RunChecker } from '../packages/standins/platform/RunChecker';
 import { chooseFreePorts } from '../dev/fleet/chooseFreePorts';
 
 const ID = 'i-0';
@@ -14,10 +14,10 @@
   it('carries out no start command after its stop, even one received before', async () => {
     const [port] = await chooseFreePorts(1);
     const address = `127.0.0.1:${port}`;
-    const runChecker = new RunWitness(4);
-    const standin = new ExecutorStandin({ id: ID, address, witness: runChecker, bornAtMs: 5 });
+    const runChecker = new RunChecker(4);
+    const standin = new ExecutorStandin({ id: ID, address, runChecker, bornAtMs: 5 });
     await standin.start();
-    standin.applyFault('lateStarts');
+    standin.setFault('lateStarts');
     const command = { task: TASK, run: 1, spec: '100', 'expires-ms': 10_000, 'fencing-token': 1 };
     const response = request(`http://${address}/run-start`, {
       method: 'POST',
@@ -27,7 +27,7 @@
     await waitForDelay(100);
     await standin.stop();
     expect(await response).toBeInstanceOf(Error);
-    await startDelay(LATE_START_WAIT_MS);
-    expect(runChecker.readStartCount(TASK)).toBe(0);
+    await waitForDelay(LATE_START_WAIT_MS);
+    expect(runChecker.countStarts(TASK)).toBe(0);
   });
 });
--- a/tests/helpers/IncarnationSimulation.ts
+++ b/tests/helpers/IncarnationSimulation.ts
@@ -14,7 +14,7 @@
 import type { JobId } from '../../packages/jobs/JobId';
 import { JobReplica } from '../../packages/jobs/JobReplica';
 import type { JobState } from '../../packages/jobs/JobState';
-import { RunWitness } from '../../packages/standins/platform/RunWitness';
+import { RunChecker } from '../../packages/standins/platform/RunChecker';
 import { createProfile } from './createProfile';
 import { MemoryLog } from './MemoryLog';
 import { SimulatedIncarnation } from './SimulatedIncarnation';
@@ -77,7 +77,7 @@
  * their ids at any time, with late records, lost commands, tasks that crash their endpoints, and leader changes.
  */
 export class IncarnationSimulation {
-  readonly witness: RunWitness;
+  readonly runChecker: RunChecker;
   readonly log: MemoryLog;
   private readonly random: Random;
   private readonly machines: Machine[] = [];
@@ -93,7 +93,7 @@
   constructor(private readonly options: IncarnationSimulationOptions) {
     this.random = createRandom(options.seed);
     this.log = new MemoryLog(this.random);
-    this.witness = new RunWitness(options.capacity);
+    this.runChecker = new RunChecker(options.capacity);
     for (let index = 0; index < options.endpoints; index += 1) {
       const id = toId<EndpointId>(`i-${index}`);
       const machine: Machine = {
@@ -209,7 +209,7 @@
     machine.incarnation = incarnation;
     machine.process = new SimulatedIncarnation({
       incarnation,
-      witness: this.witness,
+      runChecker: this.runChecker,
       handleCrash: () =>
         void this.runRestart(this.machines.indexOf(machine), {
           downMs: 1000,
--- a/tests/helpers/MemoryLog.ts
+++ b/tests/helpers/MemoryLog.ts
@@ -43,11 +43,11 @@
     waitMs,
   }: Parameters<LogClient['readRecords']>[0]): ReturnType<LogClient['readRecords']> {
     const topicState = this.getTopic(topic);
-    if (topicState.readEnd() <= fromOffset) {
-      await topicState.startWait(waitMs);
+    if (topicState.getEndOffset() <= fromOffset) {
+      await topicState.waitForAppend(waitMs);
     }
     await waitForDelay(LATENCY_MS);
-    return { ok: true, value: logFrames.parseRecords(fromOffset, topicState.readFrames(fromOffset)!) };
+    return { ok: true, value: logFrames.parseRecords(fromOffset, topicState.getFrames(fromOffset)!) };
   }
 
   async readNewestPage({
@@ -57,9 +57,9 @@
     await waitForDelay(LATENCY_MS);
     const topicState = this.getTopic(topic);
     const records = topicState
-      .readNewest(afterKey)
+      .listNewest(afterKey)
       .map(({ key, value, offset }) => ({ key, value: value.toString('utf8'), offset }));
-    return { ok: true, value: { records, endOffset: topicState.readEnd(), hasMore: false } };
+    return { ok: true, value: { records, endOffset: topicState.getEndOffset(), hasMore: false } };
   }
 
   stop(): Promise<void> {
--- a/tests/helpers/SimulatedIncarnation.ts
+++ b/tests/helpers/SimulatedIncarnation.ts
@@ -2,7 +2,7 @@
 import type { RunningTaskStatus } from '../../packages/dispatch/endpoints/RunningTaskStatus';
 import type { EndpointIncarnation } from '../../packages/jobs/EndpointIncarnation';
 import type { TaskName } from '../../packages/jobs/TaskName';
-import type { RunWitness } from '../../packages/standins/platform/RunWitness';
+import type { RunChecker } from '../../packages/standins/platform/RunChecker';
 
 interface SimulatedRun {
   readonly run: number;
@@ -13,7 +13,7 @@
 
 interface SimulatedIncarnationOptions {
   readonly incarnation: EndpointIncarnation;
-  readonly witness: RunWitness;
+  readonly runChecker: RunChecker;
   /** Called when a task crashes the incarnation. */
   readonly handleCrash: () => void;
 }
@@ -85,13 +85,13 @@
 
   /** Forgets the ends up to a sequence number, and renews the lease. */
   handlePoll(lastSeen: number, expiresMs: number | undefined): void {
-    const { incarnation: life, witness } = this.options;
+    const { incarnation: life, runChecker } = this.options;
     for (const { number, task, run, how } of this.ends) {
       if (number <= lastSeen && number > this.listedUpTo) {
-        witness.recordUnlistedNote(life, task, run);
+        runChecker.recordEarlyAcknowledgement(life, task, run);
       }
       if (number <= lastSeen && number > this.expiredUpTo && how === 'done') {
-        witness.recordNoted(task, run);
+        runChecker.recordAcknowledged(task, run);
       }
     }
     this.ends = this.ends.filter(({ number }) => number > lastSeen);
@@ -135,7 +135,7 @@
     clearTimeout(this.leaseTimer);
     for (const [task, { run, timer }] of this.runs) {
       clearTimeout(timer);
-      this.options.witness.recordEnd(this.options.incarnation, task, run, 'gone');
+      this.options.runChecker.recordEnd(this.options.incarnation, task, run, 'gone');
     }
     this.runs.clear();
     this.endWaiters.splice(0).forEach((wake) => wake());
@@ -149,7 +149,7 @@
       setTimeout(() => !this.isOver && this.options.handleCrash(), CRASH_AFTER_MS);
     }
     this.runs.set(task, { run, startedAt: performance.now(), runMs, timer });
-    this.options.witness.recordStart(this.options.incarnation, task, run);
+    this.options.runChecker.recordStart(this.options.incarnation, task, run);
   }
 
   private recordEnd(task: TaskName, how: EndedTaskStatus['how']): void {
@@ -159,7 +159,7 @@
     this.stopped.set(task, Math.max(this.stopped.get(task) ?? 0, run));
     this.endCount += 1;
     this.ends.push({ number: this.endCount, task, run, how, checkpoint: '' });
-    this.options.witness.recordEnd(this.options.incarnation, task, run, how);
+    this.options.runChecker.recordEnd(this.options.incarnation, task, run, how);
     this.endWaiters.splice(0).forEach((wake) => wake());
   }
 
--- a/tests/incarnations.test.ts
+++ b/tests/incarnations.test.ts
@@ -33,7 +33,7 @@
   Math.max(
     ...steps.flatMap(({ count }, step) =>
       Array.from({ length: count }, (_, index) =>
-        simulation.witness.readLostCount(`${id}.0.${step}.${index}`),
+        simulation.runChecker.countLosses(`${id}.0.${step}.${index}`),
       ),
     ),
   );
@@ -91,7 +91,7 @@
       applyFault();
     }
   }
-  const problems = [...simulation.witness.readProblems()];
+  const problems = [...simulation.runChecker.getViolations()];
   for (const job of jobs) {
     const state = simulation.getState(job.id);
     const expected = crashing.includes(job) ? 'failed' : 'completed';
@@ -102,7 +102,7 @@
   }
   for (const { id } of crashing) {
     for (let index = 0; index < 3; index += 1) {
-      const starts = simulation.witness.readStartsAfterLosses(`${id}.0.0.${index}`);
+      const starts = simulation.runChecker.countStartsAfterLosses(`${id}.0.0.${index}`);
       if (starts > MAX_EXTRA_STARTS) {
         problems.push(`${id}.0.0.${index} was started ${starts} times more`);
       }
@@ -111,7 +111,7 @@
   simulation.stop();
   return {
     problems,
-    starts: simulation.witness.readTotalStarts(),
+    starts: simulation.runChecker.countAllStarts(),
     livesBegun: simulation.counts.get('livesBegun') ?? 0,
   };
 };
--- a/tests/lateJobs.test.ts
+++ b/tests/lateJobs.test.ts
@@ -10,8 +10,8 @@
 import { createPlacedRun } from '../packages/dispatch/runs/createPlacedRun';
 import { createLedger } from '../packages/ledger/createLedger';
 import type { LedgerCause } from '../packages/ledger/LedgerCause';
-import { readAccounts } from '../packages/ledger/readAccounts';
-import { readBestPath } from '../packages/ledger/readBestPath';
+import { readJobHistories } from '../packages/ledger/readJobHistories';
+import { chooseCriticalPath } from '../packages/ledger/chooseCriticalPath';
 import { DecisionLog } from '../packages/logging/DecisionLog';
 import { formatLateJob } from '../packages/logging/formatLateJob';
 import { JobTrace } from '../packages/logging/JobTrace';
@@ -206,13 +206,13 @@
 
 describe('jobs that end late while the log can hold a fifth of the lines', () => {
   const simulation = runSimulation();
-  const accounts = new Map(readAccounts(simulation.lines).map((account) => [account.job, account]));
+  const accounts = new Map(readJobHistories(simulation.lines).map((account) => [account.job, account]));
 
   it('are each logged with the cause', () => {
     expect(simulation.late.size).toBeGreaterThan(150);
     const found = [...simulation.late].map((job): readonly unknown[] => {
       const account = accounts.get(job);
-      const path = account === undefined ? [] : readBestPath(account);
+      const path = account === undefined ? [] : chooseCriticalPath(account);
       const sums = new Map<LedgerCause, number>();
       // The usual run time is no cause of a late end.
       path.forEach(({ cause, from, to }) => sums.set(cause, (sums.get(cause) ?? 0) + to - from));
@@ -248,7 +248,7 @@
     expect(simulation.lines.length).toBeLessThan(BOUND * (4 + seconds) + seconds);
     const chosen = [...simulation.expected.keys()].filter((job) => computeSamplingLevel(job) >= 4);
     expect(chosen.length).toBeGreaterThan(100);
-    const paths = chosen.map((job) => readBestPath(accounts.get(job)!));
+    const paths = chosen.map((job) => chooseCriticalPath(accounts.get(job)!));
     expect(paths.flat().filter(({ cause }) => cause === 'unknown')).toEqual([]);
   });
 
@@ -256,7 +256,7 @@
     const late = [...simulation.late].map((job) => accounts.get(job)!);
     const { queues } = createLedger(late, { windowMs: 2000, worstCount: 1 });
     const { sums } = queues[0]!;
-    expect(sums.readMean('unknown')).toBeLessThan(sums.readMeanTotal() / 10);
+    expect(sums.getMeanMs('unknown')).toBeLessThan(sums.getMeanTotalMs() / 10);
   });
 });
 
@@ -294,11 +294,11 @@
     const logged = runRecovered(1000, 1300)!;
     expect(logged['causes']).toEqual({ handOver: 999, running: 300 });
     const late = toLine(1300, 'Job ended late.', logged);
-    const [alone] = readAccounts([late]);
-    expect(readBestPath(alone!).map(({ cause }) => cause)).toEqual(['handOver', 'running']);
+    const [alone] = readJobHistories([late]);
+    expect(chooseCriticalPath(alone!).map(({ cause }) => cause)).toEqual(['handOver', 'running']);
     const ended = toLine(1300, 'Run ended.', { job, task, run: 1, outcome: 'done' });
-    const [joined] = readAccounts([...earlier, ended, late]);
-    const path = readBestPath(joined!).map(({ cause, from, to }) => [cause, to - from]);
+    const [joined] = readJobHistories([...earlier, ended, late]);
+    const path = chooseCriticalPath(joined!).map(({ cause, from, to }) => [cause, to - from]);
     expect(path).toEqual([
       ['room', 900],
       ['running', 399],
@@ -316,8 +316,8 @@
       toLine(4003, 'Leading.', { epoch: 2 }),
       toLine(4300, 'Job ended late.', logged),
     ];
-    const [account] = readAccounts(lines);
-    const path = readBestPath(account!).map(({ cause, from, to }) => [cause, to - from]);
+    const [account] = readJobHistories(lines);
+    const path = chooseCriticalPath(account!).map(({ cause, from, to }) => [cause, to - from]);
     expect(path).toEqual([
       ['room', 2000],
       ['leader', 1999],
--- a/tests/ledger.test.ts
+++ b/tests/ledger.test.ts
@@ -1,9 +1,9 @@
 import { describe, expect, it } from 'vitest';
 import { createLedger } from '../packages/ledger/createLedger';
 import { formatLedger } from '../packages/ledger/formatLedger';
-import { readAccounts } from '../packages/ledger/readAccounts';
-import { readCriticalPath } from '../packages/ledger/readCriticalPath';
-import { readToldDepth } from '../packages/ledger/readToldDepth';
+import { readJobHistories } from '../packages/ledger/readJobHistories';
+import { computeCriticalPath } from '../packages/ledger/computeCriticalPath';
+import { readSamplingLevel } from '../packages/ledger/readSamplingLevel';
 import { computeSamplingLevel } from '../packages/logging/computeSamplingLevel';
 
 const START = Date.parse('2026-01-01T00:00:00.000Z');
@@ -64,8 +64,8 @@
 
 describe('ledger', () => {
   it('computes the critical path from the request to the end without gaps', () => {
-    const [account] = readAccounts(createJobLines('a', 0));
-    const path = readCriticalPath(account!).map(({ cause, from, to }) => [cause, to - from]);
+    const [account] = readJobHistories(createJobLines('a', 0));
+    const path = computeCriticalPath(account!).map(({ cause, from, to }) => [cause, to - from]);
     expect(path).toEqual([
       ['accept', 15],
       ['handOver', 5],
@@ -91,7 +91,7 @@
       'no line of ours',
       '{"time":"x","message":"Job accepted."}',
     ];
-    const accounts = readAccounts([...lines].reverse());
+    const accounts = readJobHistories([...lines].reverse());
     const ledger = createLedger(accounts, { windowMs: 2000, worstCount: 1 });
     const { queues, worst } = ledger;
     const shown = queues.map(({ queue, openCount, windows }) => [queue, openCount, windows.length]);
@@ -100,10 +100,10 @@
       ['lasting', 1, 0],
     ]);
     expect(worst.map(({ totalMs }) => totalMs)).toEqual([701]);
-    expect(queues[0]!.sums.readMean('lost')).toBe(205);
+    expect(queues[0]!.sums.getMeanMs('lost')).toBe(205);
     // Without the line that the leader added the job, the 5 ms before the round have no known cause.
-    expect(queues[0]!.windows[0]!.sums.readMean('unknown')).toBe(5);
-    expect(queues[0]!.windows[0]!.sums.readMeanTotal()).toBe(701);
+    expect(queues[0]!.windows[0]!.sums.getMeanMs('unknown')).toBe(5);
+    expect(queues[0]!.windows[0]!.sums.getMeanTotalMs()).toBe(701);
     expect(formatLedger(ledger)).toMatch(/jobs +0 +2 +701/);
   });
 
@@ -124,7 +124,10 @@
       createLine(2000, ended, { job, task, run: 3, outcome: 'done', how: 'done' }),
       createLine(2000, 'Job ended.', { job, queue: 'jobs', ending: 'completed' }),
     ];
-    const path = readCriticalPath(readAccounts(lines)[0]!).map(({ cause, from, to }) => [cause, to - from]);
+    const path = computeCriticalPath(readJobHistories(lines)[0]!).map(({ cause, from, to }) => [
+      cause,
+      to - from,
+    ]);
     expect(path).toEqual([
       ['accept', 10],
       ['room', 500],
@@ -152,7 +155,10 @@
       ),
       createLine(802, 'Job ended.', { job, queue: 'jobs', ending: 'completed' }),
     ];
-    const path = readCriticalPath(readAccounts(lines)[0]!).map(({ cause, from, to }) => [cause, to - from]);
+    const path = computeCriticalPath(readJobHistories(lines)[0]!).map(({ cause, from, to }) => [
+      cause,
+      to - from,
+    ]);
     expect(path).toEqual([
       ['accept', 10],
       ['answer', 90],
@@ -175,7 +181,10 @@
       createLine(3000, 'Run ended.', { job, task, run: 1, outcome: 'done' }),
       createLine(3000, 'Job ended.', { job, queue: 'jobs', ending: 'completed' }),
     ];
-    const path = readCriticalPath(readAccounts(lines)[0]!).map(({ cause, from, to }) => [cause, to - from]);
+    const path = computeCriticalPath(readJobHistories(lines)[0]!).map(({ cause, from, to }) => [
+      cause,
+      to - from,
+    ]);
     expect(path).toEqual([
       ['accept', 10],
       ['turn', 600],
@@ -192,18 +201,18 @@
       createLine(950, 'Run ended.', { job: 'a', task: 'a.0.0.0', run: 2, outcome: 'done' }),
       createLine(950, 'Job ended.', { job: 'a', queue: 'jobs', ending: 'completed' }),
     ];
-    const sums = createLedger(readAccounts([...createJobLines('a', 0), ...laterLines]), {
+    const sums = createLedger(readJobHistories([...createJobLines('a', 0), ...laterLines]), {
       windowMs: 2000,
       worstCount: 1,
     }).queues[0]!.sums;
-    expect([sums.readMeanTotal(), sums.readMean('unknown')]).toEqual([950, 0]);
+    expect([sums.getMeanTotalMs(), sums.getMeanMs('unknown')]).toEqual([950, 0]);
   });
 
   it('attributes the time of a missing run to unknown and not to the end of the job', () => {
     const lines = createJobLines('a', 0).filter((line) => !line.includes('"run":2'));
-    const sums = createLedger(readAccounts(lines), { windowMs: 2000, worstCount: 1 }).queues[0]!.sums;
-    expect(sums.readMean('noted')).toBe(0);
-    expect(sums.readMean('unknown')).toBe(201);
+    const sums = createLedger(readJobHistories(lines), { windowMs: 2000, worstCount: 1 }).queues[0]!.sums;
+    expect(sums.getMeanMs('noted')).toBe(0);
+    expect(sums.getMeanMs('unknown')).toBe(201);
   });
 
   it('uses the path logged for a late job when other lines are missing, and sums only sampled jobs by queue', () => {
@@ -226,22 +235,22 @@
       createLine(915, 'Job ended late.', late),
       createLine(1000, 'Lines left out.', { total: 5, share: '1/2', counts: { 'Run ended.': 5 } }),
     ];
-    const samplingLevel = readToldDepth(lines);
+    const samplingLevel = readSamplingLevel(lines);
     expect(samplingLevel).toBe(1);
-    const { queues, lateQueues } = createLedger(readAccounts(lines), {
+    const { queues, lateQueues } = createLedger(readJobHistories(lines), {
       windowMs: 2000,
       worstCount: 1,
-      depth: samplingLevel,
+      samplingLevel,
     });
     expect(lateQueues.map(({ sums }) => sums.countJobs())).toEqual([1]);
-    expect(lateQueues[0]!.sums.readMean('room')).toBe(700);
-    expect(lateQueues[0]!.sums.readMean('accept')).toBe(15);
+    expect(lateQueues[0]!.sums.getMeanMs('room')).toBe(700);
+    expect(lateQueues[0]!.sums.getMeanMs('accept')).toBe(15);
     const sampled = ids.filter((id) => computeSamplingLevel(id) >= 1);
     expect(sampled).toEqual(['b', 'd', 'f']);
     expect(queues[0]!.sums.countJobs()).toBe(sampled.length);
   });
 
   it('returns no accounts for logs without jobs', () => {
-    expect(readAccounts(['', 'text'])).toEqual([]);
+    expect(readJobHistories(['', 'text'])).toEqual([]);
   });
 });
--- a/tests/logging.test.ts
+++ b/tests/logging.test.ts
@@ -5,7 +5,7 @@
 import { getLineClass } from '../packages/logging/getLineClass';
 import { findLineJob } from '../packages/logging/findLineJob';
 import { computeSamplingLevel } from '../packages/logging/computeSamplingLevel';
-import { readJobStory } from '../packages/timeline/readJobStory';
+import { readJobLines } from '../packages/timeline/readJobLines';
 
 const BOUND = 400;
 const BURST = 4 * BOUND;
@@ -209,7 +209,7 @@
     expect(fixture.written).toHaveLength(3);
     const texts = fixture.written.map((line) => JSON.stringify(line));
     expect(
-      jobs.map((job) => readJobStory(texts, job).map(({ rows }) => rows?.map((row) => row.job))),
+      jobs.map((job) => readJobLines(texts, job).map(({ rows }) => rows?.map((row) => row.job))),
     ).toEqual(jobs.map((job) => [[job]]));
   });
 });
@@ -255,7 +255,7 @@
     const jobs = runLoad(fixture, 300, 8);
     const lasting = jobs[0]!;
     fixture.logger.warn('Job goes on.', { job: lasting });
-    const story = readJobStory(
+    const story = readJobLines(
       fixture.written.map((line) => JSON.stringify(line)),
       lasting,
     );
--- a/tests/serve/backlog.test.ts
+++ b/tests/serve/backlog.test.ts
@@ -17,7 +17,7 @@
   });
 
   afterAll(async () => {
-    expect(cell.witness.readProblems()).toEqual([]);
+    expect(cell.runChecker.getViolations()).toEqual([]);
     await cell.stop();
   });
 
@@ -43,10 +43,10 @@
     await leader.process.exit;
     await cell.startLeader();
     const claimsBefore = readSilenceClaims();
-    const startsBefore = cell.witness.readTotalStarts();
+    const startsBefore = cell.runChecker.countAllStarts();
     await new Promise((resolve) => setTimeout(resolve, WATCHED_MS));
     expect(readSilenceClaims()).toBe(claimsBefore);
     // The endpoints have room for one task each, which takes a fraction of the time watched.
-    expect(cell.witness.readTotalStarts() - startsBefore).toBeGreaterThan(EXECUTORS);
+    expect(cell.runChecker.countAllStarts() - startsBefore).toBeGreaterThan(EXECUTORS);
   });
 });
--- a/tests/serve/crashes.test.ts
+++ b/tests/serve/crashes.test.ts
@@ -23,7 +23,7 @@
     });
 
     afterEach(async () => {
-      expect(cell.witness.readProblems()).toEqual([]);
+      expect(cell.runChecker.getViolations()).toEqual([]);
       await cell.stop();
     });
 
@@ -42,8 +42,8 @@
       const box = cell.boxes.find(({ process }) => process.isAlive())!;
       await cell.startState(box, HARMFUL, 'failed', 30_000);
       await Promise.all(sound.map((id) => cell.startState(box, id, 'completed', 30_000)));
-      expect(cell.witness.readStartCount(`${HARMFUL}.0.0.0`)).toBeLessThanOrEqual(MAX_STARTS);
-      expect(cell.crashCount).toBe(cell.witness.readStartCount(`${HARMFUL}.0.0.0`));
+      expect(cell.runChecker.countStarts(`${HARMFUL}.0.0.0`)).toBeLessThanOrEqual(MAX_STARTS);
+      expect(cell.crashCount).toBe(cell.runChecker.countStarts(`${HARMFUL}.0.0.0`));
     };
 
     it('is given up, and what ran beside it is done', async () => {
--- a/tests/serve/customers.test.ts
+++ b/tests/serve/customers.test.ts
@@ -27,7 +27,7 @@
   });
 
   afterEach(async () => {
-    expect(cell.witness.readProblems()).toEqual([]);
+    expect(cell.runChecker.getViolations()).toEqual([]);
     const output = cell.boxes.map(({ process }) => process.readOutput()).join('');
     Object.values(KEYS).forEach((key) => expect(output).not.toContain(key));
     await cell.stop();
@@ -63,7 +63,7 @@
     expect((await cell.sendCall(box, 'GET', '/nowhere/')).status).toBe(404);
     expect((await cell.sendCall(box, 'GET', '/open/')).status).toBe(200);
     expect((await cell.sendJob(box, id, body, 'jobs', KEYS.spare)).status).toBe(200);
-    expect(cell.witness.readTotalStarts()).toBeLessThanOrEqual(1);
+    expect(cell.runChecker.countAllStarts()).toBeLessThanOrEqual(1);
   });
 
   it('read and cancel only their own jobs, and get no answer for the id of another', async () => {
@@ -94,7 +94,7 @@
     // A box that the log turns away in its first second may have read no other's announcement yet, and has nobody to ask.
     await startWait(JOBS_READ_MS);
     const away = cell.boxes[2]!;
-    cell.log.applyFault('busy', away.name);
+    cell.log.setFault('busy', away.name);
     await cell.startUntil(() =>
       Promise.resolve(/Topic cannot be read."[^\n]*keyed.op/.test(away.process.readOutput())),
     );
@@ -123,7 +123,7 @@
     const box = cell.boxes[0]!;
     expect((await cell.sendJob(box, id, body, 'jobs', KEYS.clinic)).status).toBe(200);
     const readRunning = (): number =>
-      cell.executors.reduce((sum, { standin }) => sum + standin.readRunCount(), 0);
+      cell.executors.reduce((sum, { standin }) => sum + standin.countRuns(), 0);
     let highest = 0;
     const watch = setInterval(() => {
       highest = Math.max(highest, readRunning());
@@ -136,7 +136,7 @@
     leader.process.sendSignal('SIGKILL');
     await leader.process.exit;
     cell.startBox(leader);
-    await cell.startUntil(() => Promise.resolve(cell.witness.readTotalStarts() >= 6), 20_000);
+    await cell.startUntil(() => Promise.resolve(cell.runChecker.countAllStarts() >= 6), 20_000);
     expect(highest).toBe(3);
     cell.writeConfiguration(3, ['open'], [{ ...CLINIC, cpuMillis: 1000 }, BUILDERS]);
     await cell.startUntil(() => Promise.resolve(readRunning() <= 1), 10_000);
@@ -160,6 +160,6 @@
       detail: 'steps[0]: a gang of 4 is more than the customer may ever have running',
     });
     expect((await send(2, gang, KEYS.builders)).status).toBe(200);
-    await cell.startUntil(() => Promise.resolve(cell.witness.readTotalStarts() === 4));
+    await cell.startUntil(() => Promise.resolve(cell.runChecker.countAllStarts() === 4));
   });
 });
--- a/tests/serve/door.test.ts
+++ b/tests/serve/door.test.ts
@@ -15,7 +15,7 @@
   });
 
   afterEach(async () => {
-    expect(cell.witness.readProblems()).toEqual([]);
+    expect(cell.runChecker.getViolations()).toEqual([]);
     await cell.stop();
   });
 
@@ -44,7 +44,7 @@
       }
       for (const id of refused) {
         expect((await cell.sendCall(cell.boxes[0]!, 'GET', `/jobs/${id}`)).status).toBe(410);
-        expect(cell.witness.readStartCount(`${id}.0.0.0`)).toBe(0);
+        expect(cell.runChecker.countStarts(`${id}.0.0.0`)).toBe(0);
       }
     },
   );
--- a/tests/serve/explain.test.ts
+++ b/tests/serve/explain.test.ts
@@ -4,7 +4,7 @@
 import { join } from 'node:path';
 import { afterAll, beforeAll, describe, expect, it } from 'vitest';
 import { chooseFreePorts } from '../../dev/fleet/chooseFreePorts';
-import { readJobStory } from '../../packages/timeline/readJobStory';
+import { readJobLines } from '../../packages/timeline/readJobLines';
 
 const JOB = '00000000000000a1';
 
@@ -40,7 +40,7 @@
   });
 
   it('lists the lines of the job, its endpoints and changes of leadership in the meantime', () => {
-    const messages = readJobStory(LINES, JOB).map(({ message }) => message);
+    const messages = readJobLines(LINES, JOB).map(({ message }) => message);
     expect(messages).toEqual([
       'Job accepted.',
       'Tasks placed.',
--- a/tests/serve/faults.test.ts
+++ b/tests/serve/faults.test.ts
@@ -18,7 +18,7 @@
   });
 
   afterEach(async () => {
-    expect(cell.witness.readProblems()).toEqual([]);
+    expect(cell.runChecker.getViolations()).toEqual([]);
     await cell.stop();
   });
 
@@ -39,7 +39,7 @@
 
   it('keeps every accepted job when all processes are killed right after accepting and starting it', async () => {
     const ids = await sendJobs(6, 300);
-    await cell.startUntil(() => Promise.resolve(cell.witness.readTotalStarts() > 4));
+    await cell.startUntil(() => Promise.resolve(cell.runChecker.countAllStarts() > 4));
     cell.boxes.forEach(({ process }) => process.sendSignal('SIGKILL'));
     await Promise.all(cell.boxes.map(({ process }) => process.exit));
     // Runs end while nobody looks: their ends must be understood by the next leader.
@@ -51,7 +51,7 @@
   it('goes on under another leader when the leader is killed', async () => {
     const ids = await sendJobs(6, 400);
     const leader = await cell.startLeader();
-    await cell.startUntil(() => Promise.resolve(cell.witness.readTotalStarts() > 4));
+    await cell.startUntil(() => Promise.resolve(cell.runChecker.countAllStarts() > 4));
     leader.process.sendSignal('SIGKILL');
     await leader.process.exit;
     await startAllCompleted(ids);
@@ -60,7 +60,7 @@
   it('lets a leader that was paused give no more orders once another leads', async () => {
     const leader = await cell.startLeader();
     const ids = await sendJobs(6, 600);
-    await cell.startUntil(() => Promise.resolve(cell.witness.readTotalStarts() > 4));
+    await cell.startUntil(() => Promise.resolve(cell.runChecker.countAllStarts() > 4));
     leader.process.sendSignal('SIGSTOP');
     const others = cell.boxes.filter((box) => box !== leader);
     await cell.startUntil(() =>
@@ -104,7 +104,7 @@
     const leader = await cell.startLeader();
     const ids = await sendJobs(3, 400);
     await new Promise((resolve) => setTimeout(resolve, 1200));
-    cell.log.applyFault('busy', leader.name);
+    cell.log.setFault('busy', leader.name);
     const turnedAwayAt = performance.now();
     await cell.startUntil(async () => !(await cell.isTakingCallers(leader)), 3000);
     const others = cell.boxes.filter((box) => box !== leader);
@@ -119,38 +119,38 @@
   it('keeps what runs leased when the leader is stopped by plan while the log is out for all', async () => {
     const leader = await cell.startLeader();
     const [long] = await sendJobs(1, 4500);
-    await cell.startUntil(() => Promise.resolve(cell.witness.readTotalStarts() === 2));
+    await cell.startUntil(() => Promise.resolve(cell.runChecker.countAllStarts() === 2));
     await new Promise((resolve) => setTimeout(resolve, 600));
-    cell.log.applyFault('busy');
+    cell.log.setFault('busy');
     await new Promise((resolve) => setTimeout(resolve, 500));
     leader.process.sendSignal('SIGTERM');
     await new Promise((resolve) => setTimeout(resolve, 2500));
-    cell.log.applyFault('none');
+    cell.log.setFault('none');
     const survivor = cell.boxes.find((box) => box !== leader)!;
     await cell.startState(survivor, long!, 'completed', 20_000);
     // A lease that ran out in between would have made a second run necessary.
-    expect(cell.witness.readStartCount(`${long!}.0.0.0`)).toBe(1);
-    expect(cell.witness.readStartCount(`${long!}.0.0.1`)).toBe(1);
+    expect(cell.runChecker.countStarts(`${long!}.0.0.0`)).toBe(1);
+    expect(cell.runChecker.countStarts(`${long!}.0.0.1`)).toBe(1);
   });
 
   it('answers at once while the log is silent, with a time to come back, and goes on afterwards', async () => {
     const box = cell.boxes[0]!;
     const [long] = await sendJobs(1, 3000);
-    await cell.startUntil(() => Promise.resolve(cell.witness.readTotalStarts() === 2));
-    cell.log.applyFault('silent');
+    await cell.startUntil(() => Promise.resolve(cell.runChecker.countAllStarts() === 2));
+    cell.log.setFault('silent');
     await cell.sendJob(box, toJobIdText(100), { spec: '20', steps: [createStep(1)] });
     await new Promise((resolve) => setTimeout(resolve, 1500));
-    const callsBefore = cell.log.readCallCount();
+    const callsBefore = cell.log.countRequests();
     const refused = await cell.sendJob(box, toJobIdText(101), { spec: '20', steps: [createStep(1)] });
     expect(refused.status).toBe(503);
     expect(refused.retryAfter).toBeGreaterThanOrEqual(1);
     expect(refused.tookMs).toBeLessThan(200);
     await new Promise((resolve) => setTimeout(resolve, 2000));
     // Three boxes with three followers each, and the leader's writes and endpoints.
-    expect(cell.log.readCallCount() - callsBefore).toBeLessThan(60);
-    cell.log.applyFault('none');
+    expect(cell.log.countRequests() - callsBefore).toBeLessThan(60);
+    cell.log.setFault('none');
     await cell.startState(box, long!, 'completed');
-    expect(cell.witness.readStartCount(`${long!}.0.0.0`)).toBe(1);
+    expect(cell.runChecker.countStarts(`${long!}.0.0.0`)).toBe(1);
     await cell.startUntil(
       async () =>
         (await cell.sendJob(box, toJobIdText(101), { spec: '20', steps: [createStep(1)] })).status === 200,
@@ -161,9 +161,9 @@
     // Every box begins to wait for the next version just before the silence, which takes the answer.
     cell.writeConfiguration(2);
     await new Promise((resolve) => setTimeout(resolve, 80));
-    cell.log.applyFault('silent');
+    cell.log.setFault('silent');
     await new Promise((resolve) => setTimeout(resolve, 200));
-    cell.log.applyFault('none');
+    cell.log.setFault('none');
     cell.writeConfiguration(3, ['added']);
     await cell.startUntil(async () => {
       const answers = await Promise.all(cell.boxes.map((box) => cell.sendCall(box, 'GET', '/added/')));
@@ -174,10 +174,10 @@
   it('never says refused of a job that may have been taken, when the answers of the log are lost', async () => {
     const box = cell.boxes[0]!;
     await cell.startLeader();
-    cell.log.applyFault('loseAnswers');
+    cell.log.setFault('loseAnswers');
     const answer = await cell.sendJob(box, toJobIdText(1), { spec: '20', steps: [createStep(1)] });
     expect(answer.status).toBe(504);
-    cell.log.applyFault('none');
+    cell.log.setFault('none');
     expect((await cell.sendJob(box, toJobIdText(1), { spec: '20', steps: [createStep(1)] })).status).toBe(
       200,
     );
@@ -185,7 +185,7 @@
   });
 
   it('never runs a task twice when starts get no answer and are carried out late', async () => {
-    cell.executors.slice(0, 2).forEach(({ standin }) => standin.applyFault('lateStarts'));
+    cell.executors.slice(0, 2).forEach(({ standin }) => standin.setFault('lateStarts'));
     const ids = await sendJobs(4, 200);
     await startAllCompleted(ids);
     await new Promise((resolve) => setTimeout(resolve, 1800));
@@ -193,34 +193,34 @@
 
   it('goes on using an endpoint whose record lapsed while the log was away, for as long as it may take to be back', async () => {
     const leader = await cell.startLeader();
-    cell.log.applyFault('silent');
+    cell.log.setFault('silent');
     await cell.startUntil(() =>
       Promise.resolve(/cannot be read.*keyed\.servers/.test(leader.process.readOutput())),
     );
     cell.executors.forEach(({ id }) => cell.log.writeRecord('keyed.servers', id, ''));
     // The log shows its return before the endpoints do.
-    cell.log.applyFault('none');
+    cell.log.setFault('none');
     const box = cell.boxes[0]!;
     await cell.startUntil(async () => (await cell.sendJob(box, toJobIdText(1), LASTING_JOB)).status === 200);
-    await cell.startUntil(() => Promise.resolve(cell.witness.readTotalStarts() === 1), 1500);
+    await cell.startUntil(() => Promise.resolve(cell.runChecker.countAllStarts() === 1), 1500);
     // The return of the log for all is no reason to change the leader.
     expect(await cell.startLeader()).toBe(leader);
     // None has come back: they are taken as gone, and get nothing new.
     await new Promise((resolve) => setTimeout(resolve, 2500));
     await cell.sendJob(box, toJobIdText(2), LASTING_JOB);
     await new Promise((resolve) => setTimeout(resolve, 500));
-    expect(cell.witness.readTotalStarts()).toBe(1);
+    expect(cell.runChecker.countAllStarts()).toBe(1);
     cell.executors.forEach(({ id, address }) => cell.writeExecutor(id, address, 'ready'));
-    await cell.startUntil(() => Promise.resolve(cell.witness.readTotalStarts() === 2));
+    await cell.startUntil(() => Promise.resolve(cell.runChecker.countAllStarts() === 2));
   });
 
   it('starts the work of a silent endpoint elsewhere only after its lease, and uses it again when it answers', async () => {
     const ids = await sendJobs(5, 900);
-    await cell.startUntil(() => Promise.resolve(cell.witness.readTotalStarts() >= 6));
-    const silent = cell.executors.find(({ standin }) => standin.readRunCount() > 0)!;
-    silent.standin.applyFault('silent');
+    await cell.startUntil(() => Promise.resolve(cell.runChecker.countAllStarts() >= 6));
+    const silent = cell.executors.find(({ standin }) => standin.countRuns() > 0)!;
+    silent.standin.setFault('silent');
     await startAllCompleted(ids);
-    silent.standin.applyFault('none');
+    silent.standin.setFault('none');
     const more = await cell.sendJob(cell.boxes[0]!, toJobIdText(50), {
       spec: '100',
       steps: [createStep(12)],
--- a/tests/serve/leading.test.ts
+++ b/tests/serve/leading.test.ts
@@ -6,7 +6,7 @@
   let cell: Cell;
 
   afterEach(async () => {
-    expect(cell.witness.readProblems()).toEqual([]);
+    expect(cell.runChecker.getViolations()).toEqual([]);
     await cell.stop();
   });
 
--- a/tests/serve/lives.test.ts
+++ b/tests/serve/lives.test.ts
@@ -63,7 +63,7 @@
       cell = await Cell.create({ boxes: 2, executors: EXECUTORS, roomPerExecutor: 4, keepsIds: true });
       const [ids] = await Promise.all([sendJobs(), startRestarts(downMs, recordAfterMs)]);
       await Promise.all(ids.map((id) => cell.startState(cell.boxes[0]!, id, 'completed', END_MS)));
-      expect(cell.witness.readProblems()).toEqual([]);
+      expect(cell.runChecker.getViolations()).toEqual([]);
       await cell.stop();
     }
   });
--- a/tests/serve/narrowLinks.test.ts
+++ b/tests/serve/narrowLinks.test.ts
@@ -32,7 +32,7 @@
     }
     cell.boxes.forEach(({ process }) => process.sendSignal('SIGKILL'));
     await Promise.all(cell.boxes.map(({ process }) => process.exit));
-    cell.log.applyLinkRate(LINK_MEGABITS);
+    cell.log.setLinkRate(LINK_MEGABITS);
     cell.boxes.forEach((box) => cell.startBox(box));
   });
 
@@ -62,12 +62,12 @@
     const box = cell.boxes[2]!;
     box.process.sendSignal('SIGKILL');
     await box.process.exit;
-    cell.log.applyFault('busy', box.name);
+    cell.log.setFault('busy', box.name);
     cell.startBox(box);
     await cell.startUntil(() =>
       Promise.resolve(box.process.readOutput().includes('"Topic cannot be read."')),
     );
-    cell.log.applyFault('none', box.name);
+    cell.log.setFault('none', box.name);
     await cell.startReady(box);
     await cell.startState(box, toJobIdText(JOBS), 'queued', 20_000);
   });
--- a/tests/serve/outage.test.ts
+++ b/tests/serve/outage.test.ts
@@ -24,7 +24,7 @@
   });
 
   afterEach(async () => {
-    expect(cell.witness.readProblems()).toEqual([]);
+    expect(cell.runChecker.getViolations()).toEqual([]);
     await cell.stop();
   });
 
@@ -32,15 +32,15 @@
     const box = cell.boxes[0]!;
     const [long, short] = [toJobIdText(1), toJobIdText(2)];
     expect((await cell.sendJob(box, long, createBody(EXECUTORS, LONG_MS))).status).toBe(200);
-    await cell.startUntil(() => Promise.resolve(cell.witness.readTotalStarts() === EXECUTORS));
+    await cell.startUntil(() => Promise.resolve(cell.runChecker.countAllStarts() === EXECUTORS));
     expect((await cell.sendJob(box, short, createBody(EXECUTORS, SHORT_MS))).status).toBe(200);
-    await cell.startUntil(() => Promise.resolve(cell.witness.readTotalStarts() === 2 * EXECUTORS));
-    cell.log.applyFault('silent');
+    await cell.startUntil(() => Promise.resolve(cell.runChecker.countAllStarts() === 2 * EXECUTORS));
+    cell.log.setFault('silent');
     await startWait(OUTAGE_MS);
-    cell.log.applyFault('none');
+    cell.log.setFault('none');
     await cell.startState(box, short, 'completed');
     await cell.startState(box, long, 'completed');
-    expect(cell.witness.readTotalStarts()).toBe(2 * EXECUTORS);
+    expect(cell.runChecker.countAllStarts()).toBe(2 * EXECUTORS);
   });
 
   it('does not keep jobs from a leader whose read of them went into it just before', async () => {
@@ -53,16 +53,16 @@
     await startWait(1250);
     await cell.sendJob(box, toJobIdText(1), createBody(1, 20));
     await cell.startState(box, toJobIdText(1), 'completed');
-    cell.log.applyFault('silent');
+    cell.log.setFault('silent');
     await cell.startUntil(() =>
       Promise.resolve(/cannot be read.*keyed\.servers/.test(leader.process.readOutput())),
     );
-    cell.log.applyFault('none');
+    cell.log.setFault('none');
     await cell.startUntil(
       async () => (await cell.sendJob(box, toJobIdText(2), createBody(1, 20))).status === 200,
     );
     const acceptedAt = performance.now();
-    await cell.startUntil(() => Promise.resolve(cell.witness.readTotalStarts() === 2));
+    await cell.startUntil(() => Promise.resolve(cell.runChecker.countAllStarts() === 2));
     expect(performance.now() - acceptedAt).toBeLessThan(FIRST_START_MS);
   });
 
@@ -74,19 +74,19 @@
       steps: [{ count: EXECUTORS * ROOM, cpu: 1000, 'mem-mb': 100 }],
     });
     await cell.sendJob(box, first, fillAll, 'advised');
-    await cell.startUntil(() => Promise.resolve(cell.witness.readTotalStarts() === EXECUTORS * ROOM));
+    await cell.startUntil(() => Promise.resolve(cell.runChecker.countAllStarts() === EXECUTORS * ROOM));
     await cell.sendJob(box, second, fillAll, 'advised');
     await startWait(300);
-    cell.log.applyFault('silent');
+    cell.log.setFault('silent');
     await startWait(OUTAGE_MS);
-    expect(cell.witness.readTotalStarts()).toBe(EXECUTORS * ROOM);
-    cell.log.applyFault('none');
+    expect(cell.runChecker.countAllStarts()).toBe(EXECUTORS * ROOM);
+    cell.log.setFault('none');
     const returnedAt = performance.now();
-    await cell.startUntil(() => Promise.resolve(cell.witness.readTotalStarts() > EXECUTORS * ROOM));
+    await cell.startUntil(() => Promise.resolve(cell.runChecker.countAllStarts() > EXECUTORS * ROOM));
     expect(performance.now() - returnedAt).toBeLessThan(FIRST_START_MS);
     await cell.startState(box, second, 'completed');
-    const expired = cell.executors.reduce((sum, { standin }) => sum + standin.readExpiredTicketCount(), 0);
+    const expired = cell.executors.reduce((sum, { standin }) => sum + standin.countExpiredTickets(), 0);
     expect(expired).toBe(0);
-    expect(cell.witness.readTotalStarts()).toBe(2 * EXECUTORS * ROOM);
+    expect(cell.runChecker.countAllStarts()).toBe(2 * EXECUTORS * ROOM);
   });
 });
--- a/tests/serve/path.test.ts
+++ b/tests/serve/path.test.ts
@@ -16,7 +16,7 @@
   });
 
   afterAll(async () => {
-    expect(cell.witness.readProblems()).toEqual([]);
+    expect(cell.runChecker.getViolations()).toEqual([]);
     await cell.stop();
   });
 
@@ -26,8 +26,8 @@
     const body = { spec: '60', steps: [createStep(3), createStep(2, { 'depends-on': [0] })] };
     expect((await cell.sendJob(first, id, body)).status).toBe(200);
     await cell.startState(second, id, 'completed');
-    expect(cell.witness.readStartCount(`${id}.0.0.0`)).toBe(1);
-    expect(cell.witness.readStartCount(`${id}.0.1.1`)).toBe(1);
+    expect(cell.runChecker.countStarts(`${id}.0.0.0`)).toBe(1);
+    expect(cell.runChecker.countStarts(`${id}.0.1.1`)).toBe(1);
   });
 
   it('stays one job when its id is sent twice, through any box', async () => {
@@ -37,11 +37,11 @@
     expect(answers.map(({ status }) => status)).toEqual([200, 200]);
     await cell.startState(cell.boxes[0]!, id, 'completed');
     expect((await cell.sendJob(cell.boxes[1]!, id, body)).status).toBe(200);
-    expect(cell.witness.readStartCount(`${id}.0.0.0`)).toBe(1);
+    expect(cell.runChecker.countStarts(`${id}.0.0.0`)).toBe(1);
   });
 
   it('asks for advice where a queue needs it, and keeps to it', async () => {
-    cell.advice.applyRefused(['i-0', 'i-1']);
+    cell.advice.setRejectedEndpoints(['i-0', 'i-1']);
     const id = '00000000000000a3';
     const sent = await cell.sendJob(cell.boxes[0]!, id, { spec: '40', steps: [createStep(2)] }, 'advised');
     expect(sent.status).toBe(200);
@@ -49,8 +49,8 @@
       const answer = await cell.sendCall(cell.boxes[1]!, 'GET', `/advised/${id}`);
       return answer.body.state === 'completed';
     });
-    expect(cell.advice.readQuestionCount()).toBeGreaterThan(0);
-    cell.advice.applyRefused([]);
+    expect(cell.advice.countRequests()).toBeGreaterThan(0);
+    cell.advice.setRejectedEndpoints([]);
   });
 
   it('stops what runs when a job is cancelled, and starts nothing of it again', async () => {
@@ -59,23 +59,23 @@
       spec: 'lasts',
       steps: [createStep(2, { 'long-running': true })],
     });
-    await cell.startUntil(async () => Promise.resolve(cell.witness.readStartCount(`${id}.0.0.1`) === 1));
+    await cell.startUntil(async () => Promise.resolve(cell.runChecker.countStarts(`${id}.0.0.1`) === 1));
     const cancelled = await cell.sendCall(cell.boxes[1]!, 'DELETE', `/jobs/${id}`);
     expect(cancelled.status).toBe(200);
     expect((await cell.readState(cell.boxes[1]!, id)).body.state).toBe('cancelled');
     await cell.startUntil(() =>
-      Promise.resolve(cell.executors.every(({ standin }) => standin.readRunCount() === 0)),
+      Promise.resolve(cell.executors.every(({ standin }) => standin.countRuns() === 0)),
     );
-    expect(cell.witness.readStartCount(`${id}.0.0.0`)).toBe(1);
+    expect(cell.runChecker.countStarts(`${id}.0.0.0`)).toBe(1);
   });
 
   it('ends a job as failed after as many failed runs as its queue allows, and no more', async () => {
-    cell.executors.forEach(({ standin }) => standin.applyFault('failing'));
+    cell.executors.forEach(({ standin }) => standin.setFault('failing'));
     const id = '00000000000000a5';
     await cell.sendJob(cell.boxes[0]!, id, { spec: '20', steps: [createStep(1)] });
     await cell.startState(cell.boxes[1]!, id, 'failed');
-    cell.executors.forEach(({ standin }) => standin.applyFault('none'));
-    expect(cell.witness.readStartCount(`${id}.0.0.0`)).toBe(2);
+    cell.executors.forEach(({ standin }) => standin.setFault('none'));
+    expect(cell.runChecker.countStarts(`${id}.0.0.0`)).toBe(2);
   });
 
   it('tells the state of an open job through any box: from the leader, or from the log while that does not answer', async () => {
@@ -84,11 +84,11 @@
     const other = cell.boxes.find((box) => box !== leader)!;
     /** Calls to the log during so many reads; the boxes' own reads and the leader's heartbeats are among them. */
     const readCalls = async (reads: number): Promise<number> => {
-      const callsBefore = cell.log.readCallCount();
+      const callsBefore = cell.log.countRequests();
       for (let read = 0; read < reads; read += 1) {
         expect((await cell.readState(other, id)).body.state).toBe('running');
       }
-      return cell.log.readCallCount() - callsBefore;
+      return cell.log.countRequests() - callsBefore;
     };
     await cell.sendJob(leader, id, { spec: 'lasts', steps: [createStep(1, { 'long-running': true })] });
     await cell.startState(other, id, 'running');
@@ -132,7 +132,7 @@
     await cell.startState(cell.boxes[0]!, gang, 'completed');
     await cell.startState(cell.boxes[0]!, timed, 'completed');
     expect(Date.now()).toBeGreaterThanOrEqual(first + 300);
-    expect(cell.witness.readStartCount(`${timed}.1.0.0`)).toBe(1);
+    expect(cell.runChecker.countStarts(`${timed}.1.0.0`)).toBe(1);
   });
 
   it.each([
--- a/tests/serve/silentConnections.test.ts
+++ b/tests/serve/silentConnections.test.ts
@@ -28,7 +28,7 @@
   });
 
   afterEach(async () => {
-    expect(cell.witness.readProblems()).toEqual([]);
+    expect(cell.runChecker.getViolations()).toEqual([]);
     await cell.stop();
   });
 
@@ -38,7 +38,7 @@
     const startedAt = new Map<string, number>();
     const watch = setInterval(() => {
       for (const id of sentAt.keys()) {
-        if (!startedAt.has(id) && cell.witness.readStartCount(`${id}.0.0.0`) > 0) {
+        if (!startedAt.has(id) && cell.runChecker.countStarts(`${id}.0.0.0`) > 0) {
           startedAt.set(id, performance.now());
         }
       }
@@ -73,18 +73,18 @@
     expect(await measureLongestMs(silence)).toBeLessThan(NOTICE_MS);
     expect(await cell.startLeader()).toBe(leader);
     await cell.startState(cell.boxes[0]!, LONG_ID, 'completed');
-    expect(cell.witness.readStartCount(`${LONG_ID}.0.0.0`)).toBe(1);
+    expect(cell.runChecker.countStarts(`${LONG_ID}.0.0.0`)).toBe(1);
   };
 
   it('to the log: are noticed within 3 s', async () => {
-    await checkSilence(() => cell.log.applySilence());
+    await checkSilence(() => cell.log.applyBlackhole());
   });
 
   it('to endpoints: are noticed within 3 s, and nothing that runs there is lost', async () => {
-    await checkSilence(() => cell.executors.forEach(({ standin }) => standin.applySilence()));
+    await checkSilence(() => cell.executors.forEach(({ standin }) => standin.applyBlackhole()));
   });
 
   it('to the advice service: are noticed within 3 s', async () => {
-    await checkSilence(() => cell.advice.applySilence());
+    await checkSilence(() => cell.advice.applyBlackhole());
   });
 });
--- a/tests/serve/slowLog.test.ts
+++ b/tests/serve/slowLog.test.ts
@@ -33,7 +33,7 @@
   });
 
   afterEach(async () => {
-    expect(cell.witness.readProblems()).toEqual([]);
+    expect(cell.runChecker.getViolations()).toEqual([]);
     await cell.stop();
   });
 
@@ -67,7 +67,7 @@
 
   it('has the jobs of all boxes accepted, and in time', async () => {
     await startWait(1500);
-    cell.log.applySlowness(APPEND_MS);
+    cell.log.setLatency(APPEND_MS);
     const { statuses, acceptMs, doneMs } = await sendLoad();
     const accepted = statuses.filter((status) => status === 200).length;
     expect(accepted / JOBS).toBeGreaterThanOrEqual(MIN_ACCEPTED_SHARE);
@@ -85,13 +85,13 @@
     expect(answer.tookMs).toBeLessThan(1000);
     leader.process.sendSignal('SIGCONT');
     await cell.startState(box, toJobIdText(1), 'completed');
-    expect(cell.witness.readTotalStarts()).toBe(1);
+    expect(cell.runChecker.countAllStarts()).toBe(1);
   });
 
   it('has a box that reaches neither the log nor the leader say at once, and truthfully, that it took nothing', async () => {
     const leader = await cell.startLeader();
     const away = cell.boxes.find((one) => one !== leader)!;
-    cell.log.applyFault('busy', away.name);
+    cell.log.setFault('busy', away.name);
     await startWait(2500);
     leader.process.sendSignal('SIGSTOP');
     const body = { spec: '20', steps: [{ count: 1, cpu: 1000, 'mem-mb': 100 }] };
@@ -105,13 +105,13 @@
     }
     leader.process.sendSignal('SIGCONT');
     expect(answers).toEqual(Array(4).fill([503, true, 1]));
-    expect(cell.witness.readTotalStarts()).toBe(0);
+    expect(cell.runChecker.countAllStarts()).toBe(0);
   });
 
   it('lets a box that the log turns away take jobs, through the leader', async () => {
     const leader = await cell.startLeader();
     const away = cell.boxes.find((one) => one !== leader)!;
-    cell.log.applyFault('busy', away.name);
+    cell.log.setFault('busy', away.name);
     await startWait(2500);
     const body = { spec: '20', steps: [{ count: 1, cpu: 1000, 'mem-mb': 100 }] };
     expect((await cell.sendJob(away, toJobIdText(1), body)).status).toBe(200);
--- a/tests/serve/turnedAway.test.ts
+++ b/tests/serve/turnedAway.test.ts
@@ -25,14 +25,14 @@
   let cell: Cell;
 
   afterEach(async () => {
-    expect(cell.witness.readProblems()).toEqual([]);
+    expect(cell.runChecker.getViolations()).toEqual([]);
     await cell.stop();
   });
 
   it('learns who leads from the leader itself, and takes jobs through it', async () => {
     cell = await Cell.create({ boxes: 1, laterBoxes: 2, executors: 2, roomPerExecutor: 4 });
     const away = await cell.startLeader();
-    cell.log.applyFault('busy', away.name);
+    cell.log.setFault('busy', away.name);
     await cell.startLaterBoxes();
     await cell.startUntil(async () => Promise.resolve(cell.readLeaders().some((box) => box !== away)));
     await waitForDelay(LEARN_MS);
@@ -46,8 +46,8 @@
     const leader = await cell.startLeader();
     const away = cell.boxes.find((one) => one !== leader)!;
     await waitForDelay(1500);
-    cell.log.applySlowness(SLOW_MS);
-    cell.log.applyFault('busy', away.name);
+    cell.log.setLatency(SLOW_MS);
+    cell.log.setFault('busy', away.name);
     await waitForDelay(2500);
     for (let number = 1; number <= 5; number += 1) {
       expect((await cell.sendJob(away, toJobIdText(number), BODY)).status).toBe(200);
