--- a/packages/boxes/BoxClient.ts
+++ b/packages/boxes/BoxClient.ts
@@ -10,32 +10,32 @@
 import type { LeaderIntroduction } from '../leadership/LeaderIntroduction';
 import type { LogWrite } from '../store/LogWrite';
 import type { WriteOutcome } from '../store/WriteOutcome';
-import type { ConfigurationAnswer } from './ConfigurationAnswer';
-import type { LogUse } from './LogUse';
+import type { ConfigurationResponse } from './ConfigurationResponse';
+import type { LogStatus } from './LogStatus';
 
-const CONNECTIONS = 3;
-const WRITE_CONNECTIONS = 4;
-const SHORT_CALL_MS = 200;
+const MAX_CONNECTIONS = 3;
+const MAX_WRITE_CONNECTIONS = 4;
+const SHORT_TIMEOUT_MS = 200;
 
-const stateAnswerSchema = z.object({
+const stateResponseSchema = z.object({
   state: z.enum(['queued', 'running', 'completed', 'failed', 'cancelled', 'absent']),
 });
 
-const writeAnswerSchema = z.object({ outcome: z.enum(['written', 'refused', 'unknown']) });
-const configurationAnswerSchema: z.ZodType<ConfigurationAnswer> = z.object({
+const writeResponseSchema = z.object({ outcome: z.enum(['written', 'refused', 'unknown']) });
+const configurationResponseSchema: z.ZodType<ConfigurationResponse> = z.object({
   ageMs: z.number().min(0),
   configuration: configurationSchema.optional(),
 });
 
-/** Calls another entry box: for its turn at the advice service, for what a leader knows, and to hand leadership over. */
+/** HTTP client of another entry box. Its methods never reject: a request without a valid response gives `undefined` or false. */
 export class BoxClient implements AdviceClient {
-  private readonly caller: HttpCaller;
-  /** Writes take as long as the log does, and must not keep short questions waiting. */
-  private readonly writes: HttpCaller;
+  private readonly client: HttpCaller;
+  /** Has its own connections, so that slow log writes do not block short requests. */
+  private readonly writeClient: HttpCaller;
 
   constructor(readonly address: string) {
-    this.caller = new HttpCaller({ address, connections: CONNECTIONS });
-    this.writes = new HttpCaller({ address, connections: WRITE_CONNECTIONS });
+    this.client = new HttpCaller({ address, connections: MAX_CONNECTIONS });
+    this.writeClient = new HttpCaller({ address, connections: MAX_WRITE_CONNECTIONS });
   }
 
   async requestAdvice(
@@ -43,56 +43,56 @@
     endpoints: readonly EndpointId[],
     timeoutMs: number,
   ): Promise<ReadonlyMap<EndpointId, string> | undefined> {
-    const answer = await this.caller.sendJson('/advice', { step, endpoints, timeoutMs }, timeoutMs);
-    return parseTickets(answer);
+    const response = await this.client.sendJson('/advice', { step, endpoints, timeoutMs }, timeoutMs);
+    return parseTickets(response);
   }
 
-  /** The state of a job for a caller, as the box knows it while it leads; undefined when it does not answer. */
-  async sendStateQuestion(
+  /** Requests the state of a job on behalf of a caller; undefined when the box does not lead or does not respond in time. */
+  async requestJobState(
     id: JobId,
     caller: JobCaller,
     timeoutMs: number,
   ): Promise<JobState | 'absent' | undefined> {
-    const answer = await this.caller.sendJson('/job-state', { id, caller, timeoutMs }, timeoutMs);
-    return stateAnswerSchema.safeParse(answer).data?.state;
+    const response = await this.client.sendJson('/job-state', { id, caller, timeoutMs }, timeoutMs);
+    return stateResponseSchema.safeParse(response).data?.state;
   }
 
-  /** Has the box append a record of a job; undefined when it gives no answer: it may have done it. */
-  async sendWrite(write: LogWrite, timeoutMs: number): Promise<WriteOutcome | undefined> {
-    const answer = await this.writes.sendJson('/write', { ...write, timeoutMs }, timeoutMs);
-    return writeAnswerSchema.safeParse(answer).data?.outcome;
+  /** Requests the box to append a record of a job; undefined when it does not respond, in which case the record may have been written. */
+  async requestWrite(write: LogWrite, timeoutMs: number): Promise<WriteOutcome | undefined> {
+    const response = await this.writeClient.sendJson('/write', { ...write, timeoutMs }, timeoutMs);
+    return writeResponseSchema.safeParse(response).data?.outcome;
   }
 
-  /** What the box knows of the configuration, whole if it is newer than a version; undefined when it does not answer. */
-  async sendConfigurationQuestion(
+  /** Requests the configuration if it is newer than a known version; undefined when the box does not respond. */
+  async requestConfiguration(
     knownVersion: number,
     timeoutMs: number,
-  ): Promise<ConfigurationAnswer | undefined> {
-    const answer = await this.caller.sendJson('/configuration', { knownVersion }, timeoutMs);
-    return configurationAnswerSchema.safeParse(answer).data;
+  ): Promise<ConfigurationResponse | undefined> {
+    const answer = await this.client.sendJson('/configuration', { knownVersion }, timeoutMs);
+    return configurationResponseSchema.safeParse(answer).data;
   }
 
-  /** Asks the box whether it can use the log. */
-  async sendLogQuestion(): Promise<LogUse> {
-    const result = await this.caller.sendCall({ method: 'GET', path: '/log', timeoutMs: SHORT_CALL_MS });
+  /** Requests whether the box can use the log. */
+  async requestLogStatus(): Promise<LogStatus> {
+    const result = await this.client.sendCall({ method: 'GET', path: '/log', timeoutMs: SHORT_TIMEOUT_MS });
     if (result.kind !== 'answered') {
       return 'noAnswer';
     }
     return result.status === 200 ? 'usable' : 'unusable';
   }
 
-  /** Tells the box who leads and where; false when it did not take it in. */
-  async sendIntroduction({ record, ...contact }: LeaderIntroduction): Promise<boolean> {
+  /** Announces the leader and its address; false when the box did not confirm it. */
+  async sendLeaderAnnouncement({ record, ...contact }: LeaderIntroduction): Promise<boolean> {
     const body = { ...record, ...contact };
-    return (await this.caller.sendJson('/leader', body, SHORT_CALL_MS)) !== undefined;
+    return (await this.client.sendJson('/leader', body, SHORT_TIMEOUT_MS)) !== undefined;
   }
 
-  /** Tells the box that the leader of an epoch has stopped and that it should lead next. */
-  async sendHandOver(epoch: number): Promise<boolean> {
-    return (await this.caller.sendJson('/hand-over', { epoch }, SHORT_CALL_MS)) !== undefined;
+  /** Asks the box to lead next, after the leader of an epoch has stopped; false when it did not confirm it. */
+  async sendHandover(epoch: number): Promise<boolean> {
+    return (await this.client.sendJson('/hand-over', { epoch }, SHORT_TIMEOUT_MS)) !== undefined;
   }
 
   async stop(): Promise<void> {
-    await Promise.all([this.caller.stop(), this.writes.stop()]);
+    await Promise.all([this.client.stop(), this.writeClient.stop()]);
   }
 }
--- a/packages/boxes/BoxClients.ts
+++ b/packages/boxes/BoxClients.ts
@@ -1,16 +1,16 @@
 import { BoxClient } from './BoxClient';
 import type { BoxDirectory } from './BoxDirectory';
 import type { BoxPower } from './BoxPower';
-import { measureStrength } from './measureStrength';
+import { computeLeaderCapacity } from './computeLeaderCapacity';
 
-interface OtherBox extends BoxPower {
+interface ConnectedBox extends BoxPower {
   readonly box: string;
   readonly client: BoxClient;
-  /** Monotonic time at which its newest announcement was read from the log. */
+  /** Monotonic time at which its newest announcement was read from the log, in milliseconds. */
   readonly announcedAt: number;
 }
 
-/** Connections to the other entry boxes that have announced themselves. */
+/** Clients of the other announced entry boxes, and the choice of a box that should lead. */
 export class BoxClients {
   private readonly clients = new Map<string, BoxClient>();
 
@@ -19,8 +19,8 @@
     private readonly own: BoxPower & { readonly box: string },
   ) {}
 
-  /** A client of each other box. */
-  readOthers(): readonly OtherBox[] {
+  /** Returns all other announced boxes with their clients. */
+  readOthers(): readonly ConnectedBox[] {
     return this.directory
       .readBoxes()
       .filter(({ box }) => box !== this.own.box)
@@ -29,60 +29,60 @@
         announcedAt,
         cores,
         linkMbps,
-        client: this.readClient(box, address),
+        client: this.getClient(box, address),
       }));
   }
 
-  /** A client of a box by its name; undefined when it has not announced itself. */
-  readClientOf(name: string): BoxClient | undefined {
+  /** Returns the client of a box by its name; undefined when it has not announced itself. */
+  findClient(name: string): BoxClient | undefined {
     const known = this.directory.readBoxes().find(({ box }) => box === name);
-    return known === undefined ? undefined : this.readClient(known.box, known.address);
+    return known === undefined ? undefined : this.getClient(known.box, known.address);
   }
 
   /**
-   * A box that says it can use the log: of the stronger ones if there is any, else of those as strong, else the strongest of all others;
-   * undefined when none does. A weak box that leads a large fleet falls behind with its heartbeats and is replaced again.
+   * Returns a box that can use the log: a stronger box if there is one, else one of comparable strength, else the strongest of the
+   * others; undefined when none can. Prefers strong boxes, because a weak leader of a large fleet falls behind with its heartbeats.
    */
   async startChoosingLogUser(): Promise<BoxClient | undefined> {
     const peers = this.directory.readPeers(this.own);
     return (
-      (await this.startChoosingStronger()) ??
-      (await this.startChoosingAmong(peers)) ??
-      this.startChoosingStrongest(this.readOthers())
+      (await this.findStrongerCandidate()) ??
+      (await this.findFirstOfBoxes(peers)) ??
+      this.findStrongestWithLog(this.readOthers())
     );
   }
 
-  /** A box that is stronger than this one and says it can use the log; undefined when none does. */
-  startChoosingStronger(): Promise<BoxClient | undefined> {
-    return this.startChoosingAmong(this.directory.readStronger(this.own));
+  /** Returns a box that is stronger than this one and can use the log; undefined when there is none. */
+  findStrongerCandidate(): Promise<BoxClient | undefined> {
+    return this.findFirstOfBoxes(this.directory.readStronger(this.own));
   }
 
-  private startChoosingAmong(boxes: readonly { readonly box: string }[]): Promise<BoxClient | undefined> {
+  private findFirstOfBoxes(boxes: readonly { readonly box: string }[]): Promise<BoxClient | undefined> {
     const names = new Set(boxes.map(({ box }) => box));
-    return this.startChoosing(this.readOthers().filter(({ box }) => names.has(box)));
+    return this.findFirstWithLog(this.readOthers().filter(({ box }) => names.has(box)));
   }
 
-  /** The first of some boxes that says it can use the log. */
-  private startChoosing(boxes: readonly { readonly client: BoxClient }[]): Promise<BoxClient | undefined> {
+  /** Returns the first box to respond that it can use the log; undefined when none does. */
+  private findFirstWithLog(boxes: readonly { readonly client: BoxClient }[]): Promise<BoxClient | undefined> {
     return new Promise((resolve) => {
-      const questions = boxes.map(async ({ client }) => {
-        if ((await client.sendLogQuestion()) === 'usable') {
+      const requests = boxes.map(async ({ client }) => {
+        if ((await client.requestLogStatus()) === 'usable') {
           resolve(client);
         }
       });
-      void Promise.all(questions).then(() => resolve(undefined));
+      void Promise.all(requests).then(() => resolve(undefined));
     });
   }
 
-  /** The strongest of some boxes that say they can use the log. All are waited for, which their short time limit bounds. */
-  private async startChoosingStrongest(boxes: readonly OtherBox[]): Promise<BoxClient | undefined> {
-    const uses = await Promise.all(boxes.map(({ client }) => client.sendLogQuestion()));
-    const usable = boxes.filter((_box, index) => uses[index] === 'usable');
-    const ranked = usable.sort((left, right) => measureStrength(right) - measureStrength(left));
+  /** Returns the strongest box that can use the log, after all have responded or timed out. */
+  private async findStrongestWithLog(boxes: readonly ConnectedBox[]): Promise<BoxClient | undefined> {
+    const statuses = await Promise.all(boxes.map(({ client }) => client.requestLogStatus()));
+    const usable = boxes.filter((_box, index) => statuses[index] === 'usable');
+    const ranked = usable.sort((left, right) => computeLeaderCapacity(right) - computeLeaderCapacity(left));
     return ranked[0]?.client;
   }
 
-  private readClient(box: string, address: string): BoxClient {
+  private getClient(box: string, address: string): BoxClient {
     const known = this.clients.get(box);
     if (known?.address === address) {
       return known;
--- a/packages/boxes/BoxDirectory.ts
+++ b/packages/boxes/BoxDirectory.ts
@@ -3,35 +3,36 @@
 import type { LogRecord } from '../store/LogRecord';
 import type { BoxPower } from './BoxPower';
 import { boxPowerSchema } from './boxPowerSchema';
-import { measureStrength } from './measureStrength';
+import { computeLeaderCapacity } from './computeLeaderCapacity';
 
 const KEY_PREFIX = 'b/';
 const recordSchema = boxPowerSchema.extend({ address: z.string() });
-/** A box with so many times the strength of another is the stronger one. */
-const STRONGER_RATIO = 1.5;
+/** Ratio of leader capacities from which a box counts as stronger than another. */
+const MIN_STRONGER_RATIO = 1.5;
 
 interface KnownBox extends BoxPower {
   readonly box: string;
-  /** Host and port for calls between boxes. */
+  /** Host and port for requests between boxes. */
   readonly address: string;
-  /** Monotonic time at which its newest announcement was read; -Infinity where it has only told of itself by a call. */
+  /** Monotonic time at which its newest announcement was read from the log, in milliseconds; -Infinity without one. */
   readonly announcedAt: number;
 }
 
-/** The entry boxes that have announced themselves, in the log or by a call. Some may be gone. */
+/** Entry boxes that have announced themselves, in the log or by a request. Some may no longer exist. */
 export class BoxDirectory {
   private readonly boxes = new Map<string, KnownBox>();
 
-  /** Key under which a box announces itself. */
+  /** Returns the log key of the announcement of a box. */
   static toKey(box: string): string {
     return `${KEY_PREFIX}${box}`;
   }
 
+  /** Formats the announcement of a box. */
   static formatRecord(address: string, { cores, linkMbps }: BoxPower): string {
     return JSON.stringify({ address, cores, linkMbps });
   }
 
-  /** Takes in what was read of the topic of jobs at a monotonic time. */
+  /** Applies the announcements among records of the jobs topic, which were read at a monotonic time in milliseconds. */
   foldRecords(records: readonly LogRecord[], readAt = -Infinity): void {
     for (const { key, value } of records) {
       if (!key.startsWith(KEY_PREFIX)) {
@@ -47,7 +48,7 @@
     }
   }
 
-  /** A box has told by a call where it is. */
+  /** Sets the address and resources of a box that it announced by a request. */
   recordBox(box: string, address: string, { cores, linkMbps }: BoxPower): void {
     const announcedAt = this.boxes.get(box)?.announcedAt ?? -Infinity;
     this.boxes.set(box, { box, address, cores, linkMbps, announcedAt });
@@ -57,15 +58,15 @@
     return [...this.boxes.values()];
   }
 
-  /** Boxes that are not clearly weaker than one with such power. */
+  /** Returns the boxes that are not clearly weaker than a box with the given resources. */
   readPeers(own: BoxPower): readonly KnownBox[] {
-    const strength = measureStrength(own);
-    return this.readBoxes().filter((box) => measureStrength(box) * STRONGER_RATIO > strength);
+    const ownCapacity = computeLeaderCapacity(own);
+    return this.readBoxes().filter((box) => computeLeaderCapacity(box) * MIN_STRONGER_RATIO > ownCapacity);
   }
 
-  /** Boxes that can bear so much more that they should lead rather than one with such power. */
+  /** Returns the boxes that should lead in preference to a box with the given resources. */
   readStronger(own: BoxPower): readonly KnownBox[] {
-    const strength = measureStrength(own);
-    return this.readBoxes().filter((box) => measureStrength(box) >= strength * STRONGER_RATIO);
+    const ownCapacity = computeLeaderCapacity(own);
+    return this.readBoxes().filter((box) => computeLeaderCapacity(box) >= ownCapacity * MIN_STRONGER_RATIO);
   }
 }
--- a/packages/boxes/BoxPower.ts
+++ b/packages/boxes/BoxPower.ts
@@ -1,7 +1,7 @@
-/** What a box may use of its machine, as far as it bounds the work that it can lead. */
+/** Resources of a box that bound the load it can handle as leader. */
 export interface BoxPower {
   /** Processor cores. */
   readonly cores: number;
-  /** Bandwidth of its link in Mbit/s; Infinity where it is not known. */
+  /** Bandwidth of its network link in Mbit/s; Infinity when unknown. */
   readonly linkMbps: number;
 }
--- a/packages/boxes/BoxServer.ts
+++ b/packages/boxes/BoxServer.ts
@@ -15,34 +15,34 @@
 import type { LogWrite } from '../store/LogWrite';
 import type { WriteOutcome } from '../store/WriteOutcome';
 import { boxPowerSchema } from './boxPowerSchema';
-import type { ConfigurationAnswer } from './ConfigurationAnswer';
+import type { ConfigurationResponse } from './ConfigurationResponse';
 
 interface BoxServerOptions {
-  /** Host and port for other entry boxes and for collectors of metrics. */
+  /** Host and port to listen on, for other entry boxes and metrics collectors. */
   readonly address: string;
   readonly advice: AdviceClient;
   readonly formatMetrics: () => string;
-  /** Tries whether this box can use the log now. */
+  /** Checks whether this box can use the log now. */
   readonly isLogUsable: () => Promise<boolean>;
-  /** The state of a job while this box leads; undefined when it does not, or cannot tell in time. */
-  readonly readLeaderState: (
+  /** Returns the state of a job while this box leads; undefined when it does not lead or does not find out in time. */
+  readonly getJobState: (
     id: JobId,
     caller: JobCaller,
     timeoutMs: number,
   ) => Promise<JobState | 'absent' | undefined>;
-  /** Appends a record of a job for another box. */
-  readonly writeForOther: (write: LogWrite, timeoutMs: number) => Promise<WriteOutcome>;
-  /** What this box knows of the configuration, for one that has a version. */
-  readonly readConfiguration: (knownVersion: number) => ConfigurationAnswer;
-  /** The leader tells this box who leads and where. */
-  readonly handleIntroduction: (introduction: LeaderIntroduction) => void;
-  /** The leader of an epoch has stopped and asks this box to lead next. */
-  readonly handleHandOver: (epoch: number) => void;
+  /** Appends a record of a job on behalf of another box. */
+  readonly writeForBox: (write: LogWrite, timeoutMs: number) => Promise<WriteOutcome>;
+  /** Returns the configuration if it is newer than the known version, and its age. */
+  readonly getConfiguration: (knownVersion: number) => ConfigurationResponse;
+  /** Handles the announcement of the leader and its address. */
+  readonly handleLeaderAnnouncement: (announcement: LeaderIntroduction) => void;
+  /** Handles the request of the stopped leader of an epoch that this box lead next. */
+  readonly handleHandover: (epoch: number) => void;
 }
 
-/** Above the largest record of the platform's log. */
-const BODY_LIMIT_BYTES = 524_288;
-const questionSchema = z.object({
+/** Exceeds the largest record of the platform's log. */
+const MAX_BODY_BYTES = 524_288;
+const adviceRequestSchema = z.object({
   step: z.string(),
   endpoints: z.array(z.string()),
   timeoutMs: z.number().positive(),
@@ -57,78 +57,78 @@
     .optional(),
 });
 
-const stateQuestionSchema = z.object({
+const stateRequestSchema = z.object({
   id: z.string(),
   caller: callerSchema,
   timeoutMs: z.number().positive(),
 });
-const writeSchema = z.object({ key: z.string(), value: z.string(), timeoutMs: z.number().positive() });
-const configurationQuestionSchema = z.object({ knownVersion: z.number() });
-const introductionSchema = leaderRecordSchema.extend({ address: z.string(), ...boxPowerSchema.shape });
-const handOverSchema = z.object({ epoch: z.number() });
+const writeRequestSchema = z.object({ key: z.string(), value: z.string(), timeoutMs: z.number().positive() });
+const configurationRequestSchema = z.object({ knownVersion: z.number() });
+const announcementSchema = leaderRecordSchema.extend({ address: z.string(), ...boxPowerSchema.shape });
+const handoverSchema = z.object({ epoch: z.number() });
 
 const readBody = ({ body }: FastifyRequest): unknown =>
   parseJson(Buffer.isBuffer(body) ? body.toString('utf8') : '');
 
-/** What an entry box offers to other boxes: a turn at the advice service, its word on the log and on jobs, and its metrics. */
+/** HTTP server for other entry boxes: advice, job states, log writes, leadership and configuration; and for metrics collectors. */
 export class BoxServer {
   private readonly app: FastifyInstance;
 
   constructor(private readonly options: BoxServerOptions) {
-    this.app = createBufferApp(BODY_LIMIT_BYTES);
+    this.app = createBufferApp(MAX_BODY_BYTES);
     this.app.get('/metrics', (_request, reply) => reply.type('text/plain').send(options.formatMetrics()));
     this.app.get('/log', async (_request, reply) =>
       reply.code((await options.isLogUsable()) ? 200 : 503).send(''),
     );
     this.app.post('/job-state', async (request, reply) => {
-      const question = stateQuestionSchema.safeParse(readBody(request));
-      if (!question.success) {
+      const parsed = stateRequestSchema.safeParse(readBody(request));
+      if (!parsed.success) {
         return reply.code(400).send({ error: 'malformed question' });
       }
-      const { id, caller, timeoutMs } = question.data;
-      const state = await options.readLeaderState(toId<JobId>(id), caller, timeoutMs);
+      const { id, caller, timeoutMs } = parsed.data;
+      const state = await options.getJobState(toId<JobId>(id), caller, timeoutMs);
       return state === undefined ? reply.code(503).send({}) : reply.send({ state });
     });
     this.app.post('/write', async (request, reply) => {
-      const parsed = writeSchema.safeParse(readBody(request));
+      const parsed = writeRequestSchema.safeParse(readBody(request));
       if (!parsed.success) {
         return reply.code(400).send({ error: 'malformed write' });
       }
       const { key, value, timeoutMs } = parsed.data;
-      return reply.send({ outcome: await options.writeForOther({ key, value }, timeoutMs) });
+      return reply.send({ outcome: await options.writeForBox({ key, value }, timeoutMs) });
     });
     this.app.post('/configuration', (request, reply) => {
-      const question = configurationQuestionSchema.safeParse(readBody(request));
-      return question.success
-        ? reply.send(options.readConfiguration(question.data.knownVersion))
+      const parsed = configurationRequestSchema.safeParse(readBody(request));
+      return parsed.success
+        ? reply.send(options.getConfiguration(parsed.data.knownVersion))
         : reply.code(400).send({ error: 'malformed question' });
     });
     this.app.post('/leader', (request, reply) => {
-      const parsed = introductionSchema.safeParse(readBody(request));
+      const parsed = announcementSchema.safeParse(readBody(request));
       if (!parsed.success) {
         return reply.code(400).send({ error: 'malformed introduction' });
       }
       const { address, cores, linkMbps, ...record } = parsed.data;
-      options.handleIntroduction({ record, address, cores, linkMbps });
+      options.handleLeaderAnnouncement({ record, address, cores, linkMbps });
       return reply.send({});
     });
     this.app.post('/hand-over', (request, reply) => {
-      const handOver = handOverSchema.safeParse(readBody(request));
-      if (!handOver.success) {
+      const parsed = handoverSchema.safeParse(readBody(request));
+      if (!parsed.success) {
         return reply.code(400).send({ error: 'malformed hand-over' });
       }
-      options.handleHandOver(handOver.data.epoch);
+      options.handleHandover(parsed.data.epoch);
       return reply.send({});
     });
     this.app.post('/advice', async (request, reply) => {
-      const question = questionSchema.safeParse(readBody(request));
-      if (!question.success) {
+      const parsed = adviceRequestSchema.safeParse(readBody(request));
+      if (!parsed.success) {
         return reply.code(400).send({ error: 'malformed question' });
       }
-      const endpoints = question.data.endpoints.map((id) => toId<EndpointId>(id));
-      const { step, timeoutMs } = question.data;
-      const good = await options.advice.requestAdvice(step, endpoints, timeoutMs);
-      return good === undefined ? reply.code(503).send({}) : reply.send({ good: [...good] });
+      const endpoints = parsed.data.endpoints.map((id) => toId<EndpointId>(id));
+      const { step, timeoutMs } = parsed.data;
+      const tickets = await options.advice.requestAdvice(step, endpoints, timeoutMs);
+      return tickets === undefined ? reply.code(503).send({}) : reply.send({ good: [...tickets] });
     });
   }
 
--- a/packages/boxes/boxPowerSchema.ts
+++ b/packages/boxes/boxPowerSchema.ts
@@ -1,6 +1,6 @@
 import { z } from 'zod';
 
-/** What a box tells of its power. Boxes of earlier versions do not tell their link. */
+/** Announced resources of a box. Boxes of earlier versions announce no link bandwidth. */
 export const boxPowerSchema = z.object({
   cores: z.number(),
   linkMbps: z.number().positive().default(Infinity),
--- a/packages/serve/JobDesk.ts
+++ b/packages/serve/BoxJobService.ts
@@ -21,7 +21,7 @@
 import type { LoadDoor } from './LoadDoor';
 import type { ServeMetrics } from './ServeMetrics';
 
-interface JobDeskOptions {
+interface BoxJobServiceOptions {
   readonly replica: JobReplica;
   readonly writer: RecordWriter;
   readonly jobsFollower: LogFollower;
@@ -29,13 +29,13 @@
   readonly clock: Clock;
   readonly logger: Logger;
   readonly metrics: ServeMetrics;
-  readonly door: LoadDoor;
+  readonly admission: LoadDoor;
   /** True while all topics can be read. */
-  readonly isReading: () => boolean;
+  readonly isLogReadable: () => boolean;
   /** True while this process leads, so that its own memory is the newest. */
   readonly isLeading: () => boolean;
   /** Asks the leading box for a job's state; undefined when it gives none in time. */
-  readonly startAskingLeader: (
+  readonly requestLeaderState: (
     id: JobId,
     caller: JobCaller,
     timeoutMs: number,
@@ -47,19 +47,19 @@
 
 const RETRY_AFTER_MS = 1000;
 /** Appends that have failed for so long, while reads fail too, make further ones fail at once. */
-const OUTAGE_MS = 400;
+const MAX_OUTAGE_MS = 400;
 /** The same while reads are answered: some answers may merely be lost. */
-const LONG_OUTAGE_MS = 1000;
+const MAX_WRITE_OUTAGE_MS = 1000;
 /** Longest time for one append to be answered: what takes longer is better tried again through another box. */
-const WRITE_LIMIT_MS = 1300;
+const MAX_WRITE_MS = 1300;
 /** Share of the caller's time that an append may take, so that another box can still be tried. */
-const WRITE_SHARE = 0.4;
+const MAX_WRITE_SHARE = 0.4;
 /** Longest read on a caller's behalf, of the log or from the leader. */
-const REFRESH_LIMIT_MS = 400;
+const MAX_REFRESH_MS = 400;
 /** An answer between boxes takes a few milliseconds; beyond this the log is read. */
-const LEADER_ANSWER_MS = 80;
+const LEADER_TIMEOUT_MS = 80;
 /** A leader that gave no answer is not asked again for so long: about the time until another is known. */
-const LEADER_AVOID_MS = 1000;
+const LEADER_BACKOFF_MS = 1000;
 const ACCEPTED = { kind: 'answered', answer: { kind: 'accepted' } } as const;
 const TAKEN = { kind: 'answered', answer: { kind: 'taken' } } as const;
 const ABSENT = { kind: 'answered', answer: 'absent' } as const;
@@ -69,11 +69,11 @@
 const isEnded = (state: JobState | undefined): boolean => ENDED.has(state);
 
 /** Callers' jobs: accepted once they are durable in the log, read from this box's replica of it. */
-export class JobDesk implements JobService {
+export class BoxJobService implements JobService {
   /** Monotonic time from which the leader may be asked again. */
-  private askLeaderFrom = -Infinity;
+  private leaderRetryAt = -Infinity;
 
-  constructor(private readonly options: JobDeskOptions) {}
+  constructor(private readonly options: BoxJobServiceOptions) {}
 
   async writeJob(
     id: JobId,
@@ -85,20 +85,20 @@
     const { replica, writer, clock, metrics } = this.options;
     const known = replica.getDefinition(id);
     if (known !== undefined) {
-      return this.toKnownAnswer(known, queue, customer);
+      return this.createKnownResult(known, queue, customer);
     }
     const problem = customer && customerLimits.readProblem(submission.steps, customer.limit);
     if (problem !== undefined) {
       metrics.recordCount('impossible');
-      this.recordDecision('Job not taken: it could never run.', id, queue.name, {
+      this.logDecision('Job not taken: it could never run.', id, queue.name, {
         customer: customer?.name,
         limit: customer?.limit,
         problem,
       });
       return { kind: 'answered', answer: { kind: 'impossible', reason: problem } };
     }
-    if (this.isLogOut()) {
-      return this.createUnavailable(id, queue.name);
+    if (this.isLogUnavailable()) {
+      return this.createUnavailableResult(id, queue.name);
     }
     const startedAt = clock.readNow();
     const definition: JobDefinition = {
@@ -108,29 +108,29 @@
       ...submission,
       acceptedAtMs: Math.round(clock.readWall()),
     };
-    const check = await this.options.door.startCheck(definition, this.readRefreshDeadline(deadline));
+    const check = await this.options.admission.startCheck(definition, this.computeRefreshDeadline(deadline));
     if (check.kind === 'known') {
-      return this.toKnownAnswer(replica.getDefinition(id)!, queue, customer);
+      return this.createKnownResult(replica.getDefinition(id)!, queue, customer);
     }
     if (check.kind === 'refused') {
       metrics.recordCount('notTaken');
       return { kind: 'overloaded', retryAfterMs: check.retryAfterMs };
     }
     const write = { key: jobKeys.toDefinitionKey(id), value: formatDefinition(definition) };
-    const outcome = await writer.writeRecord(write, this.readWriteLimit(startedAt, deadline));
+    const outcome = await writer.writeRecord(write, this.computeWriteDeadline(startedAt, deadline));
     const tookMs = Math.round(clock.readNow() - startedAt);
     if (outcome === 'refused') {
-      return this.createUnavailable(id, queue.name);
+      return this.createUnavailableResult(id, queue.name);
     }
     if (outcome === 'unknown') {
       metrics.recordCount('unknown');
-      this.options.door.recordDoubt(id);
-      this.recordDecision('The log did not answer: the job may be accepted.', id, queue.name, { tookMs });
+      this.options.admission.recordDoubt(id);
+      this.logDecision('The log did not answer: the job may be accepted.', id, queue.name, { tookMs });
       return { kind: 'unknown' };
     }
     metrics.recordCount('accepted');
-    metrics.recordTime('acceptMs', clock.readNow() - startedAt);
-    this.recordDecision('Job accepted.', id, queue.name, {
+    metrics.recordDuration('acceptMs', clock.readNow() - startedAt);
+    this.logDecision('Job accepted.', id, queue.name, {
       tookMs,
       priority: queue.priority,
       ...(customer === undefined ? {} : { customer: customer.name }),
@@ -145,17 +145,17 @@
   }
 
   /** The answer for an id that a job has: its own caller is told that it was accepted, nobody else. */
-  private toKnownAnswer(
+  private createKnownResult(
     known: JobDefinition,
     queue: JobQueue,
     customer: CustomerPolicy | undefined,
   ): JobOutcome<SubmitAnswer> {
     const isSame = known.queue.name === queue.name && known.customer?.name === customer?.name;
     if (isSame) {
-      this.recordDecision('Job was accepted before.', known.id, queue.name, {});
+      this.logDecision('Job was accepted before.', known.id, queue.name, {});
       return ACCEPTED;
     }
-    this.recordDecision('Job not taken: its id belongs to another.', known.id, queue.name, {
+    this.logDecision('Job not taken: its id belongs to another.', known.id, queue.name, {
       customer: customer?.name,
     });
     return TAKEN;
@@ -167,44 +167,44 @@
     metrics.recordCount('reads');
     const known = replica.getState(id);
     if (known === undefined) {
-      const isFresh = await this.startRefresh(this.options.jobsFollower, deadline);
+      const isFresh = await this.waitForRefresh(this.options.jobsFollower, deadline);
       if (!isFresh && replica.getState(id) === undefined) {
-        return this.readFromLeader(id, caller, deadline);
+        return this.requestFromLeader(id, caller, deadline);
       }
     }
-    if (!this.isOpenTo(id, caller)) {
+    if (!this.isAccessible(id, caller)) {
       return ABSENT;
     }
-    const isOver = isEnded(replica.getState(id));
-    const newest = isOver ? undefined : await this.readNewestState(id, caller, deadline);
-    metrics.recordTime('readMs', clock.readNow() - startedAt);
-    const held = replica.getState(id);
-    const answer = isEnded(held) ? held : (newest ?? held);
-    return { kind: 'answered', answer: answer ?? 'absent' };
+    const hasEnded = isEnded(replica.getState(id));
+    const newest = hasEnded ? undefined : await this.requestNewestState(id, caller, deadline);
+    metrics.recordDuration('readMs', clock.readNow() - startedAt);
+    const local = replica.getState(id);
+    const state = isEnded(local) ? local : (newest ?? local);
+    return { kind: 'answered', answer: state ?? 'absent' };
   }
 
   /**
    * The state of an open job from the leader, whose memory is the newest and costs the log no call; without an answer the log's
    * states are read into the replica instead.
    */
-  private async readNewestState(
+  private async requestNewestState(
     id: JobId,
     caller: JobCaller,
     deadline: number,
   ): Promise<JobState | undefined> {
-    const { clock, isLeading, startAskingLeader, statesFollower } = this.options;
+    const { clock, isLeading, requestLeaderState, statesFollower } = this.options;
     if (isLeading()) {
       return undefined;
     }
-    if (clock.readNow() >= this.askLeaderFrom) {
-      const timeoutMs = Math.min(LEADER_ANSWER_MS, this.readRefreshLimit(deadline));
-      const answer = await startAskingLeader(id, caller, timeoutMs);
-      if (answer !== undefined && answer !== 'absent') {
-        return answer;
+    if (clock.readNow() >= this.leaderRetryAt) {
+      const timeoutMs = Math.min(LEADER_TIMEOUT_MS, this.computeRefreshTimeoutMs(deadline));
+      const state = await requestLeaderState(id, caller, timeoutMs);
+      if (state !== undefined && state !== 'absent') {
+        return state;
       }
-      this.askLeaderFrom = clock.readNow() + LEADER_AVOID_MS;
+      this.leaderRetryAt = clock.readNow() + LEADER_BACKOFF_MS;
     }
-    await this.startRefresh(statesFollower, deadline);
+    await this.waitForRefresh(statesFollower, deadline);
     return undefined;
   }
 
@@ -216,21 +216,21 @@
     const { replica, writer, clock, metrics } = this.options;
     const startedAt = clock.readNow();
     if (replica.getDefinition(id) === undefined) {
-      const isFresh = await this.startRefresh(this.options.jobsFollower, deadline);
+      const isFresh = await this.waitForRefresh(this.options.jobsFollower, deadline);
       if (replica.getDefinition(id) === undefined) {
-        const found = isFresh ? ABSENT : await this.readFromLeader(id, caller, deadline);
+        const found = isFresh ? ABSENT : await this.requestFromLeader(id, caller, deadline);
         if (found.kind !== 'answered' || found.answer === 'absent') {
           return found.kind === 'answered' ? ABSENT : found;
         }
       }
     }
-    if (!this.isOpenTo(id, caller)) {
+    if (!this.isAccessible(id, caller)) {
       return ABSENT;
     }
     const write = { key: jobKeys.toCancelKey(id), value: '1' };
-    const outcome = await writer.writeRecord(write, this.readWriteLimit(startedAt, deadline));
+    const outcome = await writer.writeRecord(write, this.computeWriteDeadline(startedAt, deadline));
     const tookMs = Math.round(clock.readNow() - startedAt);
-    this.recordDecision('Cancel.', id, '', { outcome, tookMs });
+    this.logDecision('Cancel.', id, '', { outcome, tookMs });
     if (outcome === 'written') {
       metrics.recordCount('cancels');
       this.options.handleCancelled(id);
@@ -249,54 +249,54 @@
   }
 
   /** What the leader knows of a job that this box cannot read about in the log. */
-  private async readFromLeader(
+  private async requestFromLeader(
     id: JobId,
     caller: JobCaller,
     deadline: number,
   ): Promise<JobOutcome<JobState | 'absent'>> {
-    const answer = await this.options.startAskingLeader(id, caller, this.readRefreshLimit(deadline));
-    return answer === undefined
+    const state = await this.options.requestLeaderState(id, caller, this.computeRefreshTimeoutMs(deadline));
+    return state === undefined
       ? { kind: 'unavailable', retryAfterMs: RETRY_AFTER_MS }
-      : { kind: 'answered', answer };
+      : { kind: 'answered', answer: state };
   }
 
   /** False when the job is known here and belongs to another customer. */
-  private isOpenTo(id: JobId, caller: JobCaller): boolean {
+  private isAccessible(id: JobId, caller: JobCaller): boolean {
     const definition = this.options.replica.getDefinition(id);
     return definition === undefined || hasAccess(caller, definition);
   }
 
   /** True when trying an append would only keep the caller waiting. */
-  private isLogOut(): boolean {
-    const { writer, isReading } = this.options;
-    return writer.getOutageMs() > (isReading() ? LONG_OUTAGE_MS : OUTAGE_MS);
+  private isLogUnavailable(): boolean {
+    const { writer, isLogReadable } = this.options;
+    return writer.getOutageMs() > (isLogReadable() ? MAX_WRITE_OUTAGE_MS : MAX_OUTAGE_MS);
   }
 
-  private readWriteLimit(startedAt: number, deadline: number): number {
-    return startedAt + Math.min(WRITE_LIMIT_MS, (deadline - startedAt) * WRITE_SHARE);
+  private computeWriteDeadline(startedAt: number, deadline: number): number {
+    return startedAt + Math.min(MAX_WRITE_MS, (deadline - startedAt) * MAX_WRITE_SHARE);
   }
 
-  private createUnavailable(id: JobId, queue: string): JobOutcome<never> {
+  private createUnavailableResult(id: JobId, queue: string): JobOutcome<never> {
     const failingMs = Math.round(this.options.writer.getOutageMs());
     this.options.metrics.recordCount('notTaken');
-    this.recordDecision('Job not taken: the log is out.', id, queue, { failingMs });
+    this.logDecision('Job not taken: the log is out.', id, queue, { failingMs });
     return { kind: 'unavailable', retryAfterMs: RETRY_AFTER_MS };
   }
 
-  private startRefresh(follower: LogFollower, deadline: number): Promise<boolean> {
-    return follower.waitForRefresh(this.readRefreshLimit(deadline));
+  private waitForRefresh(follower: LogFollower, deadline: number): Promise<boolean> {
+    return follower.waitForRefresh(this.computeRefreshTimeoutMs(deadline));
   }
 
-  private readRefreshDeadline(deadline: number): number {
-    return this.options.clock.readNow() + this.readRefreshLimit(deadline);
+  private computeRefreshDeadline(deadline: number): number {
+    return this.options.clock.readNow() + this.computeRefreshTimeoutMs(deadline);
   }
 
-  private readRefreshLimit(deadline: number): number {
+  private computeRefreshTimeoutMs(deadline: number): number {
     const leftMs = deadline - this.options.clock.readNow();
-    return Math.max(1, Math.min(REFRESH_LIMIT_MS, leftMs));
+    return Math.max(1, Math.min(MAX_REFRESH_MS, leftMs));
   }
 
-  private recordDecision(sentence: string, job: JobId, queue: string, fields: Record<string, unknown>): void {
-    this.options.logger.info(sentence, { job, ...(queue === '' ? {} : { queue }), ...fields });
+  private logDecision(message: string, job: JobId, queue: string, fields: Record<string, unknown>): void {
+    this.options.logger.info(message, { job, ...(queue === '' ? {} : { queue }), ...fields });
   }
 }
--- a/packages/serve/ConfigurationDesk.ts
+++ b/packages/serve/ConfigurationDesk.ts
@@ -1,5 +1,5 @@
 import type { BoxClient } from '../boxes/BoxClient';
-import type { ConfigurationAnswer } from '../boxes/ConfigurationAnswer';
+import type { ConfigurationResponse } from '../boxes/ConfigurationResponse';
 import type { MachineClock } from '../common/MachineClock';
 import type { Logger } from '../common/Logger';
 import type { Random } from '../common/Random';
@@ -30,17 +30,17 @@
  * Between questions to other boxes, one box at a time. A log that turns a third of the boxes away leaves two of three with the newest
  * version, so four questions miss them all in 1 of 81 cases: within 1 s, of the 3 s that a new version may take.
  */
-const ASK_EVERY_MS = 250;
-const ASK_TIMEOUT_MS = 200;
+const REQUEST_INTERVAL_MS = 250;
+const REQUEST_TIMEOUT_MS = 200;
 /** Problems of a malformed configuration that one line tells. */
-const MAX_TOLD_PROBLEMS = 20;
+const MAX_LOGGED_PROBLEMS = 20;
 
 /** Takes versions of the configuration into force, from the log and, while that does not answer, from other boxes. */
 export class ConfigurationDesk {
   /** Monotonic time at which another box last knew that the version in force here is the newest. */
   private confirmedAt = -Infinity;
-  private askedAt = -Infinity;
-  private isAsking = false;
+  private requestedAt = -Infinity;
+  private isRequesting = false;
 
   constructor(private readonly options: ConfigurationDeskOptions) {}
 
@@ -55,7 +55,7 @@
       if (parsed.ok) {
         this.applyConfiguration(parsed.value, 'log');
       } else {
-        const problems = parsed.error.slice(0, MAX_TOLD_PROBLEMS);
+        const problems = parsed.error.slice(0, MAX_LOGGED_PROBLEMS);
         logger.error('Configuration is malformed and left out.', { bytes: value.length, problems });
       }
     }
@@ -64,51 +64,51 @@
   /** Unless the settings ask for strictness, a box goes on with the last version that it has heard of. */
   isFresh(): boolean {
     const { maxAgeMs } = this.options;
-    return maxAgeMs === undefined || this.readAgeMs() < maxAgeMs;
+    return maxAgeMs === undefined || this.getAgeMs() < maxAgeMs;
   }
 
   /** Milliseconds since the version in force here was known to be the newest, at most. */
-  readAgeMs(): number {
+  getAgeMs(): number {
     const { clock, readFollowedAt } = this.options;
     return clock.readLongestSince(Math.max(readFollowedAt(), this.confirmedAt));
   }
 
   /** What this box tells another that has a version. */
-  readAnswer(knownVersion: number): ConfigurationAnswer {
+  createResponse(knownVersion: number): ConfigurationResponse {
     const configuration = this.options.router.readConfiguration();
     const isNewer = configuration !== undefined && configuration.version > knownVersion;
-    return { ageMs: this.readAgeMs(), ...(isNewer ? { configuration } : {}) };
+    return { ageMs: this.getAgeMs(), ...(isNewer ? { configuration } : {}) };
   }
 
   /** Asks another box when the log does not answer. */
-  applyTime(): void {
+  handleTick(): void {
     const { clock, isFollowing, source } = this.options;
-    const isDue = clock.readNow() - this.askedAt >= ASK_EVERY_MS;
-    if (configurationSources[source].asksBoxes && isDue && !this.isAsking && !isFollowing()) {
-      this.askedAt = clock.readNow();
-      void this.startAsking();
+    const isDue = clock.readNow() - this.requestedAt >= REQUEST_INTERVAL_MS;
+    if (configurationSources[source].isUsingBoxes && isDue && !this.isRequesting && !isFollowing()) {
+      this.requestedAt = clock.readNow();
+      void this.requestFromBox();
     }
   }
 
-  private async startAsking(): Promise<void> {
+  private async requestFromBox(): Promise<void> {
     const { clock, random, readOthers, router } = this.options;
     const others = readOthers();
     const other = others[Math.floor(random() * others.length)];
     if (other === undefined) {
       return;
     }
-    this.isAsking = true;
+    this.isRequesting = true;
     const sentAt = clock.readNow();
     const version = router.readConfiguration()?.version ?? -1;
-    const answer = await other.client.sendConfigurationQuestion(version, ASK_TIMEOUT_MS);
-    this.isAsking = false;
-    if (answer === undefined) {
+    const response = await other.client.requestConfiguration(version, REQUEST_TIMEOUT_MS);
+    this.isRequesting = false;
+    if (response === undefined) {
       return;
     }
-    if (answer.configuration !== undefined) {
-      this.applyConfiguration(answer.configuration, other.box, answer.ageMs);
+    if (response.configuration !== undefined) {
+      this.applyConfiguration(response.configuration, other.box, response.ageMs);
     }
-    this.confirmedAt = Math.max(this.confirmedAt, sentAt - answer.ageMs);
+    this.confirmedAt = Math.max(this.confirmedAt, sentAt - response.ageMs);
   }
 
   private applyConfiguration(configuration: QueueConfiguration, source: string, ageMs = 0): void {
--- a/packages/serve/LeaderWriter.ts
+++ b/packages/serve/ForwardingWriter.ts
@@ -6,41 +6,41 @@
 import type { WriteOutcome } from '../store/WriteOutcome';
 import type { LeaderContact } from './LeaderContact';
 
-interface LeaderWriterOptions {
+interface ForwardingWriterOptions {
   /** This box's own way to the log. */
   readonly own: RecordWriter;
   readonly clock: Clock;
   readonly logger: Logger;
-  readonly readLeader: () => LeaderContact;
+  readonly getLeader: () => LeaderContact;
   /** True while the leader has shown a sign within a time, and after a moment. Both are monotonic milliseconds. */
-  readonly hasSignSince: (after: number, withinMs: number) => boolean;
+  readonly hasActivitySince: (after: number, withinMs: number) => boolean;
   /** False while the log does not answer this box, so that it can see no signs of the leader. */
-  readonly isReadingSigns: () => boolean;
+  readonly isReadingActivity: () => boolean;
 }
 
 /**
  * A leader that has not answered for so long is passed by. It gathers what comes during one append into the next, so that it answers
  * within two appends; the slowest log seen took 240 ms for one.
  */
-const FIRST_ANSWER_MS = 600;
+const MIN_TIMEOUT_MS = 600;
 /** The limit follows the answers that came: a log that is slower still must not make every box write by itself. */
-const ANSWER_FACTOR = 3;
+const TIMEOUT_FACTOR = 3;
 /**
  * A leader is asked only while its newest sign is younger than this. It shows one every 400 ms, and boxes read them every 850 ms at the
  * latest.
  */
-const SIGN_AGE_MS = 1250;
+const MAX_ACTIVITY_AGE_MS = 1250;
 /** A leader without an answer is not asked for so long at least: a box that the log turns away sees no signs. */
-const AVOID_MS = 1000;
+const BACKOFF_MS = 1000;
 /** Beside a log that has not taken this box's own writes for so long, a write would only keep its caller waiting. */
-const OWN_OUTAGE_MS = 400;
+const MAX_OWN_OUTAGE_MS = 400;
 
 /** Whether the leader's box is asked to append a record, or why it is not. */
-type LeaderWay =
+type ForwardingTarget =
   | { readonly leader: BoxClient }
   | {
       readonly leader: undefined;
-      readonly why: Exclude<LeaderContact['kind'], 'known'> | 'silent' | 'avoided';
+      readonly reason: Exclude<LeaderContact['kind'], 'known'> | 'silent' | 'avoided';
     };
 
 /**
@@ -50,81 +50,85 @@
  * one has more asked of it than it can do: no job was accepted for 6 s, and 1,272 calls were refused. Gathered by one box the same jobs
  * need a few appends a second. The leader also hears of each job without reading it from the log.
  */
-export class LeaderWriter implements RecordWriter {
+export class ForwardingWriter implements RecordWriter {
   /** Monotonic time at which the leader last failed to answer: it is asked again once it has shown a sign since. */
-  private unansweredAt = -Infinity;
-  private answerMs = FIRST_ANSWER_MS;
+  private failedAt = -Infinity;
+  private timeoutMs = MIN_TIMEOUT_MS;
 
-  constructor(private readonly options: LeaderWriterOptions) {}
+  constructor(private readonly options: ForwardingWriterOptions) {}
 
   async writeRecord(write: LogWrite, deadline: number): Promise<WriteOutcome> {
-    const way = this.readWay();
-    if (way.leader === undefined) {
+    const target = this.chooseTarget();
+    if (target.leader === undefined) {
       const own = await this.options.own.writeRecord(write, deadline);
-      this.recordRefusal(write, own, way.why);
+      this.logFailure(write, own, target.reason);
       return own;
     }
-    const outcome = await this.sendToLeader(way.leader, write, deadline);
+    const outcome = await this.requestLeaderWrite(target.leader, write, deadline);
     if (outcome === 'written') {
       return 'written';
     }
-    const own = await this.writeOwn(write, deadline);
-    this.recordRefusal(write, own, outcome);
+    const own = await this.writeDirectly(write, deadline);
+    this.logFailure(write, own, outcome);
     // What the leader may have written cannot be called refused.
     return own === 'refused' && outcome === 'unknown' ? 'unknown' : own;
   }
 
   /** While a leader can be asked it takes writes that this box cannot make. */
   getOutageMs(): number {
-    return this.readWay().leader === undefined ? this.options.own.getOutageMs() : 0;
+    return this.chooseTarget().leader === undefined ? this.options.own.getOutageMs() : 0;
   }
 
-  private readWay(): LeaderWay {
-    const { clock, hasSignSince, isReadingSigns, readLeader } = this.options;
-    const contact = readLeader();
+  private chooseTarget(): ForwardingTarget {
+    const { clock, hasActivitySince, isReadingActivity, getLeader } = this.options;
+    const contact = getLeader();
     if (contact.kind !== 'known') {
-      return { leader: undefined, why: contact.kind };
+      return { leader: undefined, reason: contact.kind };
     }
-    if (clock.readNow() - this.unansweredAt < AVOID_MS) {
-      return { leader: undefined, why: 'avoided' };
+    if (clock.readNow() - this.failedAt < BACKOFF_MS) {
+      return { leader: undefined, reason: 'avoided' };
     }
-    const isAlive = !isReadingSigns() || hasSignSince(this.unansweredAt, SIGN_AGE_MS);
-    return isAlive ? { leader: contact.client } : { leader: undefined, why: 'silent' };
+    const isActive = !isReadingActivity() || hasActivitySince(this.failedAt, MAX_ACTIVITY_AGE_MS);
+    return isActive ? { leader: contact.client } : { leader: undefined, reason: 'silent' };
   }
 
   /** Tells by which ways a write was tried that nobody took. */
-  private recordRefusal(write: LogWrite, own: WriteOutcome, leader: string): void {
+  private logFailure(write: LogWrite, own: WriteOutcome, leader: string): void {
     if (own !== 'written') {
       this.options.logger.info('A record was not written by any way.', {
         record: write.key,
         own,
         ownFailingMs: Math.round(this.options.own.getOutageMs()),
         leader,
-        isReadingSigns: this.options.isReadingSigns(),
+        isReadingSigns: this.options.isReadingActivity(),
       });
     }
   }
 
-  private async sendToLeader(leader: BoxClient, write: LogWrite, deadline: number): Promise<WriteOutcome> {
-    const { clock, logger, isReadingSigns } = this.options;
+  private async requestLeaderWrite(
+    leader: BoxClient,
+    write: LogWrite,
+    deadline: number,
+  ): Promise<WriteOutcome> {
+    const { clock, logger, isReadingActivity } = this.options;
     // A box in a hall that is cut off reaches neither the log nor the leader. A question that can do no harm finds out, so that its
     // caller is told truthfully that nothing was taken, and after 0.2 s.
-    if (!isReadingSigns()) {
-      const askedAt = clock.readNow();
-      const log = await leader.sendLogQuestion();
-      if (log !== 'usable') {
-        this.unansweredAt = clock.readNow();
-        const tookMs = Math.round(clock.readNow() - askedAt);
-        logger.info('The leader is not asked to write.', { record: write.key, log, tookMs });
+    if (!isReadingActivity()) {
+      const requestedAt = clock.readNow();
+      const logStatus = await leader.requestLogStatus();
+      if (logStatus !== 'usable') {
+        this.failedAt = clock.readNow();
+        const tookMs = Math.round(clock.readNow() - requestedAt);
+        logger.info('The leader is not asked to write.', { record: write.key, log: logStatus, tookMs });
         return 'refused';
       }
     }
     const sentAt = clock.readNow();
-    const timeoutMs = Math.max(1, Math.min(this.answerMs, deadline - sentAt));
-    const outcome = await leader.sendWrite(write, timeoutMs);
+    const timeoutMs = Math.max(1, Math.min(this.timeoutMs, deadline - sentAt));
+    const outcome = await leader.requestWrite(write, timeoutMs);
     const tookMs = clock.readNow() - sentAt;
     if (outcome === undefined) {
-      this.unansweredAt = clock.readNow();
+      this.failedAt = clock.readNow();
       logger.info('The leader gives no answer about a write.', {
         record: write.key,
         box: leader.address,
@@ -133,13 +137,15 @@
       return 'unknown';
     }
     if (outcome === 'written') {
-      this.answerMs = Math.max(FIRST_ANSWER_MS, ANSWER_FACTOR * tookMs);
+      this.timeoutMs = Math.max(MIN_TIMEOUT_MS, TIMEOUT_FACTOR * tookMs);
     }
     return outcome;
   }
 
-  private writeOwn(write: LogWrite, deadline: number): Promise<WriteOutcome> {
+  private writeDirectly(write: LogWrite, deadline: number): Promise<WriteOutcome> {
     const { own } = this.options;
-    return own.getOutageMs() > OWN_OUTAGE_MS ? Promise.resolve('refused') : own.writeRecord(write, deadline);
+    return own.getOutageMs() > MAX_OWN_OUTAGE_MS
+      ? Promise.resolve('refused')
+      : own.writeRecord(write, deadline);
   }
 }
--- a/packages/serve/LeaderHandOver.ts
+++ b/packages/serve/LeaderHandover.ts
@@ -6,64 +6,64 @@
 import type { LeaderController } from '../dispatch/LeaderController';
 import type { ServeSettings } from './ServeSettings';
 
-interface LeaderHandOverOptions {
+interface LeaderHandoverOptions {
   readonly settings: ServeSettings;
   readonly clock: Clock;
   readonly boxes: BoxClients;
   readonly directory: BoxDirectory;
   /** The duty of this process; undefined while it does not lead. */
-  readonly readDuty: () => LeaderController | undefined;
-  readonly readEpoch: () => number;
+  readonly getController: () => LeaderController | undefined;
+  readonly getEpoch: () => number;
   /** The log has answered another box: calls of this one that still wait are made again. */
-  readonly startCallsAgain: () => void;
+  readonly retryPending: () => void;
   /** Reads the log now; false when it does not answer this box at once. */
-  readonly startLogRead: () => Promise<boolean>;
+  readonly waitForLogRead: () => Promise<boolean>;
   /** This process leads no more, and will not again, since it stops. */
-  readonly handleLeft: () => void;
+  readonly handleResigned: () => void;
   /** This process leads no more. */
-  readonly handleDeposed: (epoch: number, detail: string) => void;
+  readonly handleLeadershipLost: (epoch: number, detail: string) => void;
 }
 
 /** A leader whose writes have failed for so long looks for a box that the log serves. */
-const FAILING_MS = 300;
+const MIN_WRITE_OUTAGE_MS = 300;
 /**
  * A log that serves another box may just have come back for all: so long this one's calls, made again at once, may take to show it.
  * Without it some outages for all would end with a change of leader, which starts anew long after the log's return.
  */
-const RETURN_CHECK_MS = 300;
+const RECOVERY_CHECK_MS = 300;
 /** A leader that can read, but whose writes have failed for so long, hands over all the same. */
-const WRITES_LOST_MS = 2000;
+const MAX_WRITE_OUTAGE_MS = 2000;
 /** A leader on a weak box looks for a stronger one after so long, and again after as long. */
-const SETTLED_MS = 2000;
+const STABLE_LEADER_MS = 2000;
 /** Kept of the grace for the end of a planned stop. */
 const STOP_RESERVE_MS = 2000;
-const LEAVE_POLL_MS = 100;
+const CANDIDATE_POLL_MS = 100;
 
 /** Gives leadership up where another box would lead better, and at a planned stop. All orders stop before the word is given. */
-export class LeaderHandOver {
+export class LeaderHandover {
   private isHandingOver = false;
   private leadingSince = 0;
 
-  constructor(private readonly options: LeaderHandOverOptions) {}
+  constructor(private readonly options: LeaderHandoverOptions) {}
 
   recordElected(): void {
     this.leadingSince = this.options.clock.readNow();
   }
 
   /** Looks whether another box would lead better. */
-  applyTime(): void {
-    const { clock, settings, directory, readDuty } = this.options;
-    const duty = readDuty();
-    if (duty === undefined || this.isHandingOver) {
+  handleTick(): void {
+    const { clock, settings, directory, getController } = this.options;
+    const controller = getController();
+    if (controller === undefined || this.isHandingOver) {
       return;
     }
-    if (duty.getLogOutageMs() > FAILING_MS) {
-      this.startOnce(() => this.startLeavingToServed());
+    if (controller.getLogOutageMs() > MIN_WRITE_OUTAGE_MS) {
+      this.runOnce(() => this.runHandoverInOutage());
       return;
     }
-    const isSettled = clock.readNow() - this.leadingSince > SETTLED_MS;
-    if (isSettled && directory.readStronger(settings).length > 0) {
-      this.startOnce(() => this.startLeavingToStronger());
+    const isStable = clock.readNow() - this.leadingSince > STABLE_LEADER_MS;
+    if (isStable && directory.readStronger(settings).length > 0) {
+      this.runOnce(() => this.runHandoverToStronger());
     }
   }
 
@@ -71,28 +71,28 @@
    * Gives leadership up in a planned stop. While the log is out for every box nobody could take over, so this process goes on
    * leading as long as its grace allows: what runs stays leased.
    */
-  async startLeaving(): Promise<void> {
-    const { clock, settings, boxes, readDuty, readEpoch, handleLeft } = this.options;
+  async runPlannedHandover(): Promise<void> {
+    const { clock, settings, boxes, getController, getEpoch, handleResigned } = this.options;
     this.isHandingOver = true;
     const until = clock.readNow() + settings.graceMs - STOP_RESERVE_MS;
-    while ((readDuty()?.getLogOutageMs() ?? 0) > 0 && clock.readNow() < until) {
+    while ((getController()?.getLogOutageMs() ?? 0) > 0 && clock.readNow() < until) {
       if ((await boxes.startChoosingLogUser()) !== undefined) {
         break;
       }
-      await startDelay(LEAVE_POLL_MS);
+      await startDelay(CANDIDATE_POLL_MS);
     }
-    const duty = readDuty();
-    if (duty === undefined) {
+    const controller = getController();
+    if (controller === undefined) {
       return;
     }
-    const epoch = readEpoch();
-    handleLeft();
-    await duty.stopGracefully();
+    const epoch = getEpoch();
+    handleResigned();
+    await controller.stopGracefully();
     const next = await boxes.startChoosingLogUser();
-    await next?.sendHandOver(epoch);
+    await next?.sendHandover(epoch);
   }
 
-  private startOnce(attempt: () => Promise<void>): void {
+  private runOnce(attempt: () => Promise<void>): void {
     this.isHandingOver = true;
     void attempt().finally(() => {
       this.isHandingOver = false;
@@ -100,39 +100,39 @@
   }
 
   /** A leader on a weak box hands over to a stronger one, which can do more of the same work in time. */
-  private async startLeavingToStronger(): Promise<void> {
+  private async runHandoverToStronger(): Promise<void> {
     this.leadingSince = this.options.clock.readNow();
-    const next = await this.options.boxes.startChoosingStronger();
-    const duty = this.options.readDuty();
-    if (next !== undefined && duty?.getLogOutageMs() === 0) {
-      await this.startLeavingTo(next, duty, 'a stronger box is asked to lead');
+    const next = await this.options.boxes.findStrongerCandidate();
+    const controller = this.options.getController();
+    if (next !== undefined && controller?.getLogOutageMs() === 0) {
+      await this.runHandover(next, controller, 'a stronger box is asked to lead');
     }
   }
 
   /** A leader that the log does not serve hands over to a box that it does serve. */
-  private async startLeavingToServed(): Promise<void> {
-    const { boxes, startCallsAgain, startLogRead, readDuty } = this.options;
+  private async runHandoverInOutage(): Promise<void> {
+    const { boxes, retryPending, waitForLogRead, getController } = this.options;
     const next = await boxes.startChoosingLogUser();
     if (next === undefined) {
       return;
     }
-    startCallsAgain();
-    await startDelay(RETURN_CHECK_MS);
-    const canRead = await startLogRead();
-    const duty = readDuty();
-    if (duty === undefined || duty.getLogOutageMs() === 0) {
+    retryPending();
+    await startDelay(RECOVERY_CHECK_MS);
+    const canRead = await waitForLogRead();
+    const controller = getController();
+    if (controller === undefined || controller.getLogOutageMs() === 0) {
       return;
     }
-    if (canRead && duty.getLogOutageMs() < WRITES_LOST_MS) {
+    if (canRead && controller.getLogOutageMs() < MAX_WRITE_OUTAGE_MS) {
       return;
     }
-    await this.startLeavingTo(next, duty, 'the log does not serve this box');
+    await this.runHandover(next, controller, 'the log does not serve this box');
   }
 
-  private async startLeavingTo(next: BoxClient, duty: LeaderController, reason: string): Promise<void> {
-    const epoch = this.options.readEpoch();
-    duty.stop();
-    this.options.handleDeposed(epoch, `${reason}; ${next.address} is asked to lead`);
-    await next.sendHandOver(epoch);
+  private async runHandover(next: BoxClient, controller: LeaderController, reason: string): Promise<void> {
+    const epoch = this.options.getEpoch();
+    controller.stop();
+    this.options.handleLeadershipLost(epoch, `${reason}; ${next.address} is asked to lead`);
+    await next.sendHandover(epoch);
   }
 }
--- a/packages/serve/LoadDoor.ts
+++ b/packages/serve/LoadDoor.ts
@@ -23,18 +23,18 @@
   readonly isKnown: (id: JobId) => boolean;
 }
 
-type Newcomer = Pick<JobDefinition, 'id' | 'queue' | 'customer' | 'steps' | 'firstRunMs'>;
+type SubmittedJob = Pick<JobDefinition, 'id' | 'queue' | 'customer' | 'steps' | 'firstRunMs'>;
 
 /** `load` goes beside the line of the job that is taken. */
-type DoorCheck =
+type AdmissionCheck =
   | { readonly kind: 'taken'; readonly load: Readonly<Record<string, unknown>> }
   | { readonly kind: 'known' }
   | { readonly kind: 'refused'; readonly retryAfterMs: number };
 
 /** Ids whose first send may have been taken are kept until so many more have come; callers try again within seconds. */
-const MAX_DOUBTS = 2000;
+const MAX_UNCERTAIN_JOBS = 2000;
 
-const OUTCOME_COUNTS = {
+const DECISION_COUNTERS = {
   unknown: 'doorUnknown',
   room: 'doorRoom',
   bearable: 'doorBearable',
@@ -43,67 +43,71 @@
 
 /** Takes jobs in, or refuses them by what this box knows of the load. What may have been taken before is never refused. */
 export class LoadDoor {
-  private readonly doubts = new Set<JobId>();
+  private readonly uncertainJobs = new Set<JobId>();
 
   constructor(private readonly options: LoadDoorOptions) {}
 
   /** The log gave no answer about a job: it may run, so that nobody may be told that it does not. */
   recordDoubt(id: JobId): void {
-    this.doubts.add(id);
-    if (this.doubts.size > MAX_DOUBTS) {
-      const [oldest] = this.doubts;
-      this.doubts.delete(oldest!);
+    this.uncertainJobs.add(id);
+    if (this.uncertainJobs.size > MAX_UNCERTAIN_JOBS) {
+      const [oldest] = this.uncertainJobs;
+      this.uncertainJobs.delete(oldest!);
     }
   }
 
-  async startCheck(newcomer: Newcomer, deadline: number): Promise<DoorCheck> {
+  async startCheck(job: SubmittedJob, deadline: number): Promise<AdmissionCheck> {
     const { door, metrics } = this.options;
     if (!admissionModes[door].isLoadPublished) {
       return { kind: 'taken', load: {} };
     }
-    const load = this.readLoad();
-    const answer = this.chooseAnswer(load, newcomer, deadline);
-    metrics.recordCount(OUTCOME_COUNTS[answer.kind]);
-    if (answer.kind !== 'hopeless' || !admissionModes[door].canRefuse) {
-      return { kind: 'taken', load: this.formatLoad(load, answer) };
+    const load = this.getLoad();
+    const decision = this.chooseDecision(load, job, deadline);
+    metrics.recordCount(DECISION_COUNTERS[decision.kind]);
+    if (decision.kind !== 'hopeless' || !admissionModes[door].canRefuse) {
+      return { kind: 'taken', load: this.formatLoad(load, decision) };
     }
-    if (this.doubts.has(newcomer.id) || !(await this.options.startJobsRefresh(deadline))) {
+    if (this.uncertainJobs.has(job.id) || !(await this.options.startJobsRefresh(deadline))) {
       metrics.recordCount('doorDoubtful');
-      return { kind: 'taken', load: this.formatLoad(load, answer) };
+      return { kind: 'taken', load: this.formatLoad(load, decision) };
     }
-    if (this.options.isKnown(newcomer.id)) {
+    if (this.options.isKnown(job.id)) {
       return { kind: 'known' };
     }
     this.options.logger.info('Job not taken: it could not be of use in time.', {
-      job: newcomer.id,
-      queue: newcomer.queue.name,
-      ...(newcomer.customer === undefined ? {} : { customer: newcomer.customer.name }),
-      ...this.formatLoad(load, answer),
-      retryAfterMs: answer.retryAfterMs,
+      job: job.id,
+      queue: job.queue.name,
+      ...(job.customer === undefined ? {} : { customer: job.customer.name }),
+      ...this.formatLoad(load, decision),
+      retryAfterMs: decision.retryAfterMs,
     });
-    return { kind: 'refused', retryAfterMs: answer.retryAfterMs };
+    return { kind: 'refused', retryAfterMs: decision.retryAfterMs };
   }
 
-  private readLoad(): KnownLoad | undefined {
+  private getLoad(): KnownLoad | undefined {
     const { clock, readEpoch, view } = this.options;
     return view.getLoad({ now: clock.readNow(), wallMs: clock.readWall(), epoch: readEpoch() });
   }
 
-  private chooseAnswer(load: KnownLoad | undefined, newcomer: Newcomer, deadline: number): AdmissionDecision {
+  private chooseDecision(
+    load: KnownLoad | undefined,
+    job: SubmittedJob,
+    deadline: number,
+  ): AdmissionDecision {
     const { clock } = this.options;
     return chooseAdmission(load, {
-      id: newcomer.id,
-      queue: newcomer.queue,
-      customer: newcomer.customer?.name,
-      steps: newcomer.steps,
-      dueInMs: Math.max(0, newcomer.firstRunMs - clock.readWall()),
+      id: job.id,
+      queue: job.queue,
+      customer: job.customer?.name,
+      steps: job.steps,
+      dueInMs: Math.max(0, job.firstRunMs - clock.readWall()),
       leftMs: deadline - clock.readNow(),
     });
   }
 
   private formatLoad(
     load: KnownLoad | undefined,
-    answer: AdmissionDecision,
+    decision: AdmissionDecision,
   ): Readonly<Record<string, unknown>> {
     return load === undefined
       ? {}
@@ -111,7 +115,7 @@
           loadEpoch: load.digest.epoch,
           loadSequence: load.digest.sequence,
           loadAgeMs: Math.round(load.ageMs),
-          ...('expectedWaitMs' in answer ? { expectedWaitMs: answer.expectedWaitMs } : {}),
+          ...('expectedWaitMs' in decision ? { expectedWaitMs: decision.expectedWaitMs } : {}),
         };
   }
 }
--- a/packages/serve/OtherBoxes.ts
+++ b/packages/serve/OtherBoxes.ts
@@ -11,7 +11,7 @@
 import type { LogWrite } from '../store/LogWrite';
 import type { RecordWriter } from '../store/RecordWriter';
 import type { LeaderContact } from './LeaderContact';
-import { LeaderIntroducer } from './LeaderIntroducer';
+import { LeaderAnnouncer } from './LeaderAnnouncer';
 import type { ServeSettings } from './ServeSettings';
 
 interface OtherBoxesOptions {
@@ -20,29 +20,29 @@
   readonly clock: Clock;
   readonly logger: Logger;
   /** What is known of the leader. */
-  readonly readLeader: () => LeaderRecord | undefined;
+  readonly getLeader: () => LeaderRecord | undefined;
   /** True while this process leads and is not about to stop. */
   readonly isLeading: () => boolean;
   readonly isStopping: () => boolean;
 }
 
-const ANNOUNCE_LIMIT_MS = 20_000;
-const ANNOUNCE_AGAIN_MS = 1000;
+const ANNOUNCE_TIMEOUT_MS = 20_000;
+const ANNOUNCE_RETRY_MS = 1000;
 
 /** What this box knows of the other boxes, and what it tells them of itself. */
 export class OtherBoxes {
   readonly directory = new BoxDirectory();
   readonly clients: BoxClients;
-  private readonly introducer: LeaderIntroducer;
+  private readonly announcer: LeaderAnnouncer;
 
   constructor(private readonly options: OtherBoxesOptions) {
     const { settings, clock, logger } = options;
     this.clients = new BoxClients(this.directory, settings);
-    this.introducer = new LeaderIntroducer({
+    this.announcer = new LeaderAnnouncer({
       clock,
       logger,
-      readOthers: () => this.clients.readOthers(),
-      readIntroduction: () => this.readIntroduction(),
+      listOthers: () => this.clients.readOthers(),
+      createAnnouncement: () => this.createLeaderAnnouncement(),
     });
   }
 
@@ -54,53 +54,53 @@
   }
 
   /** Writes the announcement until the log has taken it. */
-  async startAnnouncing(writer: RecordWriter): Promise<void> {
+  async writeAnnouncement(writer: RecordWriter): Promise<void> {
     const { clock, isStopping } = this.options;
     const write = this.createAnnouncement();
     while (!isStopping()) {
-      const outcome = await writer.writeRecord(write, clock.readNow() + ANNOUNCE_LIMIT_MS);
+      const outcome = await writer.writeRecord(write, clock.readNow() + ANNOUNCE_TIMEOUT_MS);
       if (outcome === 'written') {
         return;
       }
-      await startDelay(ANNOUNCE_AGAIN_MS);
+      await startDelay(ANNOUNCE_RETRY_MS);
     }
   }
 
   /** While this box leads, tells the others so. Call it often. */
-  applyTime(): void {
-    this.introducer.applyTime();
+  handleTick(): void {
+    this.announcer.handleTick();
   }
 
   /** Another box says that it leads: now this one knows where it can be called. */
-  recordIntroduction({ record, address, cores, linkMbps }: LeaderIntroduction): void {
+  applyLeaderAnnouncement({ record, address, cores, linkMbps }: LeaderIntroduction): void {
     this.directory.recordBox(record.box, address, { cores, linkMbps });
   }
 
-  readLeaderContact(): LeaderContact {
-    const box = this.options.readLeader()?.box;
+  getLeaderContact(): LeaderContact {
+    const box = this.options.getLeader()?.box;
     if (box === undefined) {
       return { kind: 'unknown' };
     }
     if (box === this.options.settings.box) {
       return { kind: 'self' };
     }
-    const client = this.clients.readClientOf(box);
+    const client = this.clients.findClient(box);
     return client === undefined ? { kind: 'noAddress', box } : { kind: 'known', box, client };
   }
 
   /** Asks the leading box for a job's state; undefined when it gives none in time. */
-  async startAskingLeader(
+  async requestJobState(
     id: JobId,
     caller: JobCaller,
     timeoutMs: number,
   ): Promise<JobState | 'absent' | undefined> {
-    const contact = this.readLeaderContact();
-    return contact.kind === 'known' ? contact.client.sendStateQuestion(id, caller, timeoutMs) : undefined;
+    const contact = this.getLeaderContact();
+    return contact.kind === 'known' ? contact.client.requestJobState(id, caller, timeoutMs) : undefined;
   }
 
-  private readIntroduction(): LeaderIntroduction | undefined {
-    const { settings, process, readLeader, isLeading } = this.options;
-    const record = readLeader();
+  private createLeaderAnnouncement(): LeaderIntroduction | undefined {
+    const { settings, process, getLeader, isLeading } = this.options;
+    const record = getLeader();
     const isOwn = record?.process === process;
     const { internal, cores, linkMbps } = settings;
     return isOwn && isLeading() ? { record, address: internal, cores, linkMbps } : undefined;
--- a/packages/serve/ServeAdapter.ts
+++ b/packages/serve/ServeAdapter.ts
@@ -8,7 +8,7 @@
 import type { QueueRouter } from '../gateway/QueueRouter';
 import type { LogClient } from '../store/LogClient';
 
-interface CallerServerInput {
+interface CallerServerOptions {
   readonly router: QueueRouter;
   readonly jobs: JobService;
   readonly isReady: () => boolean;
@@ -16,7 +16,7 @@
   readonly gate: CallerGate;
 }
 
-interface CallerServerParts {
+interface CallerServerHandle {
   start(): Promise<void>;
   stop(): Promise<void>;
 }
@@ -31,7 +31,7 @@
   createAdviceClient(): AdviceClient;
   /** A client of the life that the profile names; the token of each call is read as it is sent. */
   createEndpointClient(profile: EndpointProfile, readToken: () => number): EndpointClient;
-  createCallerServer(input: CallerServerInput): CallerServerParts;
+  createCallerServer(input: CallerServerOptions): CallerServerHandle;
   /** On failure gives all problems at once. */
   parseConfiguration(text: string): Result<QueueConfiguration, readonly string[]>;
   /** On failure says what is wrong with the record. */
--- a/packages/serve/ServeMetrics.ts
+++ b/packages/serve/ServeMetrics.ts
@@ -2,7 +2,7 @@
 import { lossCauses } from '../dispatch/stops/lossCauses';
 import type { LossCounterName } from '../dispatch/stops/LossCounterName';
 
-const COUNTS = [
+const COUNTERS = [
   'accepted',
   'notTaken',
   'doorUnknown',
@@ -47,8 +47,8 @@
 const MICROS_PER_MS = 1000;
 const MICROS_PER_SECOND = 1e6;
 
-type CountName = (typeof COUNTS)[number];
-type TimeName =
+type CounterName = (typeof COUNTERS)[number];
+type DurationName =
   | 'acceptMs'
   | 'readMs'
   | 'startMs'
@@ -64,19 +64,19 @@
 
 /** Counters and latency histograms of one entry process. */
 export class ServeMetrics {
-  private readonly counts = new Map<CountName, number>(COUNTS.map((name) => [name, 0]));
-  private readonly times = new Map<TimeName, Histogram>();
+  private readonly counters = new Map<CounterName, number>(COUNTERS.map((name) => [name, 0]));
+  private readonly durations = new Map<DurationName, Histogram>();
 
-  recordCount(name: CountName, amount = 1): void {
-    this.counts.set(name, (this.counts.get(name) ?? 0) + amount);
+  recordCount(name: CounterName, amount = 1): void {
+    this.counters.set(name, (this.counters.get(name) ?? 0) + amount);
   }
 
-  recordTime(name: TimeName, valueMs: number): void {
-    const known = this.times.get(name);
+  recordDuration(name: DurationName, valueMs: number): void {
+    const known = this.durations.get(name);
     const histogram =
       known ?? build({ useWebAssembly: false, bitBucketSize: 32, numberOfSignificantValueDigits: 2 });
     if (known === undefined) {
-      this.times.set(name, histogram);
+      this.durations.set(name, histogram);
     }
     histogram.recordValue(Math.max(0, Math.round(valueMs * MICROS_PER_MS)));
   }
@@ -84,12 +84,12 @@
   /** Formats everything in the text form that collectors read. */
   formatText(gauges: Readonly<Record<string, number>>): string {
     const lines: string[] = [];
-    for (const [name, value] of this.counts) {
+    for (const [name, value] of this.counters) {
       const [metric = name, cause] = name.split('.');
       const label = cause === undefined ? '' : `{cause="${cause}"}`;
       lines.push(`stairline_${toMetricName(metric)}_total${label} ${value}`);
     }
-    for (const [name, histogram] of this.times) {
+    for (const [name, histogram] of this.durations) {
       const metric = `stairline_${toMetricName(name).replace('_ms', '_seconds')}`;
       for (const quantile of QUANTILES) {
         const seconds = histogram.getValueAtPercentile(quantile) / MICROS_PER_SECOND;
--- a/packages/serve/ServeProcess.ts
+++ b/packages/serve/ServeProcess.ts
@@ -25,12 +25,12 @@
 import { LogWriter } from '../store/LogWriter';
 import type { WriteOutcome } from '../store/WriteOutcome';
 import { ConfigurationDesk } from './ConfigurationDesk';
-import { JobDesk } from './JobDesk';
+import { BoxJobService } from './BoxJobService';
 import { jobWritings } from './jobWritings';
-import { LeaderHandOver } from './LeaderHandOver';
+import { LeaderHandover } from './LeaderHandover';
 import { LoadDoor } from './LoadDoor';
 import { OtherBoxes } from './OtherBoxes';
-import { readCustomerFigures } from './readCustomerFigures';
+import { computeCustomerMetrics } from './computeCustomerMetrics';
 import type { ServeAdapter } from './ServeAdapter';
 import { ServeMetrics } from './ServeMetrics';
 import type { ServeSettings } from './ServeSettings';
@@ -49,67 +49,67 @@
   readonly createPartLogger: (part: string) => Logger;
 }
 
-const TICK_MS = 50;
-const TAKE_OVER_READ_MS = 1000;
+const TICK_INTERVAL_MS = 50;
+const TAKEOVER_READ_TIMEOUT_MS = 1000;
 /** Time for the read that shows whether a box can use the log; below the limit of the question itself. */
-const FRESH_LOG_MS = 150;
-const GATHER_MS = 2;
+const LOG_CHECK_TIMEOUT_MS = 150;
+const WRITE_LINGER_MS = 2;
 /** Of the time that another box waits for its write; the rest is for the way back. */
-const FORWARDED_SHARE = 0.9;
+const FORWARDED_TIMEOUT_SHARE = 0.9;
 /** The balancer notices within two of its questions, one a second. */
-const LEAVE_NOTICE_MS = 2600;
+const DRAIN_NOTICE_MS = 2600;
 /** A leader whose writes have failed for so long sends callers elsewhere. */
-const LOG_OUT_MS = 600;
+const MAX_WRITE_OUTAGE_MS = 600;
 
 /** One entry process: makes the parts, joins them by their messages, starts and stops them in order. */
 export class ServeProcess {
-  private readonly log: LogClient;
+  private readonly logClient: LogClient;
   private readonly logger: Logger;
   private readonly replica = new JobReplica();
   private readonly router = new QueueRouter();
   private readonly metrics = new ServeMetrics();
-  private readonly load = new LoadView();
+  private readonly loadView = new LoadView();
   private readonly writer: LogWriter;
   private readonly followers: TopicFollowers;
   private readonly leadership: Leadership;
-  private readonly advice: AdviceClient;
-  private readonly others: OtherBoxes;
-  private readonly watch: LeaderWatch;
+  private readonly adviceClient: AdviceClient;
+  private readonly otherBoxes: OtherBoxes;
+  private readonly leaderWatch: LeaderWatch;
   private readonly configuration: ConfigurationDesk;
-  private readonly handOver: LeaderHandOver;
+  private readonly handover: LeaderHandover;
   private readonly boxServer: BoxServer;
-  private readonly callers: ReturnType<ServeAdapter['createCallerServer']>;
-  private readonly jobs: JobDesk;
-  private duty: LeaderController | undefined;
+  private readonly callerServer: ReturnType<ServeAdapter['createCallerServer']>;
+  private readonly jobService: BoxJobService;
+  private controller: LeaderController | undefined;
   private timer: NodeJS.Timeout | undefined;
   private isStopping = false;
 
   constructor(private readonly options: ServeProcessOptions) {
     const { adapter, clock, settings, random } = options;
     this.logger = options.createPartLogger('serve');
-    this.log = adapter.createLogClient();
-    this.advice = adapter.createAdviceClient();
-    this.others = new OtherBoxes({
+    this.logClient = adapter.createLogClient();
+    this.adviceClient = adapter.createAdviceClient();
+    this.otherBoxes = new OtherBoxes({
       settings,
       process: options.process,
       clock,
       logger: options.createPartLogger('leader'),
-      readLeader: () => this.leadership.getRecord(),
-      isLeading: () => this.duty !== undefined && !this.isStopping,
+      getLeader: () => this.leadership.getRecord(),
+      isLeading: () => this.controller !== undefined && !this.isStopping,
       isStopping: () => this.isStopping,
     });
     this.writer = new LogWriter({
-      client: this.log,
+      client: this.logClient,
       topic: topics.jobs,
       clock,
-      lingerMs: GATHER_MS,
+      lingerMs: WRITE_LINGER_MS,
       maxBytes: settings.maxAppendBytes,
       random,
-      probe: this.others.createAnnouncement(),
+      probe: this.otherBoxes.createAnnouncement(),
     });
     this.followers = this.createFollowers();
     this.leadership = new Leadership({
-      client: this.log,
+      client: this.logClient,
       topic: topics.states,
       follower: this.followers.states,
       box: settings.box,
@@ -117,41 +117,41 @@
       clock,
       random,
       logger: options.createPartLogger('leadership'),
-      isOutranked: () => this.others.directory.readStronger(settings).length > 0,
+      isOutranked: () => this.otherBoxes.directory.readStronger(settings).length > 0,
       handleElected: (election) => this.startLeading(election),
     });
-    this.configuration = this.createConfigurationDesk();
-    this.handOver = this.createHandOver();
-    this.watch = new LeaderWatch({
+    this.configuration = this.createConfigurationUpdater();
+    this.handover = this.createHandover();
+    this.leaderWatch = new LeaderWatch({
       handleEnded: (process) => this.leadership.handleLeaderEnded(process),
     });
-    this.jobs = this.createJobDesk();
-    this.callers = adapter.createCallerServer({
+    this.jobService = this.createJobService();
+    this.callerServer = adapter.createCallerServer({
       router: this.router,
-      jobs: this.jobs,
+      jobs: this.jobService,
       isReady: () => this.isReady(),
       isLeaving: () => this.isStopping,
-      gate: this.createGate(),
+      gate: this.createAuthorizer(),
     });
     this.boxServer = new BoxServer({
       address: settings.internal,
-      advice: this.advice,
+      advice: this.adviceClient,
       formatMetrics: () => this.formatMetrics(),
       isLogUsable: () => this.isLogUsable(),
-      readLeaderState: (id, caller, timeoutMs) => this.readLeaderState(id, caller, timeoutMs),
-      writeForOther: (write, timeoutMs) => this.writeForOther(write, timeoutMs),
-      readConfiguration: (knownVersion) => this.configuration.readAnswer(knownVersion),
-      handleIntroduction: (introduction) => this.handleIntroduction(introduction),
-      handleHandOver: (epoch) => this.leadership.handleHandOver(epoch),
+      getJobState: (id, caller, timeoutMs) => this.getJobState(id, caller, timeoutMs),
+      writeForBox: (write, timeoutMs) => this.writeForBox(write, timeoutMs),
+      getConfiguration: (knownVersion) => this.configuration.createResponse(knownVersion),
+      handleLeaderAnnouncement: (announcement) => this.handleLeaderAnnouncement(announcement),
+      handleHandover: (epoch) => this.leadership.handleHandOver(epoch),
     });
   }
 
   async start(): Promise<void> {
     await this.boxServer.start();
-    await this.callers.start();
-    this.followers.startNext();
-    void this.others.startAnnouncing(this.writer);
-    this.timer = setInterval(() => this.applyTime(), TICK_MS);
+    await this.callerServer.start();
+    this.followers.startNextFollower();
+    void this.otherBoxes.writeAnnouncement(this.writer);
+    this.timer = setInterval(() => this.handleTick(), TICK_INTERVAL_MS);
     const { box, hall, front, log } = this.options.settings;
     this.logger.info('Started.', { process: this.options.process, box, hall, front, log });
   }
@@ -162,17 +162,17 @@
       return;
     }
     this.isStopping = true;
-    this.logger.info('Stopping.', { isLeading: this.duty !== undefined });
+    this.logger.info('Stopping.', { isLeading: this.controller !== undefined });
     this.leadership.stop();
-    const leaveAt = this.options.clock.readNow() + LEAVE_NOTICE_MS;
-    await this.handOver.startLeaving();
-    await startDelay(Math.max(0, leaveAt - this.options.clock.readNow()));
+    const stopAt = this.options.clock.readNow() + DRAIN_NOTICE_MS;
+    await this.handover.runPlannedHandover();
+    await startDelay(Math.max(0, stopAt - this.options.clock.readNow()));
     clearInterval(this.timer);
-    this.watch.setLeader(undefined);
-    await this.callers.stop();
+    this.leaderWatch.setLeader(undefined);
+    await this.callerServer.stop();
     await this.boxServer.stop();
     this.followers.stop();
-    await this.log.stop();
+    await this.logClient.stop();
     this.logger.info('Stopped.');
   }
 
@@ -183,37 +183,37 @@
 
   /** True while callers should be sent here. */
   isReady(): boolean {
-    return !this.isStopping && this.hasLog() && this.router.readConfiguration() !== undefined;
+    return !this.isStopping && this.isLogAvailable() && this.router.readConfiguration() !== undefined;
   }
 
   /** True while the log answers this box. Topics are read at different paces: whichever notices first counts. */
-  private hasLog(): boolean {
-    return this.isReading() && (this.duty?.getLogOutageMs() ?? 0) < LOG_OUT_MS;
+  private isLogAvailable(): boolean {
+    return this.isLogReadable() && (this.controller?.getLogOutageMs() ?? 0) < MAX_WRITE_OUTAGE_MS;
   }
 
-  private isReading(): boolean {
-    return this.followers.isReading(this.duty !== undefined);
+  private isLogReadable(): boolean {
+    return this.followers.isReadable(this.controller !== undefined);
   }
 
   /** The state of a job for another box, while this one leads. */
-  private async readLeaderState(
+  private async getJobState(
     id: JobId,
     caller: JobCaller,
     timeoutMs: number,
   ): Promise<JobState | 'absent' | undefined> {
-    if (this.duty?.isActive() !== true) {
+    if (this.controller?.isActive() !== true) {
       return undefined;
     }
-    const outcome = await this.jobs.readJob(id, caller, this.options.clock.readNow() + timeoutMs);
+    const outcome = await this.jobService.readJob(id, caller, this.options.clock.readNow() + timeoutMs);
     return outcome.kind === 'answered' ? outcome.answer : undefined;
   }
 
   /** Appends a record for another box along with this one's own, and takes it in. */
-  private async writeForOther(write: LogWrite, timeoutMs: number): Promise<WriteOutcome> {
-    if (this.isStopping || this.writer.getOutageMs() > LOG_OUT_MS) {
+  private async writeForBox(write: LogWrite, timeoutMs: number): Promise<WriteOutcome> {
+    if (this.isStopping || this.writer.getOutageMs() > MAX_WRITE_OUTAGE_MS) {
       return 'refused';
     }
-    const deadline = this.options.clock.readNow() + timeoutMs * FORWARDED_SHARE;
+    const deadline = this.options.clock.readNow() + timeoutMs * FORWARDED_TIMEOUT_SHARE;
     const outcome = await this.writer.writeRecord(write, deadline);
     if (outcome === 'written') {
       this.handleJobWrites([write]);
@@ -221,36 +221,36 @@
     return outcome;
   }
 
-  private createJobDesk(): JobDesk {
-    return new JobDesk({
+  private createJobService(): BoxJobService {
+    return new BoxJobService({
       replica: this.replica,
       writer: jobWritings[this.options.settings.jobWriting]({
         own: this.writer,
         clock: this.options.clock,
         logger: this.options.createPartLogger('jobs'),
-        readLeader: () => this.others.readLeaderContact(),
-        isReadingSigns: () => this.followers.states.isFollowing(),
-        hasSignSince: (after, withinMs) => this.leadership.hasActivitySince(after, withinMs),
+        getLeader: () => this.otherBoxes.getLeaderContact(),
+        isReadingActivity: () => this.followers.states.isFollowing(),
+        hasActivitySince: (after, withinMs) => this.leadership.hasActivitySince(after, withinMs),
       }),
       jobsFollower: this.followers.jobs,
       statesFollower: this.followers.states,
       clock: this.options.clock,
       logger: this.options.createPartLogger('jobs'),
       metrics: this.metrics,
-      door: this.createDoor(),
-      isReading: () => this.isReading(),
-      isLeading: () => this.duty?.isActive() ?? false,
-      startAskingLeader: (id, caller, timeoutMs) => this.others.startAskingLeader(id, caller, timeoutMs),
+      admission: this.createAdmission(),
+      isLogReadable: () => this.isLogReadable(),
+      isLeading: () => this.controller?.isActive() ?? false,
+      requestLeaderState: (id, caller, timeoutMs) => this.otherBoxes.requestJobState(id, caller, timeoutMs),
       handleAccepted: (definition) => this.applyAccepted(definition),
       handleCancelled: (id) => this.applyCancelled(id),
     });
   }
 
-  private createDoor(): LoadDoor {
+  private createAdmission(): LoadDoor {
     const { clock, settings } = this.options;
     return new LoadDoor({
       door: settings.door,
-      view: this.load,
+      view: this.loadView,
       clock,
       logger: this.options.createPartLogger('jobs'),
       metrics: this.metrics,
@@ -261,39 +261,39 @@
   }
 
   /** Another box says that it leads: one that the log turns away hears of it by this alone. */
-  private handleIntroduction(introduction: LeaderIntroduction): void {
-    const { record } = introduction;
-    this.others.recordIntroduction(introduction);
+  private handleLeaderAnnouncement(announcement: LeaderIntroduction): void {
+    const { record } = announcement;
+    this.otherBoxes.applyLeaderAnnouncement(announcement);
     const ledEpoch = this.leadership.getRecord()?.epoch ?? 0;
-    if (!this.leadership.handleIntroduction(record) || this.duty === undefined) {
+    if (!this.leadership.handleIntroduction(record) || this.controller === undefined) {
       return;
     }
-    this.duty.stop();
-    this.handleDeposed(ledEpoch, `${record.process} leads epoch ${record.epoch}`);
+    this.controller.stop();
+    this.handleLeadershipLost(ledEpoch, `${record.process} leads epoch ${record.epoch}`);
   }
 
-  private createHandOver(): LeaderHandOver {
+  private createHandover(): LeaderHandover {
     const { clock, settings } = this.options;
-    return new LeaderHandOver({
+    return new LeaderHandover({
       settings,
       clock,
-      boxes: this.others.clients,
-      directory: this.others.directory,
-      readDuty: () => this.duty,
-      readEpoch: () => this.leadership.getRecord()?.epoch ?? 0,
-      startCallsAgain: () => this.handleLogBack(clock.readNow()),
-      startLogRead: () => this.followers.jobs.waitForRefresh(FRESH_LOG_MS),
-      handleLeft: () => {
-        this.duty = undefined;
+      boxes: this.otherBoxes.clients,
+      directory: this.otherBoxes.directory,
+      getController: () => this.controller,
+      getEpoch: () => this.leadership.getRecord()?.epoch ?? 0,
+      retryPending: () => this.handleLogRecovered(clock.readNow()),
+      waitForLogRead: () => this.followers.jobs.waitForRefresh(LOG_CHECK_TIMEOUT_MS),
+      handleResigned: () => {
+        this.controller = undefined;
       },
-      handleDeposed: (epoch, detail) => this.handleDeposed(epoch, detail),
+      handleLeadershipLost: (epoch, detail) => this.handleLeadershipLost(epoch, detail),
     });
   }
 
   private createFollowers(): TopicFollowers {
     const { adapter, clock, random } = this.options;
     return new TopicFollowers({
-      log: this.log,
+      log: this.logClient,
       operatorTopic: adapter.operatorTopic,
       clock,
       random,
@@ -306,39 +306,39 @@
       },
       handleOperator: (records) => this.configuration.handleRecords(records),
       handleStatesConnection: (isConnected) => this.leadership.handleConnection(isConnected),
-      handleLogBack: (answeredSentAt) => this.handleLogBack(answeredSentAt),
+      handleLogRecovered: (answeredSentAt) => this.handleLogRecovered(answeredSentAt),
     });
   }
 
   private foldLoad(records: readonly LogWrite[]): void {
     const epoch = this.leadership.getRecord()?.epoch ?? 0;
-    const refusedCount = this.load.foldRecords(records, this.options.clock.readNow(), epoch);
-    if (refusedCount > 0) {
-      this.metrics.recordCount('digestsRefused', refusedCount);
-      this.logger.warn('Load that no leader has told is passed over.', { records: refusedCount, epoch });
+    const invalidCount = this.loadView.foldRecords(records, this.options.clock.readNow(), epoch);
+    if (invalidCount > 0) {
+      this.metrics.recordCount('digestsRefused', invalidCount);
+      this.logger.warn('Load that no leader has told is passed over.', { records: invalidCount, epoch });
     }
   }
 
   /** One answer of the log shows that it is back: whatever still waits for an older call is tried again at once. */
-  private handleLogBack(answeredSentAt: number): void {
-    this.followers.startAgain(answeredSentAt);
+  private handleLogRecovered(answeredSentAt: number): void {
+    this.followers.retryPending(answeredSentAt);
     this.writer.retryPending();
-    this.duty?.retryPending(answeredSentAt);
+    this.controller?.retryPending(answeredSentAt);
   }
 
   private handleJobRecords(records: readonly LogRecord[]): void {
-    this.others.directory.foldRecords(records, this.options.clock.readNow());
+    this.otherBoxes.directory.foldRecords(records, this.options.clock.readNow());
     this.handleJobWrites(records);
   }
 
   private handleJobWrites(records: readonly LogWrite[]): void {
-    const { accepted, cancelled, invalid: refused } = this.replica.foldJobRecords(records);
-    refused.forEach((job) => this.logger.warn('Job record cannot be read and is passed over.', { job }));
-    accepted.forEach((definition) => this.duty?.handleJob(definition));
-    cancelled.forEach((id) => this.duty?.handleCancel(id));
+    const { accepted, cancelled, invalid } = this.replica.foldJobRecords(records);
+    invalid.forEach((job) => this.logger.warn('Job record cannot be read and is passed over.', { job }));
+    accepted.forEach((definition) => this.controller?.handleJob(definition));
+    cancelled.forEach((id) => this.controller?.handleCancel(id));
   }
 
-  private createConfigurationDesk(): ConfigurationDesk {
+  private createConfigurationUpdater(): ConfigurationDesk {
     const { adapter, clock, random, settings, createPartLogger } = this.options;
     return new ConfigurationDesk({
       adapter,
@@ -350,11 +350,11 @@
       maxAgeMs: settings.maxConfigurationAgeMs,
       isFollowing: () => this.followers.operator.isFollowing(),
       readFollowedAt: () => this.followers.operator.getLastSuccessAt(),
-      readOthers: () => this.others.clients.readOthers(),
+      readOthers: () => this.otherBoxes.clients.readOthers(),
     });
   }
 
-  private createGate(): CallerGate {
+  private createAuthorizer(): CallerGate {
     return new CallerGate({
       router: this.router,
       isFresh: () => this.configuration.isFresh(),
@@ -364,7 +364,7 @@
           queue,
           reason,
           configuration: this.router.readConfiguration()?.version,
-          configurationAgeMs: Math.round(this.configuration.readAgeMs()),
+          configurationAgeMs: Math.round(this.configuration.getAgeMs()),
         });
       },
     });
@@ -372,13 +372,13 @@
 
   private applyAccepted(definition: JobDefinition): void {
     if (this.replica.recordDefinition(definition)) {
-      this.duty?.handleJob(definition);
+      this.controller?.handleJob(definition);
     }
   }
 
   private applyCancelled(id: JobId): void {
     if (this.replica.recordCancel(id)) {
-      this.duty?.handleCancel(id);
+      this.controller?.handleCancel(id);
     }
   }
 
@@ -389,17 +389,17 @@
       return;
     }
     this.metrics.recordCount('elections');
-    this.handOver.recordElected();
+    this.handover.recordElected();
     this.followers.startLeading();
-    this.duty = new LeaderController({
+    this.controller = new LeaderController({
       ...election,
-      client: this.log,
+      client: this.logClient,
       statesTopic: topics.states,
       progressTopic: topics.progress,
       endpointsTopic: adapter.endpointsTopic,
       maxAppendBytes: settings.maxAppendBytes,
       replica: this.replica,
-      updateReplica: () => this.followers.jobs.waitForRefresh(TAKE_OVER_READ_MS),
+      updateReplica: () => this.followers.jobs.waitForRefresh(TAKEOVER_READ_TIMEOUT_MS),
       clock,
       random,
       logger: this.options.createPartLogger('leader'),
@@ -413,27 +413,27 @@
       createEndpointClient: (profile, readToken) => adapter.createEndpointClient(profile, readToken),
       isServiceRouted: (service) => this.router.hasService(service),
       longestLeaseMs: settings.longestLeaseMs,
-      listChannels: () => this.readAskers(),
+      listChannels: () => this.listAdviceChannels(),
       formatLeaderRecord: (isResigned) => this.leadership.formatRecord(epoch, isResigned),
-      handleLeadershipLost: (detail) => this.handleDeposed(epoch, detail),
-      handleLogRecovered: (answeredSentAt) => this.handleLogBack(answeredSentAt),
+      handleLeadershipLost: (detail) => this.handleLeadershipLost(epoch, detail),
+      handleLogRecovered: (answeredSentAt) => this.handleLogRecovered(answeredSentAt),
       recordCount: (name, amount) => this.metrics.recordCount(name, amount),
-      recordTime: (name, valueMs) => this.metrics.recordTime(name, valueMs),
+      recordTime: (name, valueMs) => this.metrics.recordDuration(name, valueMs),
     });
-    this.duty.start();
+    this.controller.start();
   }
 
-  private handleDeposed(epoch: number, detail: string): void {
+  private handleLeadershipLost(epoch: number, detail: string): void {
     this.logger.info('Leading no more.', { epoch, detail });
-    this.duty = undefined;
+    this.controller = undefined;
     this.leadership.handleDeposed();
     this.followers.stopLeading();
   }
 
   /** This box first, then the others that have announced themselves. */
-  private readAskers(): { box: string; isOwn: boolean; client: AdviceClient }[] {
-    const own = { box: this.options.settings.box, isOwn: true, client: this.advice };
-    const others = this.others.clients.readOthers().map((other) => ({ ...other, isOwn: false }));
+  private listAdviceChannels(): { box: string; isOwn: boolean; client: AdviceClient }[] {
+    const own = { box: this.options.settings.box, isOwn: true, client: this.adviceClient };
+    const others = this.otherBoxes.clients.readOthers().map((other) => ({ ...other, isOwn: false }));
     return [own, ...others];
   }
 
@@ -444,17 +444,17 @@
    */
   private async isLogUsable(): Promise<boolean> {
     const { clock } = this.options;
-    if (this.duty?.isHeartbeatFresh() === true && !this.isStopping && this.writer.getOutageMs() === 0) {
+    if (this.controller?.isHeartbeatFresh() === true && !this.isStopping && this.writer.getOutageMs() === 0) {
       return true;
     }
-    const askedAt = clock.readNow();
-    const isReading = await this.followers.states.waitForRefresh(FRESH_LOG_MS);
+    const requestedAt = clock.readNow();
+    const isReadable = await this.followers.states.waitForRefresh(LOG_CHECK_TIMEOUT_MS);
     const failingMs = this.writer.getOutageMs();
-    const isUsable = isReading && failingMs === 0 && !this.isStopping;
+    const isUsable = isReadable && failingMs === 0 && !this.isStopping;
     if (!isUsable) {
       this.logger.info('Another box was told that the log cannot be used from here.', {
-        isReading,
-        readMs: Math.round(clock.readNow() - askedAt),
+        isReading: isReadable,
+        readMs: Math.round(clock.readNow() - requestedAt),
         writesFailingMs: Math.round(failingMs),
         isStopping: this.isStopping,
       });
@@ -462,26 +462,26 @@
     return isUsable;
   }
 
-  private applyTime(): void {
+  private handleTick(): void {
     this.leadership.applyTime();
     const record = this.leadership.getRecord();
-    const leaderBox = this.others.directory.readBoxes().find(({ box }) => box === record?.box);
+    const leaderBox = this.otherBoxes.directory.readBoxes().find(({ box }) => box === record?.box);
     const isOther = record !== undefined && record.process !== this.options.process;
-    this.watch.setLeader(
+    this.leaderWatch.setLeader(
       isOther && leaderBox !== undefined
         ? { process: record.process, address: leaderBox.address }
         : undefined,
     );
-    this.handOver.applyTime();
-    this.others.applyTime();
-    this.configuration.applyTime();
+    this.handover.handleTick();
+    this.otherBoxes.handleTick();
+    this.configuration.handleTick();
   }
 
   private formatMetrics(): string {
-    const speeds = this.duty?.getDispatcher().getSpeeds().countByClass();
+    const speeds = this.controller?.getDispatcher().getSpeeds().countByClass();
     const text = this.metrics.formatText({
-      leading: this.duty === undefined ? 0 : 1,
-      liveJobs: this.duty?.getDispatcher().countJobs() ?? 0,
+      leading: this.controller === undefined ? 0 : 1,
+      liveJobs: this.controller?.getDispatcher().countJobs() ?? 0,
       slowEndpoints: speeds?.slow ?? 0,
       fastEndpoints: speeds?.fast ?? 0,
       configurationVersion: this.router.readConfiguration()?.version ?? 0,
@@ -490,25 +490,25 @@
       readingStatesTopic: Number(this.followers.states.isFollowing()),
       readingJobsTopic: Number(this.followers.jobs.isFollowing()),
       knownJobs: this.replica.countJobs(),
-      ...this.readLoadGauges(),
+      ...this.getLoadGauges(),
     });
-    return text + this.formatCustomers();
+    return text + this.formatCustomerMetrics();
   }
 
   /** Of the newest digest, however old; none before the first. */
-  private readLoadGauges(): Readonly<Record<string, number>> {
+  private getLoadGauges(): Readonly<Record<string, number>> {
     const { clock } = this.options;
     const epoch = this.leadership.getRecord()?.epoch;
-    const ageMs = this.load.getAgeMs({ now: clock.readNow(), wallMs: clock.readWall(), epoch });
+    const ageMs = this.loadView.getAgeMs({ now: clock.readNow(), wallMs: clock.readWall(), epoch });
     return ageMs === undefined ? {} : { loadDigestAgeMs: Math.round(ageMs) };
   }
 
   /** Nobody but the leader knows what runs. */
-  private formatCustomers(): string {
-    const dispatcher = this.duty?.getDispatcher();
+  private formatCustomerMetrics(): string {
+    const dispatcher = this.controller?.getDispatcher();
     const wallMs = this.options.clock.readWall();
     return dispatcher === undefined
       ? ''
-      : formatCustomerMetrics(readCustomerFigures(this.router.readCustomers(), dispatcher, wallMs));
+      : formatCustomerMetrics(computeCustomerMetrics(this.router.readCustomers(), dispatcher, wallMs));
   }
 }
--- a/packages/serve/TopicFollowers.ts
+++ b/packages/serve/TopicFollowers.ts
@@ -18,21 +18,21 @@
   /** The topic of states can be read again, or no longer. */
   readonly handleStatesConnection: (isConnected: boolean) => void;
   /** The log has answered, after it had not, a call that was sent at a monotonic time. */
-  readonly handleLogBack: (answeredSentAt: number) => void;
+  readonly handleLogRecovered: (answeredSentAt: number) => void;
 }
 
-interface Pace {
+interface PollInterval {
   /** Pause between two reads. */
   readonly pauseMs: number;
   /** How long a read waits for a record. */
   readonly pollMs: number;
 }
 
-const STATES_PACE: Pace = { pauseMs: 350, pollMs: 500 };
+const STATES_INTERVAL: PollInterval = { pauseMs: 350, pollMs: 500 };
 /** Other boxes read accepted jobs with less haste: whoever is asked for an unknown one reads on at once. */
-const JOBS_PACE: Pace = { pauseMs: 1000, pollMs: 1000 };
+const JOBS_INTERVAL: PollInterval = { pauseMs: 1000, pollMs: 1000 };
 /** A silent log is noticed within this time and a call's, well before a version must be in force. */
-const OPERATOR_PACE: Pace = { pauseMs: 0, pollMs: 800 };
+const OPERATOR_INTERVAL: PollInterval = { pauseMs: 0, pollMs: 800 };
 const LEADER_PAUSE_MS = 0;
 
 /** The topics that a box follows, read one after the other until each is known whole. */
@@ -41,19 +41,19 @@
   readonly states: LogFollower;
   readonly operator: LogFollower;
   /** Topics that are not read yet, in the order in which a box needs them: a narrow link carries one at a time sooner. */
-  private readonly unread: LogFollower[];
+  private readonly unstarted: LogFollower[];
 
   constructor(private readonly options: TopicFollowersOptions) {
     const { operatorTopic, handleJobs, handleStates, handleOperator } = options;
-    this.jobs = this.createFollower(topics.jobs, JOBS_PACE, handleJobs);
-    this.states = this.createFollower(topics.states, STATES_PACE, handleStates);
-    this.operator = this.createFollower(operatorTopic, OPERATOR_PACE, handleOperator);
-    this.unread = [this.operator, this.states, this.jobs];
+    this.jobs = this.createFollower(topics.jobs, JOBS_INTERVAL, handleJobs);
+    this.states = this.createFollower(topics.states, STATES_INTERVAL, handleStates);
+    this.operator = this.createFollower(operatorTopic, OPERATOR_INTERVAL, handleOperator);
+    this.unstarted = [this.operator, this.states, this.jobs];
   }
 
   /** Begins to read the next topic; called again once that one has been read whole. */
-  startNext(): void {
-    void this.unread.shift()?.start();
+  startNextFollower(): void {
+    void this.unstarted.shift()?.start();
   }
 
   stop(): void {
@@ -69,7 +69,7 @@
   }
 
   stopLeading(): void {
-    this.jobs.setPause(JOBS_PACE.pauseMs);
+    this.jobs.setPause(JOBS_INTERVAL.pauseMs);
     void this.states.start();
   }
 
@@ -77,13 +77,13 @@
    * True while reads of all topics are answered. A leader does not follow the states. Jobs may still be coming in: a box can take new ones
    * before it knows the others.
    */
-  isReading(isLeading: boolean): boolean {
+  isReadable(isLeading: boolean): boolean {
     const isFollowingStates = isLeading || this.states.isFollowing();
     return isFollowingStates && this.jobs.isReachable() && this.operator.isFollowing();
   }
 
   /** The log is known to answer calls sent at a monotonic time: whatever still waits for an older one is tried again at once. */
-  startAgain(answeredSentAt: number): void {
+  retryPending(answeredSentAt: number): void {
     this.jobs.retryPending(answeredSentAt);
     this.states.retryPending(answeredSentAt);
     this.operator.retryPending(answeredSentAt);
@@ -91,16 +91,23 @@
 
   private createFollower(
     topic: string,
-    pace: Pace,
+    interval: PollInterval,
     handleRecords: (records: readonly LogRecord[]) => void,
   ): LogFollower {
-    const { log, clock, random, logger, handleStatesConnection, handleLogBack } = this.options;
+    const {
+      log,
+      clock,
+      random,
+      logger,
+      handleStatesConnection,
+      handleLogRecovered,
+    } = this.options;
     return new LogFollower({
       client: log,
       topic,
       clock,
       random,
-      ...pace,
+      ...interval,
       handleRecords,
       handleConnection: (isConnected, detail, sentAt) => {
         logger.info(isConnected ? 'Topic can be read.' : 'Topic cannot be read.', { topic, detail });
@@ -108,8 +115,8 @@
           handleStatesConnection(isConnected);
         }
         if (isConnected) {
-          this.startNext();
-          handleLogBack(sentAt);
+          this.startNextFollower();
+          handleLogRecovered(sentAt);
         }
       },
     });
--- a/packages/serve/readCustomerFigures.ts
+++ b/packages/serve/computeCustomerMetrics.ts
@@ -4,7 +4,7 @@
 import { resourceMath } from '../jobs/resourceMath';
 
 /** What runs, waits and may run of each customer, as the leader's dispatcher sees it at a wall clock time. */
-export const readCustomerFigures = (
+export const computeCustomerMetrics = (
   customers: CustomerDirectory,
   dispatcher: Dispatcher,
   wallMs: number,
--- a/tests/configurationDesk.test.ts
+++ b/tests/configurationDesk.test.ts
@@ -1,7 +1,7 @@
 import fc from 'fast-check';
 import { beforeEach, describe, expect, it } from 'vitest';
 import type { BoxClient } from '../packages/boxes/BoxClient';
-import type { ConfigurationAnswer } from '../packages/boxes/ConfigurationAnswer';
+import type { ConfigurationResponse } from '../packages/boxes/ConfigurationResponse';
 import { createRandom } from '../packages/common/createRandom';
 import { QueueRouter } from '../packages/gateway/QueueRouter';
 import { ConfigurationDesk } from '../packages/serve/ConfigurationDesk';
@@ -71,10 +71,10 @@
   const createBox = (source: ConfigurationSource, maxAgeMs?: number): TestBox =>
     new TestBox('box-0', () => now, source, maxAgeMs, 1);
 
-  const createOther = (answer: ConfigurationAnswer | undefined): TestBox['others'][number] => ({
+  const createOther = (answer: ConfigurationResponse | undefined): TestBox['others'][number] => ({
     box: 'box-1',
     client: {
-      sendConfigurationQuestion: (version: number) => {
+      requestConfiguration: (version: number) => {
         askedVersions.push(version);
         return Promise.resolve(answer);
       },
@@ -93,16 +93,16 @@
     const box = createBox('boxes');
     box.handleText(createText(1, ['key-a']));
     box.others = [createOther({ ageMs: 40, configuration: createConfiguration(2, ['key-b']) })];
-    box.desk.applyTime();
+    box.desk.handleTick();
     await startTurn();
     expect([askedVersions, box.readVersion()]).toEqual([[], 1]);
     box.isFollowing = false;
-    box.desk.applyTime();
-    box.desk.applyTime();
+    box.desk.handleTick();
+    box.desk.handleTick();
     await startTurn();
     expect([askedVersions, box.readVersion(), box.readWorkingKeys()]).toEqual([[1], 2, ['key-b']]);
     now += 300;
-    box.desk.applyTime();
+    box.desk.handleTick();
     await startTurn();
     expect(askedVersions).toEqual([1, 2]);
   });
@@ -111,7 +111,7 @@
     const box = createBox('log');
     box.isFollowing = false;
     box.others = [createOther({ ageMs: 0, configuration: createConfiguration(2, []) })];
-    box.desk.applyTime();
+    box.desk.handleTick();
     await startTurn();
     expect([askedVersions, box.readVersion()]).toEqual([[], -1]);
   });
@@ -121,7 +121,7 @@
     box.isFollowing = false;
     box.others = [createOther(undefined)];
     for (let question = 1; question <= 3; question += 1) {
-      box.desk.applyTime();
+      box.desk.handleTick();
       await startTurn();
       expect(askedVersions).toHaveLength(question);
       now += 250;
@@ -137,9 +137,9 @@
     expect(box.desk.isFresh()).toBe(false);
     box.isFollowing = false;
     box.others = [createOther({ ageMs: 1500 })];
-    box.desk.applyTime();
+    box.desk.handleTick();
     await startTurn();
-    expect(Math.round(box.desk.readAgeMs())).toBe(1500);
+    expect(Math.round(box.desk.getAgeMs())).toBe(1500);
     expect(box.desk.isFresh()).toBe(true);
     expect(createBox('boxes').desk.isFresh()).toBe(true);
   });
@@ -175,7 +175,7 @@
         .map((other) => ({
           box: other.name,
           client: {
-            sendConfigurationQuestion: (version: number) => Promise.resolve(other.desk.readAnswer(version)),
+            requestConfiguration: (version: number) => Promise.resolve(other.desk.createResponse(version)),
           } as unknown as BoxClient,
         }));
     });
@@ -192,7 +192,7 @@
       } else if (kind === 'turnAway' || kind === 'letIn') {
         box.isFollowing = kind === 'letIn';
       } else if (kind === 'ask') {
-        box.desk.applyTime();
+        box.desk.handleTick();
         await startTurn();
       }
       boxes.forEach((one, number) => {
