--- a/packages/serve/BoxJobService.ts
+++ b/packages/serve/BoxJobService.ts
@@ -30,35 +30,36 @@
   readonly logger: Logger;
   readonly metrics: ServeMetrics;
   readonly admission: LoadDoor;
-  /** True while all topics can be read. */
+  /** Returns whether all topics can be read. */
   readonly isLogReadable: () => boolean;
-  /** True while this process leads, so that its own memory is the newest. */
+  /** Returns whether this process leads, so that its replica is the newest. */
   readonly isLeading: () => boolean;
-  /** Asks the leading box for a job's state; undefined when it gives none in time. */
+  /** Requests a job's state from the leader; undefined when it does not respond in time or cannot be reached. */
   readonly requestLeaderState: (
     id: JobId,
     caller: JobCaller,
     timeoutMs: number,
   ) => Promise<JobState | 'absent' | undefined>;
-  /** A job or a cancel of this box is durable. */
+  /** Handles a job accepted by this box, once it is durable. */
   readonly handleAccepted: (definition: JobDefinition) => void;
+  /** Handles a cancel accepted by this box, once it is durable. */
   readonly handleCancelled: (id: JobId) => void;
 }
 
 const RETRY_AFTER_MS = 1000;
-/** Appends that have failed for so long, while reads fail too, make further ones fail at once. */
+/** Duration of failing appends from which jobs are refused at once, while reads fail too. */
 const MAX_OUTAGE_MS = 400;
-/** The same while reads are answered: some answers may merely be lost. */
+/** The same while reads succeed, when only some responses may be lost. */
 const MAX_WRITE_OUTAGE_MS = 1000;
-/** Longest time for one append to be answered: what takes longer is better tried again through another box. */
+/** Longest time for an append. A caller does better to retry slower ones through another box. */
 const MAX_WRITE_MS = 1300;
-/** Share of the caller's time that an append may take, so that another box can still be tried. */
+/** Share of the caller's remaining time that an append may take, which leaves time for a retry through another box. */
 const MAX_WRITE_SHARE = 0.4;
-/** Longest read on a caller's behalf, of the log or from the leader. */
+/** Longest read from the log or the leader on behalf of a caller. */
 const MAX_REFRESH_MS = 400;
-/** An answer between boxes takes a few milliseconds; beyond this the log is read. */
+/** Timeout of a state request to the leader, after which the log is read instead. */
 const LEADER_TIMEOUT_MS = 80;
-/** A leader that gave no answer is not asked again for so long: about the time until another is known. */
+/** Time without state requests after the leader has failed to respond. About the time until the next leader is known. */
 const LEADER_BACKOFF_MS = 1000;
 const ACCEPTED = { kind: 'answered', answer: { kind: 'accepted' } } as const;
 const TAKEN = { kind: 'answered', answer: { kind: 'taken' } } as const;
@@ -68,9 +69,9 @@
 
 const isEnded = (state: JobState | undefined): boolean => ENDED.has(state);
 
-/** Callers' jobs: accepted once they are durable in the log, read from this box's replica of it. */
+/** Job service of a box. Accepts jobs once they are durable in the log, and reads them from the replica and the leader. */
 export class BoxJobService implements JobService {
-  /** Monotonic time from which the leader may be asked again. */
+  /** Monotonic time from which states may be requested from the leader again. */
   private leaderRetryAt = -Infinity;
 
   constructor(private readonly options: BoxJobServiceOptions) {}
@@ -144,7 +145,7 @@
     return { name, weight, limit };
   }
 
-  /** The answer for an id that a job has: its own caller is told that it was accepted, nobody else. */
+  /** Creates the result for an existing id: accepted for the queue and customer of its job, taken for all others. */
   private createKnownResult(
     known: JobDefinition,
     queue: JobQueue,
@@ -152,7 +153,7 @@
   ): JobOutcome<SubmitAnswer> {
     const isSame = known.queue.name === queue.name && known.customer?.name === customer?.name;
     if (isSame) {
-      this.logDecision('Job was accepted before.', known.id, queue.name, {});
+      this.logDecision('Job already accepted.', known.id, queue.name, {});
       return ACCEPTED;
     }
     this.logDecision('Job not taken: its id belongs to another.', known.id, queue.name, {
@@ -184,8 +185,8 @@
   }
 
   /**
-   * The state of an open job from the leader, whose memory is the newest and costs the log no call; without an answer the log's
-   * states are read into the replica instead.
+   * Requests the state of an open job from the leader, which has the newest one. If it does not respond, updates the replica from the
+   * log and returns undefined.
    */
   private async requestNewestState(
     id: JobId,
@@ -248,7 +249,7 @@
       : { kind: 'answered', answer: replica.countPending(queueName) };
   }
 
-  /** What the leader knows of a job that this box cannot read about in the log. */
+  /** Requests the state of a job that this box cannot read from the log. */
   private async requestFromLeader(
     id: JobId,
     caller: JobCaller,
@@ -260,13 +261,13 @@
       : { kind: 'answered', answer: state };
   }
 
-  /** False when the job is known here and belongs to another customer. */
+  /** Returns false when the job is known and the caller has no access to it. */
   private isAccessible(id: JobId, caller: JobCaller): boolean {
     const definition = this.options.replica.getDefinition(id);
     return definition === undefined || hasAccess(caller, definition);
   }
 
-  /** True when trying an append would only keep the caller waiting. */
+  /** Returns whether appends have failed for so long that another is not worth trying. */
   private isLogUnavailable(): boolean {
     const { writer, isLogReadable } = this.options;
     return writer.getOutageMs() > (isLogReadable() ? MAX_WRITE_OUTAGE_MS : MAX_OUTAGE_MS);
--- a/packages/serve/ConfigurationDesk.ts
+++ b/packages/serve/ConfigurationDesk.ts
@@ -17,34 +17,30 @@
   readonly clock: MachineClock;
   readonly random: Random;
   readonly logger: Logger;
-  /** Milliseconds for which a configuration counts as fresh; undefined when any age will do. */
+  /** Age in milliseconds up to which a configuration counts as fresh; undefined for no limit. */
   readonly maxAgeMs: number | undefined;
-  /** True while the log answers reads of the operator's topic. */
+  /** Returns whether the operator topic can be read. */
   readonly isFollowing: () => boolean;
-  /** Monotonic time at which the log last answered such a read. */
+  /** Returns the monotonic time of the last successful read of the operator topic, in milliseconds. */
   readonly readFollowedAt: () => number;
   readonly readOthers: () => readonly { readonly box: string; readonly client: BoxClient }[];
 }
 
-/**
- * Between questions to other boxes, one box at a time. A log that turns a third of the boxes away leaves two of three with the newest
- * version, so four questions miss them all in 1 of 81 cases: within 1 s, of the 3 s that a new version may take.
- */
+/** Several requests to random boxes fit into the time within which a new version must take effect. */
 const REQUEST_INTERVAL_MS = 250;
 const REQUEST_TIMEOUT_MS = 200;
-/** Problems of a malformed configuration that one line tells. */
 const MAX_LOGGED_PROBLEMS = 20;
 
-/** Takes versions of the configuration into force, from the log and, while that does not answer, from other boxes. */
+/** Applies new versions of the configuration from the log and, while that is unavailable, from other boxes. */
 export class ConfigurationDesk {
-  /** Monotonic time at which another box last knew that the version in force here is the newest. */
+  /** Monotonic time at which another box last confirmed that the current version is the newest. */
   private confirmedAt = -Infinity;
   private requestedAt = -Infinity;
   private isRequesting = false;
 
   constructor(private readonly options: ConfigurationDeskOptions) {}
 
-  /** Takes records of the operator's topic. */
+  /** Applies the configurations among records of the operator topic; logs and skips malformed ones. */
   handleRecords(records: readonly LogRecord[]): void {
     const { adapter, logger } = this.options;
     for (const { key, value } of records) {
@@ -61,26 +57,26 @@
     }
   }
 
-  /** Unless the settings ask for strictness, a box goes on with the last version that it has heard of. */
+  /** Returns whether the configuration is not older than the maximum age; always true without one. */
   isFresh(): boolean {
     const { maxAgeMs } = this.options;
     return maxAgeMs === undefined || this.getAgeMs() < maxAgeMs;
   }
 
-  /** Milliseconds since the version in force here was known to be the newest, at most. */
+  /** Returns an upper bound of the milliseconds since the current version was confirmed to be the newest. */
   getAgeMs(): number {
     const { clock, readFollowedAt } = this.options;
     return clock.readLongestSince(Math.max(readFollowedAt(), this.confirmedAt));
   }
 
-  /** What this box tells another that has a version. */
+  /** Creates the response to a box that has a known version. */
   createResponse(knownVersion: number): ConfigurationResponse {
     const configuration = this.options.router.readConfiguration();
     const isNewer = configuration !== undefined && configuration.version > knownVersion;
     return { ageMs: this.getAgeMs(), ...(isNewer ? { configuration } : {}) };
   }
 
-  /** Asks another box when the log does not answer. */
+  /** Requests the configuration from another box when that is due and the log is unavailable. Called periodically. */
   handleTick(): void {
     const { clock, isFollowing, source } = this.options;
     const isDue = clock.readNow() - this.requestedAt >= REQUEST_INTERVAL_MS;
--- a/packages/serve/ConfigurationSource.ts
+++ b/packages/serve/ConfigurationSource.ts
@@ -1,6 +1,6 @@
 /**
- * Where a box hears of a new version of the configuration.
- * - `log`: from the log alone.
- * - `boxes`: while the log does not answer it, also from other boxes.
+ * Where a box gets new versions of the configuration.
+ * - `log`: only from the log.
+ * - `boxes`: also from other boxes while the log is unavailable.
  */
 export type ConfigurationSource = 'log' | 'boxes';
--- a/packages/serve/ForwardingWriter.ts
+++ b/packages/serve/ForwardingWriter.ts
@@ -7,35 +7,29 @@
 import type { LeaderContact } from './LeaderContact';
 
 interface ForwardingWriterOptions {
-  /** This box's own way to the log. */
+  /** Appends to the log directly. */
   readonly own: RecordWriter;
   readonly clock: Clock;
   readonly logger: Logger;
   readonly getLeader: () => LeaderContact;
-  /** True while the leader has shown a sign within a time, and after a moment. Both are monotonic milliseconds. */
+  /** Returns whether the leader was active after a monotonic time and within the last `withinMs` milliseconds. */
   readonly hasActivitySince: (after: number, withinMs: number) => boolean;
-  /** False while the log does not answer this box, so that it can see no signs of the leader. */
+  /** Returns whether this box can read the leader's activity from the log. */
   readonly isReadingActivity: () => boolean;
 }
 
-/**
- * A leader that has not answered for so long is passed by. It gathers what comes during one append into the next, so that it answers
- * within two appends; the slowest log seen took 240 ms for one.
- */
+/** Initial and smallest timeout of a forwarded write. The leader batches writes, so that one takes up to two appends. */
 const MIN_TIMEOUT_MS = 600;
-/** The limit follows the answers that came: a log that is slower still must not make every box write by itself. */
+/** The timeout is this multiple of the last successful write, so that a slow log does not cause direct writes by all boxes. */
 const TIMEOUT_FACTOR = 3;
-/**
- * A leader is asked only while its newest sign is younger than this. It shows one every 400 ms, and boxes read them every 850 ms at the
- * latest.
- */
+/** Writes are forwarded only to a leader with activity newer than this. Covers its heartbeat interval and a box's read interval. */
 const MAX_ACTIVITY_AGE_MS = 1250;
-/** A leader without an answer is not asked for so long at least: a box that the log turns away sees no signs. */
+/** Time for which no write is forwarded after a failure. */
 const BACKOFF_MS = 1000;
-/** Beside a log that has not taken this box's own writes for so long, a write would only keep its caller waiting. */
+/** Duration of failing direct writes from which no fallback to them is tried. */
 const MAX_OWN_OUTAGE_MS = 400;
 
-/** Whether the leader's box is asked to append a record, or why it is not. */
+/** Leader to forward a write to, or the reason why it is not forwarded. */
 type ForwardingTarget =
   | { readonly leader: BoxClient }
   | {
@@ -44,14 +38,13 @@
     };
 
 /**
- * Has the leader's box append records along with its own, and writes by itself where that gives no answer or a refusal.
+ * Forwards records to the leader, which appends them with its own, and falls back to direct writes.
  *
- * A partition of the log takes one append after the other. With 29 boxes that each append by themselves, a log that takes 112 ms for
- * one has more asked of it than it can do: no job was accepted for 6 s, and 1,272 calls were refused. Gathered by one box the same jobs
- * need a few appends a second. The leader also hears of each job without reading it from the log.
+ * A partition of the log handles one append at a time, and appends of each box by itself can exceed its throughput; the leader batches
+ * them. The leader also learns of each job without reading it from the log.
  */
 export class ForwardingWriter implements RecordWriter {
-  /** Monotonic time at which the leader last failed to answer: it is asked again once it has shown a sign since. */
+  /** Monotonic time at which forwarding last failed. The next attempt needs newer activity of the leader. */
   private failedAt = -Infinity;
   private timeoutMs = MIN_TIMEOUT_MS;
 
@@ -70,11 +63,11 @@
     }
     const own = await this.writeDirectly(write, deadline);
     this.logFailure(write, own, outcome);
-    // What the leader may have written cannot be called refused.
+    // The leader may have written the record.
     return own === 'refused' && outcome === 'unknown' ? 'unknown' : own;
   }
 
-  /** While a leader can be asked it takes writes that this box cannot make. */
+  /** Returns zero while writes can be forwarded, else the outage of direct writes in milliseconds. */
   getOutageMs(): number {
     return this.chooseTarget().leader === undefined ? this.options.own.getOutageMs() : 0;
   }
@@ -92,10 +85,10 @@
     return isActive ? { leader: contact.client } : { leader: undefined, reason: 'silent' };
   }
 
-  /** Tells by which ways a write was tried that nobody took. */
+  /** Logs a record that was not written, with the outcomes of both ways. */
   private logFailure(write: LogWrite, own: WriteOutcome, leader: string): void {
     if (own !== 'written') {
-      this.options.logger.info('A record was not written by any way.', {
+      this.options.logger.info('Record not written, neither directly nor by the leader.', {
         record: write.key,
         own,
         ownFailingMs: Math.round(this.options.own.getOutageMs()),
@@ -111,15 +104,15 @@
     deadline: number,
   ): Promise<WriteOutcome> {
     const { clock, logger, isReadingActivity } = this.options;
-    // A box in a hall that is cut off reaches neither the log nor the leader. A question that can do no harm finds out, so that its
-    // caller is told truthfully that nothing was taken, and after 0.2 s.
+    // Without access to the log, the leader may be unreachable too, as in a partitioned hall. A request without side effects checks
+    // this, so that the write is reported as refused instead of unknown.
     if (!isReadingActivity()) {
       const requestedAt = clock.readNow();
       const logStatus = await leader.requestLogStatus();
       if (logStatus !== 'usable') {
         this.failedAt = clock.readNow();
         const tookMs = Math.round(clock.readNow() - requestedAt);
-        logger.info('The leader is not asked to write.', { record: write.key, log: logStatus, tookMs });
+        logger.info('Write not forwarded to the leader.', { record: write.key, log: logStatus, tookMs });
         return 'refused';
       }
     }
@@ -129,7 +122,7 @@
     const tookMs = clock.readNow() - sentAt;
     if (outcome === undefined) {
       this.failedAt = clock.readNow();
-      logger.info('The leader gives no answer about a write.', {
+      logger.info('Leader did not respond to a forwarded write.', {
         record: write.key,
         box: leader.address,
         tookMs: Math.round(tookMs),
--- a/packages/serve/JobWriting.ts
+++ b/packages/serve/JobWriting.ts
@@ -1,6 +1,6 @@
 /**
- * Who appends the records of jobs and cancels that a box takes in.
- * - `own`: the box itself.
- * - `leader`: the leader's box, along with those of all others; the box itself where that does not do.
+ * Which box appends the records of the jobs and cancels that a box accepts.
+ * - `own`: the accepting box.
+ * - `leader`: the leader's box, which batches the records of all boxes; the accepting box if that fails.
  */
 export type JobWriting = 'own' | 'leader';
--- a/packages/serve/LeaderAnnouncer.ts
+++ b/packages/serve/LeaderAnnouncer.ts
@@ -6,7 +6,7 @@
 interface AnnouncedBox {
   readonly box: string;
   readonly client: BoxClient;
-  /** Monotonic time at which its newest announcement was read. */
+  /** Monotonic time at which its newest announcement was read, in milliseconds. */
   readonly announcedAt: number;
 }
 
@@ -14,51 +14,49 @@
   readonly clock: Clock;
   readonly logger: Logger;
   readonly listOthers: () => readonly AnnouncedBox[];
-  /** What this box says of itself; undefined while it does not lead. */
+  /** Creates the announcement of this box as leader; undefined while it does not lead. */
   readonly createAnnouncement: () => LeaderIntroduction | undefined;
 }
 
-/** How far one box has been told of one epoch. */
+/** Delivery of the announcement of one epoch to one box. */
 interface Delivery {
   readonly epoch: number;
-  /** The announcement of the box that was the newest then: one that has started again must be told anew. */
+  /** `announcedAt` of the box at that time. A later one means that the box has restarted and needs a new delivery. */
   readonly announcedAt: number;
-  /** Calls made for it so far. */
   attempts: number;
-  /** Monotonic time from which it is told again; Infinity once it has answered, or is given up. */
+  /** Monotonic time of the next attempt; Infinity while one is in flight, and once it has succeeded or none is left. */
   nextAt: number;
 }
 
-/** Calls under way at a time: a leader of 300 boxes has told all of them after some 0.3 s, and opens few connections at once. */
 const MAX_CONCURRENT_REQUESTS = 16;
 const FIRST_RETRY_MS = 500;
 const MAX_RETRY_MS = 8000;
-/** A box that has announced itself no longer ago is told at once: it may have read the log only once. */
+/** Age of a box's announcement up to which the box gets the leader announcement at once, since it may not follow the log yet. */
 const NEW_BOX_AGE_MS = 3000;
 /**
- * Others follow the log and know within 1 s who leads. They are told once a leader has led for so long: leaders that follow each other in
- * series, ten in 18 s at the worst, would have 300 boxes called each time.
+ * Time after which a leader is announced to boxes that should know it from the log. Avoids a burst of requests for each of several
+ * short-lived leaders.
  */
 const STABLE_LEADER_MS = 3500;
-/** A box without an answer after so many calls, about 50 s, is taken for gone; it is told anew once it announces itself again. */
+/** Attempts after which a box is presumed gone, until it announces itself again. */
 const MAX_ATTEMPTS = 10;
 
 /**
- * While this box leads, tells every box that has announced itself who leads and where it can be called.
+ * Announces the leader and its address to all other boxes while this box leads.
  *
- * Boxes learn this from the log. One that the log turns away right after its start may have read neither, and would refuse every job for as long
- * as that lasts, though the leader could take it.
+ * Boxes normally learn of the leader from the log. Without these announcements, a box that loses access to the log right after its start
+ * could not forward jobs to the leader.
  */
 export class LeaderAnnouncer {
   private readonly deliveries = new Map<string, Delivery>();
   private inFlight = 0;
   private ledEpoch = 0;
-  /** Monotonic time at which this box was first seen to lead that epoch. */
+  /** Monotonic time from which this box has led that epoch. */
   private ledSince = -Infinity;
 
   constructor(private readonly options: LeaderAnnouncerOptions) {}
 
-  /** Tells those that may not know it yet. Call it often. */
+  /** Sends the announcements that are due. Called periodically. */
   handleTick(): void {
     const announcement = this.options.createAnnouncement();
     if (announcement === undefined) {
@@ -107,7 +105,7 @@
       delivery.nextAt = this.options.clock.readNow() + retryMs;
       return;
     }
-    this.options.logger.info('A box does not answer the leader.', {
+    this.options.logger.info('Box did not confirm the leader announcement.', {
       other: other.box,
       epoch: delivery.epoch,
       tries: delivery.attempts,
--- a/packages/serve/LeaderContact.ts
+++ b/packages/serve/LeaderContact.ts
@@ -1,11 +1,11 @@
 import type { BoxClient } from '../boxes/BoxClient';
 
-/** What a box knows about reaching the leader. */
+/** Whether and how a box can reach the leader. */
 export type LeaderContact =
   /** This box leads. */
   | { readonly kind: 'self' }
-  /** No leader's record has been read. */
+  /** No leader record has been read. */
   | { readonly kind: 'unknown' }
-  /** The leader's box has not announced where it can be called. */
+  /** The leader's box has not announced its address. */
   | { readonly kind: 'noAddress'; readonly box: string }
   | { readonly kind: 'known'; readonly box: string; readonly client: BoxClient };
--- a/packages/serve/LeaderHandover.ts
+++ b/packages/serve/LeaderHandover.ts
@@ -11,46 +11,47 @@
   readonly clock: Clock;
   readonly boxes: BoxClients;
   readonly directory: BoxDirectory;
-  /** The duty of this process; undefined while it does not lead. */
+  /** Returns the leader controller of this process; undefined while it does not lead. */
   readonly getController: () => LeaderController | undefined;
   readonly getEpoch: () => number;
-  /** The log has answered another box: calls of this one that still wait are made again. */
+  /** Retries the pending log requests of this box. */
   readonly retryPending: () => void;
-  /** Reads the log now; false when it does not answer this box at once. */
+  /** Reads the log now; false when the read fails or takes too long. */
   readonly waitForLogRead: () => Promise<boolean>;
-  /** This process leads no more, and will not again, since it stops. */
+  /** Handles that this process stops leading because it shuts down. */
   readonly handleResigned: () => void;
-  /** This process leads no more. */
+  /** Handles that this process stops leading but keeps running. */
   readonly handleLeadershipLost: (epoch: number, detail: string) => void;
 }
 
-/** A leader whose writes have failed for so long looks for a box that the log serves. */
+/** Duration of failing writes from which the leader looks for a box that can use the log. */
 const MIN_WRITE_OUTAGE_MS = 300;
 /**
- * A log that serves another box may just have come back for all: so long this one's calls, made again at once, may take to show it.
- * Without it some outages for all would end with a change of leader, which starts anew long after the log's return.
+ * Time for retried requests to succeed once another box can use the log. Avoids a change of leader when the log has just recovered for
+ * all boxes.
  */
 const RECOVERY_CHECK_MS = 300;
-/** A leader that can read, but whose writes have failed for so long, hands over all the same. */
+/** Duration of failing writes from which the leader hands over although it can read. */
 const MAX_WRITE_OUTAGE_MS = 2000;
-/** A leader on a weak box looks for a stronger one after so long, and again after as long. */
+/** Time between searches for a stronger box, and before the first one. */
 const STABLE_LEADER_MS = 2000;
-/** Kept of the grace for the end of a planned stop. */
+/** Part of the grace period that is reserved for the end of a planned stop. */
 const STOP_RESERVE_MS = 2000;
 const CANDIDATE_POLL_MS = 100;
 
-/** Gives leadership up where another box would lead better, and at a planned stop. All orders stop before the word is given. */
+/** Hands leadership over to a better suited box, and at a planned stop. The controller stops before the other box is asked to lead. */
 export class LeaderHandover {
   private isHandingOver = false;
   private leadingSince = 0;
 
   constructor(private readonly options: LeaderHandoverOptions) {}
 
+  /** Records that this process was elected now. */
   recordElected(): void {
     this.leadingSince = this.options.clock.readNow();
   }
 
-  /** Looks whether another box would lead better. */
+  /** Starts a handover if this box cannot write to the log or a stronger box exists. Called periodically. */
   handleTick(): void {
     const { clock, settings, directory, getController } = this.options;
     const controller = getController();
@@ -68,8 +69,8 @@
   }
 
   /**
-   * Gives leadership up in a planned stop. While the log is out for every box nobody could take over, so this process goes on
-   * leading as long as its grace allows: what runs stays leased.
+   * Hands leadership over at a planned stop. While the log is unavailable to every box, no other box could take over, so this process
+   * keeps leading and renewing leases for as long as its grace period allows.
    */
   async runPlannedHandover(): Promise<void> {
     const { clock, settings, boxes, getController, getEpoch, handleResigned } = this.options;
@@ -99,17 +100,17 @@
     });
   }
 
-  /** A leader on a weak box hands over to a stronger one, which can do more of the same work in time. */
+  /** Hands over to a stronger box, unless writes to the log fail. */
   private async runHandoverToStronger(): Promise<void> {
     this.leadingSince = this.options.clock.readNow();
     const next = await this.options.boxes.findStrongerCandidate();
     const controller = this.options.getController();
     if (next !== undefined && controller?.getLogOutageMs() === 0) {
-      await this.runHandover(next, controller, 'a stronger box is asked to lead');
+      await this.runHandover(next, controller, 'a stronger box exists');
     }
   }
 
-  /** A leader that the log does not serve hands over to a box that it does serve. */
+  /** Hands over to a box that can use the log, unless this box can use it again. */
   private async runHandoverInOutage(): Promise<void> {
     const { boxes, retryPending, waitForLogRead, getController } = this.options;
     const next = await boxes.startChoosingLogUser();
@@ -126,7 +127,7 @@
     if (canRead && controller.getLogOutageMs() < MAX_WRITE_OUTAGE_MS) {
       return;
     }
-    await this.runHandover(next, controller, 'the log does not serve this box');
+    await this.runHandover(next, controller, 'the log is unavailable to this box');
   }
 
   private async runHandover(next: BoxClient, controller: LeaderController, reason: string): Promise<void> {
--- a/packages/serve/LoadDoor.ts
+++ b/packages/serve/LoadDoor.ts
@@ -16,22 +16,22 @@
   readonly clock: Clock;
   readonly logger: Logger;
   readonly metrics: ServeMetrics;
-  /** Epoch of the newest leader known. */
+  /** Returns the epoch of the current leader; undefined while none is known. */
   readonly readEpoch: () => number | undefined;
-  /** Reads the jobs' topic on until a deadline; true once everything written before the call is known here. */
+  /** Reads the jobs topic until a monotonic deadline; true if all records written before the call have been applied. */
   readonly startJobsRefresh: (deadline: number) => Promise<boolean>;
   readonly isKnown: (id: JobId) => boolean;
 }
 
 type SubmittedJob = Pick<JobDefinition, 'id' | 'queue' | 'customer' | 'steps' | 'firstRunMs'>;
 
-/** `load` goes beside the line of the job that is taken. */
+/** Result of admission control. `load` holds fields for the log line of an accepted job. */
 type AdmissionCheck =
   | { readonly kind: 'taken'; readonly load: Readonly<Record<string, unknown>> }
   | { readonly kind: 'known' }
   | { readonly kind: 'refused'; readonly retryAfterMs: number };
 
-/** Ids whose first send may have been taken are kept until so many more have come; callers try again within seconds. */
+/** Number of jobs of uncertain outcome that are remembered. Callers retry within seconds. */
 const MAX_UNCERTAIN_JOBS = 2000;
 
 const DECISION_COUNTERS = {
@@ -41,13 +41,13 @@
   hopeless: 'doorHopeless',
 } as const satisfies Readonly<Record<AdmissionDecision['kind'], string>>;
 
-/** Takes jobs in, or refuses them by what this box knows of the load. What may have been taken before is never refused. */
+/** Admission control by the published load. Never refuses a job that an earlier request may have submitted. */
 export class LoadDoor {
   private readonly uncertainJobs = new Set<JobId>();
 
   constructor(private readonly options: LoadDoorOptions) {}
 
-  /** The log gave no answer about a job: it may run, so that nobody may be told that it does not. */
+  /** Records that a job may have been accepted although its write was not confirmed, so that a retry is not refused. */
   recordDoubt(id: JobId): void {
     this.uncertainJobs.add(id);
     if (this.uncertainJobs.size > MAX_UNCERTAIN_JOBS) {
@@ -56,6 +56,7 @@
     }
   }
 
+  /** Decides whether to accept a job; a monotonic deadline bounds the read that precedes a refusal. */
   async startCheck(job: SubmittedJob, deadline: number): Promise<AdmissionCheck> {
     const { door, metrics } = this.options;
     if (!admissionModes[door].isLoadPublished) {
--- a/packages/serve/OtherBoxes.ts
+++ b/packages/serve/OtherBoxes.ts
@@ -19,9 +19,9 @@
   readonly process: string;
   readonly clock: Clock;
   readonly logger: Logger;
-  /** What is known of the leader. */
+  /** Returns the record of the current leader; undefined while none is known. */
   readonly getLeader: () => LeaderRecord | undefined;
-  /** True while this process leads and is not about to stop. */
+  /** Returns whether this process leads and is not stopping. */
   readonly isLeading: () => boolean;
   readonly isStopping: () => boolean;
 }
@@ -29,7 +29,7 @@
 const ANNOUNCE_TIMEOUT_MS = 20_000;
 const ANNOUNCE_RETRY_MS = 1000;
 
-/** What this box knows of the other boxes, and what it tells them of itself. */
+/** Addresses and clients of the other boxes, and the announcements of this box and its leadership to them. */
 export class OtherBoxes {
   readonly directory = new BoxDirectory();
   readonly clients: BoxClients;
@@ -46,14 +46,14 @@
     });
   }
 
-  /** The record by which other boxes learn where this one can be called. */
+  /** Creates the record that announces this box's address and resources. */
   createAnnouncement(): LogWrite {
     const { settings } = this.options;
     const value = BoxDirectory.formatRecord(settings.internal, settings);
     return { key: BoxDirectory.toKey(settings.box), value };
   }
 
-  /** Writes the announcement until the log has taken it. */
+  /** Writes the announcement to the log, with retries until it succeeds or the process stops. */
   async writeAnnouncement(writer: RecordWriter): Promise<void> {
     const { clock, isStopping } = this.options;
     const write = this.createAnnouncement();
@@ -66,16 +66,17 @@
     }
   }
 
-  /** While this box leads, tells the others so. Call it often. */
+  /** Sends leader announcements while this box leads. Called periodically. */
   handleTick(): void {
     this.announcer.handleTick();
   }
 
-  /** Another box says that it leads: now this one knows where it can be called. */
+  /** Records the address and resources of the box that announced its leadership. */
   applyLeaderAnnouncement({ record, address, cores, linkMbps }: LeaderIntroduction): void {
     this.directory.recordBox(record.box, address, { cores, linkMbps });
   }
 
+  /** Returns how the current leader can be reached. */
   getLeaderContact(): LeaderContact {
     const box = this.options.getLeader()?.box;
     if (box === undefined) {
@@ -88,7 +89,7 @@
     return client === undefined ? { kind: 'noAddress', box } : { kind: 'known', box, client };
   }
 
-  /** Asks the leading box for a job's state; undefined when it gives none in time. */
+  /** Requests a job's state from the leader; undefined when it does not respond in time or cannot be reached. */
   async requestJobState(
     id: JobId,
     caller: JobCaller,
--- a/packages/serve/ServeAdapter.ts
+++ b/packages/serve/ServeAdapter.ts
@@ -21,19 +21,19 @@
   stop(): Promise<void>;
 }
 
-/** Everything that depends on how a platform speaks. `platform/` implements it. */
+/** Protocols and record formats of the platform. Implemented in `platform/`. */
 export interface ServeAdapter {
-  /** Topics of the log that the platform writes. */
+  /** Log topic of the configuration. */
   readonly operatorTopic: string;
   readonly configurationKey: string;
   readonly endpointsTopic: string;
   createLogClient(): LogClient;
   createAdviceClient(): AdviceClient;
-  /** A client of the life that the profile names; the token of each call is read as it is sent. */
+  /** Creates a client of the incarnation that the profile names; `readToken` returns the fencing token for each request. */
   createEndpointClient(profile: EndpointProfile, readToken: () => number): EndpointClient;
   createCallerServer(input: CallerServerOptions): CallerServerHandle;
-  /** On failure gives all problems at once. */
+  /** Parses the configuration; on failure returns all problems. */
   parseConfiguration(text: string): Result<QueueConfiguration, readonly string[]>;
-  /** On failure says what is wrong with the record. */
+  /** Parses the record of an endpoint; on failure returns the problem. */
   parseEndpoint(id: string, text: string): Result<EndpointProfile, string>;
 }
--- a/packages/serve/ServeMetrics.ts
+++ b/packages/serve/ServeMetrics.ts
@@ -81,7 +81,7 @@
     histogram.recordValue(Math.max(0, Math.round(valueMs * MICROS_PER_MS)));
   }
 
-  /** Formats everything in the text form that collectors read. */
+  /** Formats all metrics in the text format of Prometheus. */
   formatText(gauges: Readonly<Record<string, number>>): string {
     const lines: string[] = [];
     for (const [name, value] of this.counters) {
--- a/packages/serve/ServeProcess.ts
+++ b/packages/serve/ServeProcess.ts
@@ -51,17 +51,17 @@
 
 const TICK_INTERVAL_MS = 50;
 const TAKEOVER_READ_TIMEOUT_MS = 1000;
-/** Time for the read that shows whether a box can use the log; below the limit of the question itself. */
+/** Timeout of the read that checks whether the log is available. Shorter than the timeout of the request between boxes. */
 const LOG_CHECK_TIMEOUT_MS = 150;
 const WRITE_LINGER_MS = 2;
-/** Of the time that another box waits for its write; the rest is for the way back. */
+/** Share of the timeout of a forwarded write that the append may take. The rest is for the response. */
 const FORWARDED_TIMEOUT_SHARE = 0.9;
-/** The balancer notices within two of its questions, one a second. */
+/** Time in which the load balancer notices from its readiness probes that this box is stopping. */
 const DRAIN_NOTICE_MS = 2600;
-/** A leader whose writes have failed for so long sends callers elsewhere. */
+/** Duration of failing writes from which a leader is not ready and forwarded writes are refused. */
 const MAX_WRITE_OUTAGE_MS = 600;
 
-/** One entry process: makes the parts, joins them by their messages, starts and stops them in order. */
+/** Entry process: creates its parts, connects them, and starts and stops them in order. */
 export class ServeProcess {
   private readonly logClient: LogClient;
   private readonly logger: Logger;
@@ -156,7 +156,7 @@
     this.logger.info('Started.', { process: this.options.process, box, hall, front, log });
   }
 
-  /** Stops by plan: hands leadership over, sends callers elsewhere, finishes what is under way. */
+  /** Stops gracefully: hands leadership over, drains callers and finishes requests. */
   async stop(): Promise<void> {
     if (this.isStopping) {
       return;
@@ -176,17 +176,17 @@
     this.logger.info('Stopped.');
   }
 
-  /** The settings were read again. Addresses hold for the life of a process, so nothing changes. */
+  /** Handles that the settings were reloaded. Nothing changes, since they are fixed while the process runs. */
   handleReload(): void {
-    this.logger.info('Settings read again.', { box: this.options.settings.box });
+    this.logger.info('Settings reloaded.', { box: this.options.settings.box });
   }
 
-  /** True while callers should be sent here. */
+  /** Returns whether this box accepts callers, for the readiness probe. */
   isReady(): boolean {
     return !this.isStopping && this.isLogAvailable() && this.router.readConfiguration() !== undefined;
   }
 
-  /** True while the log answers this box. Topics are read at different paces: whichever notices first counts. */
+  /** Returns whether this box can read all topics and, as leader, write. */
   private isLogAvailable(): boolean {
     return this.isLogReadable() && (this.controller?.getLogOutageMs() ?? 0) < MAX_WRITE_OUTAGE_MS;
   }
@@ -195,7 +195,7 @@
     return this.followers.isReadable(this.controller !== undefined);
   }
 
-  /** The state of a job for another box, while this one leads. */
+  /** Returns the state of a job for another box; undefined while this one does not lead, or without a result in time. */
   private async getJobState(
     id: JobId,
     caller: JobCaller,
@@ -208,7 +208,7 @@
     return outcome.kind === 'answered' ? outcome.answer : undefined;
   }
 
-  /** Appends a record for another box along with this one's own, and takes it in. */
+  /** Appends a record on behalf of another box and applies it. */
   private async writeForBox(write: LogWrite, timeoutMs: number): Promise<WriteOutcome> {
     if (this.isStopping || this.writer.getOutageMs() > MAX_WRITE_OUTAGE_MS) {
       return 'refused';
@@ -260,7 +260,7 @@
     });
   }
 
-  /** Another box says that it leads: one that the log turns away hears of it by this alone. */
+  /** Handles the announcement of a leader. Without access to the log, this is the only way to learn of one. */
   private handleLeaderAnnouncement(announcement: LeaderIntroduction): void {
     const { record } = announcement;
     this.otherBoxes.applyLeaderAnnouncement(announcement);
@@ -315,11 +315,11 @@
     const invalidCount = this.loadView.foldRecords(records, this.options.clock.readNow(), epoch);
     if (invalidCount > 0) {
       this.metrics.recordCount('digestsRefused', invalidCount);
-      this.logger.warn('Load that no leader has told is passed over.', { records: invalidCount, epoch });
+      this.logger.warn('Invalid load digests ignored.', { records: invalidCount, epoch });
     }
   }
 
-  /** One answer of the log shows that it is back: whatever still waits for an older call is tried again at once. */
+  /** Retries pending log requests, since the log has responded to a request sent at a monotonic time. */
   private handleLogRecovered(answeredSentAt: number): void {
     this.followers.retryPending(answeredSentAt);
     this.writer.retryPending();
@@ -333,7 +333,7 @@
 
   private handleJobWrites(records: readonly LogWrite[]): void {
     const { accepted, cancelled, invalid } = this.replica.foldJobRecords(records);
-    invalid.forEach((job) => this.logger.warn('Job record cannot be read and is passed over.', { job }));
+    invalid.forEach((job) => this.logger.warn('Malformed job record ignored.', { job }));
     accepted.forEach((definition) => this.controller?.handleJob(definition));
     cancelled.forEach((id) => this.controller?.handleCancel(id));
   }
@@ -404,7 +404,7 @@
       random,
       logger: this.options.createPartLogger('leader'),
       policies: settings,
-      // A leader does not read what it writes.
+      // A leader does not follow the states topic, so it applies its own digests directly.
       ...(admissionModes[settings.door].isLoadPublished
         ? { handleLoadDigest: (value) => this.foldLoad([{ key: loadKeys.digestKey, value }]) }
         : {}),
@@ -430,7 +430,7 @@
     this.followers.stopLeading();
   }
 
-  /** This box first, then the others that have announced themselves. */
+  /** Returns the channels for advice requests: this box first, then the other announced boxes. */
   private listAdviceChannels(): { box: string; isOwn: boolean; client: AdviceClient }[] {
     const own = { box: this.options.settings.box, isOwn: true, client: this.adviceClient };
     const others = this.otherBoxes.clients.readOthers().map((other) => ({ ...other, isOwn: false }));
@@ -438,9 +438,8 @@
   }
 
   /**
-   * A leader answers from its own writes, also beside a log whose reads take longer than the time of the question: boxes that the log turned
-   * away refused every job with reads of 180 ms. Other boxes read now: what they read up to a second ago says nothing about an outage that has
-   * just begun for all.
+   * Returns whether this box can use the log, for another box. A leader decides by its recent writes, since reads from a slow log may
+   * take longer than the timeout of the request. Other boxes read now, since an earlier read would not show an outage that has just begun.
    */
   private async isLogUsable(): Promise<boolean> {
     const { clock } = this.options;
@@ -452,7 +451,7 @@
     const failingMs = this.writer.getOutageMs();
     const isUsable = isReadable && failingMs === 0 && !this.isStopping;
     if (!isUsable) {
-      this.logger.info('Another box was told that the log cannot be used from here.', {
+      this.logger.info('Reported to another box that the log is unavailable.', {
         isReading: isReadable,
         readMs: Math.round(clock.readNow() - requestedAt),
         writesFailingMs: Math.round(failingMs),
@@ -495,7 +494,7 @@
     return text + this.formatCustomerMetrics();
   }
 
-  /** Of the newest digest, however old; none before the first. */
+  /** Returns the age of the newest load digest; no gauge before the first one. */
   private getLoadGauges(): Readonly<Record<string, number>> {
     const { clock } = this.options;
     const epoch = this.leadership.getRecord()?.epoch;
@@ -503,7 +502,7 @@
     return ageMs === undefined ? {} : { loadDigestAgeMs: Math.round(ageMs) };
   }
 
-  /** Nobody but the leader knows what runs. */
+  /** Formats the metrics of each customer; empty while this process does not lead. */
   private formatCustomerMetrics(): string {
     const dispatcher = this.controller?.getDispatcher();
     const wallMs = this.options.clock.readWall();
--- a/packages/serve/ServeSettings.ts
+++ b/packages/serve/ServeSettings.ts
@@ -1,32 +1,31 @@
 import type { ServeWays } from './ServeWays';
 
-/** What one entry process needs to know at its start. */
+/** Settings of an entry process. */
 export interface ServeSettings extends ServeWays {
   readonly box: string;
   readonly hall: string;
-  /** Processor cores that the box may use; with its link they say how well it can lead. */
+  /** Processor cores that the box may use. */
   readonly cores: number;
-  /** Bandwidth of the box's link in Mbit/s. */
+  /** Bandwidth of the box's network link in Mbit/s. */
   readonly linkMbps: number;
   /** Host and port for callers. */
   readonly front: string;
-  /** Host and port for the balancer's question. */
+  /** Host and port for the readiness probe of the load balancer. */
   readonly ready: string;
-  /** Host and port for other entry boxes and collectors of metrics. */
+  /** Host and port for other entry boxes and metrics collectors. */
   readonly internal: string;
   /** Host and port of the platform's log. */
   readonly log: string;
-  /** Host and port of the advice service; empty where there is none. */
+  /** Host and port of the advice service; empty without one. */
   readonly advice: string;
   /**
-   * Milliseconds for which a key still works after this box last knew the newest configuration; undefined when keys go on working
-   * however old it is.
+   * Maximum age in milliseconds of the configuration, beyond which callers' keys are rejected; undefined for no limit.
    */
   readonly maxConfigurationAgeMs: number | undefined;
-  /** Longest lease that an endpoint grants, in milliseconds: a longer one is cut down to it. */
+  /** Longest lease that an endpoint grants, in milliseconds. It shortens longer ones to this. */
   readonly longestLeaseMs: number;
-  /** Largest append in bytes. */
+  /** Largest append to the log, in bytes. */
   readonly maxAppendBytes: number;
-  /** Time from SIGTERM to SIGKILL. */
+  /** Milliseconds from SIGTERM to SIGKILL. */
   readonly graceMs: number;
 }
--- a/packages/serve/ServeWays.ts
+++ b/packages/serve/ServeWays.ts
@@ -3,12 +3,12 @@
 import type { ConfigurationSource } from './ConfigurationSource';
 import type { JobWriting } from './JobWriting';
 
-/** The ways of deciding of one entry process, each chosen from a table. All boxes of a deployment should have the same. */
+/** Policies of an entry process. All boxes of a deployment should use the same. */
 export interface ServeWays extends DispatchPolicies {
-  /** Who appends the records of jobs that this box takes in. */
+  /** Which box appends the records of jobs that this box accepts. */
   readonly jobWriting: JobWriting;
-  /** Whether jobs are refused for load. */
+  /** Admission control by load. */
   readonly door: AdmissionMode;
-  /** Where the box hears of new versions of the configuration. */
+  /** Where the box gets new versions of the configuration. */
   readonly configurationSource: ConfigurationSource;
 }
--- a/packages/serve/TopicFollowers.ts
+++ b/packages/serve/TopicFollowers.ts
@@ -15,32 +15,32 @@
   readonly handleJobs: (records: readonly LogRecord[]) => void;
   readonly handleStates: (records: readonly LogRecord[]) => void;
   readonly handleOperator: (records: readonly LogRecord[]) => void;
-  /** The topic of states can be read again, or no longer. */
+  /** Handles a change of whether the states topic can be read. */
   readonly handleStatesConnection: (isConnected: boolean) => void;
-  /** The log has answered, after it had not, a call that was sent at a monotonic time. */
+  /** Handles the first response of the log after an outage; `answeredSentAt` is the monotonic time at which the request was sent. */
   readonly handleLogRecovered: (answeredSentAt: number) => void;
 }
 
 interface PollInterval {
-  /** Pause between two reads. */
+  /** Pause between two reads, in milliseconds. */
   readonly pauseMs: number;
-  /** How long a read waits for a record. */
+  /** Milliseconds for which a read waits for a record. */
   readonly pollMs: number;
 }
 
 const STATES_INTERVAL: PollInterval = { pauseMs: 350, pollMs: 500 };
-/** Other boxes read accepted jobs with less haste: whoever is asked for an unknown one reads on at once. */
+/** Less frequent, because a request for an unknown job triggers a read. */
 const JOBS_INTERVAL: PollInterval = { pauseMs: 1000, pollMs: 1000 };
-/** A silent log is noticed within this time and a call's, well before a version must be in force. */
+/** An outage is detected within this time plus the timeout of a request. */
 const OPERATOR_INTERVAL: PollInterval = { pauseMs: 0, pollMs: 800 };
 const LEADER_PAUSE_MS = 0;
 
-/** The topics that a box follows, read one after the other until each is known whole. */
+/** Followers of the log topics. They start one after the other, each once the previous one has read its topic to the end. */
 export class TopicFollowers {
   readonly jobs: LogFollower;
   readonly states: LogFollower;
   readonly operator: LogFollower;
-  /** Topics that are not read yet, in the order in which a box needs them: a narrow link carries one at a time sooner. */
+  /** Followers to be started, most urgent first. On a narrow link, sequential reads complete the first topic sooner. */
   private readonly unstarted: LogFollower[];
 
   constructor(private readonly options: TopicFollowersOptions) {
@@ -51,7 +51,7 @@
     this.unstarted = [this.operator, this.states, this.jobs];
   }
 
-  /** Begins to read the next topic; called again once that one has been read whole. */
+  /** Starts the next follower, if any is left. */
   startNextFollower(): void {
     void this.unstarted.shift()?.start();
   }
@@ -62,27 +62,28 @@
     this.operator.stop();
   }
 
-  /** A leader writes the states itself, and reads jobs without a pause. */
+  /** Stops following the states, which the leader writes itself, and follows jobs without a pause. */
   startLeading(): void {
     this.states.stop();
     this.jobs.setPause(LEADER_PAUSE_MS);
   }
 
+  /** Follows states and jobs as a box that does not lead. */
   stopLeading(): void {
     this.jobs.setPause(JOBS_INTERVAL.pauseMs);
     void this.states.start();
   }
 
   /**
-   * True while reads of all topics are answered. A leader does not follow the states. Jobs may still be coming in: a box can take new ones
-   * before it knows the others.
+   * Returns whether all topics that this box follows can be read. The jobs topic need not have been read to the end, since a box can
+   * accept new jobs before that.
    */
   isReadable(isLeading: boolean): boolean {
     const isFollowingStates = isLeading || this.states.isFollowing();
     return isFollowingStates && this.jobs.isReachable() && this.operator.isFollowing();
   }
 
-  /** The log is known to answer calls sent at a monotonic time: whatever still waits for an older one is tried again at once. */
+  /** Retries requests sent before a monotonic time, since the log is known to respond to requests sent then. */
   retryPending(answeredSentAt: number): void {
     this.jobs.retryPending(answeredSentAt);
     this.states.retryPending(answeredSentAt);
@@ -94,14 +95,7 @@
     interval: PollInterval,
     handleRecords: (records: readonly LogRecord[]) => void,
   ): LogFollower {
-    const {
-      log,
-      clock,
-      random,
-      logger,
-      handleStatesConnection,
-      handleLogRecovered,
-    } = this.options;
+    const { log, clock, random, logger, handleStatesConnection, handleLogRecovered } = this.options;
     return new LogFollower({
       client: log,
       topic,
--- a/packages/serve/computeCustomerMetrics.ts
+++ b/packages/serve/computeCustomerMetrics.ts
@@ -3,7 +3,7 @@
 import type { Dispatcher } from '../dispatch/Dispatcher';
 import { resourceMath } from '../jobs/resourceMath';
 
-/** What runs, waits and may run of each customer, as the leader's dispatcher sees it at a wall clock time. */
+/** Computes the resource usage, limit, and running and waiting tasks of each customer at a wall clock time in milliseconds. */
 export const computeCustomerMetrics = (
   customers: CustomerDirectory,
   dispatcher: Dispatcher,
--- a/packages/serve/configurationSources.ts
+++ b/packages/serve/configurationSources.ts
@@ -1,6 +1,6 @@
 import type { ConfigurationSource } from './ConfigurationSource';
 
-/** Whether a box asks others for a newer version while the log does not answer it, by source. */
+/** Whether a box requests newer versions from other boxes while the log is unavailable, by source. */
 export const configurationSources: Readonly<Record<ConfigurationSource, { readonly isUsingBoxes: boolean }>> =
   {
     log: { isUsingBoxes: false },
--- a/packages/serve/jobWritings.ts
+++ b/packages/serve/jobWritings.ts
@@ -4,7 +4,7 @@
 
 type WriterInput = ConstructorParameters<typeof ForwardingWriter>[0];
 
-/** Creates the writer of a box's jobs, by who appends them. */
+/** Creates the writer of job records for each policy. */
 export const jobWritings: Readonly<Record<JobWriting, (input: WriterInput) => RecordWriter>> = {
   own: ({ own }) => own,
   leader: (input) => new ForwardingWriter(input),
--- a/packages/serve/topics.ts
+++ b/packages/serve/topics.ts
@@ -1,9 +1,9 @@
-/** Topics of the log that are the project's own. */
+/** Log topics that the entry boxes write. */
 export const topics = {
-  /** Jobs and cancels, written by every box; and where each box can be called. */
+  /** Jobs, cancels and box announcements, written by every box. */
   jobs: 'keyed.jobs',
-  /** States of jobs and the leader's record, written by the leader alone and followed by every box. */
+  /** Job states and the leader record, written by the leader and followed by every box. */
   states: 'keyed.states',
-  /** Progress of jobs, written by the leader alone and read by the next one. */
+  /** Job progress, written by the leader and read by the next leader. */
   progress: 'keyed.progress',
 } as const;
