--- a/packages/boxes/BoxClient.ts
+++ b/packages/boxes/BoxClient.ts
@@ -68,8 +68,8 @@
     knownVersion: number,
     timeoutMs: number,
   ): Promise<ConfigurationResponse | undefined> {
-    const answer = await this.client.sendJson('/configuration', { knownVersion }, timeoutMs);
-    return configurationResponseSchema.safeParse(answer).data;
+    const response = await this.client.sendJson('/configuration', { knownVersion }, timeoutMs);
+    return configurationResponseSchema.safeParse(response).data;
   }
 
   /** Requests whether the box can use the log. */
--- a/packages/boxes/BoxDirectory.ts
+++ b/packages/boxes/BoxDirectory.ts
@@ -2,11 +2,11 @@
 import { parseJson } from '../common/parseJson';
 import type { LogRecord } from '../store/LogRecord';
 import type { BoxPower } from './BoxPower';
-import { boxPowerSchema } from './boxPowerSchema';
+import { boxResourcesSchema } from './boxResourcesSchema';
 import { computeLeaderCapacity } from './computeLeaderCapacity';
 
 const KEY_PREFIX = 'b/';
-const recordSchema = boxPowerSchema.extend({ address: z.string() });
+const recordSchema = boxResourcesSchema.extend({ address: z.string() });
 /** Ratio of leader capacities from which a box counts as stronger than another. */
 const MIN_STRONGER_RATIO = 1.5;
 
--- a/packages/boxes/BoxServer.ts
+++ b/packages/boxes/BoxServer.ts
@@ -14,7 +14,7 @@
 import { leaderRecordSchema } from '../leadership/leaderRecordSchema';
 import type { LogWrite } from '../store/LogWrite';
 import type { WriteOutcome } from '../store/WriteOutcome';
-import { boxPowerSchema } from './boxPowerSchema';
+import { boxResourcesSchema } from './boxResourcesSchema';
 import type { ConfigurationResponse } from './ConfigurationResponse';
 
 interface BoxServerOptions {
@@ -64,7 +64,7 @@
 });
 const writeRequestSchema = z.object({ key: z.string(), value: z.string(), timeoutMs: z.number().positive() });
 const configurationRequestSchema = z.object({ knownVersion: z.number() });
-const announcementSchema = leaderRecordSchema.extend({ address: z.string(), ...boxPowerSchema.shape });
+const announcementSchema = leaderRecordSchema.extend({ address: z.string(), ...boxResourcesSchema.shape });
 const handoverSchema = z.object({ epoch: z.number() });
 
 const readBody = ({ body }: FastifyRequest): unknown =>
--- a/packages/serve/ServeAdapter.ts
+++ b/packages/serve/ServeAdapter.ts
@@ -30,7 +30,7 @@
   createLogClient(): LogClient;
   createAdviceClient(): AdviceClient;
   /** Creates a client of the incarnation that the profile names; `readToken` returns the fencing token for each request. */
-  createEndpointClient(profile: EndpointProfile, readToken: () => number): EndpointClient;
+  createEndpointClient(profile: EndpointProfile, getToken: () => number): EndpointClient;
   createCallerServer(input: CallerServerOptions): CallerServerHandle;
   /** Parses the configuration; on failure returns all problems. */
   parseConfiguration(text: string): Result<QueueConfiguration, readonly string[]>;
--- a/packages/serve/ServeProcess.ts
+++ b/packages/serve/ServeProcess.ts
@@ -306,7 +306,7 @@
       },
       handleOperator: (records) => this.configuration.handleRecords(records),
       handleStatesConnection: (isConnected) => this.leadership.handleConnection(isConnected),
-      handleLogRecovered: (answeredSentAt) => this.handleLogRecovered(answeredSentAt),
+      handleLogRecovered: (sentAt) => this.handleLogRecovered(sentAt),
     });
   }
 
@@ -320,10 +320,10 @@
   }
 
   /** Retries pending log requests, since the log has responded to a request sent at a monotonic time. */
-  private handleLogRecovered(answeredSentAt: number): void {
-    this.followers.retryPending(answeredSentAt);
+  private handleLogRecovered(sentAt: number): void {
+    this.followers.retryPending(sentAt);
     this.writer.retryPending();
-    this.controller?.retryPending(answeredSentAt);
+    this.controller?.retryPending(sentAt);
   }
 
   private handleJobRecords(records: readonly LogRecord[]): void {
@@ -410,13 +410,13 @@
         : {}),
       getLimit: (customer) => this.router.readCustomers().findByName(customer)?.limit,
       parseEndpoint: (id, text) => adapter.parseEndpoint(id, text),
-      createEndpointClient: (profile, readToken) => adapter.createEndpointClient(profile, readToken),
+      createEndpointClient: (profile, getToken) => adapter.createEndpointClient(profile, getToken),
       isServiceRouted: (service) => this.router.hasService(service),
       longestLeaseMs: settings.longestLeaseMs,
       listChannels: () => this.listAdviceChannels(),
       formatLeaderRecord: (isResigned) => this.leadership.formatRecord(epoch, isResigned),
       handleLeadershipLost: (detail) => this.handleLeadershipLost(epoch, detail),
-      handleLogRecovered: (answeredSentAt) => this.handleLogRecovered(answeredSentAt),
+      handleLogRecovered: (sentAt) => this.handleLogRecovered(sentAt),
       recordCount: (name, amount) => this.metrics.recordCount(name, amount),
       recordTime: (name, valueMs) => this.metrics.recordDuration(name, valueMs),
     });
--- a/packages/serve/TopicFollowers.ts
+++ b/packages/serve/TopicFollowers.ts
@@ -84,10 +84,10 @@
   }
 
   /** Retries requests sent before a monotonic time, since the log is known to respond to requests sent then. */
-  retryPending(answeredSentAt: number): void {
-    this.jobs.retryPending(answeredSentAt);
-    this.states.retryPending(answeredSentAt);
-    this.operator.retryPending(answeredSentAt);
+  retryPending(sentAt: number): void {
+    this.jobs.retryPending(sentAt);
+    this.states.retryPending(sentAt);
+    this.operator.retryPending(sentAt);
   }
 
   private createFollower(
