--- a/packages/serve/ConfigurationDesk.ts
+++ b/packages/serve/ConfigurationDesk.ts
@@ -52,7 +52,7 @@
         this.applyConfiguration(parsed.value, 'log');
       } else {
         const problems = parsed.error.slice(0, MAX_LOGGED_PROBLEMS);
-        logger.error('Configuration is malformed and left out.', { bytes: value.length, problems });
+        logger.error('Malformed configuration ignored.', { bytes: value.length, problems });
       }
     }
   }
@@ -110,7 +110,7 @@
   private applyConfiguration(configuration: QueueConfiguration, source: string, ageMs = 0): void {
     const { logger, router } = this.options;
     if (router.applyConfiguration(configuration)) {
-      logger.info('Configuration in force.', {
+      logger.info('Configuration applied.', {
         version: configuration.version,
         source,
         ageMs: Math.round(ageMs),
--- a/tests/configurationDesk.test.ts
+++ b/tests/configurationDesk.test.ts
@@ -14,14 +14,14 @@
 const createText = (version: number, keys: readonly string[]): string =>
   JSON.stringify({ version, routes: [], tenants: [{ name: 'clinic', 'api-keys': keys }] });
 
-/** A box on a clock that the test moves, with a log that may turn it away. */
-class TestBox {
+/** Configuration of a box with simulated clock, log access and other boxes. */
+class SimulatedBox {
   readonly router = new QueueRouter();
   readonly lines: string[] = [];
   isFollowing = true;
   followedAt = 0;
   others: { readonly box: string; readonly client: BoxClient }[] = [];
-  readonly desk: ConfigurationDesk;
+  readonly updater: ConfigurationDesk;
 
   constructor(
     readonly name: string,
@@ -30,8 +30,8 @@
     maxAgeMs: number | undefined,
     seed: number,
   ) {
-    const record = (sentence: string): void => void this.lines.push(sentence);
-    this.desk = new ConfigurationDesk({
+    const record = (message: string): void => void this.lines.push(message);
+    this.updater = new ConfigurationDesk({
       adapter: { configurationKey: KEY, parseConfiguration },
       router: this.router,
       source,
@@ -45,38 +45,38 @@
     });
   }
 
-  readVersion(): number {
+  getVersion(): number {
     return this.router.readConfiguration()?.version ?? -1;
   }
 
-  readWorkingKeys(): readonly string[] {
+  listAcceptedKeys(): readonly string[] {
     return ALL_KEYS.filter((key) => this.router.readCustomers().findByKey(key) !== undefined);
   }
 
   handleText(text: string): void {
-    this.desk.handleRecords([{ offset: 0, key: KEY, value: text }]);
+    this.updater.handleRecords([{ offset: 0, key: KEY, value: text }]);
   }
 }
 
-const startTurn = (): Promise<void> => new Promise((resolve) => setImmediate(resolve));
+const waitForImmediate = (): Promise<void> => new Promise((resolve) => setImmediate(resolve));
 
-describe('the configuration of a box', () => {
+describe('configuration of a box', () => {
   let now: number;
-  let askedVersions: number[];
+  let requestedVersions: number[];
 
   beforeEach(() => {
-    [now, askedVersions] = [1000, []];
+    [now, requestedVersions] = [1000, []];
   });
 
-  const createBox = (source: ConfigurationSource, maxAgeMs?: number): TestBox =>
-    new TestBox('box-0', () => now, source, maxAgeMs, 1);
+  const createBox = (source: ConfigurationSource, maxAgeMs?: number): SimulatedBox =>
+    new SimulatedBox('box-0', () => now, source, maxAgeMs, 1);
 
-  const createOther = (answer: ConfigurationResponse | undefined): TestBox['others'][number] => ({
+  const createOther = (response: ConfigurationResponse | undefined): SimulatedBox['others'][number] => ({
     box: 'box-1',
     client: {
       requestConfiguration: (version: number) => {
-        askedVersions.push(version);
-        return Promise.resolve(answer);
+        requestedVersions.push(version);
+        return Promise.resolve(response);
       },
     } as unknown as BoxClient,
   });
@@ -89,71 +89,71 @@
     return parsed.value;
   };
 
-  it('comes from another box while the log does not answer, and not while it does', async () => {
+  it('is requested from another box only while the log is unavailable', async () => {
     const box = createBox('boxes');
     box.handleText(createText(1, ['key-a']));
     box.others = [createOther({ ageMs: 40, configuration: createConfiguration(2, ['key-b']) })];
-    box.desk.handleTick();
-    await startTurn();
-    expect([askedVersions, box.readVersion()]).toEqual([[], 1]);
+    box.updater.handleTick();
+    await waitForImmediate();
+    expect([requestedVersions, box.getVersion()]).toEqual([[], 1]);
     box.isFollowing = false;
-    box.desk.handleTick();
-    box.desk.handleTick();
-    await startTurn();
-    expect([askedVersions, box.readVersion(), box.readWorkingKeys()]).toEqual([[1], 2, ['key-b']]);
+    box.updater.handleTick();
+    box.updater.handleTick();
+    await waitForImmediate();
+    expect([requestedVersions, box.getVersion(), box.listAcceptedKeys()]).toEqual([[1], 2, ['key-b']]);
     now += 300;
-    box.desk.handleTick();
-    await startTurn();
-    expect(askedVersions).toEqual([1, 2]);
+    box.updater.handleTick();
+    await waitForImmediate();
+    expect(requestedVersions).toEqual([1, 2]);
   });
 
-  it('comes from the log alone when so set', async () => {
+  it('comes only from the log with the source log', async () => {
     const box = createBox('log');
     box.isFollowing = false;
     box.others = [createOther({ ageMs: 0, configuration: createConfiguration(2, []) })];
-    box.desk.handleTick();
-    await startTurn();
-    expect([askedVersions, box.readVersion()]).toEqual([[], -1]);
+    box.updater.handleTick();
+    await waitForImmediate();
+    expect([requestedVersions, box.getVersion()]).toEqual([[], -1]);
   });
 
-  it('is asked for again after a box that gave no answer', async () => {
+  it('is requested again after a box did not respond', async () => {
     const box = createBox('boxes');
     box.isFollowing = false;
     box.others = [createOther(undefined)];
-    for (let question = 1; question <= 3; question += 1) {
-      box.desk.handleTick();
-      await startTurn();
-      expect(askedVersions).toHaveLength(question);
+    for (let attempt = 1; attempt <= 3; attempt += 1) {
+      box.updater.handleTick();
+      await waitForImmediate();
+      expect(requestedVersions).toHaveLength(attempt);
       now += 250;
     }
   });
 
-  it('is fresh for as long as the log, or another box, has shown that it is the newest', async () => {
+  it('is fresh while the log or another box has recently confirmed it as the newest', async () => {
     const box = createBox('boxes', 4000);
     box.followedAt = now;
     now += 3900;
-    expect(box.desk.isFresh()).toBe(true);
+    expect(box.updater.isFresh()).toBe(true);
     now += 200;
-    expect(box.desk.isFresh()).toBe(false);
+    expect(box.updater.isFresh()).toBe(false);
     box.isFollowing = false;
     box.others = [createOther({ ageMs: 1500 })];
-    box.desk.handleTick();
-    await startTurn();
-    expect(Math.round(box.desk.getAgeMs())).toBe(1500);
-    expect(box.desk.isFresh()).toBe(true);
-    expect(createBox('boxes').desk.isFresh()).toBe(true);
+    box.updater.handleTick();
+    await waitForImmediate();
+    expect(Math.round(box.updater.getAgeMs())).toBe(1500);
+    expect(box.updater.isFresh()).toBe(true);
+    expect(createBox('boxes').updater.isFresh()).toBe(true);
   });
 
-  it('stays as it is when a version is malformed, with one line that tells it', () => {
+  it('does not change with a malformed version, which is logged in one line', () => {
     const box = createBox('boxes');
     box.handleText(createText(1, ['key-a']));
     box.handleText('{"version":2}');
-    expect([box.readVersion(), box.readWorkingKeys()]).toEqual([1, ['key-a']]);
-    expect(box.lines).toEqual(['Configuration in force.', 'Configuration is malformed and left out.']);
+    expect([box.getVersion(), box.listAcceptedKeys()]).toEqual([1, ['key-a']]);
+    expect(box.lines).toEqual(['Configuration applied.', 'Malformed configuration ignored.']);
   });
 });
 
-describe('versions on several boxes', () => {
+describe('configurations of several boxes', () => {
   type Step = { readonly kind: 'write' | 'read' | 'turnAway' | 'letIn' | 'ask'; readonly box: number };
 
   const stepArbitrary: fc.Arbitrary<Step> = fc.record({
@@ -161,13 +161,13 @@
     box: fc.integer({ min: 0, max: 2 }),
   });
 
-  /** Plays steps; gives what a box did that it must not: a key of another version than its own, or a version that went back. */
-  const startPlay = async (steps: readonly Step[], seed: number): Promise<readonly string[]> => {
+  /** Runs steps and returns violations: a box that accepts keys of a version other than its own, or whose version decreases. */
+  const runSteps = async (steps: readonly Step[], seed: number): Promise<readonly string[]> => {
     let now = 0;
     const random = createRandom(seed);
     const log: { readonly version: number; readonly keys: readonly string[] }[] = [];
     const boxes = [0, 1, 2].map(
-      (index) => new TestBox(`box-${index}`, () => now, 'boxes', undefined, seed + index),
+      (index) => new SimulatedBox(`box-${index}`, () => now, 'boxes', undefined, seed + index),
     );
     boxes.forEach((box) => {
       box.others = boxes
@@ -175,7 +175,7 @@
         .map((other) => ({
           box: other.name,
           client: {
-            requestConfiguration: (version: number) => Promise.resolve(other.desk.createResponse(version)),
+            requestConfiguration: (version: number) => Promise.resolve(other.updater.createResponse(version)),
           } as unknown as BoxClient,
         }));
     });
@@ -192,17 +192,17 @@
       } else if (kind === 'turnAway' || kind === 'letIn') {
         box.isFollowing = kind === 'letIn';
       } else if (kind === 'ask') {
-        box.desk.handleTick();
-        await startTurn();
+        box.updater.handleTick();
+        await waitForImmediate();
       }
       boxes.forEach((one, number) => {
-        const version = one.readVersion();
+        const version = one.getVersion();
         const expected = log.find((entry) => entry.version === version)?.keys ?? [];
-        if (one.readWorkingKeys().join() !== expected.join()) {
-          problems.push(`${one.name} admits ${one.readWorkingKeys().join()} in version ${version}`);
+        if (one.listAcceptedKeys().join() !== expected.join()) {
+          problems.push(`${one.name} accepts ${one.listAcceptedKeys().join()} in version ${version}`);
         }
         if (version < highest[number]!) {
-          problems.push(`${one.name} went back to ${version}`);
+          problems.push(`${one.name} returned to version ${version}`);
         }
         highest[number] = Math.max(highest[number]!, version);
       });
@@ -210,13 +210,13 @@
     return problems;
   };
 
-  it('never go back, and each admits the keys of its own version and no others, whoever gave it', async () => {
+  it('never return to an older version, and each accepts exactly the keys of its version', async () => {
     await fc.assert(
       fc.asyncProperty(
         fc.array(stepArbitrary, { maxLength: 40 }),
         fc.integer({ min: 1, max: 1e6 }),
         async (steps, seed) => {
-          expect(await startPlay(steps, seed)).toEqual([]);
+          expect(await runSteps(steps, seed)).toEqual([]);
         },
       ),
       { numRuns: 200, seed: 20261202 },
--- a/tests/serve/customers.test.ts
+++ b/tests/serve/customers.test.ts
@@ -110,9 +110,7 @@
     // A broken version changes nothing and is told.
     cell.log.writeRecord('keyed.op', 'config', { version: 4, routes: 'none', tenants: [{ name: '' }] });
     await cell.startUntil(() =>
-      Promise.resolve(
-        cell.boxes[0]!.process.readOutput().includes('Configuration is malformed and left out.'),
-      ),
+      Promise.resolve(cell.boxes[0]!.process.readOutput().includes('Malformed configuration ignored.')),
     );
     expect((await sendCount(cell.boxes[0]!, `Token ${KEYS.spare}`)).status).toBe(200);
   });
