--- a/packages/serve/BoxJobService.ts
+++ b/packages/serve/BoxJobService.ts
@@ -277,6 +277,7 @@
     return startedAt + Math.min(MAX_WRITE_MS, (deadline - startedAt) * MAX_WRITE_SHARE);
   }
 
+  /** Records that a job is refused because the log is unavailable, and returns that result. */
   private createUnavailableResult(id: JobId, queue: string): JobOutcome<never> {
     const failingMs = Math.round(this.options.writer.getOutageMs());
     this.options.metrics.recordCount('notTaken');
--- a/packages/serve/TopicFollowers.ts
+++ b/packages/serve/TopicFollowers.ts
@@ -17,8 +17,8 @@
   readonly handleOperator: (records: readonly LogRecord[]) => void;
   /** Handles a change of whether the states topic can be read. */
   readonly handleStatesConnection: (isConnected: boolean) => void;
-  /** Handles the first response of the log after an outage; `answeredSentAt` is the monotonic time at which the request was sent. */
-  readonly handleLogRecovered: (answeredSentAt: number) => void;
+  /** Handles the first response of the log after an outage; its request was sent at a monotonic time. */
+  readonly handleLogRecovered: (sentAt: number) => void;
 }
 
 interface PollInterval {
