--- a/packages/serve/JobDesk.ts
+++ b/packages/serve/BoxJobService.ts
@@ -21,7 +21,7 @@
 import type { LoadDoor } from './LoadDoor';
 import type { ServeMetrics } from './ServeMetrics';
 
-interface JobDeskOptions {
+interface BoxJobServiceOptions {
   readonly replica: JobReplica;
   readonly writer: RecordWriter;
   readonly jobsFollower: LogFollower;
@@ -29,37 +29,38 @@
   readonly clock: Clock;
   readonly logger: Logger;
   readonly metrics: ServeMetrics;
-  readonly door: LoadDoor;
-  /** True while all topics can be read. */
-  readonly isReading: () => boolean;
-  /** True while this process leads, so that its own memory is the newest. */
+  readonly admission: LoadDoor;
+  /** Returns whether all topics can be read. */
+  readonly isLogReadable: () => boolean;
+  /** Returns whether this process leads, so that its replica is the newest. */
   readonly isLeading: () => boolean;
-  /** Asks the leading box for a job's state; undefined when it gives none in time. */
-  readonly startAskingLeader: (
+  /** Requests a job's state from the leader; undefined when it does not respond in time or cannot be reached. */
+  readonly requestLeaderState: (
     id: JobId,
     caller: JobCaller,
     timeoutMs: number,
   ) => Promise<JobState | 'absent' | undefined>;
-  /** A job or a cancel of this box is durable. */
+  /** Handles a job accepted by this box, once it is durable. */
   readonly handleAccepted: (definition: JobDefinition) => void;
+  /** Handles a cancel accepted by this box, once it is durable. */
   readonly handleCancelled: (id: JobId) => void;
 }
 
 const RETRY_AFTER_MS = 1000;
-/** Appends that have failed for so long, while reads fail too, make further ones fail at once. */
-const OUTAGE_MS = 400;
-/** The same while reads are answered: some answers may merely be lost. */
-const LONG_OUTAGE_MS = 1000;
-/** Longest time for one append to be answered: what takes longer is better tried again through another box. */
-const WRITE_LIMIT_MS = 1300;
-/** Share of the caller's time that an append may take, so that another box can still be tried. */
-const WRITE_SHARE = 0.4;
-/** Longest read on a caller's behalf, of the log or from the leader. */
-const REFRESH_LIMIT_MS = 400;
-/** An answer between boxes takes a few milliseconds; beyond this the log is read. */
-const LEADER_ANSWER_MS = 80;
-/** A leader that gave no answer is not asked again for so long: about the time until another is known. */
-const LEADER_AVOID_MS = 1000;
+/** Duration of failing appends from which jobs are refused at once, while reads fail too. */
+const MAX_OUTAGE_MS = 400;
+/** The same while reads succeed, when only some responses may be lost. */
+const MAX_WRITE_OUTAGE_MS = 1000;
+/** Longest time for an append. A caller does better to retry slower ones through another box. */
+const MAX_WRITE_MS = 1300;
+/** Share of the caller's remaining time that an append may take, which leaves time for a retry through another box. */
+const MAX_WRITE_SHARE = 0.4;
+/** Longest read from the log or the leader on behalf of a caller. */
+const MAX_REFRESH_MS = 400;
+/** Timeout of a state request to the leader, after which the log is read instead. */
+const LEADER_TIMEOUT_MS = 80;
+/** Time without state requests after the leader has failed to respond. About the time until the next leader is known. */
+const LEADER_BACKOFF_MS = 1000;
 const ACCEPTED = { kind: 'answered', answer: { kind: 'accepted' } } as const;
 const TAKEN = { kind: 'answered', answer: { kind: 'taken' } } as const;
 const ABSENT = { kind: 'answered', answer: 'absent' } as const;
@@ -68,12 +69,12 @@
 
 const isEnded = (state: JobState | undefined): boolean => ENDED.has(state);
 
-/** Callers' jobs: accepted once they are durable in the log, read from this box's replica of it. */
-export class JobDesk implements JobService {
-  /** Monotonic time from which the leader may be asked again. */
-  private askLeaderFrom = -Infinity;
+/** Job service of a box. Accepts jobs once they are durable in the log, and reads them from the replica and the leader. */
+export class BoxJobService implements JobService {
+  /** Monotonic time from which states may be requested from the leader again. */
+  private leaderRetryAt = -Infinity;
 
-  constructor(private readonly options: JobDeskOptions) {}
+  constructor(private readonly options: BoxJobServiceOptions) {}
 
   async createJob(
     id: JobId,
@@ -85,20 +86,20 @@
     const { replica, writer, clock, metrics } = this.options;
     const known = replica.getDefinition(id);
     if (known !== undefined) {
-      return this.toKnownAnswer(known, queue, customer);
+      return this.createKnownResult(known, queue, customer);
     }
     const problem = customer && customerLimits.checkSteps(submission.steps, customer.limit);
     if (problem !== undefined) {
       metrics.recordCount('impossible');
-      this.recordDecision('Job not taken: it could never run.', id, queue.name, {
+      this.logDecision('Job not taken: it could never run.', id, queue.name, {
         customer: customer?.name,
         limit: customer?.limit,
         problem,
       });
       return { kind: 'answered', answer: { kind: 'impossible', reason: problem } };
     }
-    if (this.isLogOut()) {
-      return this.createUnavailable(id, queue.name);
+    if (this.isLogUnavailable()) {
+      return this.createUnavailableResult(id, queue.name);
     }
     const startedAt = clock.getNow();
     const definition: JobDefinition = {
@@ -108,29 +109,29 @@
       ...submission,
       acceptedAtMs: Math.round(clock.getWallTime()),
     };
-    const check = await this.options.door.startCheck(definition, this.readRefreshDeadline(deadline));
+    const check = await this.options.admission.startCheck(definition, this.computeRefreshDeadline(deadline));
     if (check.kind === 'known') {
-      return this.toKnownAnswer(replica.getDefinition(id)!, queue, customer);
+      return this.createKnownResult(replica.getDefinition(id)!, queue, customer);
     }
     if (check.kind === 'refused') {
       metrics.recordCount('notTaken');
       return { kind: 'overloaded', retryAfterMs: check.retryAfterMs };
     }
     const write = { key: jobKeys.toDefinitionKey(id), value: formatDefinition(definition) };
-    const outcome = await writer.writeRecord(write, this.readWriteLimit(startedAt, deadline));
+    const outcome = await writer.writeRecord(write, this.computeWriteDeadline(startedAt, deadline));
     const tookMs = Math.round(clock.getNow() - startedAt);
     if (outcome === 'refused') {
-      return this.createUnavailable(id, queue.name);
+      return this.createUnavailableResult(id, queue.name);
     }
     if (outcome === 'unknown') {
       metrics.recordCount('unknown');
-      this.options.door.recordDoubt(id);
-      this.recordDecision('The log did not answer: the job may be accepted.', id, queue.name, { tookMs });
+      this.options.admission.recordDoubt(id);
+      this.logDecision('The log did not answer: the job may be accepted.', id, queue.name, { tookMs });
       return { kind: 'unknown' };
     }
     metrics.recordCount('accepted');
-    metrics.recordTime('acceptMs', clock.getNow() - startedAt);
-    this.recordDecision('Job accepted.', id, queue.name, {
+    metrics.recordDuration('acceptMs', clock.getNow() - startedAt);
+    this.logDecision('Job accepted.', id, queue.name, {
       tookMs,
       priority: queue.priority,
       ...(customer === undefined ? {} : { customer: customer.name }),
@@ -144,18 +145,18 @@
     return { name, weight, limit };
   }
 
-  /** The answer for an id that a job has: its own caller is told that it was accepted, nobody else. */
-  private toKnownAnswer(
+  /** Creates the result for an existing id: accepted for the queue and customer of its job, taken for all others. */
+  private createKnownResult(
     known: JobDefinition,
     queue: JobQueue,
     customer: CustomerPolicy | undefined,
   ): JobServiceResult<SubmitResult> {
     const isSame = known.queue.name === queue.name && known.customer?.name === customer?.name;
     if (isSame) {
-      this.recordDecision('Job was accepted before.', known.id, queue.name, {});
+      this.logDecision('Job already accepted.', known.id, queue.name, {});
       return ACCEPTED;
     }
-    this.recordDecision('Job not taken: its id belongs to another.', known.id, queue.name, {
+    this.logDecision('Job not taken: its id belongs to another.', known.id, queue.name, {
       customer: customer?.name,
     });
     return TAKEN;
@@ -171,44 +172,44 @@
     metrics.recordCount('reads');
     const known = replica.getState(id);
     if (known === undefined) {
-      const isFresh = await this.startRefresh(this.options.jobsFollower, deadline);
+      const isFresh = await this.waitForRefresh(this.options.jobsFollower, deadline);
       if (!isFresh && replica.getState(id) === undefined) {
-        return this.readFromLeader(id, caller, deadline);
+        return this.requestFromLeader(id, caller, deadline);
       }
     }
-    if (!this.isOpenTo(id, caller)) {
+    if (!this.isAccessible(id, caller)) {
       return ABSENT;
     }
-    const isOver = isEnded(replica.getState(id));
-    const newest = isOver ? undefined : await this.readNewestState(id, caller, deadline);
-    metrics.recordTime('readMs', clock.getNow() - startedAt);
-    const held = replica.getState(id);
-    const answer = isEnded(held) ? held : (newest ?? held);
-    return { kind: 'answered', answer: answer ?? 'absent' };
+    const hasEnded = isEnded(replica.getState(id));
+    const newest = hasEnded ? undefined : await this.requestNewestState(id, caller, deadline);
+    metrics.recordDuration('readMs', clock.getNow() - startedAt);
+    const local = replica.getState(id);
+    const state = isEnded(local) ? local : (newest ?? local);
+    return { kind: 'answered', answer: state ?? 'absent' };
   }
 
   /**
-   * The state of an open job from the leader, whose memory is the newest and costs the log no call; without an answer the log's
-   * states are read into the replica instead.
+   * Requests the state of an open job from the leader, which has the newest one. If it does not respond, updates the replica from the
+   * log and returns undefined.
    */
-  private async readNewestState(
+  private async requestNewestState(
     id: JobId,
     caller: JobCaller,
     deadline: number,
   ): Promise<JobState | undefined> {
-    const { clock, isLeading, startAskingLeader, statesFollower } = this.options;
+    const { clock, isLeading, requestLeaderState, statesFollower } = this.options;
     if (isLeading()) {
       return undefined;
     }
-    if (clock.getNow() >= this.askLeaderFrom) {
-      const timeoutMs = Math.min(LEADER_ANSWER_MS, this.readRefreshLimit(deadline));
-      const answer = await startAskingLeader(id, caller, timeoutMs);
-      if (answer !== undefined && answer !== 'absent') {
-        return answer;
+    if (clock.getNow() >= this.leaderRetryAt) {
+      const timeoutMs = Math.min(LEADER_TIMEOUT_MS, this.computeRefreshTimeoutMs(deadline));
+      const state = await requestLeaderState(id, caller, timeoutMs);
+      if (state !== undefined && state !== 'absent') {
+        return state;
       }
-      this.askLeaderFrom = clock.getNow() + LEADER_AVOID_MS;
+      this.leaderRetryAt = clock.getNow() + LEADER_BACKOFF_MS;
     }
-    await this.startRefresh(statesFollower, deadline);
+    await this.waitForRefresh(statesFollower, deadline);
     return undefined;
   }
 
@@ -220,21 +221,21 @@
     const { replica, writer, clock, metrics } = this.options;
     const startedAt = clock.getNow();
     if (replica.getDefinition(id) === undefined) {
-      const isFresh = await this.startRefresh(this.options.jobsFollower, deadline);
+      const isFresh = await this.waitForRefresh(this.options.jobsFollower, deadline);
       if (replica.getDefinition(id) === undefined) {
-        const found = isFresh ? ABSENT : await this.readFromLeader(id, caller, deadline);
+        const found = isFresh ? ABSENT : await this.requestFromLeader(id, caller, deadline);
         if (found.kind !== 'answered' || found.answer === 'absent') {
           return found.kind === 'answered' ? ABSENT : found;
         }
       }
     }
-    if (!this.isOpenTo(id, caller)) {
+    if (!this.isAccessible(id, caller)) {
       return ABSENT;
     }
     const write = { key: jobKeys.toCancelKey(id), value: '1' };
-    const outcome = await writer.writeRecord(write, this.readWriteLimit(startedAt, deadline));
+    const outcome = await writer.writeRecord(write, this.computeWriteDeadline(startedAt, deadline));
     const tookMs = Math.round(clock.getNow() - startedAt);
-    this.recordDecision('Cancel.', id, '', { outcome, tookMs });
+    this.logDecision('Cancel.', id, '', { outcome, tookMs });
     if (outcome === 'written') {
       metrics.recordCount('cancels');
       this.options.handleCancelled(id);
@@ -252,55 +253,56 @@
       : { kind: 'answered', answer: replica.countPending(queueName) };
   }
 
-  /** What the leader knows of a job that this box cannot read about in the log. */
-  private async readFromLeader(
+  /** Requests the state of a job that this box cannot read from the log. */
+  private async requestFromLeader(
     id: JobId,
     caller: JobCaller,
     deadline: number,
   ): Promise<JobServiceResult<JobState | 'absent'>> {
-    const answer = await this.options.startAskingLeader(id, caller, this.readRefreshLimit(deadline));
-    return answer === undefined
+    const state = await this.options.requestLeaderState(id, caller, this.computeRefreshTimeoutMs(deadline));
+    return state === undefined
       ? { kind: 'unavailable', retryAfterMs: RETRY_AFTER_MS }
-      : { kind: 'answered', answer };
+      : { kind: 'answered', answer: state };
   }
 
-  /** False when the job is known here and belongs to another customer. */
-  private isOpenTo(id: JobId, caller: JobCaller): boolean {
+  /** Returns false when the job is known and the caller has no access to it. */
+  private isAccessible(id: JobId, caller: JobCaller): boolean {
     const definition = this.options.replica.getDefinition(id);
     return definition === undefined || hasAccess(caller, definition);
   }
 
-  /** True when trying an append would only keep the caller waiting. */
-  private isLogOut(): boolean {
-    const { writer, isReading } = this.options;
-    return writer.getOutageMs() > (isReading() ? LONG_OUTAGE_MS : OUTAGE_MS);
+  /** Returns whether appends have failed for so long that another is not worth trying. */
+  private isLogUnavailable(): boolean {
+    const { writer, isLogReadable } = this.options;
+    return writer.getOutageMs() > (isLogReadable() ? MAX_WRITE_OUTAGE_MS : MAX_OUTAGE_MS);
   }
 
-  private readWriteLimit(startedAt: number, deadline: number): number {
-    return startedAt + Math.min(WRITE_LIMIT_MS, (deadline - startedAt) * WRITE_SHARE);
+  private computeWriteDeadline(startedAt: number, deadline: number): number {
+    return startedAt + Math.min(MAX_WRITE_MS, (deadline - startedAt) * MAX_WRITE_SHARE);
   }
 
-  private createUnavailable(id: JobId, queue: string): JobServiceResult<never> {
+  /** Records that a job is refused because the log is unavailable, and returns that result. */
+  private createUnavailableResult(id: JobId, queue: string): JobServiceResult<never> {
     const failingMs = Math.round(this.options.writer.getOutageMs());
     this.options.metrics.recordCount('notTaken');
-    this.recordDecision('Job not taken: the log is out.', id, queue, { failingMs });
+    this.logDecision('Job not taken: the log is out.', id, queue, { failingMs });
     return { kind: 'unavailable', retryAfterMs: RETRY_AFTER_MS };
   }
 
-  private startRefresh(follower: LogFollower, deadline: number): Promise<boolean> {
-    return follower.waitForRefresh(this.readRefreshLimit(deadline));
+  private waitForRefresh(follower: LogFollower, deadline: number): Promise<boolean> {
+    return follower.waitForRefresh(this.computeRefreshTimeoutMs(deadline));
   }
 
-  private readRefreshDeadline(deadline: number): number {
-    return this.options.clock.getNow() + this.readRefreshLimit(deadline);
+  private computeRefreshDeadline(deadline: number): number {
+    return this.options.clock.getNow() + this.computeRefreshTimeoutMs(deadline);
   }
 
-  private readRefreshLimit(deadline: number): number {
+  private computeRefreshTimeoutMs(deadline: number): number {
     const leftMs = deadline - this.options.clock.getNow();
-    return Math.max(1, Math.min(REFRESH_LIMIT_MS, leftMs));
+    return Math.max(1, Math.min(MAX_REFRESH_MS, leftMs));
   }
 
-  private recordDecision(sentence: string, job: JobId, queue: string, fields: Record<string, unknown>): void {
-    this.options.logger.info(sentence, { job, ...(queue === '' ? {} : { queue }), ...fields });
+  private logDecision(message: string, job: JobId, queue: string, fields: Record<string, unknown>): void {
+    this.options.logger.info(message, { job, ...(queue === '' ? {} : { queue }), ...fields });
   }
 }
--- /dev/null
+++ b/packages/serve/ForwardingWriter.ts
@@ -0,0 +1,144 @@
+import type { BoxClient } from '../boxes/BoxClient';
+import type { Clock } from '../common/Clock';
+import type { Logger } from '../common/Logger';
+import type { LogWrite } from '../store/LogWrite';
+import type { RecordWriter } from '../store/RecordWriter';
+import type { WriteOutcome } from '../store/WriteOutcome';
+import type { LeaderContact } from './LeaderContact';
+
+interface ForwardingWriterOptions {
+  /** Appends to the log directly. */
+  readonly own: RecordWriter;
+  readonly clock: Clock;
+  readonly logger: Logger;
+  readonly getLeader: () => LeaderContact;
+  /** Returns whether the leader was active after a monotonic time and within the last `withinMs` milliseconds. */
+  readonly hasActivitySince: (after: number, withinMs: number) => boolean;
+  /** Returns whether this box can read the leader's activity from the log. */
+  readonly isReadingActivity: () => boolean;
+}
+
+/** Initial and smallest timeout of a forwarded write. The leader batches writes, so that one takes up to two appends. */
+const MIN_TIMEOUT_MS = 600;
+/** The timeout is this multiple of the last successful write, so that a slow log does not cause direct writes by all boxes. */
+const TIMEOUT_FACTOR = 3;
+/** Writes are forwarded only to a leader with activity newer than this. Covers its heartbeat interval and a box's read interval. */
+const MAX_ACTIVITY_AGE_MS = 1250;
+/** Time for which no write is forwarded after a failure. */
+const BACKOFF_MS = 1000;
+/** Duration of failing direct writes from which no fallback to them is tried. */
+const MAX_OWN_OUTAGE_MS = 400;
+
+/** Leader to forward a write to, or the reason why it is not forwarded. */
+type ForwardingTarget =
+  | { readonly leader: BoxClient }
+  | {
+      readonly leader: undefined;
+      readonly reason: Exclude<LeaderContact['kind'], 'known'> | 'silent' | 'avoided';
+    };
+
+/**
+ * Forwards records to the leader, which appends them with its own, and falls back to direct writes.
+ *
+ * A partition of the log handles one append at a time, and appends of each box by itself can exceed its throughput; the leader batches
+ * them. The leader also learns of each job without reading it from the log.
+ */
+export class ForwardingWriter implements RecordWriter {
+  /** Monotonic time at which forwarding last failed. The next attempt needs newer activity of the leader. */
+  private failedAt = -Infinity;
+  private timeoutMs = MIN_TIMEOUT_MS;
+
+  constructor(private readonly options: ForwardingWriterOptions) {}
+
+  async writeRecord(write: LogWrite, deadline: number): Promise<WriteOutcome> {
+    const target = this.chooseTarget();
+    if (target.leader === undefined) {
+      const own = await this.options.own.writeRecord(write, deadline);
+      this.logFailure(write, own, target.reason);
+      return own;
+    }
+    const outcome = await this.requestLeaderWrite(target.leader, write, deadline);
+    if (outcome === 'written') {
+      return 'written';
+    }
+    const own = await this.writeDirectly(write, deadline);
+    this.logFailure(write, own, outcome);
+    // The leader may have written the record.
+    return own === 'refused' && outcome === 'unknown' ? 'unknown' : own;
+  }
+
+  /** Returns zero while writes can be forwarded, else the outage of direct writes in milliseconds. */
+  getOutageMs(): number {
+    return this.chooseTarget().leader === undefined ? this.options.own.getOutageMs() : 0;
+  }
+
+  private chooseTarget(): ForwardingTarget {
+    const { clock, hasActivitySince, isReadingActivity, getLeader } = this.options;
+    const contact = getLeader();
+    if (contact.kind !== 'known') {
+      return { leader: undefined, reason: contact.kind };
+    }
+    if (clock.getNow() - this.failedAt < BACKOFF_MS) {
+      return { leader: undefined, reason: 'avoided' };
+    }
+    const isActive = !isReadingActivity() || hasActivitySince(this.failedAt, MAX_ACTIVITY_AGE_MS);
+    return isActive ? { leader: contact.client } : { leader: undefined, reason: 'silent' };
+  }
+
+  /** Logs a record that was not written, with the outcomes of both ways. */
+  private logFailure(write: LogWrite, own: WriteOutcome, leader: string): void {
+    if (own !== 'written') {
+      this.options.logger.info('Record not written, neither directly nor by the leader.', {
+        record: write.key,
+        own,
+        ownFailingMs: Math.round(this.options.own.getOutageMs()),
+        leader,
+        isReadingSigns: this.options.isReadingActivity(),
+      });
+    }
+  }
+
+  private async requestLeaderWrite(
+    leader: BoxClient,
+    write: LogWrite,
+    deadline: number,
+  ): Promise<WriteOutcome> {
+    const { clock, logger, isReadingActivity } = this.options;
+    // Without access to the log, the leader may be unreachable too, as in a partitioned hall. A request without side effects checks
+    // this, so that the write is reported as refused instead of unknown.
+    if (!isReadingActivity()) {
+      const requestedAt = clock.getNow();
+      const logStatus = await leader.requestLogStatus();
+      if (logStatus !== 'usable') {
+        this.failedAt = clock.getNow();
+        const tookMs = Math.round(clock.getNow() - requestedAt);
+        logger.info('Write not forwarded to the leader.', { record: write.key, log: logStatus, tookMs });
+        return 'refused';
+      }
+    }
+    const sentAt = clock.getNow();
+    const timeoutMs = Math.max(1, Math.min(this.timeoutMs, deadline - sentAt));
+    const outcome = await leader.requestWrite(write, timeoutMs);
+    const tookMs = clock.getNow() - sentAt;
+    if (outcome === undefined) {
+      this.failedAt = clock.getNow();
+      logger.info('Leader did not respond to a forwarded write.', {
+        record: write.key,
+        box: leader.address,
+        tookMs: Math.round(tookMs),
+      });
+      return 'unknown';
+    }
+    if (outcome === 'written') {
+      this.timeoutMs = Math.max(MIN_TIMEOUT_MS, TIMEOUT_FACTOR * tookMs);
+    }
+    return outcome;
+  }
+
+  private writeDirectly(write: LogWrite, deadline: number): Promise<WriteOutcome> {
+    const { own } = this.options;
+    return own.getOutageMs() > MAX_OWN_OUTAGE_MS
+      ? Promise.resolve('refused')
+      : own.writeRecord(write, deadline);
+  }
+}
--- /dev/null
+++ b/packages/serve/LeaderAnnouncer.ts
@@ -0,0 +1,114 @@
+import type { BoxClient } from '../boxes/BoxClient';
+import type { Clock } from '../common/Clock';
+import type { Logger } from '../common/Logger';
+import type { LeaderAnnouncement } from '../leadership/LeaderAnnouncement';
+
+interface AnnouncedBox {
+  readonly box: string;
+  readonly client: BoxClient;
+  /** Monotonic time at which its newest announcement was read, in milliseconds. */
+  readonly announcedAt: number;
+}
+
+interface LeaderAnnouncerOptions {
+  readonly clock: Clock;
+  readonly logger: Logger;
+  readonly listOthers: () => readonly AnnouncedBox[];
+  /** Creates the announcement of this box as leader; undefined while it does not lead. */
+  readonly createAnnouncement: () => LeaderAnnouncement | undefined;
+}
+
+/** Delivery of the announcement of one epoch to one box. */
+interface Delivery {
+  readonly epoch: number;
+  /** `announcedAt` of the box at that time. A later one means that the box has restarted and needs a new delivery. */
+  readonly announcedAt: number;
+  attempts: number;
+  /** Monotonic time of the next attempt; Infinity while one is in flight, and once it has succeeded or none is left. */
+  nextAt: number;
+}
+
+const MAX_CONCURRENT_REQUESTS = 16;
+const FIRST_RETRY_MS = 500;
+const MAX_RETRY_MS = 8000;
+/** Age of a box's announcement up to which the box gets the leader announcement at once, since it may not follow the log yet. */
+const NEW_BOX_AGE_MS = 3000;
+/**
+ * Time after which a leader is announced to boxes that should know it from the log. Avoids a burst of requests for each of several
+ * short-lived leaders.
+ */
+const STABLE_LEADER_MS = 3500;
+/** Attempts after which a box is presumed gone, until it announces itself again. */
+const MAX_ATTEMPTS = 10;
+
+/**
+ * Announces the leader and its address to all other boxes while this box leads.
+ *
+ * Boxes normally learn of the leader from the log. Without these announcements, a box that loses access to the log right after its start
+ * could not forward jobs to the leader.
+ */
+export class LeaderAnnouncer {
+  private readonly deliveries = new Map<string, Delivery>();
+  private inFlight = 0;
+  private ledEpoch = 0;
+  /** Monotonic time from which this box has led that epoch. */
+  private ledSince = -Infinity;
+
+  constructor(private readonly options: LeaderAnnouncerOptions) {}
+
+  /** Sends the announcements that are due. Called periodically. */
+  handleTick(): void {
+    const announcement = this.options.createAnnouncement();
+    if (announcement === undefined) {
+      return;
+    }
+    const now = this.options.clock.getNow();
+    if (announcement.record.epoch !== this.ledEpoch) {
+      this.ledEpoch = announcement.record.epoch;
+      this.ledSince = now;
+    }
+    for (const other of this.options.listOthers()) {
+      const delivery = this.getDelivery(other);
+      if (this.inFlight < MAX_CONCURRENT_REQUESTS && now >= delivery.nextAt) {
+        void this.sendAnnouncement(other, delivery, announcement);
+      }
+    }
+  }
+
+  private getDelivery({ box, announcedAt }: AnnouncedBox): Delivery {
+    const known = this.deliveries.get(box);
+    if (known?.epoch === this.ledEpoch && known.announcedAt === announcedAt) {
+      return known;
+    }
+    const isNew = announcedAt + NEW_BOX_AGE_MS > this.ledSince;
+    const nextAt = isNew ? -Infinity : this.ledSince + STABLE_LEADER_MS;
+    const delivery: Delivery = { epoch: this.ledEpoch, announcedAt, attempts: 0, nextAt };
+    this.deliveries.set(box, delivery);
+    return delivery;
+  }
+
+  private async sendAnnouncement(
+    other: AnnouncedBox,
+    delivery: Delivery,
+    announcement: LeaderAnnouncement,
+  ): Promise<void> {
+    this.inFlight += 1;
+    delivery.nextAt = Infinity;
+    delivery.attempts += 1;
+    const isDelivered = await other.client.sendLeaderAnnouncement(announcement);
+    this.inFlight -= 1;
+    if (isDelivered) {
+      return;
+    }
+    if (delivery.attempts < MAX_ATTEMPTS) {
+      const retryMs = Math.min(MAX_RETRY_MS, FIRST_RETRY_MS * 2 ** (delivery.attempts - 1));
+      delivery.nextAt = this.options.clock.getNow() + retryMs;
+      return;
+    }
+    this.options.logger.info('Box did not confirm the leader announcement.', {
+      other: other.box,
+      epoch: delivery.epoch,
+      tries: delivery.attempts,
+    });
+  }
+}
--- /dev/null
+++ b/packages/serve/LeaderHandover.ts
@@ -0,0 +1,139 @@
+import type { BoxClient } from '../boxes/BoxClient';
+import type { BoxClients } from '../boxes/BoxClients';
+import type { BoxDirectory } from '../boxes/BoxDirectory';
+import type { Clock } from '../common/Clock';
+import { waitForDelay } from '../common/waitForDelay';
+import type { LeaderController } from '../dispatch/LeaderController';
+import type { ServeSettings } from './ServeSettings';
+
+interface LeaderHandoverOptions {
+  readonly settings: ServeSettings;
+  readonly clock: Clock;
+  readonly boxes: BoxClients;
+  readonly directory: BoxDirectory;
+  /** Returns the leader controller of this process; undefined while it does not lead. */
+  readonly getController: () => LeaderController | undefined;
+  readonly getEpoch: () => number;
+  /** Retries the pending log requests of this box. */
+  readonly retryPending: () => void;
+  /** Reads the log now; false when the read fails or takes too long. */
+  readonly waitForLogRead: () => Promise<boolean>;
+  /** Handles that this process stops leading because it shuts down. */
+  readonly handleResigned: () => void;
+  /** Handles that this process stops leading but keeps running. */
+  readonly handleLeadershipLost: (epoch: number, detail: string) => void;
+}
+
+/** Duration of failing writes from which the leader looks for a box that can use the log. */
+const MIN_WRITE_OUTAGE_MS = 300;
+/**
+ * Time for retried requests to succeed once another box can use the log. Avoids a change of leader when the log has just recovered for
+ * all boxes.
+ */
+const RECOVERY_CHECK_MS = 300;
+/** Duration of failing writes from which the leader hands over although it can read. */
+const MAX_WRITE_OUTAGE_MS = 2000;
+/** Time between searches for a stronger box, and before the first one. */
+const STABLE_LEADER_MS = 2000;
+/** Part of the grace period that is reserved for the end of a planned stop. */
+const STOP_RESERVE_MS = 2000;
+const CANDIDATE_POLL_MS = 100;
+
+/** Hands leadership over to a better suited box, and at a planned stop. The controller stops before the other box is asked to lead. */
+export class LeaderHandover {
+  private isHandingOver = false;
+  private leadingSince = 0;
+
+  constructor(private readonly options: LeaderHandoverOptions) {}
+
+  /** Records that this process was elected now. */
+  recordElected(): void {
+    this.leadingSince = this.options.clock.getNow();
+  }
+
+  /** Starts a handover if this box cannot write to the log or a stronger box exists. Called periodically. */
+  handleTick(): void {
+    const { clock, settings, directory, getController } = this.options;
+    const controller = getController();
+    if (controller === undefined || this.isHandingOver) {
+      return;
+    }
+    if (controller.getLogOutageMs() > MIN_WRITE_OUTAGE_MS) {
+      this.runOnce(() => this.runHandoverInOutage());
+      return;
+    }
+    const isStable = clock.getNow() - this.leadingSince > STABLE_LEADER_MS;
+    if (isStable && directory.readStronger(settings).length > 0) {
+      this.runOnce(() => this.runHandoverToStronger());
+    }
+  }
+
+  /**
+   * Hands leadership over at a planned stop. While the log is unavailable to every box, no other box could take over, so this process
+   * keeps leading and renewing leases for as long as its grace period allows.
+   */
+  async runPlannedHandover(): Promise<void> {
+    const { clock, settings, boxes, getController, getEpoch, handleResigned } = this.options;
+    this.isHandingOver = true;
+    const until = clock.getNow() + settings.graceMs - STOP_RESERVE_MS;
+    while ((getController()?.getLogOutageMs() ?? 0) > 0 && clock.getNow() < until) {
+      if ((await boxes.startChoosingLogUser()) !== undefined) {
+        break;
+      }
+      await waitForDelay(CANDIDATE_POLL_MS);
+    }
+    const controller = getController();
+    if (controller === undefined) {
+      return;
+    }
+    const epoch = getEpoch();
+    handleResigned();
+    await controller.stopGracefully();
+    const next = await boxes.startChoosingLogUser();
+    await next?.sendHandover(epoch);
+  }
+
+  private runOnce(attempt: () => Promise<void>): void {
+    this.isHandingOver = true;
+    void attempt().finally(() => {
+      this.isHandingOver = false;
+    });
+  }
+
+  /** Hands over to a stronger box, unless writes to the log fail. */
+  private async runHandoverToStronger(): Promise<void> {
+    this.leadingSince = this.options.clock.getNow();
+    const next = await this.options.boxes.findStrongerCandidate();
+    const controller = this.options.getController();
+    if (next !== undefined && controller?.getLogOutageMs() === 0) {
+      await this.runHandover(next, controller, 'a stronger box exists');
+    }
+  }
+
+  /** Hands over to a box that can use the log, unless this box can use it again. */
+  private async runHandoverInOutage(): Promise<void> {
+    const { boxes, retryPending, waitForLogRead, getController } = this.options;
+    const next = await boxes.startChoosingLogUser();
+    if (next === undefined) {
+      return;
+    }
+    retryPending();
+    await waitForDelay(RECOVERY_CHECK_MS);
+    const canRead = await waitForLogRead();
+    const controller = getController();
+    if (controller === undefined || controller.getLogOutageMs() === 0) {
+      return;
+    }
+    if (canRead && controller.getLogOutageMs() < MAX_WRITE_OUTAGE_MS) {
+      return;
+    }
+    await this.runHandover(next, controller, 'the log is unavailable to this box');
+  }
+
+  private async runHandover(next: BoxClient, controller: LeaderController, reason: string): Promise<void> {
+    const epoch = this.options.getEpoch();
+    controller.stop();
+    this.options.handleLeadershipLost(epoch, `${reason}; ${next.address} is asked to lead`);
+    await next.sendHandover(epoch);
+  }
+}
--- a/packages/serve/LoadDoor.ts
+++ b/packages/serve/LoadDoor.ts
@@ -16,94 +16,99 @@
   readonly clock: Clock;
   readonly logger: Logger;
   readonly metrics: ServeMetrics;
-  /** Epoch of the newest leader known. */
+  /** Returns the epoch of the current leader; undefined while none is known. */
   readonly readEpoch: () => number | undefined;
-  /** Reads the jobs' topic on until a deadline; true once everything written before the call is known here. */
+  /** Reads the jobs topic until a monotonic deadline; true if all records written before the call have been applied. */
   readonly startJobsRefresh: (deadline: number) => Promise<boolean>;
   readonly isKnown: (id: JobId) => boolean;
 }
 
-type Newcomer = Pick<JobDefinition, 'id' | 'queue' | 'customer' | 'steps' | 'firstRunMs'>;
+type SubmittedJob = Pick<JobDefinition, 'id' | 'queue' | 'customer' | 'steps' | 'firstRunMs'>;
 
-/** `load` goes beside the line of the job that is taken. */
-type DoorCheck =
+/** Result of admission control. `load` holds fields for the log line of an accepted job. */
+type AdmissionCheck =
   | { readonly kind: 'taken'; readonly load: Readonly<Record<string, unknown>> }
   | { readonly kind: 'known' }
   | { readonly kind: 'refused'; readonly retryAfterMs: number };
 
-/** Ids whose first send may have been taken are kept until so many more have come; callers try again within seconds. */
-const MAX_DOUBTS = 2000;
+/** Number of jobs of uncertain outcome that are remembered. Callers retry within seconds. */
+const MAX_UNCERTAIN_JOBS = 2000;
 
-const OUTCOME_COUNTS = {
+const DECISION_COUNTERS = {
   unknown: 'doorUnknown',
   room: 'doorRoom',
   bearable: 'doorBearable',
   hopeless: 'doorHopeless',
 } as const satisfies Readonly<Record<AdmissionDecision['kind'], string>>;
 
-/** Takes jobs in, or refuses them by what this box knows of the load. What may have been taken before is never refused. */
+/** Admission control by the published load. Never refuses a job that an earlier request may have submitted. */
 export class LoadDoor {
-  private readonly doubts = new Set<JobId>();
+  private readonly uncertainJobs = new Set<JobId>();
 
   constructor(private readonly options: LoadDoorOptions) {}
 
-  /** The log gave no answer about a job: it may run, so that nobody may be told that it does not. */
+  /** Records that a job may have been accepted although its write was not confirmed, so that a retry is not refused. */
   recordDoubt(id: JobId): void {
-    this.doubts.add(id);
-    if (this.doubts.size > MAX_DOUBTS) {
-      const [oldest] = this.doubts;
-      this.doubts.delete(oldest!);
+    this.uncertainJobs.add(id);
+    if (this.uncertainJobs.size > MAX_UNCERTAIN_JOBS) {
+      const [oldest] = this.uncertainJobs;
+      this.uncertainJobs.delete(oldest!);
     }
   }
 
-  async startCheck(newcomer: Newcomer, deadline: number): Promise<DoorCheck> {
+  /** Decides whether to accept a job; a monotonic deadline bounds the read that precedes a refusal. */
+  async startCheck(job: SubmittedJob, deadline: number): Promise<AdmissionCheck> {
     const { door, metrics } = this.options;
     if (!admissionModes[door].isLoadPublished) {
       return { kind: 'taken', load: {} };
     }
-    const load = this.readLoad();
-    const answer = this.chooseAnswer(load, newcomer, deadline);
-    metrics.recordCount(OUTCOME_COUNTS[answer.kind]);
-    if (answer.kind !== 'hopeless' || !admissionModes[door].canRefuse) {
-      return { kind: 'taken', load: this.formatLoad(load, answer) };
+    const load = this.getLoad();
+    const decision = this.chooseDecision(load, job, deadline);
+    metrics.recordCount(DECISION_COUNTERS[decision.kind]);
+    if (decision.kind !== 'hopeless' || !admissionModes[door].canRefuse) {
+      return { kind: 'taken', load: this.formatLoad(load, decision) };
     }
-    if (this.doubts.has(newcomer.id) || !(await this.options.startJobsRefresh(deadline))) {
+    if (this.uncertainJobs.has(job.id) || !(await this.options.startJobsRefresh(deadline))) {
       metrics.recordCount('doorDoubtful');
-      return { kind: 'taken', load: this.formatLoad(load, answer) };
+      return { kind: 'taken', load: this.formatLoad(load, decision) };
     }
-    if (this.options.isKnown(newcomer.id)) {
+    if (this.options.isKnown(job.id)) {
       return { kind: 'known' };
     }
     this.options.logger.info('Job not taken: it could not be of use in time.', {
-      job: newcomer.id,
-      queue: newcomer.queue.name,
-      ...(newcomer.customer === undefined ? {} : { customer: newcomer.customer.name }),
-      ...this.formatLoad(load, answer),
-      retryAfterMs: answer.retryAfterMs,
+      job: job.id,
+      queue: job.queue.name,
+      ...(job.customer === undefined ? {} : { customer: job.customer.name }),
+      ...this.formatLoad(load, decision),
+      retryAfterMs: decision.retryAfterMs,
     });
-    return { kind: 'refused', retryAfterMs: answer.retryAfterMs };
+    return { kind: 'refused', retryAfterMs: decision.retryAfterMs };
   }
 
-  private readLoad(): KnownLoad | undefined {
+  private getLoad(): KnownLoad | undefined {
     const { clock, readEpoch, view } = this.options;
     return view.getLoad({ now: clock.getNow(), wallMs: clock.getWallTime(), epoch: readEpoch() });
   }
 
-  private chooseAnswer(load: KnownLoad | undefined, newcomer: Newcomer, deadline: number): AdmissionDecision {
+  private chooseDecision(
+    load: KnownLoad | undefined,
+    job: SubmittedJob,
+    deadline: number,
+  ): AdmissionDecision {
     const { clock } = this.options;
     return chooseAdmission(load, {
-      id: newcomer.id,
-      queue: newcomer.queue,
-      customer: newcomer.customer?.name,
-      steps: newcomer.steps,
-      dueInMs: Math.max(0, newcomer.firstRunMs - clock.getWallTime()),
+      id: job.id,
+      queue: job.queue,
+      customer: job.customer?.name,
+      steps: job.steps,
+      dueInMs: Math.max(0, job.firstRunMs - clock.getWallTime()),
       leftMs: deadline - clock.getNow(),
     });
   }
 
   private formatLoad(
     load: KnownLoad | undefined,
-    answer: AdmissionDecision,
+    decision: AdmissionDecision,
   ): Readonly<Record<string, unknown>> {
     return load === undefined
       ? {}
@@ -111,7 +116,7 @@
           loadEpoch: load.digest.epoch,
           loadSequence: load.digest.sequence,
           loadAgeMs: Math.round(load.ageMs),
-          ...('expectedWaitMs' in answer ? { expectedWaitMs: answer.expectedWaitMs } : {}),
+          ...('expectedWaitMs' in decision ? { expectedWaitMs: decision.expectedWaitMs } : {}),
         };
   }
 }
--- a/packages/serve/TopicFollowers.ts
+++ b/packages/serve/TopicFollowers.ts
@@ -15,45 +15,45 @@
   readonly handleJobs: (records: readonly LogRecord[]) => void;
   readonly handleStates: (records: readonly LogRecord[]) => void;
   readonly handleOperator: (records: readonly LogRecord[]) => void;
-  /** The topic of states can be read again, or no longer. */
+  /** Handles a change of whether the states topic can be read. */
   readonly handleStatesConnection: (isConnected: boolean) => void;
-  /** The log has answered, after it had not, a call that was sent at a monotonic time. */
-  readonly handleLogBack: (answeredSentAt: number) => void;
+  /** Handles the first response of the log after an outage; its request was sent at a monotonic time. */
+  readonly handleLogRecovered: (sentAt: number) => void;
 }
 
-interface Pace {
-  /** Pause between two reads. */
+interface PollInterval {
+  /** Pause between two reads, in milliseconds. */
   readonly pauseMs: number;
-  /** How long a read waits for a record. */
+  /** Milliseconds for which a read waits for a record. */
   readonly pollMs: number;
 }
 
-const STATES_PACE: Pace = { pauseMs: 350, pollMs: 500 };
-/** Other boxes read accepted jobs with less haste: whoever is asked for an unknown one reads on at once. */
-const JOBS_PACE: Pace = { pauseMs: 1000, pollMs: 1000 };
-/** A silent log is noticed within this time and a call's, well before a version must be in force. */
-const OPERATOR_PACE: Pace = { pauseMs: 0, pollMs: 800 };
+const STATES_INTERVAL: PollInterval = { pauseMs: 350, pollMs: 500 };
+/** Less frequent, because a request for an unknown job triggers a read. */
+const JOBS_INTERVAL: PollInterval = { pauseMs: 1000, pollMs: 1000 };
+/** An outage is detected within this time plus the timeout of a request. */
+const OPERATOR_INTERVAL: PollInterval = { pauseMs: 0, pollMs: 800 };
 const LEADER_PAUSE_MS = 0;
 
-/** The topics that a box follows, read one after the other until each is known whole. */
+/** Followers of the log topics. They start one after the other, each once the previous one has read its topic to the end. */
 export class TopicFollowers {
   readonly jobs: LogFollower;
   readonly states: LogFollower;
   readonly operator: LogFollower;
-  /** Topics that are not read yet, in the order in which a box needs them: a narrow link carries one at a time sooner. */
-  private readonly unread: LogFollower[];
+  /** Followers to be started, most urgent first. On a narrow link, sequential reads complete the first topic sooner. */
+  private readonly unstarted: LogFollower[];
 
   constructor(private readonly options: TopicFollowersOptions) {
     const { operatorTopic, handleJobs, handleStates, handleOperator } = options;
-    this.jobs = this.createFollower(topics.jobs, JOBS_PACE, handleJobs);
-    this.states = this.createFollower(topics.states, STATES_PACE, handleStates);
-    this.operator = this.createFollower(operatorTopic, OPERATOR_PACE, handleOperator);
-    this.unread = [this.operator, this.states, this.jobs];
+    this.jobs = this.createFollower(topics.jobs, JOBS_INTERVAL, handleJobs);
+    this.states = this.createFollower(topics.states, STATES_INTERVAL, handleStates);
+    this.operator = this.createFollower(operatorTopic, OPERATOR_INTERVAL, handleOperator);
+    this.unstarted = [this.operator, this.states, this.jobs];
   }
 
-  /** Begins to read the next topic; called again once that one has been read whole. */
-  startNext(): void {
-    void this.unread.shift()?.start();
+  /** Starts the next follower, if any is left. */
+  startNextFollower(): void {
+    void this.unstarted.shift()?.start();
   }
 
   stop(): void {
@@ -62,45 +62,46 @@
     this.operator.stop();
   }
 
-  /** A leader writes the states itself, and reads jobs without a pause. */
+  /** Stops following the states, which the leader writes itself, and follows jobs without a pause. */
   startLeading(): void {
     this.states.stop();
     this.jobs.setPause(LEADER_PAUSE_MS);
   }
 
+  /** Follows states and jobs as a box that does not lead. */
   stopLeading(): void {
-    this.jobs.setPause(JOBS_PACE.pauseMs);
+    this.jobs.setPause(JOBS_INTERVAL.pauseMs);
     void this.states.start();
   }
 
   /**
-   * True while reads of all topics are answered. A leader does not follow the states. Jobs may still be coming in: a box can take new ones
-   * before it knows the others.
+   * Returns whether all topics that this box follows can be read. The jobs topic need not have been read to the end, since a box can
+   * accept new jobs before that.
    */
-  isReading(isLeading: boolean): boolean {
+  isReadable(isLeading: boolean): boolean {
     const isFollowingStates = isLeading || this.states.isFollowing();
     return isFollowingStates && this.jobs.isReachable() && this.operator.isFollowing();
   }
 
-  /** The log is known to answer calls sent at a monotonic time: whatever still waits for an older one is tried again at once. */
-  startAgain(answeredSentAt: number): void {
-    this.jobs.retryPending(answeredSentAt);
-    this.states.retryPending(answeredSentAt);
-    this.operator.retryPending(answeredSentAt);
+  /** Retries requests sent before a monotonic time, since the log is known to respond to requests sent then. */
+  retryPending(sentAt: number): void {
+    this.jobs.retryPending(sentAt);
+    this.states.retryPending(sentAt);
+    this.operator.retryPending(sentAt);
   }
 
   private createFollower(
     topic: string,
-    pace: Pace,
+    interval: PollInterval,
     handleRecords: (records: readonly LogRecord[]) => void,
   ): LogFollower {
-    const { log, clock, random, logger, handleStatesConnection, handleLogBack } = this.options;
+    const { log, clock, random, logger, handleStatesConnection, handleLogRecovered } = this.options;
     return new LogFollower({
       client: log,
       topic,
       clock,
       random,
-      ...pace,
+      ...interval,
       handleRecords,
       handleConnection: (isConnected, detail, sentAt) => {
         logger.info(isConnected ? 'Topic can be read.' : 'Topic cannot be read.', { topic, detail });
@@ -108,8 +109,8 @@
           handleStatesConnection(isConnected);
         }
         if (isConnected) {
-          this.startNext();
-          handleLogBack(sentAt);
+          this.startNextFollower();
+          handleLogRecovered(sentAt);
         }
       },
     });
