--- a/packages/boxes/BoxClients.ts
+++ b/packages/boxes/BoxClients.ts
@@ -1,9 +1,9 @@
 import { BoxClient } from './BoxClient';
 import type { BoxDirectory } from './BoxDirectory';
-import type { BoxPower } from './BoxPower';
+import type { BoxResources } from './BoxResources';
 import { computeLeaderCapacity } from './computeLeaderCapacity';
 
-interface ConnectedBox extends BoxPower {
+interface ConnectedBox extends BoxResources {
   readonly box: string;
   readonly client: BoxClient;
   /** Monotonic time at which its newest announcement was read from the log, in milliseconds. */
@@ -16,13 +16,13 @@
 
   constructor(
     private readonly directory: BoxDirectory,
-    private readonly own: BoxPower & { readonly box: string },
+    private readonly own: BoxResources & { readonly box: string },
   ) {}
 
   /** Returns all other announced boxes with their clients. */
-  readOthers(): readonly ConnectedBox[] {
+  listOthers(): readonly ConnectedBox[] {
     return this.directory
-      .readBoxes()
+      .listBoxes()
       .filter(({ box }) => box !== this.own.box)
       .map(({ box, address, announcedAt, cores, linkMbps }) => ({
         box,
@@ -35,7 +35,7 @@
 
   /** Returns the client of a box by its name; undefined when it has not announced itself. */
   findClient(name: string): BoxClient | undefined {
-    const known = this.directory.readBoxes().find(({ box }) => box === name);
+    const known = this.directory.listBoxes().find(({ box }) => box === name);
     return known === undefined ? undefined : this.getClient(known.box, known.address);
   }
 
@@ -43,23 +43,23 @@
    * Returns a box that can use the log: a stronger box if there is one, else one of comparable strength, else the strongest of the
    * others; undefined when none can. Prefers strong boxes, because a weak leader of a large fleet falls behind with its heartbeats.
    */
-  async startChoosingLogUser(): Promise<BoxClient | undefined> {
-    const peers = this.directory.readPeers(this.own);
+  async findLeaderCandidate(): Promise<BoxClient | undefined> {
+    const peers = this.directory.listPeers(this.own);
     return (
       (await this.findStrongerCandidate()) ??
       (await this.findFirstOfBoxes(peers)) ??
-      this.findStrongestWithLog(this.readOthers())
+      this.findStrongestWithLog(this.listOthers())
     );
   }
 
   /** Returns a box that is stronger than this one and can use the log; undefined when there is none. */
   findStrongerCandidate(): Promise<BoxClient | undefined> {
-    return this.findFirstOfBoxes(this.directory.readStronger(this.own));
+    return this.findFirstOfBoxes(this.directory.listStronger(this.own));
   }
 
   private findFirstOfBoxes(boxes: readonly { readonly box: string }[]): Promise<BoxClient | undefined> {
     const names = new Set(boxes.map(({ box }) => box));
-    return this.findFirstWithLog(this.readOthers().filter(({ box }) => names.has(box)));
+    return this.findFirstWithLog(this.listOthers().filter(({ box }) => names.has(box)));
   }
 
   /** Returns the first box to respond that it can use the log; undefined when none does. */
--- a/packages/boxes/BoxDirectory.ts
+++ b/packages/boxes/BoxDirectory.ts
@@ -1,7 +1,7 @@
 import { z } from 'zod';
 import { parseJson } from '../common/parseJson';
 import type { LogRecord } from '../store/LogRecord';
-import type { BoxPower } from './BoxPower';
+import type { BoxResources } from './BoxResources';
 import { boxResourcesSchema } from './boxResourcesSchema';
 import { computeLeaderCapacity } from './computeLeaderCapacity';
 
@@ -10,7 +10,7 @@
 /** Ratio of leader capacities from which a box counts as stronger than another. */
 const MIN_STRONGER_RATIO = 1.5;
 
-interface KnownBox extends BoxPower {
+interface KnownBox extends BoxResources {
   readonly box: string;
   /** Host and port for requests between boxes. */
   readonly address: string;
@@ -28,7 +28,7 @@
   }
 
   /** Formats the announcement of a box. */
-  static formatRecord(address: string, { cores, linkMbps }: BoxPower): string {
+  static formatRecord(address: string, { cores, linkMbps }: BoxResources): string {
     return JSON.stringify({ address, cores, linkMbps });
   }
 
@@ -49,24 +49,24 @@
   }
 
   /** Sets the address and resources of a box that it announced by a request. */
-  recordBox(box: string, address: string, { cores, linkMbps }: BoxPower): void {
+  setBox(box: string, address: string, { cores, linkMbps }: BoxResources): void {
     const announcedAt = this.boxes.get(box)?.announcedAt ?? -Infinity;
     this.boxes.set(box, { box, address, cores, linkMbps, announcedAt });
   }
 
-  readBoxes(): readonly KnownBox[] {
+  listBoxes(): readonly KnownBox[] {
     return [...this.boxes.values()];
   }
 
   /** Returns the boxes that are not clearly weaker than a box with the given resources. */
-  readPeers(own: BoxPower): readonly KnownBox[] {
+  listPeers(own: BoxResources): readonly KnownBox[] {
     const ownCapacity = computeLeaderCapacity(own);
-    return this.readBoxes().filter((box) => computeLeaderCapacity(box) * MIN_STRONGER_RATIO > ownCapacity);
+    return this.listBoxes().filter((box) => computeLeaderCapacity(box) * MIN_STRONGER_RATIO > ownCapacity);
   }
 
   /** Returns the boxes that should lead in preference to a box with the given resources. */
-  readStronger(own: BoxPower): readonly KnownBox[] {
+  listStronger(own: BoxResources): readonly KnownBox[] {
     const ownCapacity = computeLeaderCapacity(own);
-    return this.readBoxes().filter((box) => computeLeaderCapacity(box) >= ownCapacity * MIN_STRONGER_RATIO);
+    return this.listBoxes().filter((box) => computeLeaderCapacity(box) >= ownCapacity * MIN_STRONGER_RATIO);
   }
 }
--- a/packages/boxes/computeLeaderCapacity.ts
+++ b/packages/boxes/computeLeaderCapacity.ts
@@ -1,4 +1,4 @@
-import type { BoxPower } from './BoxPower';
+import type { BoxResources } from './BoxResources';
 
 /**
  * Link bandwidth that a leader needs for each core that it uses, in Mbit/s. On a saturated link, responses arrive so late that successful
@@ -7,5 +7,5 @@
 const LINK_MBPS_PER_CORE = 16;
 
 /** Computes the capacity of a box as leader: the number of its cores that its link can keep busy. */
-export const computeLeaderCapacity = ({ cores, linkMbps }: BoxPower): number =>
+export const computeLeaderCapacity = ({ cores, linkMbps }: BoxResources): number =>
   Math.min(cores, linkMbps / LINK_MBPS_PER_CORE);
--- a/packages/cli/parsePolicies.ts
+++ b/packages/cli/parsePolicies.ts
@@ -1,12 +1,12 @@
 import type { Result } from '../common/Result';
-import type { ServeWays } from '../serve/ServeWays';
+import type { ServePolicies } from '../serve/ServePolicies';
 import type { CommandInput } from './CommandInput';
 import { parseChoice } from './parseChoice';
 import type { PolicyOption } from './PolicyOption';
 import { policyOptions } from './policyOptions';
 
 /** Parses the policy options. The error lists all problems. */
-export const parsePolicies = (values: CommandInput['values']): Result<ServeWays, readonly string[]> => {
+export const parsePolicies = (values: CommandInput['values']): Result<ServePolicies, readonly string[]> => {
   const problems: string[] = [];
   const policies: Record<string, string> = {};
   for (const [setting, option] of Object.entries<PolicyOption<string>>(policyOptions)) {
@@ -21,5 +21,5 @@
   // Each value is a key of the choices of its own setting.
   return problems.length > 0
     ? { ok: false, error: problems }
-    : { ok: true, value: policies as unknown as ServeWays };
+    : { ok: true, value: policies as unknown as ServePolicies };
 };
--- a/packages/cli/policyOptions.ts
+++ b/packages/cli/policyOptions.ts
@@ -6,12 +6,14 @@
 import { placementOrders } from '../dispatch/waiting/placementOrders';
 import { admissionModes } from '../load/admissionModes';
 import { configurationSources } from '../serve/configurationSources';
-import { jobWritings } from '../serve/jobWritings';
-import type { ServeWays } from '../serve/ServeWays';
+import { jobWritePolicies } from '../serve/jobWritePolicies';
+import type { ServePolicies } from '../serve/ServePolicies';
 import type { PolicyOption } from './PolicyOption';
 
 /** Policy options of `stairline serve`, by the setting that they set. */
-export const policyOptions: { readonly [Setting in keyof ServeWays]: PolicyOption<ServeWays[Setting]> } = {
+export const policyOptions: {
+  readonly [Setting in keyof ServePolicies]: PolicyOption<ServePolicies[Setting]>;
+} = {
   configurationSource: {
     name: 'configuration',
     choices: configurationSources,
@@ -20,7 +22,7 @@
   },
   jobWriting: {
     name: 'writing',
-    choices: jobWritings,
+    choices: jobWritePolicies,
     defaultChoice: 'leader',
     help: 'box that appends accepted jobs to the log: the one that accepted them, or the leader',
   },
--- a/packages/serve/BoxJobService.ts
+++ b/packages/serve/BoxJobService.ts
@@ -18,7 +18,7 @@
 import type { JobState } from '../jobs/JobState';
 import type { LogFollower } from '../store/LogFollower';
 import type { RecordWriter } from '../store/RecordWriter';
-import type { LoadDoor } from './LoadDoor';
+import type { LoadAdmission } from './LoadAdmission';
 import type { ServeMetrics } from './ServeMetrics';
 
 interface BoxJobServiceOptions {
@@ -29,7 +29,7 @@
   readonly clock: Clock;
   readonly logger: Logger;
   readonly metrics: ServeMetrics;
-  readonly admission: LoadDoor;
+  readonly admission: LoadAdmission;
   /** Returns whether all topics can be read. */
   readonly isLogReadable: () => boolean;
   /** Returns whether this process leads, so that its replica is the newest. */
@@ -109,7 +109,7 @@
       ...submission,
       acceptedAtMs: Math.round(clock.getWallTime()),
     };
-    const check = await this.options.admission.startCheck(definition, this.computeRefreshDeadline(deadline));
+    const check = await this.options.admission.checkJob(definition, this.computeRefreshDeadline(deadline));
     if (check.kind === 'known') {
       return this.createKnownResult(replica.getDefinition(id)!, queue, customer);
     }
@@ -125,7 +125,7 @@
     }
     if (outcome === 'unknown') {
       metrics.recordCount('unknown');
-      this.options.admission.recordDoubt(id);
+      this.options.admission.recordUncertain(id);
       this.logDecision('The log did not answer: the job may be accepted.', id, queue.name, { tookMs });
       return { kind: 'unknown' };
     }
--- a/packages/serve/ConfigurationDesk.ts
+++ b/packages/serve/ConfigurationUpdater.ts
@@ -10,7 +10,7 @@
 import { configurationSources } from './configurationSources';
 import type { ServeAdapter } from './ServeAdapter';
 
-interface ConfigurationDeskOptions {
+interface ConfigurationUpdaterOptions {
   readonly adapter: Pick<ServeAdapter, 'configurationKey' | 'parseConfiguration'>;
   readonly router: QueueRouter;
   readonly source: ConfigurationSource;
@@ -22,8 +22,8 @@
   /** Returns whether the operator topic can be read. */
   readonly isFollowing: () => boolean;
   /** Returns the monotonic time of the last successful read of the operator topic, in milliseconds. */
-  readonly readFollowedAt: () => number;
-  readonly readOthers: () => readonly { readonly box: string; readonly client: BoxClient }[];
+  readonly getLastReadAt: () => number;
+  readonly listOthers: () => readonly { readonly box: string; readonly client: BoxClient }[];
 }
 
 /** Several requests to random boxes fit into the time within which a new version must take effect. */
@@ -32,13 +32,13 @@
 const MAX_LOGGED_PROBLEMS = 20;
 
 /** Applies new versions of the configuration from the log and, while that is unavailable, from other boxes. */
-export class ConfigurationDesk {
+export class ConfigurationUpdater {
   /** Monotonic time at which another box last confirmed that the current version is the newest. */
   private confirmedAt = -Infinity;
   private requestedAt = -Infinity;
   private isRequesting = false;
 
-  constructor(private readonly options: ConfigurationDeskOptions) {}
+  constructor(private readonly options: ConfigurationUpdaterOptions) {}
 
   /** Applies the configurations among records of the operator topic; logs and skips malformed ones. */
   handleRecords(records: readonly LogRecord[]): void {
@@ -65,7 +65,7 @@
 
   /** Returns an upper bound of the milliseconds since the current version was confirmed to be the newest. */
   getAgeMs(): number {
-    const { clock, readFollowedAt } = this.options;
+    const { clock, getLastReadAt: readFollowedAt } = this.options;
     return clock.getMaxElapsedSince(Math.max(readFollowedAt(), this.confirmedAt));
   }
 
@@ -87,7 +87,7 @@
   }
 
   private async requestFromBox(): Promise<void> {
-    const { clock, random, readOthers, router } = this.options;
+    const { clock, random, listOthers: readOthers, router } = this.options;
     const others = readOthers();
     const other = others[Math.floor(random() * others.length)];
     if (other === undefined) {
--- a/packages/serve/JobWriting.ts
+++ b/packages/serve/JobWritePolicyName.ts
@@ -3,4 +3,4 @@
  * - `own`: the accepting box.
  * - `leader`: the leader's box, which batches the records of all boxes; the accepting box if that fails.
  */
-export type JobWriting = 'own' | 'leader';
+export type JobWritePolicyName = 'own' | 'leader';
--- a/packages/serve/LeaderHandover.ts
+++ b/packages/serve/LeaderHandover.ts
@@ -63,7 +63,7 @@
       return;
     }
     const isStable = clock.getNow() - this.leadingSince > STABLE_LEADER_MS;
-    if (isStable && directory.readStronger(settings).length > 0) {
+    if (isStable && directory.listStronger(settings).length > 0) {
       this.runOnce(() => this.runHandoverToStronger());
     }
   }
@@ -77,7 +77,7 @@
     this.isHandingOver = true;
     const until = clock.getNow() + settings.graceMs - STOP_RESERVE_MS;
     while ((getController()?.getLogOutageMs() ?? 0) > 0 && clock.getNow() < until) {
-      if ((await boxes.startChoosingLogUser()) !== undefined) {
+      if ((await boxes.findLeaderCandidate()) !== undefined) {
         break;
       }
       await waitForDelay(CANDIDATE_POLL_MS);
@@ -89,7 +89,7 @@
     const epoch = getEpoch();
     handleResigned();
     await controller.stopGracefully();
-    const next = await boxes.startChoosingLogUser();
+    const next = await boxes.findLeaderCandidate();
     await next?.sendHandover(epoch);
   }
 
@@ -113,7 +113,7 @@
   /** Hands over to a box that can use the log, unless this box can use it again. */
   private async runHandoverInOutage(): Promise<void> {
     const { boxes, retryPending, waitForLogRead, getController } = this.options;
-    const next = await boxes.startChoosingLogUser();
+    const next = await boxes.findLeaderCandidate();
     if (next === undefined) {
       return;
     }
--- a/packages/serve/LoadDoor.ts
+++ b/packages/serve/LoadAdmission.ts
@@ -10,16 +10,16 @@
 import type { LoadView } from '../load/LoadView';
 import type { ServeMetrics } from './ServeMetrics';
 
-interface LoadDoorOptions {
-  readonly door: AdmissionMode;
+interface LoadAdmissionOptions {
+  readonly mode: AdmissionMode;
   readonly view: LoadView;
   readonly clock: Clock;
   readonly logger: Logger;
   readonly metrics: ServeMetrics;
   /** Returns the epoch of the current leader; undefined while none is known. */
-  readonly readEpoch: () => number | undefined;
+  readonly getEpoch: () => number | undefined;
   /** Reads the jobs topic until a monotonic deadline; true if all records written before the call have been applied. */
-  readonly startJobsRefresh: (deadline: number) => Promise<boolean>;
+  readonly waitForJobsRefresh: (deadline: number) => Promise<boolean>;
   readonly isKnown: (id: JobId) => boolean;
 }
 
@@ -42,13 +42,13 @@
 } as const satisfies Readonly<Record<AdmissionDecision['kind'], string>>;
 
 /** Admission control by the published load. Never refuses a job that an earlier request may have submitted. */
-export class LoadDoor {
+export class LoadAdmission {
   private readonly uncertainJobs = new Set<JobId>();
 
-  constructor(private readonly options: LoadDoorOptions) {}
+  constructor(private readonly options: LoadAdmissionOptions) {}
 
   /** Records that a job may have been accepted although its write was not confirmed, so that a retry is not refused. */
-  recordDoubt(id: JobId): void {
+  recordUncertain(id: JobId): void {
     this.uncertainJobs.add(id);
     if (this.uncertainJobs.size > MAX_UNCERTAIN_JOBS) {
       const [oldest] = this.uncertainJobs;
@@ -57,8 +57,8 @@
   }
 
   /** Decides whether to accept a job; a monotonic deadline bounds the read that precedes a refusal. */
-  async startCheck(job: SubmittedJob, deadline: number): Promise<AdmissionCheck> {
-    const { door, metrics } = this.options;
+  async checkJob(job: SubmittedJob, deadline: number): Promise<AdmissionCheck> {
+    const { mode: door, metrics } = this.options;
     if (!admissionModes[door].isLoadPublished) {
       return { kind: 'taken', load: {} };
     }
@@ -68,7 +68,7 @@
     if (decision.kind !== 'hopeless' || !admissionModes[door].canRefuse) {
       return { kind: 'taken', load: this.formatLoad(load, decision) };
     }
-    if (this.uncertainJobs.has(job.id) || !(await this.options.startJobsRefresh(deadline))) {
+    if (this.uncertainJobs.has(job.id) || !(await this.options.waitForJobsRefresh(deadline))) {
       metrics.recordCount('doorDoubtful');
       return { kind: 'taken', load: this.formatLoad(load, decision) };
     }
@@ -86,7 +86,7 @@
   }
 
   private getLoad(): KnownLoad | undefined {
-    const { clock, readEpoch, view } = this.options;
+    const { clock, getEpoch: readEpoch, view } = this.options;
     return view.getLoad({ now: clock.getNow(), wallMs: clock.getWallTime(), epoch: readEpoch() });
   }
 
--- a/packages/serve/OtherBoxes.ts
+++ b/packages/serve/OtherBoxes.ts
@@ -41,7 +41,7 @@
     this.announcer = new LeaderAnnouncer({
       clock,
       logger,
-      listOthers: () => this.clients.readOthers(),
+      listOthers: () => this.clients.listOthers(),
       createAnnouncement: () => this.createLeaderAnnouncement(),
     });
   }
@@ -73,7 +73,7 @@
 
   /** Records the address and resources of the box that announced its leadership. */
   applyLeaderAnnouncement({ record, address, cores, linkMbps }: LeaderAnnouncement): void {
-    this.directory.recordBox(record.box, address, { cores, linkMbps });
+    this.directory.setBox(record.box, address, { cores, linkMbps });
   }
 
   /** Returns how the current leader can be reached. */
--- a/packages/serve/ServeAdapter.ts
+++ b/packages/serve/ServeAdapter.ts
@@ -12,8 +12,8 @@
   readonly router: QueueRouter;
   readonly jobs: JobService;
   readonly isReady: () => boolean;
-  readonly isLeaving: () => boolean;
-  readonly gate: CallerAuthorizer;
+  readonly isStopping: () => boolean;
+  readonly authorizer: CallerAuthorizer;
 }
 
 interface CallerServerHandle {
--- a/packages/serve/ServeProcess.ts
+++ b/packages/serve/ServeProcess.ts
@@ -24,11 +24,11 @@
 import type { LogWrite } from '../store/LogWrite';
 import { LogWriter } from '../store/LogWriter';
 import type { WriteOutcome } from '../store/WriteOutcome';
-import { ConfigurationDesk } from './ConfigurationDesk';
+import { ConfigurationUpdater } from './ConfigurationUpdater';
 import { BoxJobService } from './BoxJobService';
-import { jobWritings } from './jobWritings';
+import { jobWritePolicies } from './jobWritePolicies';
 import { LeaderHandover } from './LeaderHandover';
-import { LoadDoor } from './LoadDoor';
+import { LoadAdmission } from './LoadAdmission';
 import { OtherBoxes } from './OtherBoxes';
 import { computeCustomerMetrics } from './computeCustomerMetrics';
 import type { ServeAdapter } from './ServeAdapter';
@@ -75,7 +75,7 @@
   private readonly adviceClient: AdviceClient;
   private readonly otherBoxes: OtherBoxes;
   private readonly leaderWatch: LeaderWatch;
-  private readonly configuration: ConfigurationDesk;
+  private readonly configuration: ConfigurationUpdater;
   private readonly handover: LeaderHandover;
   private readonly boxServer: BoxServer;
   private readonly callerServer: ReturnType<ServeAdapter['createCallerServer']>;
@@ -117,7 +117,7 @@
       clock,
       random,
       logger: options.createPartLogger('leadership'),
-      isOutranked: () => this.otherBoxes.directory.readStronger(settings).length > 0,
+      isOutranked: () => this.otherBoxes.directory.listStronger(settings).length > 0,
       handleElected: (election) => this.startLeading(election),
     });
     this.configuration = this.createConfigurationUpdater();
@@ -130,8 +130,8 @@
       router: this.router,
       jobs: this.jobService,
       isReady: () => this.isReady(),
-      isLeaving: () => this.isStopping,
-      gate: this.createAuthorizer(),
+      isStopping: () => this.isStopping,
+      authorizer: this.createAuthorizer(),
     });
     this.boxServer = new BoxServer({
       address: settings.internal,
@@ -224,7 +224,7 @@
   private createJobService(): BoxJobService {
     return new BoxJobService({
       replica: this.replica,
-      writer: jobWritings[this.options.settings.jobWriting]({
+      writer: jobWritePolicies[this.options.settings.jobWriting]({
         own: this.writer,
         clock: this.options.clock,
         logger: this.options.createPartLogger('jobs'),
@@ -246,16 +246,16 @@
     });
   }
 
-  private createAdmission(): LoadDoor {
+  private createAdmission(): LoadAdmission {
     const { clock, settings } = this.options;
-    return new LoadDoor({
-      door: settings.door,
+    return new LoadAdmission({
+      mode: settings.door,
       view: this.loadView,
       clock,
       logger: this.options.createPartLogger('jobs'),
       metrics: this.metrics,
-      readEpoch: () => this.leadership.getRecord()?.epoch,
-      startJobsRefresh: (deadline) => this.followers.jobs.waitForRefresh(deadline - clock.getNow()),
+      getEpoch: () => this.leadership.getRecord()?.epoch,
+      waitForJobsRefresh: (deadline) => this.followers.jobs.waitForRefresh(deadline - clock.getNow()),
       isKnown: (id) => this.replica.getDefinition(id) !== undefined,
     });
   }
@@ -338,9 +338,9 @@
     cancelled.forEach((id) => this.controller?.handleCancel(id));
   }
 
-  private createConfigurationUpdater(): ConfigurationDesk {
+  private createConfigurationUpdater(): ConfigurationUpdater {
     const { adapter, clock, random, settings, createPartLogger } = this.options;
-    return new ConfigurationDesk({
+    return new ConfigurationUpdater({
       adapter,
       router: this.router,
       source: settings.configurationSource,
@@ -349,8 +349,8 @@
       logger: createPartLogger('configuration'),
       maxAgeMs: settings.maxConfigurationAgeMs,
       isFollowing: () => this.followers.operator.isFollowing(),
-      readFollowedAt: () => this.followers.operator.getLastSuccessAt(),
-      readOthers: () => this.otherBoxes.clients.readOthers(),
+      getLastReadAt: () => this.followers.operator.getLastSuccessAt(),
+      listOthers: () => this.otherBoxes.clients.listOthers(),
     });
   }
 
@@ -433,7 +433,7 @@
   /** Returns the channels for advice requests: this box first, then the other announced boxes. */
   private listAdviceChannels(): { box: string; isOwn: boolean; client: AdviceClient }[] {
     const own = { box: this.options.settings.box, isOwn: true, client: this.adviceClient };
-    const others = this.otherBoxes.clients.readOthers().map((other) => ({ ...other, isOwn: false }));
+    const others = this.otherBoxes.clients.listOthers().map((other) => ({ ...other, isOwn: false }));
     return [own, ...others];
   }
 
@@ -464,7 +464,7 @@
   private handleTick(): void {
     this.leadership.handleTick();
     const record = this.leadership.getRecord();
-    const leaderBox = this.otherBoxes.directory.readBoxes().find(({ box }) => box === record?.box);
+    const leaderBox = this.otherBoxes.directory.listBoxes().find(({ box }) => box === record?.box);
     const isOther = record !== undefined && record.process !== this.options.process;
     this.leaderWatch.setLeader(
       isOther && leaderBox !== undefined
--- a/packages/serve/ServeSettings.ts
+++ b/packages/serve/ServeSettings.ts
@@ -1,7 +1,7 @@
-import type { ServeWays } from './ServeWays';
+import type { ServePolicies } from './ServePolicies';
 
 /** Settings of an entry process. */
-export interface ServeSettings extends ServeWays {
+export interface ServeSettings extends ServePolicies {
   readonly box: string;
   readonly hall: string;
   /** Processor cores that the box may use. */
--- a/packages/serve/jobWritings.ts
+++ b/packages/serve/jobWritePolicies.ts
@@ -1,11 +1,11 @@
 import type { RecordWriter } from '../store/RecordWriter';
-import type { JobWriting } from './JobWriting';
+import type { JobWritePolicyName } from './JobWritePolicyName';
 import { ForwardingWriter } from './ForwardingWriter';
 
 type WriterInput = ConstructorParameters<typeof ForwardingWriter>[0];
 
 /** Creates the writer of job records for each policy. */
-export const jobWritings: Readonly<Record<JobWriting, (input: WriterInput) => RecordWriter>> = {
+export const jobWritePolicies: Readonly<Record<JobWritePolicyName, (input: WriterInput) => RecordWriter>> = {
   own: ({ own }) => own,
   leader: (input) => new ForwardingWriter(input),
 };
--- a/tests/admission.test.ts
+++ b/tests/admission.test.ts
@@ -10,7 +10,7 @@
 import type { LoadDigest } from '../packages/load/LoadDigest';
 import { loadKeys } from '../packages/load/loadKeys';
 import { LoadView } from '../packages/load/LoadView';
-import { LoadDoor } from '../packages/serve/LoadDoor';
+import { LoadAdmission } from '../packages/serve/LoadAdmission';
 import { ServeMetrics } from '../packages/serve/ServeMetrics';
 import { createJobDefinition } from './helpers/createJobDefinition';
 import { createStep } from './helpers/createStep';
@@ -111,20 +111,20 @@
   /** Job that is found in the jobs' topic. */
   found: JobId | undefined;
   readonly lines: { readonly message: string; readonly fields: Record<string, unknown> }[] = [];
-  readonly door: LoadDoor;
+  readonly door: LoadAdmission;
   private readonly view = new LoadView();
   private readonly metrics = new ServeMetrics();
 
   constructor(door: AdmissionMode = 'load') {
     const handleLine = (message: string, fields = {}): void => void this.lines.push({ message, fields });
-    this.door = new LoadDoor({
-      door,
+    this.door = new LoadAdmission({
+      mode: door,
       view: this.view,
       clock: { getNow: () => this.now, getWallTime: () => this.now },
       logger: { info: handleLine, warn: handleLine, error: handleLine },
       metrics: this.metrics,
-      readEpoch: () => this.epoch,
-      startJobsRefresh: () => Promise.resolve(this.isReadable),
+      getEpoch: () => this.epoch,
+      waitForJobsRefresh: () => Promise.resolve(this.isReadable),
       isKnown: (id) => id === this.found,
     });
   }
@@ -135,8 +135,8 @@
     this.view.foldRecords([record], this.now, this.epoch);
   }
 
-  startCheck(number = 1): ReturnType<LoadDoor['startCheck']> {
-    return this.door.startCheck(createJobDefinition(number, [createStep()]), this.now + 400);
+  startCheck(number = 1): ReturnType<LoadAdmission['checkJob']> {
+    return this.door.checkJob(createJobDefinition(number, [createStep()]), this.now + 400);
   }
 
   async chooseKind(number = 1): Promise<string> {
@@ -174,7 +174,7 @@
   it('refuses no job that an earlier request may have submitted', async () => {
     const box = new AdmissionFixture();
     box.handleDigest(HOPELESS_MS);
-    box.door.recordDoubt(createJobDefinition(1, []).id);
+    box.door.recordUncertain(createJobDefinition(1, []).id);
     expect(await box.chooseKind(1)).toBe('taken');
     box.found = createJobDefinition(2, []).id;
     expect(await box.chooseKind(2)).toBe('known');
--- a/tests/configurationDesk.test.ts
+++ b/tests/configurationUpdater.test.ts
@@ -4,7 +4,7 @@
 import type { ConfigurationResponse } from '../packages/boxes/ConfigurationResponse';
 import { createRandom } from '../packages/common/createRandom';
 import { QueueRouter } from '../packages/gateway/QueueRouter';
-import { ConfigurationDesk } from '../packages/serve/ConfigurationDesk';
+import { ConfigurationUpdater } from '../packages/serve/ConfigurationUpdater';
 import type { ConfigurationSource } from '../packages/serve/ConfigurationSource';
 import { parseConfiguration } from '../platform/parseConfiguration';
 
@@ -21,7 +21,7 @@
   isFollowing = true;
   followedAt = 0;
   others: { readonly box: string; readonly client: BoxClient }[] = [];
-  readonly updater: ConfigurationDesk;
+  readonly updater: ConfigurationUpdater;
 
   constructor(
     readonly name: string,
@@ -31,17 +31,17 @@
     seed: number,
   ) {
     const record = (message: string): void => void this.lines.push(message);
-    this.updater = new ConfigurationDesk({
+    this.updater = new ConfigurationUpdater({
       adapter: { configurationKey: KEY, parseConfiguration },
       router: this.router,
       source,
-      clock: { getNow: getNow, getWallTime: getNow, getMaxElapsedSince: (since) => getNow() - since },
+      clock: { getNow, getWallTime: getNow, getMaxElapsedSince: (since) => getNow() - since },
       random: createRandom(seed),
       logger: { info: record, warn: record, error: record },
       maxAgeMs,
       isFollowing: () => this.isFollowing,
-      readFollowedAt: () => this.followedAt,
-      readOthers: () => this.others,
+      getLastReadAt: () => this.followedAt,
+      listOthers: () => this.others,
     });
   }
 
--- a/tests/leadership.test.ts
+++ b/tests/leadership.test.ts
@@ -140,11 +140,11 @@
         value: BoxDirectory.formatRecord(`${box}:80`, { cores: value, linkMbps: 1000 }),
       })),
     );
-    expect(directory.readPeers({ cores: 1.35, linkMbps: 1000 }).map(({ box }) => box)).toEqual([
+    expect(directory.listPeers({ cores: 1.35, linkMbps: 1000 }).map(({ box }) => box)).toEqual([
       'strong',
       'similar',
     ]);
-    expect(directory.readPeers({ cores: 0.3, linkMbps: 1000 })).toHaveLength(3);
+    expect(directory.listPeers({ cores: 0.3, linkMbps: 1000 })).toHaveLength(3);
   });
 
   const createUnlikeBoxes = (): BoxDirectory => {
@@ -166,16 +166,16 @@
 
   it('exclude boxes with a slow link, however many cores they have', () => {
     const directory = createUnlikeBoxes();
-    expect(directory.readPeers({ cores: 1.35, linkMbps: 140 }).map(({ box }) => box)).toEqual(['wide']);
-    expect(directory.readStronger({ cores: 0.81, linkMbps: 7 }).map(({ box }) => box)).toEqual(['wide']);
-    expect(directory.readStronger({ cores: 1.35, linkMbps: 140 })).toEqual([]);
+    expect(directory.listPeers({ cores: 1.35, linkMbps: 140 }).map(({ box }) => box)).toEqual(['wide']);
+    expect(directory.listStronger({ cores: 0.81, linkMbps: 7 }).map(({ box }) => box)).toEqual(['wide']);
+    expect(directory.listStronger({ cores: 1.35, linkMbps: 140 })).toEqual([]);
   });
 
   it('are compared by cores alone when an earlier version announced them', () => {
     const directory = new BoxDirectory();
     const value = JSON.stringify({ address: 'old:80', cores: 0.81 });
     directory.foldRecords([{ offset: 0, key: BoxDirectory.toKey('old'), value }]);
-    expect(directory.readStronger({ cores: 0.5, linkMbps: 1000 }).map(({ box }) => box)).toEqual(['old']);
+    expect(directory.listStronger({ cores: 0.5, linkMbps: 1000 }).map(({ box }) => box)).toEqual(['old']);
   });
 
   it('are the strongest boxes that can use the log, when none is as strong as the one that hands over', async () => {
@@ -188,12 +188,12 @@
     for (const { box, cores, delayMs } of boxes) {
       const { server, address } = await startUsableBox(delayMs);
       asked.push(server);
-      directory.recordBox(box, address, { cores, linkMbps: 7 });
+      directory.setBox(box, address, { cores, linkMbps: 7 });
     }
     const clients = new BoxClients(directory, { box: 'wide', cores: 1.35, linkMbps: 140 });
-    const chosen = await clients.startChoosingLogUser();
-    expect(chosen?.address).toBe(directory.readBoxes().find(({ box }) => box === 'narrow')!.address);
-    await Promise.all(clients.readOthers().map(({ client }) => client.stop()));
+    const chosen = await clients.findLeaderCandidate();
+    expect(chosen?.address).toBe(directory.listBoxes().find(({ box }) => box === 'narrow')!.address);
+    await Promise.all(clients.listOthers().map(({ client }) => client.stop()));
     asked.forEach((server) => server.close());
   });
 });
--- a/tests/suspension.test.ts
+++ b/tests/suspension.test.ts
@@ -10,7 +10,7 @@
 import { LeaderJournal } from '../packages/dispatch/LeaderJournal';
 import { JobReplica } from '../packages/jobs/JobReplica';
 import { leaderTimings } from '../packages/leadership/leaderTimings';
-import { ConfigurationDesk } from '../packages/serve/ConfigurationDesk';
+import { ConfigurationUpdater } from '../packages/serve/ConfigurationUpdater';
 import { QueueRouter } from '../packages/gateway/QueueRouter';
 import type { LogClient } from '../packages/store/LogClient';
 import { LogFollower } from '../packages/store/LogFollower';
@@ -202,7 +202,7 @@
 
   it('considers the configuration from before the suspension outdated', () => {
     const followedAt = machine.getNow();
-    const desk = new ConfigurationDesk({
+    const desk = new ConfigurationUpdater({
       adapter: { configurationKey: 'config', parseConfiguration: handleUnexpectedCall },
       router: new QueueRouter(),
       source: 'log',
@@ -211,8 +211,8 @@
       logger: LOGGER,
       maxAgeMs: 5000,
       isFollowing: () => true,
-      readFollowedAt: () => followedAt,
-      readOthers: () => [],
+      getLastReadAt: () => followedAt,
+      listOthers: () => [],
     });
     expect(desk.isFresh()).toBe(true);
     machine.addSuspension(5500);
