--- a/packages/dispatch/Dispatcher.ts
+++ b/packages/dispatch/Dispatcher.ts
@@ -146,7 +146,7 @@
     this.preemptor = new Preemptor({
       jobs: this.jobs,
       reservations,
-      rules: stops.preemption,
+      rules: stops.preemptionRules,
       handlePreempted: (endpoint, run, step, estimate) => this.handlePreempted(endpoint, run, step, estimate),
     });
     const { preemptor } = this;
@@ -156,9 +156,9 @@
     const times = new RunTimes();
     const { speedChoice, hallChoice } = policies;
     const preference = new EndpointPreference({
-      kinds,
-      speeds,
-      times,
+      kindSpeeds: kinds,
+      endpointSpeeds: speeds,
+      runTimes: times,
       capacity: this.capacity,
       speedChoice,
       hallChoice,
@@ -308,7 +308,7 @@
     }
     const job = new LiveJob(definition, progress, now, isOverShare);
     this.jobs.set(definition.id, job);
-    this.capacity.recordQueue(definition.queue);
+    this.capacity.recordQueuePriority(definition.queue);
     this.isRoundDue = true;
     for (let time = 0; time < definition.times; time += 1) {
       for (const [step] of definition.steps.entries()) {
@@ -471,7 +471,7 @@
       this.lossHandler.checkLease(endpoint, now);
       this.runTracker.retryStops(endpoint, now);
     }
-    this.reservations.removeExpired(now);
+    this.reservations.removeExpiredReservations(now);
     this.adviceMetrics.handleTick(now);
     this.learner.handleTick(now);
     this.mover.handleTick(now);
@@ -514,7 +514,7 @@
     for (const step of this.startRound(now, wallMs, slots)) {
       this.placer.requestAdviceAhead(step, now);
     }
-    this.placer.releaseTentative();
+    this.placer.releaseTentativePlacements();
   }
 
   /** Cancels the starts whose records are not durable yet, so that their tasks are placed again. */
@@ -527,9 +527,9 @@
     this.crashes.applyCrashLimits(now, wallMs);
     this.isRoundDue = false;
     this.capacity.clearCache();
-    this.preemptor.setTime(now, wallMs);
+    this.preemptor.setRoundTime(now, wallMs);
     this.quarantine.clearCache();
-    this.preference.setWallTime(wallMs);
+    this.preference.setRoundWallTime(wallMs);
     this.adviceRequester.startRound(slots);
     const waiting: WaitingStep[] = [];
     for (const job of this.jobs.values()) {
@@ -540,7 +540,7 @@
     return this.placementOrder.sortSteps(waiting, {
       wallMs,
       usage: this.usage,
-      getCapacity: () => this.computeCapacity(),
+      getTotalCapacity: () => this.computeCapacity(),
     });
   }
 
@@ -550,7 +550,7 @@
     }
   }
 
-  private handleMove({ book: endpoint, run, reason, gainMs }: MoveCandidate): void {
+  private handleMove({ endpoint, run, reason, gainMs }: MoveCandidate): void {
     const { incarnation } = endpoint.getProfile();
     this.jobs.get(run.job)?.recordFailureOn(run.address.repetition, run.address.step, incarnation);
     this.runTracker.sendLogLine('Run is moved.', {
--- a/packages/dispatch/LeaderController.ts
+++ b/packages/dispatch/LeaderController.ts
@@ -386,7 +386,7 @@
       this.dispatcher.placeWaiting(now, clock.getWallTime(), slots);
     }
     this.sendEffects();
-    this.slowRoundLogger.recordRound(clock.getNow() - now, now);
+    this.slowRoundLogger.recordRoundDuration(clock.getNow() - now, now);
   }
 
   /** Holds starts while they cannot be recorded, since they would take capacity and be sent with expired tickets. */
--- a/packages/dispatch/advice/AdviceRequester.ts
+++ b/packages/dispatch/advice/AdviceRequester.ts
@@ -74,7 +74,7 @@
       return 'answer';
     }
     const { capacity: capacityView, policy, selector } = this.options;
-    const isLong = policy.isLong(advice, capacityView.isMostUrgent(step.job.definition.queue));
+    const isLong = policy.isLong(advice, capacityView.isMostUrgentQueue(step.job.definition.queue));
     if (!this.hasSlot(isLong)) {
       return 'turn';
     }
@@ -152,9 +152,9 @@
 
   private sendEarlyRequest(whole: WaitingStep, now: number): void {
     const { limits, capacity: capacityView } = this.options;
-    const step = limits.computeMaxStartable(whole);
+    const step = limits.computeMaxStartablePart(whole);
     if (step !== undefined) {
-      this.requestAdvice(step, capacityView.listEligible(step), step.indexes.length, now, now, true);
+      this.requestAdvice(step, capacityView.listEligibleEndpoints(step), step.indexes.length, now, now, true);
     }
   }
 
--- a/packages/dispatch/advice/EagerCandidateSelector.ts
+++ b/packages/dispatch/advice/EagerCandidateSelector.ts
@@ -60,7 +60,7 @@
     const { shape } = step;
     const demand = toReservedDemand(shape);
     const available = open.filter((endpoint) => endpoint.hasCapacityFor(demand));
-    if (available.length === 0 || !this.capacity.isOutsideReserve(step)) {
+    if (available.length === 0 || !this.capacity.hasUnreservedCpu(step)) {
       return [];
     }
     const allowed = available.filter((endpoint) => this.hasBeenAllowed(step, endpoint));
@@ -121,7 +121,7 @@
       (endpoint) =>
         this.hasBeenAllowed(step, endpoint) &&
         (endpoint.hasCapacityFor(demand) ||
-          this.preemptor.hasRoomAfterPreemption(step, endpoint, demand, neededUntil)),
+          this.preemptor.hasCapacityAfterPreemption(step, endpoint, demand, neededUntil)),
     );
     const readyCount = computeSum(
       ready.map((endpoint) => this.capacity.countFittingTasks(endpoint.getProfile().capacity, shape)),
@@ -138,7 +138,7 @@
     const advice = step.job.getAdvice(step.repetition, step.step);
     const { incarnation } = endpoint.getProfile();
     const isKnown = advice.isRefused(incarnation) || advice.getTicket(incarnation, neededUntil) !== undefined;
-    return !isKnown && !this.capacity.hasMaxTasks(step, endpoint);
+    return !isKnown && !this.capacity.hasMaxTasksOfStep(step, endpoint);
   }
 
   private hasBeenAllowed(step: WaitingStep, endpoint: EndpointState): boolean {
--- a/packages/dispatch/advice/PlannedCandidateSelector.ts
+++ b/packages/dispatch/advice/PlannedCandidateSelector.ts
@@ -103,7 +103,7 @@
   ): readonly EndpointState[] {
     const { capacity: capacityView } = this.options;
     const canPreempt = capacityView.isCapacityScarce(step, eligible);
-    const isLessUrgent = !capacityView.isMostUrgent(step.job.definition.queue);
+    const isLessUrgent = !capacityView.isMostUrgentQueue(step.job.definition.queue);
     if (isLessUrgent && this.ahead.isExceedingCapacity(step, eligible, canPreempt)) {
       return [];
     }
@@ -155,7 +155,7 @@
     }
     const isDue = now - advice.getRespondedAt() >= LOW_VALUE_INTERVAL_MS;
     const isJustified = expected * REQUEST_MS_PER_START >= decisionMs;
-    return available.length > 0 && (isDue || isJustified) && this.options.capacity.isOutsideReserve(step);
+    return available.length > 0 && (isDue || isJustified) && this.options.capacity.hasUnreservedCpu(step);
   }
 
   /** Sorts by descending chance, then by cost, the number of pending requests, and free capacity. */
@@ -189,12 +189,12 @@
     const renewUntil = now + validityMs * RENEWAL_SHARE;
     const demand = toReservedDemand(step.shape);
     const allowedShare = stats.getAllowedShare(queue.name);
-    const isMostUrgent = capacityView.isMostUrgent(queue);
+    const isMostUrgent = capacityView.isMostUrgentQueue(queue);
     const computeCost = preference.createCostFunction(step, eligible);
     const groups: CandidateGroups = { ticketedTasks: 0, available: [], full: [], expiring: [] };
     for (const endpoint of eligible) {
       const { incarnation, capacity } = endpoint.getProfile();
-      if (advice.isRefused(incarnation) || capacityView.hasMaxTasks(step, endpoint)) {
+      if (advice.isRefused(incarnation) || capacityView.hasMaxTasksOfStep(step, endpoint)) {
         continue;
       }
       const tasks = this.countFittingTasks(step, endpoint, canPreempt, now);
@@ -265,7 +265,12 @@
     let count = 0;
     while (
       count < maxCount &&
-      preemptor.hasRoomAfterPreemption(step, endpoint, resourceMath.computeProduct(demand, count + 1), now)
+      preemptor.hasCapacityAfterPreemption(
+        step,
+        endpoint,
+        resourceMath.computeProduct(demand, count + 1),
+        now,
+      )
     ) {
       count += 1;
     }
--- a/packages/dispatch/endpoints/StatusReconciler.ts
+++ b/packages/dispatch/endpoints/StatusReconciler.ts
@@ -132,7 +132,7 @@
   private updateFailureStreak(endpoint: EndpointState, outcome: RunOutcome, now: number): void {
     const streak = endpoint.getFailureStreak();
     const wasFailing = streak.isFailing();
-    streak.recordEnd(outcome, now);
+    streak.recordRunEnd(outcome, now);
     if (streak.isFailing() !== wasFailing) {
       const message = wasFailing ? 'Endpoint has recovered from failures.' : 'Endpoint fails all its runs.';
       this.options.tracker.sendLogLine(message, { endpoint: endpoint.getProfile().incarnation });
--- a/packages/dispatch/placing/CapacityView.ts
+++ b/packages/dispatch/placing/CapacityView.ts
@@ -10,26 +10,29 @@
 import type { WaitingStep } from '../waiting/WaitingStep';
 
 /** Share of a service's processor capacity that is reserved for its most urgent queue. */
-const RESERVED_SHARE = 0.08;
+const RESERVED_CPU_SHARE = 0.08;
 /** Share of a mean endpoint above which a task counts as large. */
-const LARGE_SHARE = 0.25;
+const LARGE_TASK_SHARE = 0.25;
 /** Capacity is ample when this many times the step's tasks fit into it. */
 const AMPLE_CAPACITY_FACTOR = 2;
 /** Hexadecimal digits at the end of a job's id that determine its home hall. */
-const ID_DIGITS = 6;
+const HOME_HALL_ID_DIGITS = 6;
 
 /** Eligible endpoints and free capacity for waiting steps. Caches its results for one round of placement. */
 export class CapacityView {
   /** Schedulable endpoints by service and required label. */
-  private readonly schedulable = new Map<string, readonly EndpointState[]>();
+  private readonly schedulableEndpoints = new Map<string, readonly EndpointState[]>();
   /** Number of schedulable endpoints in each hall, sorted by hall, by service and required label. */
-  private readonly hallCounts = new Map<string, readonly (readonly [hall: string, count: number])[]>();
+  private readonly endpointCountsByHall = new Map<
+    string,
+    readonly (readonly [hall: string, count: number])[]
+  >();
   /** Mean capacity of the schedulable endpoints by service and required label. */
-  private readonly meanCapacity = new Map<string, TaskDemand>();
+  private readonly meanEndpointCapacities = new Map<string, TaskDemand>();
   /** Demands that fit on no endpoint, by service and required label. Free capacity only shrinks within a round. */
-  private readonly unmet = new Map<string, TaskDemand[]>();
+  private readonly unmetDemands = new Map<string, TaskDemand[]>();
   /** Most urgent priority seen so far, by service. */
-  private readonly mostUrgent = new Map<ServiceName, number>();
+  private readonly mostUrgentPriorities = new Map<ServiceName, number>();
 
   constructor(
     private readonly endpoints: ReadonlyMap<EndpointIncarnation, EndpointState>,
@@ -37,38 +40,41 @@
   ) {}
 
   /** Records the priority of a queue that uses a service. */
-  recordQueue({ service, priority }: JobQueue): void {
-    this.mostUrgent.set(service, Math.min(priority, this.mostUrgent.get(service) ?? Infinity));
+  recordQueuePriority({ service, priority }: JobQueue): void {
+    this.mostUrgentPriorities.set(
+      service,
+      Math.min(priority, this.mostUrgentPriorities.get(service) ?? Infinity),
+    );
   }
 
   /** Returns whether no queue of a higher priority has used the same service so far. */
-  isMostUrgent({ service, priority }: JobQueue): boolean {
-    return priority <= (this.mostUrgent.get(service) ?? priority);
+  isMostUrgentQueue({ service, priority }: JobQueue): boolean {
+    return priority <= (this.mostUrgentPriorities.get(service) ?? priority);
   }
 
   /** Returns whether the step is a gang or has large tasks while little capacity is free on the endpoints that may run them. */
   isCapacityScarce(step: WaitingStep, eligible: readonly EndpointState[]): boolean {
-    return this.isLarge(step) && !this.hasAmpleCapacity(step, eligible);
+    return this.isGangOrLarge(step) && !this.hasAmpleCapacity(step, eligible);
   }
 
-  private isLarge({ job, shape }: WaitingStep): boolean {
+  private isGangOrLarge({ job, shape }: WaitingStep): boolean {
     if (shape.isGang) {
       return true;
     }
-    const capacity = this.computeMeanCapacity(job.definition.queue.service, shape.requiredLabel);
+    const capacity = this.computeMeanEndpointCapacity(job.definition.queue.service, shape.requiredLabel);
     const { cpuMillis, memoryMb, accelerators } = toReservedDemand(shape);
     return (
-      cpuMillis > capacity.cpuMillis * LARGE_SHARE ||
-      memoryMb > capacity.memoryMb * LARGE_SHARE ||
-      accelerators > capacity.accelerators * LARGE_SHARE
+      cpuMillis > capacity.cpuMillis * LARGE_TASK_SHARE ||
+      memoryMb > capacity.memoryMb * LARGE_TASK_SHARE ||
+      accelerators > capacity.accelerators * LARGE_TASK_SHARE
     );
   }
 
   private hasAmpleCapacity(
-    { job, repetition: time, step, shape, indexes }: WaitingStep,
+    { job, repetition, step, shape, indexes }: WaitingStep,
     eligible: readonly EndpointState[],
   ): boolean {
-    const advice = job.getAdvice(time, step);
+    const advice = job.getAdvice(repetition, step);
     const ampleCount = indexes.length * AMPLE_CAPACITY_FACTOR;
     let count = 0;
     for (const endpoint of eligible) {
@@ -97,28 +103,28 @@
 
   /** Clears the results of the last round. */
   clearCache(): void {
-    this.schedulable.clear();
-    this.hallCounts.clear();
-    this.meanCapacity.clear();
-    this.unmet.clear();
+    this.schedulableEndpoints.clear();
+    this.endpointCountsByHall.clear();
+    this.meanEndpointCapacities.clear();
+    this.unmetDemands.clear();
   }
 
   /** Returns the schedulable endpoints with the step's service and label that aren't reserved for other steps. */
-  listEligible(step: WaitingStep): readonly EndpointState[] {
+  listEligibleEndpoints(step: WaitingStep): readonly EndpointState[] {
     const { job, shape } = step;
-    const schedulable = this.listSchedulable(job.definition.queue.service, shape.requiredLabel);
+    const schedulable = this.listSchedulableEndpoints(job.definition.queue.service, shape.requiredLabel);
     return this.reservations.isEmpty()
       ? schedulable
       : schedulable.filter(
-          (endpoint) => !this.reservations.isReservedForOther(step, endpoint.getProfile().incarnation),
+          (endpoint) => !this.reservations.isReservedForOtherStep(step, endpoint.getProfile().incarnation),
         );
   }
 
   /** Returns whether one task of the step fits on any eligible endpoint. */
-  hasAnyCapacity({ job, shape }: WaitingStep, eligible: readonly EndpointState[]): boolean {
+  hasCapacityForTask({ job, shape }: WaitingStep, eligible: readonly EndpointState[]): boolean {
     const demand = toReservedDemand(shape);
-    const key = this.toKey(job.definition.queue.service, shape.requiredLabel);
-    const unmet = this.unmet.get(key) ?? [];
+    const key = this.toCacheKey(job.definition.queue.service, shape.requiredLabel);
+    const unmet = this.unmetDemands.get(key) ?? [];
     if (unmet.some((smaller) => resourceMath.isWithin(smaller, demand))) {
       return false;
     }
@@ -127,20 +133,20 @@
     }
     // With reservations, the eligible endpoints depend on the step, so the result is valid for this one only.
     if (this.reservations.isEmpty()) {
-      this.unmet.set(key, [...unmet, demand]);
+      this.unmetDemands.set(key, [...unmet, demand]);
     }
     return false;
   }
 
   /** Returns whether the endpoint runs as many tasks of the step as `maxPerEndpoint` allows. */
-  hasMaxTasks({ job, repetition: time, step, shape }: WaitingStep, endpoint: EndpointState): boolean {
+  hasMaxTasksOfStep({ job, repetition, step, shape }: WaitingStep, endpoint: EndpointState): boolean {
     if (shape.maxPerEndpoint === 0) {
       return false;
     }
     let count = 0;
     for (const run of endpoint.getRuns()) {
       const { address } = run;
-      if (run.job === job.definition.id && address.repetition === time && address.step === step) {
+      if (run.job === job.definition.id && address.repetition === repetition && address.step === step) {
         count += 1;
       }
     }
@@ -150,20 +156,20 @@
   /** Returns the free processor capacity beyond the reserve, in thousandths of a core; Infinity for the most urgent queue. */
   computeUnreservedCpuMillis(step: WaitingStep): number {
     const { queue } = step.job.definition;
-    if (this.isMostUrgent(queue)) {
+    if (this.isMostUrgentQueue(queue)) {
       return Infinity;
     }
     let free = 0;
     let capacity = 0;
-    for (const endpoint of this.listSchedulable(queue.service, '')) {
+    for (const endpoint of this.listSchedulableEndpoints(queue.service, '')) {
       free += endpoint.getFreeCpuMillis();
       capacity += endpoint.getProfile().capacity.cpuMillis;
     }
-    return free - capacity * RESERVED_SHARE;
+    return free - capacity * RESERVED_CPU_SHARE;
   }
 
   /** Returns whether one task of the step fits without using the reserve. */
-  isOutsideReserve(step: WaitingStep): boolean {
+  hasUnreservedCpu(step: WaitingStep): boolean {
     const { shape } = step;
     return shape.isFiller || toReservedDemand(shape).cpuMillis <= this.computeUnreservedCpuMillis(step);
   }
@@ -174,9 +180,9 @@
    */
   chooseHomeHall({ job, shape }: WaitingStep): string {
     const { id, queue } = job.definition;
-    const halls = this.countByHall(queue.service, shape.requiredLabel);
+    const halls = this.countEndpointsByHall(queue.service, shape.requiredLabel);
     const total = halls.reduce((sum, [, count]) => sum + count, 0);
-    let left = (parseInt(id.slice(-ID_DIGITS), 16) / 16 ** ID_DIGITS) * total;
+    let left = (parseInt(id.slice(-HOME_HALL_ID_DIGITS), 16) / 16 ** HOME_HALL_ID_DIGITS) * total;
     for (const [hall, count] of halls) {
       left -= count;
       if (left < 0) {
@@ -186,32 +192,32 @@
     return '';
   }
 
-  private countByHall(
+  private countEndpointsByHall(
     service: ServiceName,
     label: string,
   ): readonly (readonly [hall: string, count: number])[] {
-    const key = this.toKey(service, label);
-    const known = this.hallCounts.get(key);
+    const key = this.toCacheKey(service, label);
+    const known = this.endpointCountsByHall.get(key);
     if (known !== undefined) {
       return known;
     }
     const counts = new Map<string, number>();
-    for (const endpoint of this.listSchedulable(service, label)) {
+    for (const endpoint of this.listSchedulableEndpoints(service, label)) {
       const { hall } = endpoint.getProfile();
       counts.set(hall, (counts.get(hall) ?? 0) + 1);
     }
     const sorted = [...counts].sort(([left], [right]) => (left < right ? -1 : 1));
-    this.hallCounts.set(key, sorted);
+    this.endpointCountsByHall.set(key, sorted);
     return sorted;
   }
 
-  private computeMeanCapacity(service: ServiceName, label: string): TaskDemand {
-    const key = this.toKey(service, label);
-    const known = this.meanCapacity.get(key);
+  private computeMeanEndpointCapacity(service: ServiceName, label: string): TaskDemand {
+    const key = this.toCacheKey(service, label);
+    const known = this.meanEndpointCapacities.get(key);
     if (known !== undefined) {
       return known;
     }
-    const schedulable = this.listSchedulable(service, label);
+    const schedulable = this.listSchedulableEndpoints(service, label);
     const sum = schedulable.reduce(
       (total, endpoint) => resourceMath.computeSum(total, endpoint.getProfile().capacity),
       resourceMath.ZERO,
@@ -222,13 +228,13 @@
       memoryMb: sum.memoryMb / count,
       accelerators: sum.accelerators / count,
     };
-    this.meanCapacity.set(key, mean);
+    this.meanEndpointCapacities.set(key, mean);
     return mean;
   }
 
-  private listSchedulable(service: ServiceName, label: string): readonly EndpointState[] {
-    const key = this.toKey(service, label);
-    const known = this.schedulable.get(key);
+  private listSchedulableEndpoints(service: ServiceName, label: string): readonly EndpointState[] {
+    const key = this.toCacheKey(service, label);
+    const known = this.schedulableEndpoints.get(key);
     if (known !== undefined) {
       return known;
     }
@@ -237,11 +243,11 @@
       const hasLabel = label === '' || profile.labels.includes(label);
       return profile.service === service && hasLabel && endpoint.isSchedulable();
     });
-    this.schedulable.set(key, schedulable);
+    this.schedulableEndpoints.set(key, schedulable);
     return schedulable;
   }
 
-  private toKey(service: ServiceName, label: string): string {
+  private toCacheKey(service: ServiceName, label: string): string {
     return `${service} ${label}`;
   }
 }
--- a/packages/dispatch/placing/EndpointPreference.ts
+++ b/packages/dispatch/placing/EndpointPreference.ts
@@ -13,13 +13,13 @@
 
 /** Costs of endpoints for a step by their speed and their hall. */
 export class EndpointPreference {
-  private wallMs = 0;
+  private roundWallMs = 0;
 
   constructor(private readonly options: EndpointPreferenceOptions) {}
 
   /** Sets the wall clock time of the round, against which objectives are compared. */
-  setWallTime(wallMs: number): void {
-    this.wallMs = wallMs;
+  setRoundWallTime(wallMs: number): void {
+    this.roundWallMs = wallMs;
   }
 
   /**
@@ -34,7 +34,7 @@
       return () => 0;
     }
     const { capacity, speedChoice, hallChoice } = this.options;
-    const computeSpeedCost = speedPolicies[speedChoice](step, this.options, endpoints, this.wallMs);
+    const computeSpeedCost = speedPolicies[speedChoice](step, this.options, endpoints, this.roundWallMs);
     const homeHall = capacity.chooseHomeHall(step);
     return (endpoint) =>
       computeSpeedCost(endpoint) + hallPolicies[hallChoice](endpoint.getProfile().hall === homeHall);
--- a/packages/dispatch/placing/EndpointReservations.ts
+++ b/packages/dispatch/placing/EndpointReservations.ts
@@ -3,11 +3,11 @@
 import type { WaitingStep } from '../waiting/WaitingStep';
 
 interface Reservation {
-  /** `JOB.TIME.STEP` of the step that the endpoint is reserved for. */
-  readonly holder: string;
+  /** `JOB.REPETITION.STEP` of the step that the endpoint is reserved for. */
+  readonly stepName: string;
   readonly priority: number;
   /** Monotonic time at which it expires. */
-  readonly until: number;
+  readonly expiresAt: number;
 }
 
 /** Endpoints reserved for a step that preempts runs there. Work of the same or a lower priority isn't placed on them meanwhile. */
@@ -19,16 +19,16 @@
   }
 
   /** Reserves an endpoint for a step. Replaces an earlier reservation. */
-  setReservation(endpoint: EndpointIncarnation, step: WaitingStep, until: number): void {
+  setReservation(endpoint: EndpointIncarnation, step: WaitingStep, expiresAt: number): void {
     const { priority } = step.job.definition.queue;
-    this.reservations.set(endpoint, { holder: toStepName(step), priority, until });
+    this.reservations.set(endpoint, { stepName: toStepName(step), priority, expiresAt });
   }
 
   /** Releases all reservations of a step. */
   releaseReservations(step: WaitingStep): void {
     const holder = toStepName(step);
     for (const [endpoint, reservation] of this.reservations) {
-      if (reservation.holder === holder) {
+      if (reservation.stepName === holder) {
         this.reservations.delete(endpoint);
       }
     }
@@ -37,23 +37,23 @@
   /** Returns whether any endpoint is reserved for the step. */
   hasReservation(step: WaitingStep): boolean {
     const holder = toStepName(step);
-    return [...this.reservations.values()].some((reservation) => reservation.holder === holder);
+    return [...this.reservations.values()].some((reservation) => reservation.stepName === holder);
   }
 
   /** Returns whether the endpoint is reserved for another step of the same or a higher priority. */
-  isReservedForOther(step: WaitingStep, endpoint: EndpointIncarnation): boolean {
+  isReservedForOtherStep(step: WaitingStep, endpoint: EndpointIncarnation): boolean {
     const reservation = this.reservations.get(endpoint);
     return (
       reservation !== undefined &&
-      reservation.holder !== toStepName(step) &&
+      reservation.stepName !== toStepName(step) &&
       reservation.priority <= step.job.definition.queue.priority
     );
   }
 
   /** Removes expired reservations. */
-  removeExpired(now: number): void {
-    for (const [endpoint, { until }] of this.reservations) {
-      if (now >= until) {
+  removeExpiredReservations(now: number): void {
+    for (const [endpoint, { expiresAt }] of this.reservations) {
+      if (now >= expiresAt) {
         this.reservations.delete(endpoint);
       }
     }
--- a/packages/dispatch/placing/Preemptor.ts
+++ b/packages/dispatch/placing/Preemptor.ts
@@ -27,12 +27,12 @@
 /** Preemptions on one endpoint, and the tasks that they let start. */
 interface PreemptionPlan {
   /** Free capacity after the victims have ended and the tasks have started. */
-  readonly free: TaskDemand;
+  readonly freeCapacity: TaskDemand;
   readonly victims: readonly PlacedRun[];
   /** Sum of the victims' costs by the preemption rules. */
-  readonly cost: number;
+  readonly totalCost: number;
   /** Number of tasks that can start. */
-  readonly count: number;
+  readonly startableCount: number;
 }
 
 /** Preemptions of one task, at most. */
@@ -40,7 +40,7 @@
 /** Runs that are expected to end sooner aren't preempted: a stop and a restart would take longer. */
 const MIN_REMAINING_MS = 700;
 /** Interval after which a preemption that wasn't worthwhile is considered again. */
-const RECHECK_INTERVAL_MS = 200;
+const PREEMPTION_RECHECK_MS = 200;
 const MAX_PERCENT = 100;
 
 /**
@@ -54,23 +54,23 @@
   constructor(private readonly options: PreemptorOptions) {}
 
   /** Sets the monotonic and the wall clock time of the round. */
-  setTime(now: number, wallMs: number): void {
+  setRoundTime(now: number, wallMs: number): void {
     this.wallOffsetMs = wallMs - now;
   }
 
   /** Returns whether one task of the step would fit on the endpoint after preemption of less urgent runs. */
-  hasRoomAfterPreemption(
+  hasCapacityAfterPreemption(
     step: WaitingStep,
     endpoint: EndpointState,
     demand: TaskDemand,
     now: number,
   ): boolean {
-    return this.createPlan(step, endpoint, demand, undefined, now) !== undefined;
+    return this.createExtendedPlan(step, endpoint, demand, undefined, now) !== undefined;
   }
 
   /** Returns how long a ticket must stay valid for a preemption to complete, in milliseconds. */
-  getMinTicketMs(): number {
-    return this.options.rules.minTicketMs;
+  getMinTicketValidityMs(): number {
+    return this.options.rules.minTicketValidityMs;
   }
 
   /** Starts to preempt runs on the allowed endpoints, unless a preemption for the step is under way or not worthwhile. */
@@ -82,17 +82,17 @@
     ) {
       return;
     }
-    const plans = this.createPlans(step, allowed, now);
+    const plans = this.createPreemptionPlans(step, allowed, now);
     const victimCount = [...plans.values()].reduce((sum, { victims }) => sum + victims.length, 0);
     if (victimCount === 0) {
       return;
     }
     const estimate = this.estimatePreemption(step, allowed, plans, now);
     if (!this.options.rules.isWorthwhile(estimate)) {
-      step.job.recordPreemptionBackoff(step.repetition, step.step, now + RECHECK_INTERVAL_MS);
+      step.job.recordPreemptionBackoff(step.repetition, step.step, now + PREEMPTION_RECHECK_MS);
       return;
     }
-    step.job.recordPreemptionAttempt(step.repetition, step.step, now, this.options.rules.initialRetryMs);
+    step.job.recordPreemptionAttempt(step.repetition, step.step, now, this.options.rules.initialRetryDelayMs);
     for (const [endpoint, { victims }] of plans) {
       reservations.setReservation(
         endpoint.getProfile().incarnation,
@@ -113,15 +113,18 @@
     now: number,
   ): PreemptionEstimate {
     const { demand, estimatedMs, isGang, maxPerEndpoint } = step.shape;
-    const startCount = [...plans.values()].reduce((sum, { count }) => sum + count, 0);
+    const totalStartableCount = [...plans.values()].reduce(
+      (sum, { startableCount }) => sum + startableCount,
+      0,
+    );
     const lostCoreMs = [...plans.values()]
       .flatMap(({ victims }) => victims)
       .reduce((sum, run) => sum + computeStopCost(this.toVictim(run, now)), 0);
     const endpoints = allowed.map((endpoint) => ({
-      free: endpoint.getFreeCapacity(),
-      holders: [...endpoint.getRuns()].map((run) => ({
+      freeCapacity: endpoint.getFreeCapacity(),
+      capacityHolders: [...endpoint.getRuns()].map((run) => ({
         demand: run.demand,
-        remainingMs: this.estimateRemainingMs(run, now),
+        remainingMs: this.estimateRemainingRunMs(run, now),
       })),
     }));
     return {
@@ -129,41 +132,44 @@
       roomWaitMs: estimateCapacityWaitMs(
         endpoints,
         demand,
-        isGang ? step.indexes.length : startCount,
+        isGang ? step.indexes.length : totalStartableCount,
         maxPerEndpoint,
       ),
-      waitedMs: this.computeWaitedMs(step, now),
+      waitedMs: this.computeStepWaitMs(step, now),
       slackMs: step.objectiveAtMs - (now + this.wallOffsetMs) - estimatedMs,
       allowedMs: step.objectiveAtMs - step.job.definition.acceptedAtMs,
-      waitingCpuMillis: startCount * demand.cpuMillis,
+      waitingCpuMillis: totalStartableCount * demand.cpuMillis,
     };
   }
 
-  private computeWaitedMs({ job, repetition: time, step }: WaitingStep, now: number): number {
-    return Object.values(job.getWait(time, step).getTimes(now)).reduce((sum, ms) => sum + ms, 0);
+  private computeStepWaitMs({ job, repetition, step }: WaitingStep, now: number): number {
+    return Object.values(job.getStepWait(repetition, step).getWaitTimes(now)).reduce(
+      (sum, ms) => sum + ms,
+      0,
+    );
   }
 
-  private estimateRemainingMs(run: PlacedRun, now: number): number {
+  private estimateRemainingRunMs(run: PlacedRun, now: number): number {
     const job = this.options.jobs.get(run.job);
     const shape = job?.definition.steps[run.address.step];
     if (job === undefined || shape === undefined || shape.isLongRunning) {
       return Infinity;
     }
-    const median = job.getSpeeds(run.address.repetition, run.address.step).getMedian();
+    const median = job.getSpeeds(run.address.repetition, run.address.step).getMedianPace();
     return estimateRemainingByPaceMs(run, median ?? shape.estimatedMs / MAX_PERCENT, now);
   }
 
-  private toVictim(run: PlacedRun, now: number): Parameters<PreemptionRules['computeCost']>[0] {
+  private toVictim(run: PlacedRun, now: number): Parameters<PreemptionRules['computeVictimCost']>[0] {
     const shape = this.options.jobs.get(run.job)?.definition.steps[run.address.step];
     return {
       cpuMillis: run.demand.cpuMillis,
-      workedMs: now - (run.checkpointedAt ?? run.confirmedAt),
-      isSaving: shape?.isCheckpointing === true,
+      sinceCheckpointMs: now - (run.checkpointedAt ?? run.confirmedAt),
+      isSavingOnStop: shape?.isCheckpointing === true,
     };
   }
 
   /** Returns a plan for each endpoint used, for as many tasks as possible; none for a gang that couldn't start as a whole. */
-  private createPlans(
+  private createPreemptionPlans(
     step: WaitingStep,
     allowed: readonly EndpointState[],
     now: number,
@@ -173,8 +179,8 @@
       let best: EndpointState | undefined;
       let bestPlan: PreemptionPlan | undefined;
       for (const endpoint of allowed) {
-        const plan = this.createPlan(step, endpoint, step.shape.demand, plans.get(endpoint), now);
-        if (plan !== undefined && (bestPlan === undefined || plan.cost < bestPlan.cost)) {
+        const plan = this.createExtendedPlan(step, endpoint, step.shape.demand, plans.get(endpoint), now);
+        if (plan !== undefined && (bestPlan === undefined || plan.totalCost < bestPlan.totalCost)) {
           best = endpoint;
           bestPlan = plan;
         }
@@ -188,18 +194,18 @@
   }
 
   /** Returns the plan of an endpoint extended by one task; undefined when the task doesn't fit even after preemption. */
-  private createPlan(
+  private createExtendedPlan(
     step: WaitingStep,
     endpoint: EndpointState,
     demand: TaskDemand,
     before: PreemptionPlan | undefined,
     now: number,
   ): PreemptionPlan | undefined {
-    let free = before?.free ?? endpoint.getFreeCapacity();
+    let free = before?.freeCapacity ?? endpoint.getFreeCapacity();
     const earlier = before?.victims ?? [];
     let added: PlacedRun[] = [];
     if (!resourceMath.isWithin(demand, free)) {
-      for (const run of this.listCandidates(step, endpoint, now)) {
+      for (const run of this.listPreemptibleRuns(step, endpoint, now)) {
         if (!earlier.includes(run)) {
           added.push(run);
           free = resourceMath.computeSum(free, run.demand);
@@ -213,19 +219,19 @@
       return undefined;
     }
     if (this.options.rules.isMinimizingVictims) {
-      ({ added, free } = this.computeNeeded(added, free, demand));
+      ({ added, free } = this.computeNeededVictims(added, free, demand));
     }
     const victims = [...earlier, ...added];
-    const cost = added.reduce(
-      (sum, run) => sum + this.options.rules.computeCost(this.toVictim(run, now)),
-      before?.cost ?? 0,
+    const totalCost = added.reduce(
+      (sum, run) => sum + this.options.rules.computeVictimCost(this.toVictim(run, now)),
+      before?.totalCost ?? 0,
     );
-    const count = (before?.count ?? 0) + 1;
-    return { free: resourceMath.computeDifference(free, demand), victims, cost, count };
+    const startableCount = (before?.startableCount ?? 0) + 1;
+    return { freeCapacity: resourceMath.computeDifference(free, demand), victims, totalCost, startableCount };
   }
 
   /** Returns the victims without those that turn out unnecessary, since later ones free enough capacity. */
-  private computeNeeded(
+  private computeNeededVictims(
     victims: readonly PlacedRun[],
     free: TaskDemand,
     demand: TaskDemand,
@@ -243,7 +249,7 @@
   }
 
   /** Returns the runs that may be preempted for the step, lowest priority first, then least progress first. */
-  private listCandidates(step: WaitingStep, endpoint: EndpointState, now: number): readonly PlacedRun[] {
+  private listPreemptibleRuns(step: WaitingStep, endpoint: EndpointState, now: number): readonly PlacedRun[] {
     const { priority } = step.job.definition.queue;
     return [...endpoint.getRuns()]
       .filter((run) => run.priority > priority && this.isPreemptible(run, now))
@@ -258,7 +264,8 @@
     }
     const isExcluded = shape.isGang || shape.isLongRunning || shape.isFiller;
     const preemptions = job.countPreemptions(run.task);
-    const hasWorkedEnough = preemptions === 0 || now - run.confirmedAt >= this.options.rules.minWorkMs;
+    const hasWorkedEnough =
+      preemptions === 0 || now - run.confirmedAt >= this.options.rules.minWorkAfterRestartMs;
     return !isExcluded && preemptions < MAX_PREEMPTIONS && hasWorkedEnough && !this.isEndingSoon(run, now);
   }
 
--- a/packages/dispatch/placing/SlowRoundLogger.ts
+++ b/packages/dispatch/placing/SlowRoundLogger.ts
@@ -9,32 +9,32 @@
 /** Duration above which a round is logged. */
 const SLOW_ROUND_MS = 10;
 /** Minimum interval between two lines. */
-const LOG_INTERVAL_MS = 1000;
+const MIN_LOG_INTERVAL_MS = 1000;
 
 /** Logs slow rounds of placement, at most one line an interval with the number of slow rounds since the last line. */
 export class SlowRoundLogger {
-  private count = 0;
-  private longestMs = 0;
-  private loggedAt = -Infinity;
+  private slowRoundCount = 0;
+  private longestRoundMs = 0;
+  private lastLoggedAt = -Infinity;
 
   constructor(private readonly options: SlowRoundLoggerOptions) {}
 
   /** Records the duration of the round that began at the monotonic time `now`. */
-  recordRound(durationMs: number, now: number): void {
-    const { logger, countJobs: readJobCount, recordTime } = this.options;
+  recordRoundDuration(durationMs: number, now: number): void {
+    const { logger, countJobs, recordTime } = this.options;
     recordTime('roundMs', durationMs);
     if (durationMs <= SLOW_ROUND_MS) {
       return;
     }
-    this.count += 1;
-    this.longestMs = Math.max(this.longestMs, durationMs);
-    if (now - this.loggedAt < LOG_INTERVAL_MS) {
+    this.slowRoundCount += 1;
+    this.longestRoundMs = Math.max(this.longestRoundMs, durationMs);
+    if (now - this.lastLoggedAt < MIN_LOG_INTERVAL_MS) {
       return;
     }
-    const longestMs = Math.round(this.longestMs);
-    logger.info('Placement rounds were slow.', { rounds: this.count, longestMs, jobs: readJobCount() });
-    this.count = 0;
-    this.longestMs = 0;
-    this.loggedAt = now;
+    const longestMs = Math.round(this.longestRoundMs);
+    logger.info('Placement rounds were slow.', { rounds: this.slowRoundCount, longestMs, jobs: countJobs() });
+    this.slowRoundCount = 0;
+    this.longestRoundMs = 0;
+    this.lastLoggedAt = now;
   }
 }
--- a/packages/dispatch/placing/SpeedSources.ts
+++ b/packages/dispatch/placing/SpeedSources.ts
@@ -5,8 +5,8 @@
 
 /** Inputs of the speed policies. */
 export interface SpeedSources {
-  readonly kinds: KindSpeeds;
-  readonly speeds: EndpointSpeeds;
-  readonly times: RunTimes;
+  readonly kindSpeeds: KindSpeeds;
+  readonly endpointSpeeds: EndpointSpeeds;
+  readonly runTimes: RunTimes;
   readonly capacity: CapacityView;
 }
--- a/packages/dispatch/placing/StepLimiter.ts
+++ b/packages/dispatch/placing/StepLimiter.ts
@@ -10,30 +10,32 @@
   constructor(
     private readonly usage: CustomerUsage,
     /** Returns the configured limit; undefined while no configuration is known, or when it doesn't have the customer. */
-    private readonly getLimit: (customer: CustomerName) => TaskDemand | undefined,
+    private readonly getCustomerLimit: (customer: CustomerName) => TaskDemand | undefined,
   ) {}
 
   /**
    * Returns the part of a step that may start beside all runs that may be active; undefined for none. A gang starts as a whole or
    * not at all; a step that is wider than the limit runs in waves.
    */
-  computeStartable(step: WaitingStep): WaitingStep | undefined {
+  computeStartablePart(step: WaitingStep): WaitingStep | undefined {
     const { customer } = step.job.definition;
-    return customer === undefined ? step : this.computePart(step, this.usage.getUsed(customer.name));
+    return customer === undefined
+      ? step
+      : this.computePartWithinLimit(step, this.usage.getUsed(customer.name));
   }
 
   /** Returns the largest part of a step that may run at once when nothing else of the customer does; undefined for none. */
-  computeMaxStartable(step: WaitingStep): WaitingStep | undefined {
-    return this.computePart(step, resourceMath.ZERO);
+  computeMaxStartablePart(step: WaitingStep): WaitingStep | undefined {
+    return this.computePartWithinLimit(step, resourceMath.ZERO);
   }
 
-  private computePart(step: WaitingStep, used: TaskDemand): WaitingStep | undefined {
+  private computePartWithinLimit(step: WaitingStep, used: TaskDemand): WaitingStep | undefined {
     const { customer } = step.job.definition;
     if (customer === undefined) {
       return step;
     }
     const { indexes, shape } = step;
-    const limit = this.getLimit(customer.name) ?? customer.limit;
+    const limit = this.getCustomerLimit(customer.name) ?? customer.limit;
     const count = customerLimits.countFittingTasks(limit, used, shape.demand);
     if (count >= indexes.length) {
       return step;
--- a/packages/dispatch/placing/StepPlacer.ts
+++ b/packages/dispatch/placing/StepPlacer.ts
@@ -16,7 +16,7 @@
 import type { SuspectCosts } from './SuspectCosts';
 import type { EndpointQuarantine } from '../stops/EndpointQuarantine';
 import type { EndpointPreference } from './EndpointPreference';
-import { toRoundedTimes } from '../waiting/toRoundedTimes';
+import { toRoundedWaitTimes } from '../waiting/toRoundedWaitTimes';
 import { toStepName } from '../waiting/toStepName';
 import type { WaitingStep } from '../waiting/WaitingStep';
 
@@ -52,7 +52,7 @@
 export class StepPlacer {
   private readonly capacity: CapacityView;
   /** Placements that hold capacity only while advice is requested ahead. */
-  private readonly tentative: Placement[] = [];
+  private readonly tentativePlacements: Placement[] = [];
 
   constructor(private readonly options: StepPlacerOptions) {
     this.capacity = options.capacity;
@@ -60,20 +60,20 @@
 
   /** Places as many tasks of a step as possible. Returns whether any was placed. */
   placeStep(waitingStep: WaitingStep, now: number): boolean {
-    const wait = waitingStep.job.getWait(waitingStep.repetition, waitingStep.step);
-    const due = this.computeDueStep(waitingStep, now);
+    const wait = waitingStep.job.getStepWait(waitingStep.repetition, waitingStep.step);
+    const due = this.computePartWithoutBackoff(waitingStep, now);
     if (due === undefined) {
       wait.recordCause('pause', now);
       return false;
     }
-    const step = this.options.limiter.computeStartable(due);
+    const step = this.options.limiter.computeStartablePart(due);
     if (step === undefined) {
       wait.recordCause('limit', now);
       return false;
     }
-    const eligible = this.capacity.listEligible(step);
+    const eligible = this.capacity.listEligibleEndpoints(step);
     const isScarce = this.capacity.isCapacityScarce(step, eligible);
-    if (!isScarce && !this.capacity.hasAnyCapacity(step, eligible)) {
+    if (!isScarce && !this.capacity.hasCapacityForTask(step, eligible)) {
       wait.recordCause('room', now);
       return false;
     }
@@ -93,7 +93,7 @@
       );
     }
     if (placements.length < waitingStep.indexes.length) {
-      step.job.getWait(step.repetition, step.step).recordCause(missing > 0 ? cause : 'limit', now);
+      step.job.getStepWait(step.repetition, step.step).recordCause(missing > 0 ? cause : 'limit', now);
     }
     return placements.length > 0;
   }
@@ -103,34 +103,34 @@
    * `releaseTentative`, so that requests for less urgent steps are about the remaining capacity.
    */
   requestAdviceAhead(waitingStep: WaitingStep, now: number): void {
-    const due = this.computeDueStep(waitingStep, now);
-    const step = due === undefined ? undefined : this.options.limiter.computeStartable(due);
+    const due = this.computePartWithoutBackoff(waitingStep, now);
+    const step = due === undefined ? undefined : this.options.limiter.computeStartablePart(due);
     if (step === undefined) {
       return;
     }
-    const eligible = this.capacity.listEligible(step);
-    if (!this.capacity.hasAnyCapacity(step, eligible)) {
+    const eligible = this.capacity.listEligibleEndpoints(step);
+    if (!this.capacity.hasCapacityForTask(step, eligible)) {
       return;
     }
     const { advice } = this.options;
     const neededUntil = now + advice.estimateResponseMs(step);
     const placements = this.choosePlacements(step, eligible, neededUntil);
-    this.tentative.push(...placements);
+    this.tentativePlacements.push(...placements);
     if (placements.length < step.indexes.length) {
       advice.requestAdvice(step, eligible, step.indexes.length - placements.length, now, neededUntil);
     }
   }
 
   /** Releases the capacity held by `requestAdviceAhead`. */
-  releaseTentative(): void {
-    this.tentative.splice(0).forEach((placement) => this.releasePlacement(placement));
+  releaseTentativePlacements(): void {
+    this.tentativePlacements.splice(0).forEach((placement) => this.releasePlacement(placement));
   }
 
   /** Returns the step without the tasks in backoff; undefined when none is left, or when a gang wouldn't be complete. */
-  private computeDueStep(waitingStep: WaitingStep, now: number): WaitingStep | undefined {
-    const { job, repetition: time, step } = waitingStep;
+  private computePartWithoutBackoff(waitingStep: WaitingStep, now: number): WaitingStep | undefined {
+    const { job, repetition, step } = waitingStep;
     const indexes = waitingStep.indexes.filter(
-      (index) => !job.isBackingOff({ repetition: time, step, index }, now),
+      (index) => !job.isBackingOff({ repetition, step, index }, now),
     );
     if (indexes.length === waitingStep.indexes.length) {
       return waitingStep;
@@ -140,15 +140,17 @@
 
   private startPreemption(step: WaitingStep, eligible: readonly EndpointState[], now: number): void {
     const { preemptor, quarantine } = this.options;
-    const candidate = { isGang: step.shape.isGang, failures: 0 };
-    const allowed = this.listAllowed(step, eligible, now + preemptor.getMinTicketMs()).filter((endpoint) =>
-      quarantine.canAccept(candidate, endpoint, now),
-    );
+    const candidate = { isInGang: step.shape.isGang, failureCount: 0 };
+    const allowed = this.listAllowedEndpoints(
+      step,
+      eligible,
+      now + preemptor.getMinTicketValidityMs(),
+    ).filter((endpoint) => quarantine.canAcceptTask(candidate, endpoint, now));
     preemptor.startPreemption(step, allowed, now);
   }
 
   /** Returns the endpoints that have a ticket valid until a time, or all when the queue needs none. */
-  private listAllowed(
+  private listAllowedEndpoints(
     step: WaitingStep,
     eligible: readonly EndpointState[],
     until: number,
@@ -179,12 +181,12 @@
   ): Placement[] {
     const placements: Placement[] = [];
     const advice = step.job.definition.queue.advice === undefined ? undefined : this.getAdvice(step);
-    const allowed = this.listAllowed(step, eligible, now);
+    const allowed = this.listAllowedEndpoints(step, eligible, now);
     if (allowed.length === 0) {
       return placements;
     }
     let unreservedCpuMillis = this.capacity.computeUnreservedCpuMillis(step);
-    const runNumber = this.computeNextRun(step);
+    const runNumber = this.computeNextGangRun(step);
     const computePreferenceCost = this.options.preference.createCostFunction(step, allowed);
     for (const { address, task, isSuspect } of this.listStartableTasks(step)) {
       if (step.shape.demand.cpuMillis > unreservedCpuMillis && !step.shape.isFiller) {
@@ -192,9 +194,9 @@
       }
       const candidate = {
         isSuspect,
-        crashes: task.crashes.length,
-        isGang: step.shape.isGang,
-        failures: task.failures,
+        crashCount: task.crashes.length,
+        isInGang: step.shape.isGang,
+        failureCount: task.failures,
       };
       const endpoint = this.chooseEndpoint(step, allowed, candidate, computePreferenceCost, now);
       if (endpoint === undefined && task.crashes.length > 0) {
@@ -232,14 +234,15 @@
     if (firstSuspect === undefined || step.shape.isGang) {
       return startable;
     }
-    const nextSuspect = this.options.suspectCosts.hasStartingSibling(step) ? undefined : firstSuspect;
+    const nextSuspect = this.options.suspectCosts.hasStartingSuspectSibling(step) ? undefined : firstSuspect;
     return startable.filter((startableTask) => !startableTask.isSuspect || startableTask === nextSuspect);
   }
 
   private chooseEndpoint(
     step: WaitingStep,
     allowed: readonly EndpointState[],
-    candidate: Parameters<SuspectCosts['computeCost']>[1] & Parameters<EndpointQuarantine['canAccept']>[0],
+    candidate: Parameters<SuspectCosts['computeSuspectCost']>[1] &
+      Parameters<EndpointQuarantine['canAcceptTask']>[0],
     computePreferenceCost: (endpoint: EndpointState) => number,
     now: number,
   ): EndpointState | undefined {
@@ -249,13 +252,13 @@
     let best: EndpointState | undefined;
     let bestCost = Infinity;
     for (const endpoint of allowed) {
-      if (!endpoint.hasCapacityFor(demand) || this.capacity.hasMaxTasks(step, endpoint)) {
+      if (!endpoint.hasCapacityFor(demand) || this.capacity.hasMaxTasksOfStep(step, endpoint)) {
         continue;
       }
-      if (!this.options.quarantine.canAccept(candidate, endpoint, now)) {
+      if (!this.options.quarantine.canAcceptTask(candidate, endpoint, now)) {
         continue;
       }
-      const suspectCost = this.options.suspectCosts.computeCost(step, candidate, endpoint, now);
+      const suspectCost = this.options.suspectCosts.computeSuspectCost(step, candidate, endpoint, now);
       const cost = rule.computeCost(step, endpoint, now) + computePreferenceCost(endpoint) + suspectCost;
       if (cost < bestCost) {
         bestCost = cost;
@@ -266,12 +269,12 @@
   }
 
   /** Returns the run number for all members of a gang: one above the highest used. */
-  private computeNextRun({ job, repetition: time, step }: WaitingStep): number {
-    return 1 + Math.max(0, ...job.progress.listTasks(time, step).map((task) => task.run));
+  private computeNextGangRun({ job, repetition, step }: WaitingStep): number {
+    return 1 + Math.max(0, ...job.progress.listTasks(repetition, step).map((task) => task.run));
   }
 
-  private getAdvice({ job, repetition: time, step }: WaitingStep): ReturnType<LiveJob['getAdvice']> {
-    return job.getAdvice(time, step);
+  private getAdvice({ job, repetition, step }: WaitingStep): ReturnType<LiveJob['getAdvice']> {
+    return job.getAdvice(repetition, step);
   }
 
   private releasePlacement({ endpoint, run }: Placement): void {
@@ -282,7 +285,7 @@
     const { job, shape } = step;
     const { progress, definition } = job;
     const gangCheckpoint = shape.isGang ? this.getGangCheckpoint(step) : '';
-    const waits = job.getWait(step.repetition, step.step).getTimes(now);
+    const waits = job.getStepWait(step.repetition, step.step).getWaitTimes(now);
     this.options.reservations.releaseReservations(step);
     const placed = placements.map(({ endpoint: state, run, ticket }) => {
       const { address, task } = run;
@@ -308,15 +311,15 @@
         job: definition.id,
         step: toStepName(step),
         queue: definition.queue.name,
-        waits: toRoundedTimes(waits),
+        waits: toRoundedWaitTimes(waits),
         placed,
       },
     });
   }
 
   /** Returns the checkpoint that all members of a gang start from; '' for none. The checkpoint of any member is valid for all. */
-  private getGangCheckpoint({ job, repetition: time, step }: WaitingStep): string {
-    const saved = job.progress.listTasks(time, step).find((task) => task.checkpoint !== '');
-    return job.getGangCheckpoint(time, step) ?? saved?.checkpoint ?? '';
+  private getGangCheckpoint({ job, repetition, step }: WaitingStep): string {
+    const saved = job.progress.listTasks(repetition, step).find((task) => task.checkpoint !== '');
+    return job.getGangCheckpoint(repetition, step) ?? saved?.checkpoint ?? '';
   }
 }
--- a/packages/dispatch/placing/SuspectCosts.ts
+++ b/packages/dispatch/placing/SuspectCosts.ts
@@ -17,10 +17,10 @@
 const SUSPECT_NEIGHBOUR_COST = 1500;
 
 /** A task to be placed. */
-interface Candidate {
+interface TaskToPlace {
   readonly isSuspect: boolean;
   /** Number of endpoints that crashed while they ran it. */
-  readonly crashes: number;
+  readonly crashCount: number;
 }
 
 /**
@@ -37,15 +37,15 @@
    * Returns whether another suspect task of the step is in its startup. Suspects of one step are started one after the other, since
    * they are likely to behave alike; members of a gang start together.
    */
-  hasStartingSibling({ job, repetition: time, step, shape }: WaitingStep): boolean {
+  hasStartingSuspectSibling({ job, repetition, step, shape }: WaitingStep): boolean {
     if (shape.isGang) {
       return false;
     }
-    return job.progress.listTasks(time, step).some((task, index) => {
+    return job.progress.listTasks(repetition, step).some((task, index) => {
       if (task.phase !== 'placed' || !isCrashSuspect(task.crashes)) {
         return false;
       }
-      const name = toTaskName(job.definition.id, { repetition: time, step, index });
+      const name = toTaskName(job.definition.id, { repetition, step, index });
       const run = this.endpoints.get(task.endpoint)?.getRun(name, task.run);
       return run !== undefined && !isPastStartup(run);
     });
@@ -55,15 +55,16 @@
    * Returns the cost of an endpoint for a task; Infinity where it must not start now. A healthy task that has been in several crashes
    * isn't started beside a starting suspect either, so that its neighbours' crashes don't bring it over the crash limit.
    */
-  computeCost(
+  computeSuspectCost(
     step: WaitingStep,
-    { isSuspect, crashes }: Candidate,
+    { isSuspect, crashCount }: TaskToPlace,
     endpoint: EndpointState,
     now: number,
   ): number {
     const hasOtherSuspects = this.hasOtherStartingSuspects(step, endpoint);
     if (!isSuspect) {
-      const neighbourCost = crashes >= crashLimits.protectedAfterCrashes ? Infinity : SUSPECT_NEIGHBOUR_COST;
+      const neighbourCost =
+        crashCount >= crashLimits.protectedAfterCrashes ? Infinity : SUSPECT_NEIGHBOUR_COST;
       return hasOtherSuspects ? neighbourCost : 0;
     }
     if (hasOtherSuspects) {
--- a/packages/dispatch/placing/rankingRules.ts
+++ b/packages/dispatch/placing/rankingRules.ts
@@ -3,40 +3,42 @@
 import type { WaitingStep } from '../waiting/WaitingStep';
 
 /** Costs in descending order of weight; the free share, 0 to 1, decides between equal ones. */
-const FAILED_HERE_COST = 1000;
-const DEGRADED_COST = 500;
+const FAILED_ON_ENDPOINT_COST = 1000;
+const DEGRADED_ENDPOINT_COST = 500;
 const OTHER_RACK_COST = 100;
 const SERVING_NEIGHBOUR_COST = 50;
 
 const computeFailureCost = (
-  { job, repetition: time, step }: WaitingStep,
+  { job, repetition, step }: WaitingStep,
   endpoint: EndpointState,
   now: number,
 ): number => {
-  const failedHere = job.hasFailureOn(time, step, endpoint.getProfile().incarnation) ? FAILED_HERE_COST : 0;
-  return failedHere + (endpoint.isDegraded(now) ? DEGRADED_COST : 0);
+  const failedHere = job.hasFailureOn(repetition, step, endpoint.getProfile().incarnation)
+    ? FAILED_ON_ENDPOINT_COST
+    : 0;
+  return failedHere + (endpoint.isDegraded(now) ? DEGRADED_ENDPOINT_COST : 0);
 };
 
-const computeDataCost = ({ shape }: WaitingStep, endpoint: EndpointState): number =>
+const computeDataLocalityCost = ({ shape }: WaitingStep, endpoint: EndpointState): number =>
   shape.dataRack !== '' && !endpoint.getProfile().labels.includes(shape.dataRack) ? OTHER_RACK_COST : 0;
 
-const toShare = (free: number, whole: number): number => (whole === 0 ? 1 : free / whole);
+const computeShare = (free: number, whole: number): number => (whole === 0 ? 1 : free / whole);
 
 /** Returns the free share of an endpoint's scarcest resource, 0 to 1. */
 const computeFreeShare = (endpoint: EndpointState): number => {
   const { capacity } = endpoint.getProfile();
   const free = endpoint.getFreeCapacity();
   return Math.min(
-    toShare(free.cpuMillis, capacity.cpuMillis),
-    toShare(free.memoryMb, capacity.memoryMb),
-    toShare(free.accelerators, capacity.accelerators),
+    computeShare(free.cpuMillis, capacity.cpuMillis),
+    computeShare(free.memoryMb, capacity.memoryMb),
+    computeShare(free.accelerators, capacity.accelerators),
   );
 };
 
 const computeCommonCost = (step: WaitingStep, endpoint: EndpointState, now: number): number =>
-  computeFailureCost(step, endpoint, now) + computeDataCost(step, endpoint);
+  computeFailureCost(step, endpoint, now) + computeDataLocalityCost(step, endpoint);
 
-const countServing = (endpoint: EndpointState): number => {
+const countServingRuns = (endpoint: EndpointState): number => {
   let count = 0;
   for (const run of endpoint.getRuns()) {
     count += run.isServing ? 1 : 0;
@@ -57,7 +59,7 @@
   filler: {
     computeCost: (step, endpoint, now) =>
       computeCommonCost(step, endpoint, now) +
-      SERVING_NEIGHBOUR_COST * countServing(endpoint) -
+      SERVING_NEIGHBOUR_COST * countServingRuns(endpoint) -
       computeFreeShare(endpoint),
   },
 };
--- a/packages/dispatch/placing/speedPolicies.ts
+++ b/packages/dispatch/placing/speedPolicies.ts
@@ -13,15 +13,15 @@
 ) => CostFunction;
 
 /** Cost of a slowdown of 2. A tenth of it outweighs packing, which costs at most 1; all of it doesn't outweigh another rack, 100. */
-const SLOWDOWN_COST = 20;
+const DOUBLE_SLOWDOWN_COST = 20;
 /** Slowdowns are rounded to multiples of this, so that random differences don't count. */
 const SLOWDOWN_STEP = 0.1;
 
-const createKindCost: CreateCostFunction = (step, { kinds, capacity }) => {
-  const isMostUrgent = capacity.isMostUrgent(step.job.definition.queue);
+const createKindCost: CreateCostFunction = (step, { kindSpeeds, capacity }) => {
+  const isMostUrgent = capacity.isMostUrgentQueue(step.job.definition.queue);
   return (endpoint) => {
-    const slowdown = kinds.getSlowdown(endpoint.getProfile().labels);
-    const cost = SLOWDOWN_COST * SLOWDOWN_STEP * Math.round((slowdown - 1) / SLOWDOWN_STEP);
+    const slowdown = kindSpeeds.getSlowdown(endpoint.getProfile().labels);
+    const cost = DOUBLE_SLOWDOWN_COST * SLOWDOWN_STEP * Math.round((slowdown - 1) / SLOWDOWN_STEP);
     return isMostUrgent ? cost : -cost;
   };
 };
--- a/packages/dispatch/runs/RunMover.ts
+++ b/packages/dispatch/runs/RunMover.ts
@@ -79,7 +79,7 @@
     const { priority } = run;
     if (endpoint.getProfile().isDraining && endpoint.getProfile().remainingMs > 0) {
       return this.isEvictionDue(endpoint, run, shape, now)
-        ? { book: endpoint, run, priority, reason: 'endpointLeaves', gainMs: 0 }
+        ? { endpoint, run, priority, reason: 'endpointLeaves', gainMs: 0 }
         : undefined;
     }
     const isMoveLimitReached = (this.moveCounts.get(run.task) ?? 0) >= MAX_MOVES;
@@ -108,18 +108,18 @@
       percent: run.percent,
       stalledMs: run.lastListedAt - run.progressedAt,
       moveMs: MOVE_OVERHEAD_MS + (this.getJob(run)?.definition.queue.advice?.decisionMs ?? 0),
-      isSaving: shape.isCheckpointing,
+      isSavingOnStop: shape.isCheckpointing,
     };
     const reason = this.options.stops.findMoveReason(input);
     const gainMs =
       input.pace * (ALL_PERCENT - input.percent) - input.baselinePace * ALL_PERCENT - input.moveMs;
-    return reason === undefined ? undefined : { book: endpoint, run, priority, reason, gainMs };
+    return reason === undefined ? undefined : { endpoint, run, priority, reason, gainMs };
   }
 
   /** Computes the baseline pace of a step from its other tasks, else from learned run times, else from the caller's estimate. */
   private computeBaseline(run: PlacedRun, shape: JobStep): Pick<SlowRunInput, 'baselinePace' | 'slowPace'> {
     const job = this.getJob(run);
-    const median = job?.getSpeeds(run.address.repetition, run.address.step).getMedian();
+    const median = job?.getSpeeds(run.address.repetition, run.address.step).getMedianPace();
     if (median !== undefined) {
       return { baselinePace: median, slowPace: SLOW_RATIO * median };
     }
@@ -145,7 +145,7 @@
     return this.options.stops.isEvictionDue({
       untilDeadlineMs: endpoint.getDrainDeadline(now) - now,
       remainingMs: this.estimateRemainingMs(run, shape),
-      isSaving: shape.isCheckpointing,
+      isSavingOnStop: shape.isCheckpointing,
     });
   }
 
--- a/packages/dispatch/speeds/RunLearner.ts
+++ b/packages/dispatch/speeds/RunLearner.ts
@@ -116,7 +116,7 @@
     // The members of a gang run at one pace on all endpoints.
     const ownRatio = shape.isGang ? 1 : this.getOwnRatio(profile);
     stepSpeeds.recordPace(run.address.index, pace, pace / ownRatio);
-    const median = stepSpeeds.getNormalizedMedian();
+    const median = stepSpeeds.getNormalizedMedianPace();
     if (median !== undefined) {
       // An endpoint that is always slow, or of a slow kind, is not degraded.
       const baselineRatio = ownRatio === 1 ? this.options.kinds.getSlowdown(profile.labels) : ownRatio;
@@ -132,9 +132,9 @@
 
   /** Records the pace of a run that is done for the kind of its endpoint; that of a running one is too imprecise. */
   private recordKindPace({ endpoint, run, job }: Measurement, pace: number): void {
-    const median = job.getSpeeds(run.address.repetition, run.address.step).getMedian();
+    const median = job.getSpeeds(run.address.repetition, run.address.step).getMedianPace();
     if (median !== undefined && median > 0) {
-      this.options.kinds.recordRun(endpoint.getProfile().labels, pace / median);
+      this.options.kinds.recordRunSlowdown(endpoint.getProfile().labels, pace / median);
     }
   }
 
--- a/packages/dispatch/speeds/createCompletionTimeCost.ts
+++ b/packages/dispatch/speeds/createCompletionTimeCost.ts
@@ -13,7 +13,7 @@
 /** Returns how many members of a gang fit on the endpoints of each ratio, the fastest first. */
 const listGangCapacity = (
   step: WaitingStep,
-  { speeds, capacity: capacityView }: SpeedSources,
+  { endpointSpeeds: speeds, capacity: capacityView }: SpeedSources,
   endpoints: readonly EndpointState[],
 ): readonly (readonly [ratio: number, count: number])[] => {
   const counts = new Map<number, number>();
@@ -62,11 +62,11 @@
   wallMs: number,
 ): ((endpoint: EndpointState) => number) => {
   const { definition } = step.job;
-  const runTime = sources.times.getDistribution(definition.queue.name, step.shape);
+  const runTime = sources.runTimes.getDistribution(definition.queue.name, step.shape);
   // The run times of gangs are those of the whole gang.
   const count = step.shape.isGang ? 1 : step.shape.count;
   const leftMs = step.objectiveAtMs - wallMs - step.job.getCriticalPathAfterMs(step.step);
-  const isMostUrgent = sources.capacity.isMostUrgent(definition.queue);
+  const isMostUrgent = sources.capacity.isMostUrgentQueue(definition.queue);
   const baselineChance = computeLateChance({ runTime, count, ratio: 1, leftMs });
   const computeCost = (ratio: number): number => {
     const lateCost = LATE_COST * (computeLateChance({ runTime, count, ratio, leftMs }) - baselineChance);
@@ -83,7 +83,7 @@
   };
   const costs = new Map<number, number>([[1, gangRatio === undefined ? 0 : computeMemberCost(1)]]);
   return (endpoint) => {
-    const ratio = sources.speeds.getSignificantRatio(endpoint.getProfile());
+    const ratio = sources.endpointSpeeds.getSignificantRatio(endpoint.getProfile());
     const known = costs.get(ratio);
     if (known !== undefined) {
       return known;
--- a/packages/dispatch/stops/EndpointQuarantine.ts
+++ b/packages/dispatch/stops/EndpointQuarantine.ts
@@ -3,10 +3,10 @@
 import type { EndpointState } from '../endpoints/EndpointState';
 
 /** A task to be placed. */
-interface Candidate {
-  readonly isGang: boolean;
+interface TaskToPlace {
+  readonly isInGang: boolean;
   /** Number of its failed runs. */
-  readonly failures: number;
+  readonly failureCount: number;
 }
 
 /** When more than this share of a service's endpoints fail, the work is assumed to be at fault and none is quarantined. */
@@ -18,7 +18,7 @@
  */
 export class EndpointQuarantine {
   /** Whether a service is exempt from quarantine, cached for the round. */
-  private readonly exempt = new Map<ServiceName, boolean>();
+  private readonly exemptServices = new Map<ServiceName, boolean>();
 
   constructor(
     private readonly endpoints: ReadonlyMap<EndpointIncarnation, EndpointState>,
@@ -28,27 +28,27 @@
 
   /** Clears the results of the last round. */
   clearCache(): void {
-    this.exempt.clear();
+    this.exemptServices.clear();
   }
 
   /** Returns whether a task may be placed on the endpoint, by the failures of both. */
-  canAccept(candidate: Candidate, endpoint: EndpointState, now: number): boolean {
+  canAcceptTask(candidate: TaskToPlace, endpoint: EndpointState, now: number): boolean {
     const streak = endpoint.getFailureStreak();
-    if (!this.isEnabled || !streak.isFailing() || this.isExempt(endpoint.getProfile().service)) {
+    if (!this.isEnabled || !streak.isFailing() || this.isExemptService(endpoint.getProfile().service)) {
       return true;
     }
-    const canProbe = !candidate.isGang && candidate.failures === 0 && now >= streak.getProbeAt();
-    return canProbe && !this.isProbing(endpoint);
+    const canProbe = !candidate.isInGang && candidate.failureCount === 0 && now >= streak.getProbeAt();
+    return canProbe && !this.hasActiveProbe(endpoint);
   }
 
   /** Returns whether a run that was placed after the newest failure is still active. */
-  private isProbing(endpoint: EndpointState): boolean {
-    const failedAt = endpoint.getFailureStreak().getFailedAt();
+  private hasActiveProbe(endpoint: EndpointState): boolean {
+    const failedAt = endpoint.getFailureStreak().getLastFailedAt();
     return [...endpoint.getRuns()].some((run) => run.placedAt >= failedAt);
   }
 
-  private isExempt(service: ServiceName): boolean {
-    const known = this.exempt.get(service);
+  private isExemptService(service: ServiceName): boolean {
+    const known = this.exemptServices.get(service);
     if (known !== undefined) {
       return known;
     }
@@ -57,7 +57,7 @@
     );
     const failing = schedulable.filter((endpoint) => endpoint.getFailureStreak().isFailing());
     const isServiceExempt = failing.length > schedulable.length * MAX_QUARANTINED_SHARE;
-    this.exempt.set(service, isServiceExempt);
+    this.exemptServices.set(service, isServiceExempt);
     return isServiceExempt;
   }
 }
--- a/packages/dispatch/stops/EvictionInput.ts
+++ b/packages/dispatch/stops/EvictionInput.ts
@@ -5,5 +5,5 @@
   /** Estimated time until the run ends there, in milliseconds; Infinity for one that never ends. */
   readonly remainingMs: number;
   /** The run saves its work when it is stopped. */
-  readonly isSaving: boolean;
+  readonly isSavingOnStop: boolean;
 }
--- a/packages/dispatch/stops/MoveCandidate.ts
+++ b/packages/dispatch/stops/MoveCandidate.ts
@@ -4,7 +4,7 @@
 
 /** A run that is expected to end earlier on another endpoint. */
 export interface MoveCandidate {
-  readonly book: EndpointState;
+  readonly endpoint: EndpointState;
   readonly run: PlacedRun;
   readonly reason: MoveReason;
   readonly priority: number;
--- a/packages/dispatch/stops/SlowRunInput.ts
+++ b/packages/dispatch/stops/SlowRunInput.ts
@@ -12,5 +12,5 @@
   /** Time from a move until the new run works, in milliseconds. */
   readonly moveMs: number;
   /** The run saves its work when it is stopped, and the new one resumes from there. */
-  readonly isSaving: boolean;
+  readonly isSavingOnStop: boolean;
 }
--- a/packages/dispatch/stops/StopPolicy.ts
+++ b/packages/dispatch/stops/StopPolicy.ts
@@ -9,7 +9,7 @@
   readonly isEvictionDue: (input: EvictionInput) => boolean;
   /** Returns why a run is a straggler that should be moved; undefined when it isn't. */
   readonly findMoveReason: (input: SlowRunInput) => Exclude<MoveReason, 'endpointLeaves'> | undefined;
-  readonly preemption: PreemptionRules;
+  readonly preemptionRules: PreemptionRules;
   /** Gangs on draining endpoints are evicted, and resume from the newest checkpoint of any member. */
   readonly isEvictingGangs: boolean;
   /** Runs without siblings are compared with the learnt run times. */
--- a/packages/dispatch/stops/chooseMoves.ts
+++ b/packages/dispatch/stops/chooseMoves.ts
@@ -6,7 +6,7 @@
 }
 
 /** Lower bound of the limit, for small clusters. */
-const MIN_MOVING = 4;
+const MIN_MOVE_LIMIT = 4;
 
 /** Returns the moves to make now, by priority, then by gain, up to the limit less the moves under way. */
 export const chooseMoves = <Candidate extends Move>(
@@ -14,7 +14,7 @@
   maxMoving: number,
   movingCount: number,
 ): readonly Candidate[] => {
-  const limit = Math.max(MIN_MOVING, Math.floor(maxMoving));
+  const limit = Math.max(MIN_MOVE_LIMIT, Math.floor(maxMoving));
   return [...candidates]
     .sort((left, right) => left.priority - right.priority || right.gainMs - left.gainMs)
     .slice(0, Math.max(0, limit - movingCount));
--- a/packages/dispatch/stops/estimateCapacityWaitMs.ts
+++ b/packages/dispatch/stops/estimateCapacityWaitMs.ts
@@ -4,18 +4,18 @@
 
 /** An endpoint that may run tasks of the step. */
 interface OccupiedEndpoint {
-  readonly free: TaskDemand;
-  readonly holders: readonly CapacityHolder[];
+  readonly freeCapacity: TaskDemand;
+  readonly capacityHolders: readonly CapacityHolder[];
 }
 
 /** Returns the time until each further task fits on an endpoint as its runs end, in milliseconds. */
-const computeFitTimes = (
-  { free, holders }: OccupiedEndpoint,
+const estimateFitTimesMs = (
+  { freeCapacity, capacityHolders }: OccupiedEndpoint,
   demand: TaskDemand,
   maxPerEndpoint: number,
 ): readonly number[] => {
   const times: number[] = [];
-  let remaining = free;
+  let remaining = freeCapacity;
   let waitMs = 0;
   const recordFits = (): void => {
     while (times.length < maxPerEndpoint && resourceMath.isWithin(demand, remaining)) {
@@ -24,7 +24,7 @@
     }
   };
   recordFits();
-  for (const holder of [...holders].sort((left, right) => left.remainingMs - right.remainingMs)) {
+  for (const holder of [...capacityHolders].sort((left, right) => left.remainingMs - right.remainingMs)) {
     remaining = resourceMath.computeSum(remaining, holder.demand);
     waitMs = holder.remainingMs;
     recordFits();
@@ -43,6 +43,6 @@
   mostPerEndpoint: number,
 ): number => {
   const maxPerEndpoint = mostPerEndpoint === 0 ? count : mostPerEndpoint;
-  const times = endpoints.flatMap((endpoint) => computeFitTimes(endpoint, demand, maxPerEndpoint));
+  const times = endpoints.flatMap((endpoint) => estimateFitTimesMs(endpoint, demand, maxPerEndpoint));
   return times.sort((left, right) => left - right)[count - 1] ?? Infinity;
 };
--- a/packages/dispatch/stops/getGangCheckpoint.ts
+++ b/packages/dispatch/stops/getGangCheckpoint.ts
@@ -17,5 +17,5 @@
   }
   const isNewer = checkpoint !== '' && checkpoint !== run.checkpoint;
   const knownAt = isNewer ? run.lastListedAt : (run.checkpointedAt ?? run.confirmedAt);
-  return { checkpoint: newest, run: run.run, savedAt: reportedEnd === 'stopped' ? now : knownAt };
+  return { checkpoint: newest, runNumber: run.run, savedAt: reportedEnd === 'stopped' ? now : knownAt };
 };
--- a/packages/dispatch/stops/isEvictionDue.ts
+++ b/packages/dispatch/stops/isEvictionDue.ts
@@ -5,6 +5,6 @@
  * go on until `marginMs` before the deadline; others are stopped at once.
  */
 export const isEvictionDue = (
-  { untilDeadlineMs: leftMs, remainingMs, isSaving }: EvictionInput,
+  { untilDeadlineMs, remainingMs, isSavingOnStop }: EvictionInput,
   marginMs: number,
-): boolean => remainingMs > leftMs && (!isSaving || leftMs < marginMs);
+): boolean => remainingMs > untilDeadlineMs && (!isSavingOnStop || untilDeadlineMs < marginMs);
--- a/packages/dispatch/stops/stopPolicies.ts
+++ b/packages/dispatch/stops/stopPolicies.ts
@@ -7,33 +7,33 @@
 
 const MAX_PERCENT = 100;
 /** Time before the drain deadline at which runs that save their work are evicted. */
-const LEAVE_MARGIN_MS = 700;
+const EVICTION_MARGIN_MS = 700;
 /** The same with time for the longest stop that the platform allows, and a repeated command. */
-const LONG_LEAVE_MARGIN_MS = 1300;
+const LONG_EVICTION_MARGIN_MS = 1300;
 /** Longest time for a stop, the poll that shows its end, and a round of placement. */
 const MAX_STOP_MS = 1200;
 /** Usual time for a stop, a poll and a round. Few tickets are valid for the longest stop, and a gang needs many. */
-const MIN_TICKET_MS = 600;
+const MIN_TICKET_VALIDITY_MS = 600;
 /** Longer than a reservation. */
-const INITIAL_RETRY_MS = 3000;
+const INITIAL_PREEMPTION_RETRY_MS = 3000;
 /** When more runs than this share seem slow, the whole cluster is likely slow and moves gain little. */
-const MAX_MOVING_SHARE = 0.05;
+const MAX_MOVING_RUN_SHARE = 0.05;
 /** Keeps the next preemption of a task from outweighing the cost of its restart. */
-const MIN_WORK_MS = 1000;
+const MIN_WORK_AFTER_RESTART_MS = 1000;
 
 /** Stop policies by name. */
 export const stopPolicies: Readonly<Record<StopPolicyName, StopPolicy>> = {
   ranked: {
-    isEvictionDue: (input) => isEvictionDue(input, LEAVE_MARGIN_MS),
+    isEvictionDue: (input) => isEvictionDue(input, EVICTION_MARGIN_MS),
     findMoveReason: (input) => findStragglerReason(input),
-    preemption: {
-      computeCost: () => 1,
+    preemptionRules: {
+      computeVictimCost: () => 1,
       isWorthwhile: () => true,
       isMinimizingVictims: false,
-      minWorkMs: 0,
+      minWorkAfterRestartMs: 0,
       reservationMs: 1200,
-      minTicketMs: MIN_TICKET_MS,
-      initialRetryMs: 0,
+      minTicketValidityMs: MIN_TICKET_VALIDITY_MS,
+      initialRetryDelayMs: 0,
     },
     isEvictingGangs: false,
     isUsingRunTimes: false,
@@ -41,24 +41,24 @@
     isQuarantining: false,
   },
   priced: {
-    isEvictionDue: (input) => isEvictionDue(input, LONG_LEAVE_MARGIN_MS),
+    isEvictionDue: (input) => isEvictionDue(input, LONG_EVICTION_MARGIN_MS),
     findMoveReason: (input) =>
       findStragglerReason({
         ...input,
-        restartPercent: input.isSaving ? MAX_PERCENT - input.percent : MAX_PERCENT,
+        restartPercent: input.isSavingOnStop ? MAX_PERCENT - input.percent : MAX_PERCENT,
       }),
-    preemption: {
-      computeCost: computeStopCost,
+    preemptionRules: {
+      computeVictimCost: computeStopCost,
       isWorthwhile: isPreemptionWorthwhile,
       isMinimizingVictims: true,
-      minWorkMs: MIN_WORK_MS,
+      minWorkAfterRestartMs: MIN_WORK_AFTER_RESTART_MS,
       reservationMs: 2 * MAX_STOP_MS,
-      minTicketMs: MIN_TICKET_MS,
-      initialRetryMs: INITIAL_RETRY_MS,
+      minTicketValidityMs: MIN_TICKET_VALIDITY_MS,
+      initialRetryDelayMs: INITIAL_PREEMPTION_RETRY_MS,
     },
     isEvictingGangs: true,
     isUsingRunTimes: true,
-    maxMovingShare: MAX_MOVING_SHARE,
+    maxMovingShare: MAX_MOVING_RUN_SHARE,
     isQuarantining: true,
   },
 };
--- a/packages/dispatch/waiting/LiveJob.ts
+++ b/packages/dispatch/waiting/LiveJob.ts
@@ -19,9 +19,9 @@
 interface StepState {
   readonly advice: StepAdvice;
   readonly speeds: StepSpeeds;
-  readonly times: StepRunTimes;
+  readonly runTimes: StepRunTimes;
   /** Endpoints on which runs of the step failed. */
-  readonly failedOn: Set<EndpointIncarnation>;
+  readonly failedOnEndpoints: Set<EndpointIncarnation>;
   /** Undefined for no gang, and while no checkpoint is known. */
   gangCheckpoint: GangCheckpoint | undefined;
   /** Preemptions for the step since its last start, and the monotonic time from which the next is allowed. */
@@ -30,32 +30,32 @@
   wait: StepWait | undefined;
 }
 
-const NO_ATTEMPTS = { count: 0, retryAt: -Infinity };
+const NO_PREEMPTION_ATTEMPTS = { count: 0, retryAt: -Infinity };
 
 /** Cached waiting steps, and the version of the progress and the time for which they are valid. */
-interface CachedWaiting {
+interface CachedWaitingSteps {
   readonly steps: readonly WaitingStep[];
-  readonly version: number;
+  readonly progressVersion: number;
   /** Wall clock times between which no repetition falls due. */
-  readonly fromMs: number;
-  readonly untilMs: number;
+  readonly validFromMs: number;
+  readonly validUntilMs: number;
 }
 
 /** Backoff after the second rejected start of a task, doubled with each further one. */
-const INITIAL_BACKOFF_MS = 100;
-const MAX_BACKOFF_MS = 2000;
+const INITIAL_REJECTION_BACKOFF_MS = 100;
+const MAX_REJECTION_BACKOFF_MS = 2000;
 
 /** State that the leader keeps of a job that hasn't ended. */
 export class LiveJob {
-  /** Keyed by `TIME.STEP`. */
+  /** Keyed by `REPETITION.STEP`. */
   private readonly stepStates = new Map<string, StepState>();
   /** Critical path from the start of each step to the end of the job. */
-  private readonly criticalPathsMs: readonly number[];
-  private readonly criticalPathMs: number;
-  private cachedWaiting: CachedWaiting | undefined;
-  private readonly preemptions = new Map<TaskName, number>();
+  private readonly stepCriticalPathsMs: readonly number[];
+  private readonly jobCriticalPathMs: number;
+  private cachedWaitingSteps: CachedWaitingSteps | undefined;
+  private readonly preemptionCounts = new Map<TaskName, number>();
   /** Consecutive rejected starts by task. */
-  private readonly rejections = new Map<TaskName, number>();
+  private readonly startRejectionCounts = new Map<TaskName, number>();
   /** Monotonic times before which tasks aren't started. */
   private readonly retryAt = new Map<TaskName, number>();
   isCancelled = false;
@@ -71,25 +71,25 @@
     readonly isOverShare = false,
   ) {
     this.trace = new JobTrace(changedAt);
-    this.criticalPathsMs = computeCriticalPaths(definition.steps);
-    this.criticalPathMs = Math.max(0, ...this.criticalPathsMs);
+    this.stepCriticalPathsMs = computeCriticalPaths(definition.steps);
+    this.jobCriticalPathMs = Math.max(0, ...this.stepCriticalPathsMs);
   }
 
-  /** Returns the wall clock time at which repetition `time` may start. */
-  getDueAtMs(time: number): number {
-    return this.definition.firstRunMs + time * this.definition.intervalMs;
+  /** Returns the wall clock time at which a repetition may start. */
+  getDueAtMs(repetition: number): number {
+    return this.definition.firstRunMs + repetition * this.definition.intervalMs;
   }
 
-  /** Returns the wall clock time by which repetition `time` should be complete. */
-  getObjectiveAtMs(time: number): number {
+  /** Returns the wall clock time by which a repetition should be complete. */
+  getObjectiveAtMs(repetition: number): number {
     const { queue, acceptedAtMs } = this.definition;
-    const startsAt = Math.max(acceptedAtMs, this.getDueAtMs(time));
-    return startsAt + queue.targetLatencyMs + queue.stretch * this.criticalPathMs;
+    const startsAt = Math.max(acceptedAtMs, this.getDueAtMs(repetition));
+    return startsAt + queue.targetLatencyMs + queue.stretch * this.jobCriticalPathMs;
   }
 
   /** Returns the critical path from the start of a step to the end of the job, in milliseconds. */
   getCriticalPathMs(step: number): number {
-    return this.criticalPathsMs[step] ?? 0;
+    return this.stepCriticalPathsMs[step] ?? 0;
   }
 
   /** Returns the critical path after a step, in milliseconds. */
@@ -102,96 +102,101 @@
   /** Returns the steps with tasks that may start at a wall clock time. Cached until the progress changes or a repetition falls due. */
   getWaitingSteps(wallMs: number): readonly WaitingStep[] {
     const version = this.progress.getVersion();
-    const cached = this.cachedWaiting;
-    if (cached?.version === version && wallMs >= cached.fromMs && wallMs < cached.untilMs) {
+    const cached = this.cachedWaitingSteps;
+    if (cached?.progressVersion === version && wallMs >= cached.validFromMs && wallMs < cached.validUntilMs) {
       return cached.steps;
     }
     const steps = listWaitingSteps(this, wallMs);
-    this.cachedWaiting = { steps, version, fromMs: wallMs, untilMs: this.getNextDueAtMs(wallMs) };
+    this.cachedWaitingSteps = {
+      steps,
+      progressVersion: version,
+      validFromMs: wallMs,
+      validUntilMs: this.getNextDueAtMs(wallMs),
+    };
     return steps;
   }
 
-  getAdvice(time: number, step: number): StepAdvice {
-    return this.getStepState(time, step).advice;
+  getAdvice(repetition: number, step: number): StepAdvice {
+    return this.getStepState(repetition, step).advice;
   }
 
-  getSpeeds(time: number, step: number): StepSpeeds {
-    return this.getStepState(time, step).speeds;
+  getSpeeds(repetition: number, step: number): StepSpeeds {
+    return this.getStepState(repetition, step).speeds;
   }
 
-  getRunTimes(time: number, step: number): StepRunTimes {
-    return this.getStepState(time, step).times;
+  getRunTimes(repetition: number, step: number): StepRunTimes {
+    return this.getStepState(repetition, step).runTimes;
   }
 
   /** Returns the wait of a step's tasks. Creates one that begins at `changedAt` when there is none. */
-  getWait(time: number, step: number): StepWait {
-    const state = this.getStepState(time, step);
+  getStepWait(repetition: number, step: number): StepWait {
+    const state = this.getStepState(repetition, step);
     state.wait ??= new StepWait(this.changedAt);
     return state.wait;
   }
 
-  /** Returns the open waits with the `TIME.STEP` of their steps. */
-  listWaits(): readonly (readonly [string, StepWait])[] {
+  /** Returns the open waits with the `REPETITION.STEP` of their steps. */
+  listStepWaits(): readonly (readonly [string, StepWait])[] {
     return [...this.stepStates].flatMap(([name, { wait }]) => (wait === undefined ? [] : [[name, wait]]));
   }
 
   /** Records that tasks of a step have been placed. The wait of its remaining tasks begins anew. */
-  recordPlacement(time: number, step: number, now: number, hasMore: boolean): void {
-    this.getStepState(time, step).preemptionAttempts = NO_ATTEMPTS;
-    this.getStepState(time, step).wait = hasMore ? new StepWait(now) : undefined;
+  recordPlacement(repetition: number, step: number, now: number, hasMore: boolean): void {
+    this.getStepState(repetition, step).preemptionAttempts = NO_PREEMPTION_ATTEMPTS;
+    this.getStepState(repetition, step).wait = hasMore ? new StepWait(now) : undefined;
   }
 
   /** Returns the newest checkpoint left by a member of a step's gang; undefined when none is known. */
-  getGangCheckpoint(time: number, step: number): string | undefined {
-    return this.getStepState(time, step).gangCheckpoint?.checkpoint;
+  getGangCheckpoint(repetition: number, step: number): string | undefined {
+    return this.getStepState(repetition, step).gangCheckpoint?.checkpoint;
   }
 
   /** Records the checkpoint left by an ended member of a gang, if it is newer than the known one. */
-  recordGangCheckpoint(time: number, step: number, saved: GangCheckpoint): void {
-    const state = this.getStepState(time, step);
+  recordGangCheckpoint(repetition: number, step: number, saved: GangCheckpoint): void {
+    const state = this.getStepState(repetition, step);
     const known = state.gangCheckpoint;
     if (
       known === undefined ||
-      saved.run > known.run ||
-      (saved.run === known.run && saved.savedAt > known.savedAt)
+      saved.runNumber > known.runNumber ||
+      (saved.runNumber === known.runNumber && saved.savedAt > known.savedAt)
     ) {
       state.gangCheckpoint = saved;
     }
   }
 
   /** Returns the monotonic time from which runs may be preempted for a step. */
-  getPreemptionRetryAt(time: number, step: number): number {
-    return this.getStepState(time, step).preemptionAttempts.retryAt;
+  getPreemptionRetryAt(repetition: number, step: number): number {
+    return this.getStepState(repetition, step).preemptionAttempts.retryAt;
   }
 
   /** Records a preemption for a step. The next one is delayed, exponentially while the step doesn't start. */
-  recordPreemptionAttempt(time: number, step: number, now: number, retryMs: number): void {
-    const state = this.getStepState(time, step);
+  recordPreemptionAttempt(repetition: number, step: number, now: number, retryMs: number): void {
+    const state = this.getStepState(repetition, step);
     const { count } = state.preemptionAttempts;
     state.preemptionAttempts = { count: count + 1, retryAt: now + retryMs * 2 ** count };
   }
 
   /** Rules out preemption for a step until a monotonic time. */
-  recordPreemptionBackoff(time: number, step: number, until: number): void {
-    const state = this.getStepState(time, step);
+  recordPreemptionBackoff(repetition: number, step: number, until: number): void {
+    const state = this.getStepState(repetition, step);
     state.preemptionAttempts = { ...state.preemptionAttempts, retryAt: until };
   }
 
-  hasFailureOn(time: number, step: number, endpoint: EndpointIncarnation): boolean {
-    return this.getStepState(time, step).failedOn.has(endpoint);
+  hasFailureOn(repetition: number, step: number, endpoint: EndpointIncarnation): boolean {
+    return this.getStepState(repetition, step).failedOnEndpoints.has(endpoint);
   }
 
-  recordFailureOn(time: number, step: number, endpoint: EndpointIncarnation): void {
-    this.getStepState(time, step).failedOn.add(endpoint);
+  recordFailureOn(repetition: number, step: number, endpoint: EndpointIncarnation): void {
+    this.getStepState(repetition, step).failedOnEndpoints.add(endpoint);
   }
 
   /** Returns how often the task was preempted. */
   countPreemptions(task: TaskName): number {
-    return this.preemptions.get(task) ?? 0;
+    return this.preemptionCounts.get(task) ?? 0;
   }
 
   recordPreemption(task: TaskName): void {
-    this.preemptions.set(task, this.countPreemptions(task) + 1);
+    this.preemptionCounts.set(task, this.countPreemptions(task) + 1);
   }
 
   /** Delays the next start of a task until a monotonic time. */
@@ -203,18 +208,18 @@
   /** Records that an endpoint rejected a start of the task. The first retry is immediate, later ones back off exponentially. */
   recordStartRejected(address: TaskAddress, now: number): void {
     const task = toTaskName(this.definition.id, address);
-    const count = (this.rejections.get(task) ?? 0) + 1;
-    this.rejections.set(task, count);
+    const count = (this.startRejectionCounts.get(task) ?? 0) + 1;
+    this.startRejectionCounts.set(task, count);
     if (count > 1) {
-      const backoffMs = Math.min(MAX_BACKOFF_MS, INITIAL_BACKOFF_MS * 2 ** (count - 2));
+      const backoffMs = Math.min(MAX_REJECTION_BACKOFF_MS, INITIAL_REJECTION_BACKOFF_MS * 2 ** (count - 2));
       this.recordBackoff(address, now + backoffMs);
     }
   }
 
   /** Records that an endpoint accepted a start of the task. */
   recordStartAccepted(address: TaskAddress): void {
-    if (this.rejections.size > 0) {
-      this.rejections.delete(toTaskName(this.definition.id, address));
+    if (this.startRejectionCounts.size > 0) {
+      this.startRejectionCounts.delete(toTaskName(this.definition.id, address));
     }
   }
 
@@ -223,8 +228,8 @@
     return this.retryAt.size > 0 && now < (this.retryAt.get(toTaskName(this.definition.id, address)) ?? now);
   }
 
-  private getStepState(time: number, step: number): StepState {
-    const key = `${time}.${step}`;
+  private getStepState(repetition: number, step: number): StepState {
+    const key = `${repetition}.${step}`;
     const known = this.stepStates.get(key);
     if (known !== undefined) {
       return known;
@@ -232,10 +237,10 @@
     const created = {
       advice: new StepAdvice(),
       speeds: new StepSpeeds(),
-      times: new StepRunTimes(),
-      failedOn: new Set<EndpointIncarnation>(),
+      runTimes: new StepRunTimes(),
+      failedOnEndpoints: new Set<EndpointIncarnation>(),
       gangCheckpoint: undefined,
-      preemptionAttempts: NO_ATTEMPTS,
+      preemptionAttempts: NO_PREEMPTION_ATTEMPTS,
       wait: undefined,
     };
     this.stepStates.set(key, created);
@@ -243,8 +248,8 @@
   }
 
   private getNextDueAtMs(wallMs: number): number {
-    for (let time = 0; time < this.definition.times; time += 1) {
-      const dueAtMs = this.getDueAtMs(time);
+    for (let repetition = 0; repetition < this.definition.times; repetition += 1) {
+      const dueAtMs = this.getDueAtMs(repetition);
       if (dueAtMs > wallMs) {
         return dueAtMs;
       }
@@ -253,8 +258,8 @@
   }
 
   /** Returns the number of failed runs that count against the attempts of a task, or of its gang. */
-  countFailures(time: number, step: number, index: number): number {
-    const tasks = this.progress.listTasks(time, step);
+  countFailures(repetition: number, step: number, index: number): number {
+    const tasks = this.progress.listTasks(repetition, step);
     if (this.definition.steps[step]?.isGang === true) {
       return tasks.reduce((sum, task) => sum + task.failures, 0);
     }
--- a/packages/dispatch/waiting/LongWaitLogger.ts
+++ b/packages/dispatch/waiting/LongWaitLogger.ts
@@ -2,17 +2,18 @@
 import type { LineFields } from '../../logging/LineFields';
 import type { LiveJob } from './LiveJob';
 import type { StepWait } from './StepWait';
-import { toRoundedTimes } from './toRoundedTimes';
+import { toRoundedWaitTimes } from './toRoundedWaitTimes';
 import type { WaitTimes } from './WaitTimes';
 
 /** Shorter waits are logged with the placement only. */
-const MIN_LOGGED_MS = 1000;
+const MIN_LOGGED_WAIT_MS = 1000;
 /** Interval between two checks of all waits. */
 const CHECK_INTERVAL_MS = 500;
 
-const computeTotalMs = (times: WaitTimes): number => Object.values(times).reduce((sum, ms) => sum + ms, 0);
+const computeTotalWaitMs = (times: WaitTimes): number =>
+  Object.values(times).reduce((sum, ms) => sum + ms, 0);
 
-const createFields = (
+const createLogFields = (
   { definition: { id, queue } }: LiveJob,
   step: string,
   times: WaitTimes,
@@ -20,7 +21,7 @@
   job: id,
   step: `${id}.${step}`,
   queue: queue.name,
-  waits: toRoundedTimes(times),
+  waits: toRoundedWaitTimes(times),
 });
 
 /**
@@ -28,9 +29,9 @@
  * would leave no record of it.
  */
 export class LongWaitLogger {
-  private checkedAt = -Infinity;
+  private lastCheckedAt = -Infinity;
   /** Duration of each wait when it was last logged, in milliseconds. */
-  private readonly loggedWaitMs = new WeakMap<StepWait, number>();
+  private readonly lastLoggedWaitMs = new WeakMap<StepWait, number>();
 
   constructor(
     private readonly jobs: ReadonlyMap<JobId, LiveJob>,
@@ -38,10 +39,10 @@
   ) {}
 
   logLongWaits(now: number): void {
-    if (now - this.checkedAt < CHECK_INTERVAL_MS) {
+    if (now - this.lastCheckedAt < CHECK_INTERVAL_MS) {
       return;
     }
-    this.checkedAt = now;
+    this.lastCheckedAt = now;
     for (const job of this.jobs.values()) {
       if (!job.progress.isEnded()) {
         this.logJobWaits(job, now);
@@ -53,16 +54,18 @@
   listOpenWaits(now: number): readonly LineFields[] {
     return [...this.jobs.values()]
       .filter(({ progress }) => !progress.isEnded())
-      .flatMap((job) => job.listWaits().map(([name, wait]) => createFields(job, name, wait.getTimes(now))));
+      .flatMap((job) =>
+        job.listStepWaits().map(([name, wait]) => createLogFields(job, name, wait.getWaitTimes(now))),
+      );
   }
 
   private logJobWaits(job: LiveJob, now: number): void {
-    for (const [name, wait] of job.listWaits()) {
-      const times = wait.getTimes(now);
-      const totalMs = computeTotalMs(times);
-      if (totalMs >= Math.max(MIN_LOGGED_MS, 2 * (this.loggedWaitMs.get(wait) ?? 0))) {
-        this.loggedWaitMs.set(wait, totalMs);
-        this.sendLog('Step waits.', createFields(job, name, times));
+    for (const [name, wait] of job.listStepWaits()) {
+      const times = wait.getWaitTimes(now);
+      const totalMs = computeTotalWaitMs(times);
+      if (totalMs >= Math.max(MIN_LOGGED_WAIT_MS, 2 * (this.lastLoggedWaitMs.get(wait) ?? 0))) {
+        this.lastLoggedWaitMs.set(wait, totalMs);
+        this.sendLog('Step waits.', createLogFields(job, name, times));
       }
     }
   }
--- a/packages/dispatch/waiting/PlacementOrderInput.ts
+++ b/packages/dispatch/waiting/PlacementOrderInput.ts
@@ -7,7 +7,7 @@
   readonly wallMs: number;
   readonly usage: CustomerUsage;
   /** Returns the total capacity of all schedulable endpoints. */
-  readonly getCapacity: () => TaskDemand;
+  readonly getTotalCapacity: () => TaskDemand;
   /**
    * Returns a lower bound of the time from the start of a step to the end of its job, in milliseconds. The default is a share of the
    * callers' estimates.
--- a/packages/dispatch/waiting/StepWait.ts
+++ b/packages/dispatch/waiting/StepWait.ts
@@ -3,8 +3,8 @@
 
 /** Time that the tasks of one step have waited since its last placement, by cause. */
 export class StepWait {
-  private cause: WaitCause = 'round';
-  private readonly times: Record<WaitCause, number> = {
+  private currentCause: WaitCause = 'round';
+  private readonly waitTimes: Record<WaitCause, number> = {
     round: 0,
     turn: 0,
     answer: 0,
@@ -14,22 +14,22 @@
   };
 
   /** `since` is the monotonic time at which the wait begins. */
-  constructor(private since: number) {}
+  constructor(private countedUntil: number) {}
 
   /** Records why a round has placed no more tasks. The cause applies until the next round. */
   recordCause(cause: WaitCause, now: number): void {
-    this.updateTimes(now);
-    this.cause = cause;
+    this.updateWaitTimes(now);
+    this.currentCause = cause;
   }
 
   /** Returns the time waited until `now`, in milliseconds by cause. */
-  getTimes(now: number): WaitTimes {
-    this.updateTimes(now);
-    return { ...this.times };
+  getWaitTimes(now: number): WaitTimes {
+    this.updateWaitTimes(now);
+    return { ...this.waitTimes };
   }
 
-  private updateTimes(now: number): void {
-    this.times[this.cause] += Math.max(0, now - this.since);
-    this.since = Math.max(this.since, now);
+  private updateWaitTimes(now: number): void {
+    this.waitTimes[this.currentCause] += Math.max(0, now - this.countedUntil);
+    this.countedUntil = Math.max(this.countedUntil, now);
   }
 }
--- a/packages/dispatch/waiting/listWaitingSteps.ts
+++ b/packages/dispatch/waiting/listWaitingSteps.ts
@@ -2,30 +2,30 @@
 import type { WaitingStep } from './WaitingStep';
 
 /** Returns whether all members of a gang are waiting, since a gang starts as a whole. */
-const isGangWhole = (indexes: readonly number[], count: number): boolean => indexes.length === count;
+const isWholeGangWaiting = (indexes: readonly number[], count: number): boolean => indexes.length === count;
 
 /** Returns the steps of a job with tasks that may start at a wall clock time. */
 export const listWaitingSteps = (job: LiveJob, wallMs: number): readonly WaitingStep[] => {
   const steps: WaitingStep[] = [];
   const { definition, progress } = job;
-  for (let time = 0; time < definition.times; time += 1) {
-    if (job.getDueAtMs(time) > wallMs) {
+  for (let repetition = 0; repetition < definition.times; repetition += 1) {
+    if (job.getDueAtMs(repetition) > wallMs) {
       break;
     }
     for (const [step, shape] of definition.steps.entries()) {
-      if (progress.isStepDone(time, step) || !progress.isStepReady(time, step)) {
+      if (progress.isStepDone(repetition, step) || !progress.isStepReady(repetition, step)) {
         continue;
       }
       const indexes: number[] = [];
-      for (const [index, task] of progress.listTasks(time, step).entries()) {
+      for (const [index, task] of progress.listTasks(repetition, step).entries()) {
         if (task.phase === 'waiting') {
           indexes.push(index);
         }
       }
-      if (indexes.length === 0 || (shape.isGang && !isGangWhole(indexes, shape.count))) {
+      if (indexes.length === 0 || (shape.isGang && !isWholeGangWaiting(indexes, shape.count))) {
         continue;
       }
-      steps.push({ job, repetition: time, step, shape, indexes, objectiveAtMs: job.getObjectiveAtMs(time) });
+      steps.push({ job, repetition, step, shape, indexes, objectiveAtMs: job.getObjectiveAtMs(repetition) });
     }
   }
   return steps;
--- a/packages/dispatch/waiting/placementOrders.ts
+++ b/packages/dispatch/waiting/placementOrders.ts
@@ -15,7 +15,7 @@
 
 const compareObjective: Comparator = (left, right) => left.objectiveAtMs - right.objectiveAtMs;
 
-const compareShare: Comparator = (left, right) =>
+const compareOverShare: Comparator = (left, right) =>
   Number(left.job.isOverShare) - Number(right.job.isOverShare);
 
 /** Returns the processor usage of a step's customer by its weight; 0 without a customer or a weight. */
@@ -32,9 +32,9 @@
 /** Comparators of each order. Later ones break ties. */
 const COMPARATORS: Readonly<Record<Exclude<PlacementOrder, 'held'>, readonly Comparator[]>> = {
   objective: [comparePriority, compareLateness, compareObjective],
-  shares: [comparePriority, compareShare, compareLateness, compareObjective],
+  shares: [comparePriority, compareOverShare, compareLateness, compareObjective],
   usage: [comparePriority, compareUsage, compareLateness, compareObjective],
-  sharesThenUsage: [comparePriority, compareShare, compareUsage, compareLateness, compareObjective],
+  sharesThenUsage: [comparePriority, compareOverShare, compareUsage, compareLateness, compareObjective],
 };
 
 const createSorter =
--- a/packages/dispatch/waiting/sortByHeldShares.ts
+++ b/packages/dispatch/waiting/sortByHeldShares.ts
@@ -16,34 +16,35 @@
   /** Wall clock time by which it has to start to meet its objective, or, if it is late, to be useful. */
   readonly startByMs: number;
   /** Dominant share of its waiting tasks, 0 to 1. */
-  readonly share: number;
+  readonly demandedShare: number;
   isOverShare: boolean;
 }
 
 /** Sort keys of steps that can meet their objective, that are late but useful to their callers, and that are neither. */
 const TIMELINESS = { inTime: 0, late: 1, expired: 2 } as const;
 /** Share of callers' run time estimates that counts as certain, so that work isn't treated as late because of a long estimate. */
-const CERTAIN_SHARE = 0.1;
+const CERTAIN_ESTIMATE_SHARE = 0.1;
 /** Expired steps go first in one of this many time slices, so that they aren't starved by newer work. */
-const EXPIRED_FIRST_INTERVAL = 8;
+const EXPIRED_FIRST_SLICE_INTERVAL = 8;
 /** Longer than a round of placement, short compared to objectives. */
-const SLICE_MS = 100;
+const TIME_SLICE_MS = 100;
 
 const getWeightedCustomer = ({ job }: WaitingStep): { name: CustomerName; weight: number } | undefined => {
   const { customer } = job.definition;
   return customer === undefined || customer.weight === 0 ? undefined : customer;
 };
 
-const estimateCertainMs = ({ job, step }: WaitingStep): number => job.getCriticalPathMs(step) * CERTAIN_SHARE;
+const estimateCertainRemainingMs = ({ job, step }: WaitingStep): number =>
+  job.getCriticalPathMs(step) * CERTAIN_ESTIMATE_SHARE;
 
 const createRankedStep = (
   step: WaitingStep,
   capacity: TaskDemand,
   input: PlacementOrderInput,
 ): RankedStep => {
-  const { job, repetition: time, objectiveAtMs } = step;
-  const remainingMs = (input.estimateMinRemainingMs ?? estimateCertainMs)(step);
-  const startedAtMs = Math.max(job.definition.acceptedAtMs, job.getDueAtMs(time));
+  const { job, repetition, objectiveAtMs } = step;
+  const remainingMs = (input.estimateMinRemainingMs ?? estimateCertainRemainingMs)(step);
+  const startedAtMs = Math.max(job.definition.acceptedAtMs, job.getDueAtMs(repetition));
   const usefulUntilMs = startedAtMs + computeMaxUsefulMs(objectiveAtMs - startedAtMs);
   const isInTime = input.wallMs + remainingMs <= objectiveAtMs;
   const isUseful = input.wallMs + remainingMs <= usefulUntilMs;
@@ -52,7 +53,7 @@
     priority: job.definition.queue.priority,
     timeliness: isInTime ? TIMELINESS.inTime : isUseful ? TIMELINESS.late : TIMELINESS.expired,
     startByMs: (isInTime ? objectiveAtMs : usefulUntilMs) - remainingMs,
-    share: computeDominantShare(computeWaitingDemand(step), capacity),
+    demandedShare: computeDominantShare(computeWaitingDemand(step), capacity),
     isOverShare: false,
   };
 };
@@ -63,7 +64,7 @@
   held: ReadonlyMap<CustomerName, number>,
 ): FairShares => {
   const wanted = new Map<CustomerName, { weight: number; demandedShare: number }>();
-  for (const { step, share } of ranked) {
+  for (const { step, demandedShare: share } of ranked) {
     const customer = getWeightedCustomer(step);
     if (customer !== undefined) {
       const before = wanted.get(customer.name)?.demandedShare ?? held.get(customer.name) ?? 0;
@@ -79,7 +80,7 @@
  * Marks the steps that begin over their customer's fair share, counting the customer's running tasks and its earlier steps. Each
  * priority is counted separately, so that a gang that waits long for capacity doesn't use up the share of its customer's other work.
  */
-const updateOverShare = (
+const updateOverShareFlags = (
   ranked: readonly RankedStep[],
   { usage }: PlacementOrderInput,
   capacity: TaskDemand,
@@ -98,14 +99,14 @@
     const shares = counted.get(entry.priority) ?? new Map(held);
     const share = shares.get(name) ?? 0;
     entry.isOverShare = share >= fairShares.get(name)!;
-    counted.set(entry.priority, shares.set(name, share + entry.share));
+    counted.set(entry.priority, shares.set(name, share + entry.demandedShare));
   }
 };
 
-const isExpiredFirst = (wallMs: number): boolean =>
-  Math.floor(wallMs / SLICE_MS) % EXPIRED_FIRST_INTERVAL === 0;
+const isExpiredFirstSlice = (wallMs: number): boolean =>
+  Math.floor(wallMs / TIME_SLICE_MS) % EXPIRED_FIRST_SLICE_INTERVAL === 0;
 
-const compareByTime = (left: RankedStep, right: RankedStep): number =>
+const compareByStartTime = (left: RankedStep, right: RankedStep): number =>
   left.priority - right.priority || left.timeliness - right.timeliness || left.startByMs - right.startByMs;
 
 const compareByShare = (left: RankedStep, right: RankedStep): number =>
@@ -128,9 +129,9 @@
   waiting: readonly WaitingStep[],
   input: PlacementOrderInput,
 ): readonly WaitingStep[] => {
-  const capacity = input.getCapacity();
-  const ranked = waiting.map((step) => createRankedStep(step, capacity, input)).sort(compareByTime);
-  updateOverShare(ranked, input, capacity);
-  ranked.sort(isExpiredFirst(input.wallMs) ? compareExpiredFirst : compareByShare);
+  const capacity = input.getTotalCapacity();
+  const ranked = waiting.map((step) => createRankedStep(step, capacity, input)).sort(compareByStartTime);
+  updateOverShareFlags(ranked, input, capacity);
+  ranked.sort(isExpiredFirstSlice(input.wallMs) ? compareExpiredFirst : compareByShare);
   return ranked.map(({ step }) => step);
 };
--- a/packages/dispatch/waiting/toRoundedTimes.ts
+++ b/packages/dispatch/waiting/toRoundedWaitTimes.ts
@@ -2,7 +2,7 @@
 import type { WaitTimes } from './WaitTimes';
 
 /** Converts wait times for a log line: in whole milliseconds, without causes of 0. */
-export const toRoundedTimes = (times: WaitTimes): Partial<Record<WaitCause, number>> =>
+export const toRoundedWaitTimes = (times: WaitTimes): Partial<Record<WaitCause, number>> =>
   Object.fromEntries(
     Object.entries(times)
       .map(([cause, ms]) => [cause, Math.round(ms)] as const)
--- a/packages/dispatch/waiting/toStepName.ts
+++ b/packages/dispatch/waiting/toStepName.ts
@@ -1,8 +1,8 @@
 import type { WaitingStep } from './WaitingStep';
 
-/** Returns the name of a step of a job, `JOB.TIME.STEP`, as used by the advice service and in log lines. */
+/** Returns the name of a step of a job, `JOB.REPETITION.STEP`, as used by the advice service and in log lines. */
 export const toStepName = ({
   job,
-  repetition: time,
+  repetition,
   step,
-}: Pick<WaitingStep, 'job' | 'repetition' | 'step'>): string => `${job.definition.id}.${time}.${step}`;
+}: Pick<WaitingStep, 'job' | 'repetition' | 'step'>): string => `${job.definition.id}.${repetition}.${step}`;
--- a/tests/heldShares.test.ts
+++ b/tests/heldShares.test.ts
@@ -117,7 +117,7 @@
   ): readonly string[] => {
     const usage = new CustomerUsage();
     held.forEach((cpuMillis, { name }) => usage.recordRun({ customer: name, charge: toCpu(cpuMillis) }));
-    const input = { wallMs: atMs, usage, getCapacity: () => CAPACITY, ...times };
+    const input = { wallMs: atMs, usage, getTotalCapacity: () => CAPACITY, ...times };
     return placementOrders[order]
       .sortSteps(waiting, input)
       .map((step) => (step as { name?: string }).name ?? '');
--- a/tests/kindSpeeds.test.ts
+++ b/tests/kindSpeeds.test.ts
@@ -17,7 +17,7 @@
   it('is that of the most widely shared label, once enough runs are known', () => {
     const kinds = new KindSpeeds();
     const record = (labels: readonly string[], slowdown: number, count: number): void => {
-      Array.from({ length: count }).forEach(() => kinds.recordRun(labels, slowdown));
+      Array.from({ length: count }).forEach(() => kinds.recordRunSlowdown(labels, slowdown));
     };
     record(['b', 'rack-1'], 1.3, 60);
     expect(kinds.getSlowdown(['b', 'rack-1'])).toBe(1);
@@ -32,11 +32,11 @@
   it('is not affected by single very slow runs, and follows a change', () => {
     const kinds = new KindSpeeds();
     for (let run = 0; run < 1000; run += 1) {
-      kinds.recordRun(['a'], run % 50 === 0 ? 40 : 1);
+      kinds.recordRunSlowdown(['a'], run % 50 === 0 ? 40 : 1);
     }
     expect(kinds.getSlowdown(['a'])).toBeLessThan(1.05);
     for (let run = 0; run < 8000; run += 1) {
-      kinds.recordRun(['a'], 1.5);
+      kinds.recordRunSlowdown(['a'], 1.5);
     }
     expect(kinds.getSlowdown(['a'])).toBeGreaterThan(1.45);
   });
--- a/tests/placementOrders.test.ts
+++ b/tests/placementOrders.test.ts
@@ -118,7 +118,7 @@
     const sorted = placementOrders[order].sortSteps(waiting, {
       wallMs: 100,
       usage,
-      getCapacity: readCapacity,
+      getTotalCapacity: readCapacity,
     });
     expect(sorted.map((step) => (step as (typeof waiting)[number]).name)).toEqual(expected);
   });
--- a/tests/stops.test.ts
+++ b/tests/stops.test.ts
@@ -69,7 +69,7 @@
       { demand: toDemand(4000), remainingMs: 300 },
       { demand: toDemand(8000), remainingMs: Infinity },
     ];
-    const endpoints = [{ free: toDemand(4000), holders }];
+    const endpoints = [{ freeCapacity: toDemand(4000), capacityHolders: holders }];
     expect(estimateCapacityWaitMs(endpoints, toDemand(4000), 1, 0)).toBe(0);
     expect(estimateCapacityWaitMs(endpoints, toDemand(8000), 1, 0)).toBe(300);
     expect(estimateCapacityWaitMs(endpoints, toDemand(4000), 3, 0)).toBe(900);
@@ -94,18 +94,18 @@
   it('are decided under `priced` by the remaining work of a run that saves the rest', () => {
     const straggler = { pace: 45, baselinePace: 15, slowPace: 30, percent: 50, stalledMs: 0, moveMs: 300 };
     for (const policy of ['ranked', 'priced'] as const) {
-      expect(stopPolicies[policy].findMoveReason({ ...straggler, isSaving: false })).toBeUndefined();
+      expect(stopPolicies[policy].findMoveReason({ ...straggler, isSavingOnStop: false })).toBeUndefined();
     }
-    expect(stopPolicies.ranked.findMoveReason({ ...straggler, isSaving: true })).toBeUndefined();
-    expect(stopPolicies.priced.findMoveReason({ ...straggler, isSaving: true })).toBe('slow');
+    expect(stopPolicies.ranked.findMoveReason({ ...straggler, isSavingOnStop: true })).toBeUndefined();
+    expect(stopPolicies.priced.findMoveReason({ ...straggler, isSavingOnStop: true })).toBe('slow');
   });
 
   it('off a draining endpoint are made as late as possible for runs that save their work, at once for others, and not for runs that end in time', () => {
     const input = { untilDeadlineMs: 3000, remainingMs: 4000 };
-    expect(isEvictionDue({ ...input, isSaving: false }, 1300)).toBe(true);
-    expect(isEvictionDue({ ...input, isSaving: true }, 1300)).toBe(false);
-    expect(isEvictionDue({ ...input, isSaving: true, untilDeadlineMs: 1200 }, 1300)).toBe(true);
-    expect(isEvictionDue({ ...input, isSaving: false, remainingMs: 2900 }, 1300)).toBe(false);
+    expect(isEvictionDue({ ...input, isSavingOnStop: false }, 1300)).toBe(true);
+    expect(isEvictionDue({ ...input, isSavingOnStop: true }, 1300)).toBe(false);
+    expect(isEvictionDue({ ...input, isSavingOnStop: true, untilDeadlineMs: 1200 }, 1300)).toBe(true);
+    expect(isEvictionDue({ ...input, isSavingOnStop: false, remainingMs: 2900 }, 1300)).toBe(false);
   });
 });
 
@@ -237,15 +237,15 @@
 describe('endpoints that fail every run', () => {
   it('have a streak of failures whose backoff grows with each failure', () => {
     const streak = new FailureStreak();
-    streak.recordEnd('failed', 100);
+    streak.recordRunEnd('failed', 100);
     expect(streak.isFailing()).toBe(false);
-    streak.recordEnd('interrupted', 150);
-    streak.recordEnd('failed', 200);
+    streak.recordRunEnd('interrupted', 150);
+    streak.recordRunEnd('failed', 200);
     expect(streak.isFailing()).toBe(true);
     expect(streak.getProbeAt()).toBe(450);
-    streak.recordEnd('failed', 500);
+    streak.recordRunEnd('failed', 500);
     expect(streak.getProbeAt()).toBe(1000);
-    streak.recordEnd('done', 600);
+    streak.recordRunEnd('done', 600);
     expect(streak.isFailing()).toBe(false);
   });
 
