--- a/packages/dispatch/placing/CapacityView.ts
+++ b/packages/dispatch/placing/CapacityView.ts
@@ -9,29 +9,32 @@
 import type { EndpointReservations } from './EndpointReservations';
 import type { WaitingStep } from '../waiting/WaitingStep';
 
-/** Share of a service's processor capacity that is reserved for its most urgent queue. */
+/** Share of the processor capacity of a service that only its most urgent queue may use. */
 const RESERVED_CPU_SHARE = 0.08;
-/** Share of a mean endpoint above which a task counts as large. */
+/** A task that needs more than this share of any resource of a mean endpoint is large. */
 const LARGE_TASK_SHARE = 0.25;
-/** Capacity is ample when this many times the step's tasks fit into it. */
+/** Free capacity is ample when this multiple of the waiting tasks of a step fits into it. */
 const AMPLE_CAPACITY_FACTOR = 2;
-/** Hexadecimal digits at the end of a job's id that determine its home hall. */
+/** Number of hexadecimal digits at the end of a job's id that determine its home hall. */
 const HOME_HALL_ID_DIGITS = 6;
 
-/** Eligible endpoints and free capacity for waiting steps. Caches its results for one round of placement. */
+/**
+ * Answers which endpoints may run a step and whether its tasks fit into their free capacity. Caches lists, counts and means of the
+ * schedulable endpoints until `clearCache`.
+ */
 export class CapacityView {
   /** Schedulable endpoints by service and required label. */
   private readonly schedulableEndpoints = new Map<string, readonly EndpointState[]>();
-  /** Number of schedulable endpoints in each hall, sorted by hall, by service and required label. */
+  /** Pairs of a hall and the number of its schedulable endpoints, sorted by hall; by service and required label. */
   private readonly endpointCountsByHall = new Map<
     string,
     readonly (readonly [hall: string, count: number])[]
   >();
   /** Mean capacity of the schedulable endpoints by service and required label. */
   private readonly meanEndpointCapacities = new Map<string, TaskDemand>();
-  /** Demands that fit on no endpoint, by service and required label. Free capacity only shrinks within a round. */
+  /** Demands found to fit on no endpoint in this round, by service and required label. Free capacity only shrinks within a round. */
   private readonly unmetDemands = new Map<string, TaskDemand[]>();
-  /** Most urgent priority seen so far, by service. */
+  /** Lowest, which is the most urgent, priority of the queues recorded so far, by service. Not cleared between rounds. */
   private readonly mostUrgentPriorities = new Map<ServiceName, number>();
 
   constructor(
@@ -39,7 +42,7 @@
     private readonly reservations: EndpointReservations,
   ) {}
 
-  /** Records the priority of a queue that uses a service. */
+  /** Keeps the most urgent (lowest) priority of the queues that use a service. */
   recordQueuePriority({ service, priority }: JobQueue): void {
     this.mostUrgentPriorities.set(
       service,
@@ -47,16 +50,17 @@
     );
   }
 
-  /** Returns whether no queue of a higher priority has used the same service so far. */
+  /** Returns whether no more urgent queue of the same service has been recorded; also true when none has been. */
   isMostUrgentQueue({ service, priority }: JobQueue): boolean {
     return priority <= (this.mostUrgentPriorities.get(service) ?? priority);
   }
 
-  /** Returns whether the step is a gang or has large tasks while little capacity is free on the endpoints that may run them. */
+  /** Returns whether a step is a gang or has large tasks, and the eligible endpoints have no ample free capacity for it. */
   isCapacityScarce(step: WaitingStep, eligible: readonly EndpointState[]): boolean {
     return this.isGangOrLarge(step) && !this.hasAmpleCapacity(step, eligible);
   }
 
+  /** Returns whether a step is a gang, or its tasks are large compared to the mean of the endpoints that may run them. */
   private isGangOrLarge({ job, shape }: WaitingStep): boolean {
     if (shape.isGang) {
       return true;
@@ -70,6 +74,7 @@
     );
   }
 
+  /** Returns whether `AMPLE_CAPACITY_FACTOR` times the waiting tasks fit on the endpoints without a refusal by the advice service. */
   private hasAmpleCapacity(
     { job, repetition, step, shape, indexes }: WaitingStep,
     eligible: readonly EndpointState[],
@@ -88,7 +93,7 @@
     return false;
   }
 
-  /** Returns how many tasks of a step fit into the free capacity of one endpoint. */
+  /** Returns how many tasks of a step fit into the free capacity of one endpoint, at most `maxPerEndpoint` unless that is 0. */
   countFittingTasks(free: TaskDemand, shape: JobStep): number {
     const demand = toReservedDemand(shape);
     const toCount = (whole: number, part: number): number =>
@@ -101,7 +106,7 @@
     );
   }
 
-  /** Clears the results of the last round. */
+  /** Clears the cached results before a new round. */
   clearCache(): void {
     this.schedulableEndpoints.clear();
     this.endpointCountsByHall.clear();
@@ -109,7 +114,10 @@
     this.unmetDemands.clear();
   }
 
-  /** Returns the schedulable endpoints with the step's service and label that aren't reserved for other steps. */
+  /**
+   * Returns the schedulable endpoints with the service and the required label of the step, without those that are reserved for another
+   * step of the same or a higher priority.
+   */
   listEligibleEndpoints(step: WaitingStep): readonly EndpointState[] {
     const { job, shape } = step;
     const schedulable = this.listSchedulableEndpoints(job.definition.queue.service, shape.requiredLabel);
@@ -120,7 +128,7 @@
         );
   }
 
-  /** Returns whether one task of the step fits on any eligible endpoint. */
+  /** Returns whether the reserved demand of one task of the step fits into the free capacity of any eligible endpoint. */
   hasCapacityForTask({ job, shape }: WaitingStep, eligible: readonly EndpointState[]): boolean {
     const demand = toReservedDemand(shape);
     const key = this.toCacheKey(job.definition.queue.service, shape.requiredLabel);
@@ -131,14 +139,14 @@
     if (eligible.some((endpoint) => endpoint.hasCapacityFor(demand))) {
       return true;
     }
-    // With reservations, the eligible endpoints depend on the step, so the result is valid for this one only.
+    // With reservations, the eligible endpoints differ from step to step, so the result isn't cached.
     if (this.reservations.isEmpty()) {
       this.unmetDemands.set(key, [...unmet, demand]);
     }
     return false;
   }
 
-  /** Returns whether the endpoint runs as many tasks of the step as `maxPerEndpoint` allows. */
+  /** Returns whether the endpoint has as many runs of the step as `maxPerEndpoint` allows; false when that is 0, for no limit. */
   hasMaxTasksOfStep({ job, repetition, step, shape }: WaitingStep, endpoint: EndpointState): boolean {
     if (shape.maxPerEndpoint === 0) {
       return false;
@@ -153,7 +161,10 @@
     return count >= shape.maxPerEndpoint;
   }
 
-  /** Returns the free processor capacity beyond the reserve, in thousandths of a core; Infinity for the most urgent queue. */
+  /**
+   * Returns the free processor capacity of the step's service less the reserve for its most urgent queue, in thousandths of a core;
+   * negative when others already use the reserve, Infinity for a step of the most urgent queue.
+   */
   computeUnreservedCpuMillis(step: WaitingStep): number {
     const { queue } = step.job.definition;
     if (this.isMostUrgentQueue(queue)) {
@@ -168,15 +179,16 @@
     return free - capacity * RESERVED_CPU_SHARE;
   }
 
-  /** Returns whether one task of the step fits without using the reserve. */
+  /** Returns whether the free processor capacity outside the reserve suffices for one task of the step; always true for fillers. */
   hasUnreservedCpu(step: WaitingStep): boolean {
     const { shape } = step;
     return shape.isFiller || toReservedDemand(shape).cpuMillis <= this.computeUnreservedCpuMillis(step);
   }
 
   /**
-   * Returns the preferred hall of a job; '' when no endpoint is schedulable. It is chosen by the job's id, in proportion to the
-   * schedulable endpoints of the halls, and so is the same for every leader while these don't change.
+   * Returns the preferred hall for the tasks of a step; '' when no endpoint with its service and label is schedulable. It is chosen by
+   * the job's id, in proportion to the schedulable endpoints of the halls, so that every leader chooses the same while these don't
+   * change.
    */
   chooseHomeHall({ job, shape }: WaitingStep): string {
     const { id, queue } = job.definition;
@@ -192,6 +204,7 @@
     return '';
   }
 
+  /** Returns the pairs of a hall and the number of its schedulable endpoints, sorted by hall. */
   private countEndpointsByHall(
     service: ServiceName,
     label: string,
@@ -211,6 +224,7 @@
     return sorted;
   }
 
+  /** Returns the mean capacity of the schedulable endpoints; zero when there are none. */
   private computeMeanEndpointCapacity(service: ServiceName, label: string): TaskDemand {
     const key = this.toCacheKey(service, label);
     const known = this.meanEndpointCapacities.get(key);
@@ -232,6 +246,7 @@
     return mean;
   }
 
+  /** Returns the schedulable endpoints of a service that have a label; an empty label matches all. */
   private listSchedulableEndpoints(service: ServiceName, label: string): readonly EndpointState[] {
     const key = this.toCacheKey(service, label);
     const known = this.schedulableEndpoints.get(key);
--- a/packages/dispatch/placing/EndpointPreference.ts
+++ b/packages/dispatch/placing/EndpointPreference.ts
@@ -11,20 +11,20 @@
   readonly hallChoice: HallPolicyName;
 }
 
-/** Costs of endpoints for a step by their speed and their hall. */
+/** Computes costs of endpoints for a step from their speed and their hall, by the configured policies. */
 export class EndpointPreference {
   private roundWallMs = 0;
 
   constructor(private readonly options: EndpointPreferenceOptions) {}
 
-  /** Sets the wall clock time of the round, against which objectives are compared. */
+  /** Sets the wall clock time of the round, which the speed policies compare with objectives. */
   setRoundWallTime(wallMs: number): void {
     this.roundWallMs = wallMs;
   }
 
   /**
-   * Returns the cost function of a step over the endpoints that may run it; lower is better. Long-running steps and fillers cost
-   * the same everywhere, since a faster endpoint brings them no earlier end.
+   * Returns a function that gives the cost of an endpoint for the tasks of a step; lower is better. `endpoints` are those that may run
+   * them. For long-running steps and fillers every endpoint costs 0, since a faster one brings them no earlier end.
    */
   createCostFunction(
     step: WaitingStep,
--- a/packages/dispatch/placing/EndpointReservations.ts
+++ b/packages/dispatch/placing/EndpointReservations.ts
@@ -6,11 +6,14 @@
   /** `JOB.REPETITION.STEP` of the step that the endpoint is reserved for. */
   readonly stepName: string;
   readonly priority: number;
-  /** Monotonic time at which it expires. */
+  /** Monotonic time from which `removeExpiredReservations` removes it. */
   readonly expiresAt: number;
 }
 
-/** Endpoints reserved for a step that preempts runs there. Work of the same or a lower priority isn't placed on them meanwhile. */
+/**
+ * Endpoints that are reserved for a step while it preempts runs there. Other steps of the same or a lower priority aren't placed on them
+ * until the reservation is released or has expired.
+ */
 export class EndpointReservations {
   private readonly reservations = new Map<EndpointIncarnation, Reservation>();
 
@@ -18,13 +21,12 @@
     return this.reservations.size === 0;
   }
 
-  /** Reserves an endpoint for a step. Replaces an earlier reservation. */
+  /** Reserves an endpoint for a step until a monotonic time. Replaces any reservation of the endpoint, also by another step. */
   setReservation(endpoint: EndpointIncarnation, step: WaitingStep, expiresAt: number): void {
     const { priority } = step.job.definition.queue;
     this.reservations.set(endpoint, { stepName: toStepName(step), priority, expiresAt });
   }
 
-  /** Releases all reservations of a step. */
   releaseReservations(step: WaitingStep): void {
     const holder = toStepName(step);
     for (const [endpoint, reservation] of this.reservations) {
@@ -34,7 +36,7 @@
     }
   }
 
-  /** Returns whether any endpoint is reserved for the step. */
+  /** Returns whether at least one endpoint is reserved for the step. */
   hasReservation(step: WaitingStep): boolean {
     const holder = toStepName(step);
     return [...this.reservations.values()].some((reservation) => reservation.stepName === holder);
@@ -50,7 +52,6 @@
     );
   }
 
-  /** Removes expired reservations. */
   removeExpiredReservations(now: number): void {
     for (const [endpoint, { expiresAt }] of this.reservations) {
       if (now >= expiresAt) {
--- a/packages/dispatch/placing/HallPolicyName.ts
+++ b/packages/dispatch/placing/HallPolicyName.ts
@@ -1,6 +1,6 @@
 /**
- * Policy for the halls of a job's tasks.
- * - `spread`: no preference.
- * - `together`: prefers the job's home hall, so that the loss of a hall affects only the jobs at home there.
+ * Policy that decides which halls are preferred for the tasks of a job.
+ * - `spread`: none.
+ * - `together`: one home hall for each job, so that the loss of a hall affects few jobs.
  */
 export type HallPolicyName = 'spread' | 'together';
--- a/packages/dispatch/placing/KindSpeeds.ts
+++ b/packages/dispatch/placing/KindSpeeds.ts
@@ -1,26 +1,25 @@
-/** Slowdown of the endpoints with one label. */
+/** Learnt slowdown of the endpoints that have one label. */
 interface LabelSlowdown {
-  /** Number of runs recorded. */
   runCount: number;
-  /** Mean slowdown of the runs; exponentially weighted once there are more than `WINDOW_RUNS`. */
+  /** Mean slowdown of the recorded runs; a moving average once there are more than `AVERAGE_WINDOW_RUNS`. */
   slowdown: number;
 }
 
-/** Minimum number of runs from which a slowdown is used. */
+/** Number of runs from which the slowdown of a label is used. */
 const MIN_RUN_COUNT = 100;
-/** Length of the moving average, in runs. */
+/** Window of the moving average, in runs. */
 const AVERAGE_WINDOW_RUNS = 2000;
-/** Upper limit for the slowdown of one run, so that a few faulty endpoints don't make their kind look slow. */
+/** Higher slowdowns of single runs are recorded as this, so that a few faulty endpoints don't make their kind look slow. */
 const MAX_RUN_SLOWDOWN = 3;
 
 /**
- * Learns the slowdown of each kind of endpoint by label. The kind of an endpoint is its label with the most runs, since a kind is
- * shared by more endpoints than a rack.
+ * Learns how many times longer runs take on each kind of endpoint than is usual. The label of an endpoint with the most runs is taken
+ * as its kind, since a kind is shared by more endpoints than a rack.
  */
 export class KindSpeeds {
   private readonly slowdownsByLabel = new Map<string, LabelSlowdown>();
 
-  /** Records the slowdown of one run, by the baseline of its step, on an endpoint with these labels. */
+  /** Adds the slowdown of one run to the means of all labels of its endpoint. */
   recordRunSlowdown(labels: readonly string[], slowdown: number): void {
     const limited = Math.min(MAX_RUN_SLOWDOWN, slowdown);
     for (const label of labels) {
@@ -31,7 +30,7 @@
     }
   }
 
-  /** Returns the slowdown of endpoints with these labels; 1 while too few runs are known. */
+  /** Returns the mean slowdown of the label with the most runs; 1 while it has fewer than `MIN_RUN_COUNT`. */
   getSlowdown(labels: readonly string[]): number {
     let kind: LabelSlowdown | undefined;
     for (const label of labels) {
--- a/packages/dispatch/placing/Preemptor.ts
+++ b/packages/dispatch/placing/Preemptor.ts
@@ -16,6 +16,7 @@
   readonly jobs: ReadonlyMap<JobId, LiveJob>;
   readonly reservations: EndpointReservations;
   readonly rules: PreemptionRules;
+  /** Called for each run that is to be stopped for the step. */
   readonly handlePreempted: (
     endpoint: EndpointState,
     run: PlacedRun,
@@ -24,28 +25,27 @@
   ) => void;
 }
 
-/** Preemptions on one endpoint, and the tasks that they let start. */
+/** Runs to preempt on one endpoint, and the number of tasks that can then start there. */
 interface PreemptionPlan {
-  /** Free capacity after the victims have ended and the tasks have started. */
+  /** Capacity left free after the victims have ended and the tasks have started. */
   readonly freeCapacity: TaskDemand;
   readonly victims: readonly PlacedRun[];
-  /** Sum of the victims' costs by the preemption rules. */
+  /** Sum of the costs of the victims by the preemption rules. */
   readonly totalCost: number;
-  /** Number of tasks that can start. */
   readonly startableCount: number;
 }
 
-/** Preemptions of one task, at most. */
+/** A task that has been preempted this often isn't preempted again. */
 const MAX_PREEMPTIONS = 2;
-/** Runs that are expected to end sooner aren't preempted: a stop and a restart would take longer. */
+/** Runs that are expected to end sooner than this aren't preempted, since a stop and a restart would take longer. */
 const MIN_REMAINING_MS = 700;
-/** Interval after which a preemption that wasn't worthwhile is considered again. */
+/** Time after which a preemption that wasn't worthwhile is considered again. */
 const PREEMPTION_RECHECK_MS = 200;
 const MAX_PERCENT = 100;
 
 /**
- * Preempts less urgent runs that keep checkpoints so that a step can start. Runs are stopped only where this lets a task, or the
- * whole gang, start.
+ * Preempts less urgent runs, of steps that write checkpoints, so that a waiting step can start. Runs are preempted only where this lets
+ * a task start, or, for a gang, all of its members.
  */
 export class Preemptor {
   /** Wall clock time minus monotonic time, in milliseconds. */
@@ -53,12 +53,12 @@
 
   constructor(private readonly options: PreemptorOptions) {}
 
-  /** Sets the monotonic and the wall clock time of the round. */
+  /** Sets the offset between the monotonic and the wall clock, by which slack is computed, from their times in this round. */
   setRoundTime(now: number, wallMs: number): void {
     this.wallOffsetMs = wallMs - now;
   }
 
-  /** Returns whether one task of the step would fit on the endpoint after preemption of less urgent runs. */
+  /** Returns whether a demand fits on the endpoint, now or after preemption of runs that are less urgent than the step. */
   hasCapacityAfterPreemption(
     step: WaitingStep,
     endpoint: EndpointState,
@@ -68,12 +68,16 @@
     return this.createExtendedPlan(step, endpoint, demand, undefined, now) !== undefined;
   }
 
-  /** Returns how long a ticket must stay valid for a preemption to complete, in milliseconds. */
+  /** Returns the time for which the ticket of an endpoint must still be valid if runs are preempted there, in milliseconds. */
   getMinTicketValidityMs(): number {
     return this.options.rules.minTicketValidityMs;
   }
 
-  /** Starts to preempt runs on the allowed endpoints, unless a preemption for the step is under way or not worthwhile. */
+  /**
+   * Reserves endpoints for a step and reports the runs to preempt there by `handlePreempted`. Does nothing while the step has a
+   * reservation, while its last attempt is backing off, or when no runs can be preempted. If the preemption isn't worthwhile, only
+   * schedules the next attempt.
+   */
   startPreemption(step: WaitingStep, allowed: readonly EndpointState[], now: number): void {
     const { reservations, handlePreempted } = this.options;
     if (
@@ -142,6 +146,7 @@
     };
   }
 
+  /** Returns the time that the step has waited since its last placement, in milliseconds. */
   private computeStepWaitMs({ job, repetition, step }: WaitingStep, now: number): number {
     return Object.values(job.getStepWait(repetition, step).getWaitTimes(now)).reduce(
       (sum, ms) => sum + ms,
@@ -149,6 +154,7 @@
     );
   }
 
+  /** Returns the time until a run ends by its pace, in milliseconds; Infinity for long-running steps and unknown jobs. */
   private estimateRemainingRunMs(run: PlacedRun, now: number): number {
     const job = this.options.jobs.get(run.job);
     const shape = job?.definition.steps[run.address.step];
@@ -168,7 +174,10 @@
     };
   }
 
-  /** Returns a plan for each endpoint used, for as many tasks as possible; none for a gang that couldn't start as a whole. */
+  /**
+   * Returns plans by endpoint that together let as many tasks start as possible, each on the endpoint whose plan then has the lowest
+   * total cost; none for a gang of which not all members could start.
+   */
   private createPreemptionPlans(
     step: WaitingStep,
     allowed: readonly EndpointState[],
@@ -193,7 +202,7 @@
     return plans;
   }
 
-  /** Returns the plan of an endpoint extended by one task; undefined when the task doesn't fit even after preemption. */
+  /** Returns the plan `before` extended by one task; undefined when the task doesn't fit even after all possible preemptions. */
   private createExtendedPlan(
     step: WaitingStep,
     endpoint: EndpointState,
@@ -230,7 +239,7 @@
     return { freeCapacity: resourceMath.computeDifference(free, demand), victims, totalCost, startableCount };
   }
 
-  /** Returns the victims without those that turn out unnecessary, since later ones free enough capacity. */
+  /** Returns the victims without those that needn't be preempted, since the others free enough, and the capacity that is then free. */
   private computeNeededVictims(
     victims: readonly PlacedRun[],
     free: TaskDemand,
@@ -248,7 +257,7 @@
     return { added, free: remaining };
   }
 
-  /** Returns the runs that may be preempted for the step, lowest priority first, then least progress first. */
+  /** Returns the runs on an endpoint that may be preempted for the step, the least urgent first, then by progress, the least first. */
   private listPreemptibleRuns(step: WaitingStep, endpoint: EndpointState, now: number): readonly PlacedRun[] {
     const { priority } = step.job.definition.queue;
     return [...endpoint.getRuns()]
@@ -256,6 +265,10 @@
       .sort((left, right) => right.priority - left.priority || left.percent - right.percent);
   }
 
+  /**
+   * Returns whether a run may be preempted at all: it is running, writes checkpoints, belongs to no gang, long-running step or filler, was
+   * not preempted too often or too recently, and isn't about to end.
+   */
   private isPreemptible(run: PlacedRun, now: number): boolean {
     const job = this.options.jobs.get(run.job);
     const shape = job?.definition.steps[run.address.step];
@@ -269,6 +282,7 @@
     return !isExcluded && preemptions < MAX_PREEMPTIONS && hasWorkedEnough && !this.isEndingSoon(run, now);
   }
 
+  /** Returns whether the run, by its progress so far, ends within `MIN_REMAINING_MS`; false before any progress. */
   private isEndingSoon(run: PlacedRun, now: number): boolean {
     const workedMs = now - run.confirmedAt;
     return run.percent > 0 && (workedMs * (MAX_PERCENT - run.percent)) / run.percent < MIN_REMAINING_MS;
--- a/packages/dispatch/placing/RankingRule.ts
+++ b/packages/dispatch/placing/RankingRule.ts
@@ -1,8 +1,8 @@
 import type { EndpointState } from '../endpoints/EndpointState';
 import type { WaitingStep } from '../waiting/WaitingStep';
 
-/** Ranking of endpoints for one kind of step. */
+/** Rule that ranks endpoints for tasks of batch, serving or filler steps. */
 export interface RankingRule {
-  /** Returns the cost of an endpoint that has enough free capacity; lower is better. */
+  /** Returns the cost of placing a task of the step on an endpoint where it fits; lower is better. */
   readonly computeCost: (step: WaitingStep, endpoint: EndpointState, now: number) => number;
 }
--- a/packages/dispatch/placing/RoundThrottle.ts
+++ b/packages/dispatch/placing/RoundThrottle.ts
@@ -6,14 +6,14 @@
   readonly runRound: () => void;
 }
 
-/** Idle time after a round, as a multiple of its duration. It leaves the process time for heartbeats and calls. */
+/** Idle time after a round, as a multiple of the duration of the round. */
 const IDLE_TIME_RATIO = 2;
-/** Shorter delays are skipped. */
+/** When less idle time than this is left, the round runs at once. */
 const MIN_ROUND_DELAY_MS = 2;
 
 /**
- * Throttles rounds of placement: requests in one turn of the event loop, or in the idle time after a round, share one. With a
- * long backlog, rounds without idle time would starve the leader's heartbeats.
+ * Throttles rounds of placement. Requests within one turn of the event loop, or in the idle time after a round, are combined into one
+ * round. The idle time leaves the process time for heartbeats and calls, however long the rounds are.
  */
 export class RoundThrottle {
   private isRoundQueued = false;
@@ -21,6 +21,7 @@
 
   constructor(private readonly options: RoundThrottleOptions) {}
 
+  /** Runs a round after the idle time of the last one, or in the next turn of the event loop. Does nothing if one is queued. */
   queueRound(): void {
     if (this.isRoundQueued) {
       return;
--- a/packages/dispatch/placing/SlowRoundLogger.ts
+++ b/packages/dispatch/placing/SlowRoundLogger.ts
@@ -8,10 +8,13 @@
 
 /** Duration above which a round is logged. */
 const SLOW_ROUND_MS = 10;
-/** Minimum interval between two lines. */
+/** Minimum interval between two log lines. */
 const MIN_LOG_INTERVAL_MS = 1000;
 
-/** Logs slow rounds of placement, at most one line an interval with the number of slow rounds since the last line. */
+/**
+ * Logs slow rounds of placement. There is at most one line each `MIN_LOG_INTERVAL_MS`, with the number and the longest of the slow rounds
+ * since the last line.
+ */
 export class SlowRoundLogger {
   private slowRoundCount = 0;
   private longestRoundMs = 0;
@@ -19,7 +22,7 @@
 
   constructor(private readonly options: SlowRoundLoggerOptions) {}
 
-  /** Records the duration of the round that began at the monotonic time `now`. */
+  /** Records the duration of a round as a metric, and logs it if it was slow. `now` is the monotonic time at which it began. */
   recordRoundDuration(durationMs: number, now: number): void {
     const { logger, countJobs, recordTime } = this.options;
     recordTime('roundMs', durationMs);
--- a/packages/dispatch/placing/SpeedPolicyName.ts
+++ b/packages/dispatch/placing/SpeedPolicyName.ts
@@ -1,7 +1,7 @@
 /**
- * Policy for the speed of endpoints in placement.
+ * Policy that decides how the speed of endpoints counts in placement.
  * - `blind`: ignores speed.
  * - `kinds`: prefers fast kinds of endpoints for the most urgent queue, slow kinds for all others.
- * - `endpoints`: compares the expected completion time on each endpoint with the objective.
+ * - `endpoints`: ranks each endpoint by the expected completion time there, compared with the objective.
  */
 export type SpeedPolicyName = 'blind' | 'kinds' | 'endpoints';
--- a/packages/dispatch/placing/SpeedSources.ts
+++ b/packages/dispatch/placing/SpeedSources.ts
@@ -3,7 +3,7 @@
 import type { KindSpeeds } from './KindSpeeds';
 import type { CapacityView } from './CapacityView';
 
-/** Inputs of the speed policies. */
+/** Learnt speeds and run times, and the free capacity, from which the speed policies compute costs. */
 export interface SpeedSources {
   readonly kindSpeeds: KindSpeeds;
   readonly endpointSpeeds: EndpointSpeeds;
--- a/packages/dispatch/placing/StepLimiter.ts
+++ b/packages/dispatch/placing/StepLimiter.ts
@@ -5,17 +5,17 @@
 import type { TaskDemand } from '../../jobs/TaskDemand';
 import type { WaitingStep } from '../waiting/WaitingStep';
 
-/** Cuts steps down to the tasks that their customer's limit lets start. */
+/** Reduces waiting steps to the tasks that may start within the resource limit of their customer. */
 export class StepLimiter {
   constructor(
     private readonly usage: CustomerUsage,
-    /** Returns the configured limit; undefined while no configuration is known, or when it doesn't have the customer. */
+    /** Returns the configured limit of a customer; undefined if none is known, when the limit in the job definition applies. */
     private readonly getCustomerLimit: (customer: CustomerName) => TaskDemand | undefined,
   ) {}
 
   /**
-   * Returns the part of a step that may start beside all runs that may be active; undefined for none. A gang starts as a whole or
-   * not at all; a step that is wider than the limit runs in waves.
+   * Returns the step with only as many of its tasks as fit into the limit beside the customer's current usage; undefined when none
+   * fits, or not all members of a gang. A step without a customer is returned whole.
    */
   computeStartablePart(step: WaitingStep): WaitingStep | undefined {
     const { customer } = step.job.definition;
@@ -24,7 +24,7 @@
       : this.computePartWithinLimit(step, this.usage.getUsed(customer.name));
   }
 
-  /** Returns the largest part of a step that may run at once when nothing else of the customer does; undefined for none. */
+  /** Returns the same as `computeStartablePart`, but as if the customer had no other usage. */
   computeMaxStartablePart(step: WaitingStep): WaitingStep | undefined {
     return this.computePartWithinLimit(step, resourceMath.ZERO);
   }
--- a/packages/dispatch/placing/StepPlacer.ts
+++ b/packages/dispatch/placing/StepPlacer.ts
@@ -20,17 +20,19 @@
 import { toStepName } from '../waiting/toStepName';
 import type { WaitingStep } from '../waiting/WaitingStep';
 
+/** A run that takes capacity on an endpoint, before its start is recorded. */
 interface Placement {
   readonly endpoint: EndpointState;
   readonly run: PlacedRun;
+  /** Ticket of the advice service for the endpoint; empty for queues that need none. */
   readonly ticket: string;
 }
 
-/** A task that may start now. */
+/** A waiting task that this round may place, with its address. Of the crash suspects of a step, only one is startable at a time. */
 interface StartableTask {
   readonly address: TaskAddress;
   readonly task: TaskProgress;
-  /** It may have crashed an endpoint. */
+  /** The task may have crashed an endpoint. */
   readonly isSuspect: boolean;
 }
 
@@ -48,17 +50,20 @@
   readonly sendEffect: (effect: PlacementEffect) => void;
 }
 
-/** Places waiting tasks on endpoints, and requests advice for queues that need it. */
+/** Places waiting tasks on endpoints, requests advice for queues that need it, and starts preemption for steps that don't fit. */
 export class StepPlacer {
   private readonly capacity: CapacityView;
-  /** Placements that hold capacity only while advice is requested ahead. */
+  /** Placements that take capacity only until `releaseTentativePlacements`. */
   private readonly tentativePlacements: Placement[] = [];
 
   constructor(private readonly options: StepPlacerOptions) {
     this.capacity = options.capacity;
   }
 
-  /** Places as many tasks of a step as possible. Returns whether any was placed. */
+  /**
+   * Places as many tasks of a step as possible. For the rest requests advice and records what they wait for; starts preemption if none was
+   * placed while capacity is scarce. Returns whether any was placed.
+   */
   placeStep(waitingStep: WaitingStep, now: number): boolean {
     const wait = waitingStep.job.getStepWait(waitingStep.repetition, waitingStep.step);
     const due = this.computePartWithoutBackoff(waitingStep, now);
@@ -99,8 +104,8 @@
   }
 
   /**
-   * Requests tickets that the step will lack by the time a response could arrive. What it would use is held until
-   * `releaseTentative`, so that requests for less urgent steps are about the remaining capacity.
+   * Requests the tickets that the step will lack by the time of the response, without placing tasks. The capacity that it would use stays
+   * taken until `releaseTentativePlacements`, so that requests for less urgent steps are for the remaining capacity.
    */
   requestAdviceAhead(waitingStep: WaitingStep, now: number): void {
     const due = this.computePartWithoutBackoff(waitingStep, now);
@@ -121,7 +126,7 @@
     }
   }
 
-  /** Releases the capacity held by `requestAdviceAhead`. */
+  /** Releases all capacity taken by `requestAdviceAhead`. */
   releaseTentativePlacements(): void {
     this.tentativePlacements.splice(0).forEach((placement) => this.releasePlacement(placement));
   }
@@ -138,6 +143,7 @@
     return indexes.length === 0 || waitingStep.shape.isGang ? undefined : { ...waitingStep, indexes };
   }
 
+  /** Starts preemption on the eligible endpoints that have a ticket valid for long enough and aren't quarantined. */
   private startPreemption(step: WaitingStep, eligible: readonly EndpointState[], now: number): void {
     const { preemptor, quarantine } = this.options;
     const candidate = { isInGang: step.shape.isGang, failureCount: 0 };
@@ -149,7 +155,7 @@
     preemptor.startPreemption(step, allowed, now);
   }
 
-  /** Returns the endpoints that have a ticket valid until a time, or all when the queue needs none. */
+  /** Returns the eligible endpoints with a ticket that is valid until a monotonic time; all of them when the queue needs no advice. */
   private listAllowedEndpoints(
     step: WaitingStep,
     eligible: readonly EndpointState[],
@@ -164,7 +170,7 @@
     );
   }
 
-  /** Chooses endpoints for as many tasks as possible and takes their capacity; for all members of a gang or none. */
+  /** Chooses endpoints for as many tasks as possible and takes capacity there. For a gang, chooses them for all members or none. */
   private choosePlacements(step: WaitingStep, eligible: readonly EndpointState[], now: number): Placement[] {
     const placements = this.chooseTaskPlacements(step, eligible, now);
     if (step.shape.isGang && placements.length < step.indexes.length) {
@@ -174,6 +180,10 @@
     return placements;
   }
 
+  /**
+   * Chooses endpoints task by task and takes capacity there. Stops when the processor capacity outside the reserve is used up, or at the
+   * first task that fits nowhere.
+   */
   private chooseTaskPlacements(
     step: WaitingStep,
     eligible: readonly EndpointState[],
@@ -200,7 +210,7 @@
       };
       const endpoint = this.chooseEndpoint(step, allowed, candidate, computePreferenceCost, now);
       if (endpoint === undefined && task.crashes.length > 0) {
-        // Only this task has to avoid starting suspects; its siblings may find an endpoint.
+        // A task with crashes must not be placed beside a crash suspect in its startup; tasks without crashes may still fit.
         continue;
       }
       if (endpoint === undefined) {
@@ -223,7 +233,10 @@
     return placements;
   }
 
-  /** Returns the tasks of a step that may start now: at most one crash suspect, but all members of a gang. */
+  /**
+   * Returns the waiting tasks of a step that may start now. Of the crash suspects only the first is included, and none while a suspect
+   * of the step is in its startup; a gang is returned whole.
+   */
   private listStartableTasks(step: WaitingStep): readonly StartableTask[] {
     const startable = step.indexes.flatMap((index): readonly StartableTask[] => {
       const address = { repetition: step.repetition, step: step.step, index };
@@ -238,6 +251,7 @@
     return startable.filter((startableTask) => !startableTask.isSuspect || startableTask === nextSuspect);
   }
 
+  /** Returns the endpoint with the lowest total cost on which the task may start; undefined when there is none. */
   private chooseEndpoint(
     step: WaitingStep,
     allowed: readonly EndpointState[],
@@ -268,7 +282,7 @@
     return best;
   }
 
-  /** Returns the run number for all members of a gang: one above the highest used. */
+  /** Returns the run number that all members of a gang start with: one more than the highest of any member. */
   private computeNextGangRun({ job, repetition, step }: WaitingStep): number {
     return 1 + Math.max(0, ...job.progress.listTasks(repetition, step).map((task) => task.run));
   }
@@ -281,6 +295,10 @@
     endpoint.removeRun(run);
   }
 
+  /**
+   * Records the placements in the progress of the job, sends the start commands and a log line, and releases the reservations of the
+   * step.
+   */
   private placeTasks(step: WaitingStep, placements: readonly Placement[], now: number): void {
     const { job, shape } = step;
     const { progress, definition } = job;
@@ -317,7 +335,10 @@
     });
   }
 
-  /** Returns the checkpoint that all members of a gang start from; '' for none. The checkpoint of any member is valid for all. */
+  /**
+   * Returns the checkpoint that all members of a gang start from: the newest known, else one of the progress; '' for none. The checkpoint
+   * of any member is valid for all.
+   */
   private getGangCheckpoint({ job, repetition, step }: WaitingStep): string {
     const saved = job.progress.listTasks(repetition, step).find((task) => task.checkpoint !== '');
     return job.getGangCheckpoint(repetition, step) ?? saved?.checkpoint ?? '';
--- a/packages/dispatch/placing/SuspectCosts.ts
+++ b/packages/dispatch/placing/SuspectCosts.ts
@@ -8,24 +8,24 @@
 import type { PlacedRun } from '../runs/PlacedRun';
 import type { WaitingStep } from '../waiting/WaitingStep';
 
-/** Cost of a neighbour in its startup, beside which a crash couldn't be attributed. */
+/** Cost of a run in its startup on the endpoint, since a crash couldn't be attributed to one of the two. */
 const STARTING_NEIGHBOUR_COST = 2000;
 const RECENT_CRASH_COST = 1500;
 const SERVING_NEIGHBOUR_COST = 300;
 const NEIGHBOUR_COST = 30;
-/** Cost for a healthy task of an endpoint with a suspect in its startup. */
+/** Cost for a task that is no suspect of an endpoint with a suspect in its startup. */
 const SUSPECT_NEIGHBOUR_COST = 1500;
 
-/** A task to be placed. */
+/** What the costs depend on of the task to be placed. */
 interface TaskToPlace {
   readonly isSuspect: boolean;
-  /** Number of endpoints that crashed while they ran it. */
+  /** Number of crashes of endpoints that ran the task. */
   readonly crashCount: number;
 }
 
 /**
- * Placement costs that keep crash suspects apart, so that a crash can be attributed to one of them and affects few other runs. No two
- * suspects are in their startup on one endpoint, except members of one gang.
+ * Computes placement costs that keep crash suspects apart, so that a crash can be attributed to one of them and affects few other runs.
+ * Two suspects are never in their startup on the same endpoint, unless they are members of one gang.
  */
 export class SuspectCosts {
   constructor(
@@ -34,8 +34,8 @@
   ) {}
 
   /**
-   * Returns whether another suspect task of the step is in its startup. Suspects of one step are started one after the other, since
-   * they are likely to behave alike; members of a gang start together.
+   * Returns whether a suspect task of the step is in its startup; false for gangs, whose members start together. The suspects of other
+   * steps are started one after the other, since they are likely to behave alike.
    */
   hasStartingSuspectSibling({ job, repetition, step, shape }: WaitingStep): boolean {
     if (shape.isGang) {
@@ -52,8 +52,8 @@
   }
 
   /**
-   * Returns the cost of an endpoint for a task; Infinity where it must not start now. A healthy task that has been in several crashes
-   * isn't started beside a starting suspect either, so that its neighbours' crashes don't bring it over the crash limit.
+   * Returns the cost of an endpoint for a task; Infinity where it must not start now. That is beside another suspect in its startup, both
+   * for a suspect and for a task that was present at several crashes, so that another crash doesn't bring it over the crash limit.
    */
   computeSuspectCost(
     step: WaitingStep,
@@ -78,11 +78,13 @@
     return cost;
   }
 
+  /** Returns the cost for a suspect of one run that is on the endpoint. */
   private computeNeighbourCost(step: WaitingStep, run: PlacedRun): number {
     const startupCost = isPastStartup(run) || this.isSameGang(step, run) ? 0 : STARTING_NEIGHBOUR_COST;
     return startupCost + (run.isServing ? SERVING_NEIGHBOUR_COST : NEIGHBOUR_COST);
   }
 
+  /** Returns whether the endpoint has a suspect in its startup that isn't a member of the gang to be placed. */
   private hasOtherStartingSuspects(step: WaitingStep, endpoint: EndpointState): boolean {
     for (const run of endpoint.getStartingSuspects()) {
       if (!this.isSameGang(step, run)) {
@@ -92,7 +94,7 @@
     return false;
   }
 
-  /** Returns whether the run is a member of the gang to be placed; its members start together and share the blame for a crash. */
+  /** Returns whether the step is a gang and the run one of its members. They start together and share the blame for a crash. */
   private isSameGang(step: WaitingStep, { job, address }: PlacedRun): boolean {
     const isSameStep =
       job === step.job.definition.id && address.repetition === step.repetition && address.step === step.step;
--- a/packages/dispatch/placing/hallPolicies.ts
+++ b/packages/dispatch/placing/hallPolicies.ts
@@ -1,9 +1,9 @@
 import type { HallPolicyName } from './HallPolicyName';
 
-/** Outweighs packing, which costs at most 1, but not a slowdown of a fifth, which costs 4. */
+/** Cost of an endpoint outside of the home hall; higher than that of packing, which is at most 1. */
 const OTHER_HALL_COST = 3;
 
-/** Costs of an endpoint inside and outside of the job's home hall, by policy. */
+/** Functions that return the cost of an endpoint by whether it is in the job's home hall, by name of the policy. */
 export const hallPolicies: Readonly<Record<HallPolicyName, (isHome: boolean) => number>> = {
   spread: () => 0,
   together: (isHome) => (isHome ? 0 : OTHER_HALL_COST),
--- a/packages/dispatch/placing/rankingRules.ts
+++ b/packages/dispatch/placing/rankingRules.ts
@@ -2,12 +2,13 @@
 import type { RankingRule } from './RankingRule';
 import type { WaitingStep } from '../waiting/WaitingStep';
 
-/** Costs in descending order of weight; the free share, 0 to 1, decides between equal ones. */
+/** Cost of an endpoint on which a run of the step failed. Lower costs follow; the free share, 0 to 1, breaks ties. */
 const FAILED_ON_ENDPOINT_COST = 1000;
 const DEGRADED_ENDPOINT_COST = 500;
 const OTHER_RACK_COST = 100;
 const SERVING_NEIGHBOUR_COST = 50;
 
+/** Returns the cost of an endpoint on which a run of the step failed, or that is degraded. */
 const computeFailureCost = (
   { job, repetition, step }: WaitingStep,
   endpoint: EndpointState,
@@ -19,6 +20,7 @@
   return failedHere + (endpoint.isDegraded(now) ? DEGRADED_ENDPOINT_COST : 0);
 };
 
+/** Returns the cost of an endpoint outside of the rack that has the data of the step; 0 for a step without such a rack. */
 const computeDataLocalityCost = ({ shape }: WaitingStep, endpoint: EndpointState): number =>
   shape.dataRack !== '' && !endpoint.getProfile().labels.includes(shape.dataRack) ? OTHER_RACK_COST : 0;
 
@@ -46,16 +48,16 @@
   return count;
 };
 
-/** Ranking rules by kind of step. */
+/** Ranking rules by kind of step. `batch` packs tasks onto the endpoints with the smallest free share. */
 export const rankingRules: Readonly<Record<'batch' | 'serving' | 'filler', RankingRule>> = {
   batch: {
     computeCost: (step, endpoint, now) => computeCommonCost(step, endpoint, now) + computeFreeShare(endpoint),
   },
-  // Spreads replicas, so that the loss of an endpoint affects few of them.
+  // Prefers the endpoints with the largest free share, so that replicas spread and the loss of one endpoint affects few.
   serving: {
     computeCost: (step, endpoint, now) => computeCommonCost(step, endpoint, now) - computeFreeShare(endpoint),
   },
-  // Keeps fillers away from serving tasks, which they slow down, and prefers the least used endpoints.
+  // Prefers endpoints with few serving runs, which fillers slow down, then those with the largest free share.
   filler: {
     computeCost: (step, endpoint, now) =>
       computeCommonCost(step, endpoint, now) +
--- a/packages/dispatch/placing/speedPolicies.ts
+++ b/packages/dispatch/placing/speedPolicies.ts
@@ -12,11 +12,12 @@
   wallMs: number,
 ) => CostFunction;
 
-/** Cost of a slowdown of 2. A tenth of it outweighs packing, which costs at most 1; all of it doesn't outweigh another rack, 100. */
+/** Cost of a slowdown of 2; less than that of a rack without the data of the step. */
 const DOUBLE_SLOWDOWN_COST = 20;
-/** Slowdowns are rounded to multiples of this, so that random differences don't count. */
+/** Slowdowns are rounded to multiples of this, so that small random differences cost nothing. */
 const SLOWDOWN_STEP = 0.1;
 
+/** Creates a cost function by which the most urgent queue prefers fast kinds of endpoints, and all others slow kinds. */
 const createKindCost: CreateCostFunction = (step, { kindSpeeds, capacity }) => {
   const isMostUrgent = capacity.isMostUrgentQueue(step.job.definition.queue);
   return (endpoint) => {
@@ -26,7 +27,7 @@
   };
 };
 
-/** Cost functions of a step over the endpoints that may run it, at a wall clock time, by policy. */
+/** Functions that create the speed cost function of a step, from the endpoints that may run it and the wall clock time; by policy. */
 export const speedPolicies: Readonly<Record<SpeedPolicyName, CreateCostFunction>> = {
   blind: () => () => 0,
   kinds: createKindCost,
--- a/packages/dispatch/stops/CapacityHolder.ts
+++ b/packages/dispatch/stops/CapacityHolder.ts
@@ -1,8 +1,8 @@
 import type { TaskDemand } from '../../jobs/TaskDemand';
 
-/** Capacity held by a run, and for how long. */
+/** Capacity that an active run takes on its endpoint, and the time until it is freed. */
 export interface CapacityHolder {
   readonly demand: TaskDemand;
-  /** Estimated time until the run ends, in milliseconds; Infinity for one that never ends. */
+  /** Estimated time until the run ends, in milliseconds; Infinity for a long-running one. */
   readonly remainingMs: number;
 }
--- a/packages/dispatch/stops/EndpointQuarantine.ts
+++ b/packages/dispatch/stops/EndpointQuarantine.ts
@@ -2,36 +2,39 @@
 import type { ServiceName } from '../../jobs/ServiceName';
 import type { EndpointState } from '../endpoints/EndpointState';
 
-/** A task to be placed. */
+/** What quarantine depends on of the task to be placed. */
 interface TaskToPlace {
   readonly isInGang: boolean;
-  /** Number of its failed runs. */
+  /** Number of failed runs of the task. */
   readonly failureCount: number;
 }
 
-/** When more than this share of a service's endpoints fail, the work is assumed to be at fault and none is quarantined. */
+/** When more than this share of the endpoints of a service are failing, the tasks are considered at fault and none is quarantined. */
 const MAX_QUARANTINED_SHARE = 0.25;
 
 /**
- * Quarantines endpoints that fail every run, as a circuit breaker does. Such an endpoint always has free capacity, so that it would
- * attract waiting tasks and use up their attempts. After a backoff it gets one run at a time as a probe, of a task without failures.
+ * Quarantines endpoints on which consecutive runs failed, as a circuit breaker does. Such an endpoint always has free capacity, so it
+ * would attract waiting tasks and use up their attempts. After a backoff it may run one task without failures as a probe.
  */
 export class EndpointQuarantine {
-  /** Whether a service is exempt from quarantine, cached for the round. */
+  /** Results of `isExemptService`, cached until `clearCache`. */
   private readonly exemptServices = new Map<ServiceName, boolean>();
 
   constructor(
     private readonly endpoints: ReadonlyMap<EndpointIncarnation, EndpointState>,
-    /** False to quarantine none. */
+    /** False when no endpoint is quarantined. */
     private readonly isEnabled: boolean,
   ) {}
 
-  /** Clears the results of the last round. */
+  /** Clears the cached results before a new round. */
   clearCache(): void {
     this.exemptServices.clear();
   }
 
-  /** Returns whether a task may be placed on the endpoint, by the failures of both. */
+  /**
+   * Returns whether a task may be placed on the endpoint: it isn't quarantined, or the task may be its probe. A probe isn't a member of a
+   * gang, has no failures, and waits for the backoff and for the end of an earlier probe.
+   */
   canAcceptTask(candidate: TaskToPlace, endpoint: EndpointState, now: number): boolean {
     const streak = endpoint.getFailureStreak();
     if (!this.isEnabled || !streak.isFailing() || this.isExemptService(endpoint.getProfile().service)) {
@@ -41,12 +44,13 @@
     return canProbe && !this.hasActiveProbe(endpoint);
   }
 
-  /** Returns whether a run that was placed after the newest failure is still active. */
+  /** Returns whether a run that was placed at or after the newest failure is still active on the endpoint. */
   private hasActiveProbe(endpoint: EndpointState): boolean {
     const failedAt = endpoint.getFailureStreak().getLastFailedAt();
     return [...endpoint.getRuns()].some((run) => run.placedAt >= failedAt);
   }
 
+  /** Returns whether too many endpoints of the service are failing for any of them to be quarantined. */
   private isExemptService(service: ServiceName): boolean {
     const known = this.exemptServices.get(service);
     if (known !== undefined) {
--- a/packages/dispatch/stops/GangCheckpoint.ts
+++ b/packages/dispatch/stops/GangCheckpoint.ts
@@ -1,7 +1,8 @@
-/** Newest checkpoint left by a member of a gang. */
+/** Checkpoint from which all members of a gang can resume. */
 export interface GangCheckpoint {
   readonly checkpoint: string;
+  /** Number of the run that left it. */
   readonly runNumber: number;
-  /** Monotonic time up to which work is saved in it. */
+  /** Monotonic time up to which it holds the work of the run. */
   readonly savedAt: number;
 }
--- a/packages/dispatch/stops/LossCause.ts
+++ b/packages/dispatch/stops/LossCause.ts
@@ -1,4 +1,4 @@
 import type { lossCauses } from './lossCauses';
 
-/** Cause of a lost run. */
+/** Cause by which a run ended without completing or failing; `lossCauses` describes each. */
 export type LossCause = (typeof lossCauses)[number];
--- a/packages/dispatch/stops/LossCounterName.ts
+++ b/packages/dispatch/stops/LossCounterName.ts
@@ -1,4 +1,4 @@
 import type { LossCause } from './LossCause';
 
-/** Names of the counters of lost runs, and of their lost core-milliseconds, by cause. */
+/** Name of the counter of lost runs, or of the core-milliseconds of work lost with them, for one cause. */
 export type LossCounterName = `runsLostBy.${LossCause}` | `coreMsLostBy.${LossCause}`;
--- a/packages/dispatch/stops/MoveReason.ts
+++ b/packages/dispatch/stops/MoveReason.ts
@@ -1,4 +1,4 @@
 import type { StopCause } from './StopCause';
 
-/** Reason to move a run to another endpoint. */
+/** Stop causes of runs that are moved to another endpoint. */
 export type MoveReason = Extract<StopCause, 'slow' | 'stalled' | 'endpointLeaves'>;
--- a/packages/dispatch/stops/PreemptionRules.ts
+++ b/packages/dispatch/stops/PreemptionRules.ts
@@ -1,27 +1,28 @@
 import type { PreemptionEstimate } from './PreemptionEstimate';
 
-/** Preemption rules of a stop policy. */
+/** Rules of a stop policy for which runs are preempted, and when. */
 export interface PreemptionRules {
-  /** Returns the cost of a victim. The plan with the lowest total cost is carried out. */
+  /** Returns the cost of preempting a run. Endpoints with the lowest total cost are chosen. */
   readonly computeVictimCost: (run: Victim) => number;
+  /** Returns whether a preemption gains enough to be carried out. */
   readonly isWorthwhile: (estimate: PreemptionEstimate) => boolean;
-  /** Victims that turn out unnecessary are left running. */
+  /** Victims are left running when the others free enough capacity. */
   readonly isMinimizingVictims: boolean;
-  /** Minimum time between the restart of a preempted task and its next preemption, in milliseconds. */
+  /** Minimum time from the restart of a preempted task to its next preemption, in milliseconds. */
   readonly minWorkAfterRestartMs: number;
-  /** Time for which an endpoint is reserved for the preempting step, in milliseconds. */
+  /** Time for which an endpoint is reserved for the step for which runs are preempted, in milliseconds. */
   readonly reservationMs: number;
-  /** Remaining validity of a ticket that allows preemption, in milliseconds. */
+  /** Minimum remaining validity of the ticket of an endpoint on which runs are preempted, in milliseconds. */
   readonly minTicketValidityMs: number;
-  /** Backoff after the first preemption for a step that didn't start, in milliseconds; doubled each time. */
+  /** Time from the first preemption for a step to the next, in milliseconds; doubled each time until the step starts. */
   readonly initialRetryDelayMs: number;
 }
 
-/** A run that may be preempted. */
+/** What the cost of preempting a run depends on. */
 interface Victim {
   readonly cpuMillis: number;
-  /** Time since its last known checkpoint, or its start, in milliseconds. */
+  /** Time since the last known checkpoint, or the confirmed start if there is none, in milliseconds. */
   readonly sinceCheckpointMs: number;
-  /** The run saves its work when it is stopped. */
+  /** The run writes a checkpoint when it is stopped, so that no work is lost. */
   readonly isSavingOnStop: boolean;
 }
--- a/packages/dispatch/stops/SlowRunInput.ts
+++ b/packages/dispatch/stops/SlowRunInput.ts
@@ -1,16 +1,16 @@
-/** Progress and pace of a run that may be a straggler. A pace is in milliseconds for one percent. */
+/** Progress and paces by which stragglers are found. A pace is the time for one percent of progress, in milliseconds. */
 export interface SlowRunInput {
-  /** Pace of this run. */
+  /** Pace of the run so far. */
   readonly pace: number;
-  /** Baseline pace, expected of a new run. */
+  /** Pace that a new run on another endpoint is expected to have. */
   readonly baselinePace: number;
-  /** Pace above which a run is slow beyond the normal variance. */
+  /** Pace above which a run counts as slow. */
   readonly slowPace: number;
   readonly percent: number;
-  /** Time since the run last progressed, in milliseconds. */
+  /** Time without progress up to the newest poll, in milliseconds. */
   readonly stalledMs: number;
-  /** Time from a move until the new run works, in milliseconds. */
+  /** Time from the decision to move the run until the new run makes progress, in milliseconds. */
   readonly moveMs: number;
-  /** The run saves its work when it is stopped, and the new one resumes from there. */
+  /** The run writes a checkpoint when it is stopped, from which the new run resumes. */
   readonly isSavingOnStop: boolean;
 }
--- a/packages/dispatch/stops/StopPolicy.ts
+++ b/packages/dispatch/stops/StopPolicy.ts
@@ -3,19 +3,19 @@
 import type { MoveReason } from './MoveReason';
 import type { PreemptionRules } from './PreemptionRules';
 
-/** Rules for the stops of runs. */
+/** Rules by which the leader evicts, moves and preempts runs, and quarantines endpoints. */
 export interface StopPolicy {
-  /** Returns whether a run, or a gang, is to be evicted now from a draining endpoint. */
+  /** Returns whether a run is to be evicted now from a draining endpoint. */
   readonly isEvictionDue: (input: EvictionInput) => boolean;
-  /** Returns why a run is a straggler that should be moved; undefined when it isn't. */
+  /** Returns why a run should be moved as a straggler; undefined when it should stay. */
   readonly findMoveReason: (input: SlowRunInput) => Exclude<MoveReason, 'endpointLeaves'> | undefined;
   readonly preemptionRules: PreemptionRules;
-  /** Gangs on draining endpoints are evicted, and resume from the newest checkpoint of any member. */
+  /** Members of gangs are evicted from draining endpoints too. */
   readonly isEvictingGangs: boolean;
-  /** Runs without siblings are compared with the learnt run times. */
+  /** Runs whose step has no median pace yet are compared with learnt run times, and only else with the caller's estimate. */
   readonly isUsingRunTimes: boolean;
-  /** Maximum share of all runs that are moved at the same time as stragglers. */
+  /** Maximum share of all runs that are being moved as stragglers at the same time. */
   readonly maxMovingShare: number;
-  /** Endpoints that fail every run are quarantined. */
+  /** Endpoints on which consecutive runs failed are quarantined. */
   readonly isQuarantining: boolean;
 }
--- a/packages/dispatch/stops/chooseMoves.ts
+++ b/packages/dispatch/stops/chooseMoves.ts
@@ -1,14 +1,17 @@
-/** Priority and gain of a move. */
+/** What moves are ranked by. */
 interface Move {
   readonly priority: number;
-  /** Time that it is expected to gain, in milliseconds. */
+  /** Time by which the task is expected to end earlier, in milliseconds. */
   readonly gainMs: number;
 }
 
-/** Lower bound of the limit, for small clusters. */
+/** Number of moves that may be under way at the same time in any case, however few runs there are. */
 const MIN_MOVE_LIMIT = 4;
 
-/** Returns the moves to make now, by priority, then by gain, up to the limit less the moves under way. */
+/**
+ * Returns the candidates to move now: the most urgent, then those with the largest gain. With the `movingCount` moves under way they
+ * don't exceed `maxMoving`, or `MIN_MOVE_LIMIT` if that is more.
+ */
 export const chooseMoves = <Candidate extends Move>(
   candidates: readonly Candidate[],
   maxMoving: number,
--- a/packages/dispatch/stops/computeLostWork.ts
+++ b/packages/dispatch/stops/computeLostWork.ts
@@ -3,7 +3,10 @@
 
 const MILLIS = 1000;
 
-/** Returns the work of an ended run that is in no checkpoint, in core-milliseconds. */
+/**
+ * Returns the work of an ended run that is in no checkpoint, in core-milliseconds. It is 0 for a run that left a checkpoint when it was
+ * stopped, and for one whose start was never sent.
+ */
 export const computeLostWork = (run: PlacedRun, { reportedEnd, checkpoint }: RunEnd, now: number): number => {
   const isAllSaved = reportedEnd === 'stopped' && checkpoint !== '';
   if (run.stage === 'recording' || isAllSaved) {
--- a/packages/dispatch/stops/computeStopCost.ts
+++ b/packages/dispatch/stops/computeStopCost.ts
@@ -1,10 +1,10 @@
 import type { PreemptionRules } from './PreemptionRules';
 
-/** Expected duration of a stop, the wait for the next round, and the restart from a checkpoint. */
+/** Expected time from a stop until the task works again from its checkpoint. */
 const EXPECTED_RESTART_MS = 500;
 const MILLIS = 1000;
 
-/** Returns the work that a stop loses, in core-milliseconds. */
+/** Returns the work that a stop of a run loses, in core-milliseconds: that of the restart, and that since its checkpoint unless saved. */
 export const computeStopCost: PreemptionRules['computeVictimCost'] = ({
   cpuMillis,
   sinceCheckpointMs,
--- a/packages/dispatch/stops/estimateCapacityWaitMs.ts
+++ b/packages/dispatch/stops/estimateCapacityWaitMs.ts
@@ -2,13 +2,13 @@
 import type { TaskDemand } from '../../jobs/TaskDemand';
 import type { CapacityHolder } from './CapacityHolder';
 
-/** An endpoint that may run tasks of the step. */
+/** Capacity of an endpoint that may run the tasks: what is free, and the runs that take the rest. */
 interface OccupiedEndpoint {
   readonly freeCapacity: TaskDemand;
   readonly capacityHolders: readonly CapacityHolder[];
 }
 
-/** Returns the time until each further task fits on an endpoint as its runs end, in milliseconds. */
+/** Returns, for each task that will fit on an endpoint as its runs end, the time until then in milliseconds; ascending. */
 const estimateFitTimesMs = (
   { freeCapacity, capacityHolders }: OccupiedEndpoint,
   demand: TaskDemand,
@@ -33,8 +33,8 @@
 };
 
 /**
- * Returns the estimated time until `count` tasks fit on the endpoints as runs end by themselves, in milliseconds; Infinity when they
- * never do. A `mostPerEndpoint` of 0 means no limit.
+ * Returns the estimated time until `count` tasks fit on the endpoints together as runs end by themselves, in milliseconds; Infinity when
+ * they never do. At most `mostPerEndpoint` tasks go on one endpoint; 0 means no limit.
  */
 export const estimateCapacityWaitMs = (
   endpoints: readonly OccupiedEndpoint[],
--- a/packages/dispatch/stops/getGangCheckpoint.ts
+++ b/packages/dispatch/stops/getGangCheckpoint.ts
@@ -3,8 +3,8 @@
 import type { GangCheckpoint } from './GangCheckpoint';
 
 /**
- * Returns the checkpoint that an ended member leaves to its gang; undefined for none. A stopped member saves its work at its end,
- * others did so some time before.
+ * Returns the checkpoint that an ended member leaves to its gang; undefined for none. That of a stopped member holds its work up to its
+ * end, that of any other up to the time at which the checkpoint was written or last known.
  */
 export const getGangCheckpoint = (
   run: PlacedRun,
--- a/packages/dispatch/stops/getLossCause.ts
+++ b/packages/dispatch/stops/getLossCause.ts
@@ -3,7 +3,7 @@
 import type { RunEnd } from '../runs/RunEnd';
 import type { LossCause } from './LossCause';
 
-/** Loss causes of ends that an endpoint reports without a stop by this leader. */
+/** Loss cause by the kind of end that an endpoint reported, for runs that this leader didn't stop; undefined for no loss. */
 const UNREQUESTED_CAUSES: Readonly<Record<EndedTaskStatus['how'], LossCause | undefined>> = {
   done: undefined,
   failed: undefined,
@@ -13,7 +13,10 @@
   lapsed: 'lapsed',
 };
 
-/** Returns the cause by which an interrupted run was lost; undefined for one that ended by itself, or never began. */
+/**
+ * Returns the cause by which an interrupted run was lost: that of the leader's stop, else by the reported end, else the loss of its
+ * endpoint. Returns undefined for a run that completed or failed, or that never started.
+ */
 export const getLossCause = (
   run: PlacedRun,
   { outcome, cause, reportedEnd }: RunEnd,
--- a/packages/dispatch/stops/isEvictionDue.ts
+++ b/packages/dispatch/stops/isEvictionDue.ts
@@ -1,8 +1,8 @@
 import type { EvictionInput } from './EvictionInput';
 
 /**
- * Returns whether a run, or a gang, that can't end before its endpoint's drain deadline is to be stopped now. Runs that save their work
- * go on until `marginMs` before the deadline; others are stopped at once.
+ * Returns whether a run is to be evicted now because it won't end before the drain deadline of its endpoint. Runs that write a checkpoint
+ * when they are stopped go on until `marginMs` before the deadline; others are evicted at once.
  */
 export const isEvictionDue = (
   { untilDeadlineMs, remainingMs, isSavingOnStop }: EvictionInput,
--- a/packages/dispatch/stops/isPreemptionWorthwhile.ts
+++ b/packages/dispatch/stops/isPreemptionWorthwhile.ts
@@ -1,14 +1,17 @@
 import type { PreemptionEstimate } from './PreemptionEstimate';
 
-/** Expected duration of a preemption: a stop, the poll that shows its end, and a round of placement. */
+/** Expected time from a preemption until the step starts: a stop, the poll that reports the end, and a round of placement. */
 const EXPECTED_PREEMPTION_MS = 500;
-/** Share of its slack that a step may wait before its objective is considered at risk. */
+/** A step that is expected to wait less than this share of its slack meets its objective without preemption. */
 const SAFE_SLACK_SHARE = 0.1;
-/** Steps that are late by more than this multiple of their allowed time don't preempt others. */
+/** Steps that are late by more than this multiple of the time to their objective don't preempt others. */
 const MAX_LATENESS_FACTOR = 2;
 const MILLIS = 1000;
 
-/** Returns whether a preemption gains more than it loses. A step that will be in time without it gains nothing. */
+/**
+ * Returns whether the step gains more core-milliseconds by an earlier start than the victims lose. It is false for a step that will be in
+ * time anyway, or that is far too late.
+ */
 export const isPreemptionWorthwhile = (estimate: PreemptionEstimate): boolean => {
   // Freed capacity may go to other steps, so a step is expected to wait at least as long again as it has waited.
   const expectedWaitMs = Math.max(estimate.roomWaitMs, estimate.waitedMs);
--- a/packages/dispatch/stops/lossCauses.ts
+++ b/packages/dispatch/stops/lossCauses.ts
@@ -12,10 +12,10 @@
 } as const satisfies Readonly<Record<StopCause, true>>;
 
 /**
- * Causes of lost runs: those of the leader's stops, and
- * - `alone`: its gang wasn't complete in time.
- * - `lapsed`: its lease expired.
- * - `endpointLost`: its endpoint ended, or was unreachable until its lease had expired.
+ * Causes of lost runs: the causes of stops by the leader, and these.
+ * - `alone`: its gang was never complete.
+ * - `lapsed`: the endpoint stopped it since its lease had expired.
+ * - `endpointLost`: its endpoint crashed or left, or was unreachable until its lease had expired.
  */
 export const lossCauses = [
   ...(Object.keys(STOP_CAUSES) as StopCause[]),
--- a/packages/dispatch/stops/stopPolicies.ts
+++ b/packages/dispatch/stops/stopPolicies.ts
@@ -6,22 +6,22 @@
 import type { StopPolicy } from './StopPolicy';
 
 const MAX_PERCENT = 100;
-/** Time before the drain deadline at which runs that save their work are evicted. */
+/** Time before the drain deadline at which `ranked` evicts runs that write a checkpoint when they are stopped. */
 const EVICTION_MARGIN_MS = 700;
-/** The same with time for the longest stop that the platform allows, and a repeated command. */
+/** The same for `priced`: time for the longest stop that the platform allows, and for a repeated stop command. */
 const LONG_EVICTION_MARGIN_MS = 1300;
-/** Longest time for a stop, the poll that shows its end, and a round of placement. */
+/** Longest time for a stop, the poll that reports the end, and a round of placement. */
 const MAX_STOP_MS = 1200;
-/** Usual time for a stop, a poll and a round. Few tickets are valid for the longest stop, and a gang needs many. */
+/** Usual time for a stop, the poll that reports the end, and a round of placement. */
 const MIN_TICKET_VALIDITY_MS = 600;
-/** Longer than a reservation. */
+/** Time from the first preemption for a step to the next; longer than a reservation. */
 const INITIAL_PREEMPTION_RETRY_MS = 3000;
-/** When more runs than this share seem slow, the whole cluster is likely slow and moves gain little. */
+/** Maximum share of runs being moved at the same time. When more seem slow, the whole cluster is likely slow and moves gain little. */
 const MAX_MOVING_RUN_SHARE = 0.05;
-/** Keeps the next preemption of a task from outweighing the cost of its restart. */
+/** Minimum time from the restart of a preempted task to its next preemption. */
 const MIN_WORK_AFTER_RESTART_MS = 1000;
 
-/** Stop policies by name. */
+/** Rules of each stop policy, by name. */
 export const stopPolicies: Readonly<Record<StopPolicyName, StopPolicy>> = {
   ranked: {
     isEvictionDue: (input) => isEvictionDue(input, EVICTION_MARGIN_MS),
--- a/packages/dispatch/waiting/LiveJob.ts
+++ b/packages/dispatch/waiting/LiveJob.ts
@@ -15,59 +15,60 @@
 import { listWaitingSteps } from './listWaitingSteps';
 import type { WaitingStep } from './WaitingStep';
 
-/** State of one step that the leader keeps in memory. */
+/** State of one step in one repetition that the leader keeps in memory only. */
 interface StepState {
   readonly advice: StepAdvice;
   readonly speeds: StepSpeeds;
   readonly runTimes: StepRunTimes;
-  /** Endpoints on which runs of the step failed. */
+  /** Endpoints on which runs of the step failed, or from which they were moved. */
   readonly failedOnEndpoints: Set<EndpointIncarnation>;
-  /** Undefined for no gang, and while no checkpoint is known. */
+  /** Newest checkpoint that an ended member left; undefined when none is known, or when the step is no gang. */
   gangCheckpoint: GangCheckpoint | undefined;
-  /** Preemptions for the step since its last start, and the monotonic time from which the next is allowed. */
+  /** Number of preemptions for the step since its last placement, and the monotonic time from which the next is allowed. */
   preemptionAttempts: { readonly count: number; readonly retryAt: number };
-  /** Undefined while no task is known to wait since the last placement. */
+  /** Wait since the last placement; undefined while no round has found tasks of the step waiting. */
   wait: StepWait | undefined;
 }
 
 const NO_PREEMPTION_ATTEMPTS = { count: 0, retryAt: -Infinity };
 
-/** Cached waiting steps, and the version of the progress and the time for which they are valid. */
+/** Waiting steps, valid for one version of the progress and a span of time. */
 interface CachedWaitingSteps {
   readonly steps: readonly WaitingStep[];
   readonly progressVersion: number;
-  /** Wall clock times between which no repetition falls due. */
+  /** Wall clock times from which and until which no further repetition falls due. */
   readonly validFromMs: number;
   readonly validUntilMs: number;
 }
 
-/** Backoff after the second rejected start of a task, doubled with each further one. */
+/** Backoff after the second consecutive rejected start of a task, doubled with each further one up to the maximum. */
 const INITIAL_REJECTION_BACKOFF_MS = 100;
 const MAX_REJECTION_BACKOFF_MS = 2000;
 
-/** State that the leader keeps of a job that hasn't ended. */
+/** State of a job that the leader keeps in memory: its progress, its waiting steps, and the waits, backoffs and preemptions. */
 export class LiveJob {
-  /** Keyed by `REPETITION.STEP`. */
+  /** State of the steps, by `REPETITION.STEP`. */
   private readonly stepStates = new Map<string, StepState>();
-  /** Critical path from the start of each step to the end of the job. */
+  /** Critical path from the start of each step to the end of the job, in milliseconds, by the index of the step. */
   private readonly stepCriticalPathsMs: readonly number[];
   private readonly jobCriticalPathMs: number;
   private cachedWaitingSteps: CachedWaitingSteps | undefined;
+  /** Number of preemptions, by task. */
   private readonly preemptionCounts = new Map<TaskName, number>();
-  /** Consecutive rejected starts by task. */
+  /** Number of starts that endpoints rejected since the last accepted one, by task. */
   private readonly startRejectionCounts = new Map<TaskName, number>();
-  /** Monotonic times before which tasks aren't started. */
+  /** Monotonic time before which a task isn't started again, by task. */
   private readonly retryAt = new Map<TaskName, number>();
   isCancelled = false;
-  /** Breakdown of its time, logged if it ends late. */
+  /** Breakdown of the job's time, logged if the job fails or completes after its objective. */
   readonly trace: JobTrace;
 
   constructor(
     readonly definition: JobDefinition,
     readonly progress: JobProgress,
-    /** Monotonic time of the last event that may let a task start: the job's acceptance by this leader, or the end of a run. */
+    /** Monotonic time at which this leader took over the job, or, if later, at which the last run of it ended; new waits begin then. */
     public changedAt: number,
-    /** The customer was over its share when the job was accepted. */
+    /** The customer was over its share of the job rate when the job was accepted. */
     readonly isOverShare = false,
   ) {
     this.trace = new JobTrace(changedAt);
@@ -80,19 +81,19 @@
     return this.definition.firstRunMs + repetition * this.definition.intervalMs;
   }
 
-  /** Returns the wall clock time by which a repetition should be complete. */
+  /** Returns the wall clock time by which a repetition should be complete to meet the latency objective of its queue. */
   getObjectiveAtMs(repetition: number): number {
     const { queue, acceptedAtMs } = this.definition;
     const startsAt = Math.max(acceptedAtMs, this.getDueAtMs(repetition));
     return startsAt + queue.targetLatencyMs + queue.stretch * this.jobCriticalPathMs;
   }
 
-  /** Returns the critical path from the start of a step to the end of the job, in milliseconds. */
+  /** Returns the critical path from the start of a step to the end of the job, in milliseconds; 0 for an unknown step. */
   getCriticalPathMs(step: number): number {
     return this.stepCriticalPathsMs[step] ?? 0;
   }
 
-  /** Returns the critical path after a step, in milliseconds. */
+  /** Returns the critical path from the end of a step to the end of the job, in milliseconds. */
   getCriticalPathAfterMs(step: number): number {
     const shape = this.definition.steps[step];
     const ownMs = shape === undefined ? 0 : computeStepWork(shape);
@@ -128,19 +129,22 @@
     return this.getStepState(repetition, step).runTimes;
   }
 
-  /** Returns the wait of a step's tasks. Creates one that begins at `changedAt` when there is none. */
+  /** Returns the wait of a step since its last placement. Creates one that begins at `changedAt` when there is none. */
   getStepWait(repetition: number, step: number): StepWait {
     const state = this.getStepState(repetition, step);
     state.wait ??= new StepWait(this.changedAt);
     return state.wait;
   }
 
-  /** Returns the open waits with the `REPETITION.STEP` of their steps. */
+  /** Returns the waits of all steps that wait, each with the `REPETITION.STEP` of the step. */
   listStepWaits(): readonly (readonly [string, StepWait])[] {
     return [...this.stepStates].flatMap(([name, { wait }]) => (wait === undefined ? [] : [[name, wait]]));
   }
 
-  /** Records that tasks of a step have been placed. The wait of its remaining tasks begins anew. */
+  /**
+   * Records that tasks of a step have been placed. Resets its preemption attempts and ends its wait; begins a new one at `now` if
+   * `hasMore` tasks wait.
+   */
   recordPlacement(repetition: number, step: number, now: number, hasMore: boolean): void {
     this.getStepState(repetition, step).preemptionAttempts = NO_PREEMPTION_ATTEMPTS;
     this.getStepState(repetition, step).wait = hasMore ? new StepWait(now) : undefined;
@@ -151,7 +155,7 @@
     return this.getStepState(repetition, step).gangCheckpoint?.checkpoint;
   }
 
-  /** Records the checkpoint left by an ended member of a gang, if it is newer than the known one. */
+  /** Keeps the checkpoint left by an ended member of a gang if it is of a later run than the known one, or of the same run and newer. */
   recordGangCheckpoint(repetition: number, step: number, saved: GangCheckpoint): void {
     const state = this.getStepState(repetition, step);
     const known = state.gangCheckpoint;
@@ -164,33 +168,35 @@
     }
   }
 
-  /** Returns the monotonic time from which runs may be preempted for a step. */
+  /** Returns the monotonic time from which runs may be preempted for a step again; -Infinity when nothing delays it. */
   getPreemptionRetryAt(repetition: number, step: number): number {
     return this.getStepState(repetition, step).preemptionAttempts.retryAt;
   }
 
-  /** Records a preemption for a step. The next one is delayed, exponentially while the step doesn't start. */
+  /** Records a preemption for a step. Delays the next one by `retryMs`, doubled with each one since the last placement of the step. */
   recordPreemptionAttempt(repetition: number, step: number, now: number, retryMs: number): void {
     const state = this.getStepState(repetition, step);
     const { count } = state.preemptionAttempts;
     state.preemptionAttempts = { count: count + 1, retryAt: now + retryMs * 2 ** count };
   }
 
-  /** Rules out preemption for a step until a monotonic time. */
+  /** Allows no preemption for a step until a monotonic time, without counting an attempt. */
   recordPreemptionBackoff(repetition: number, step: number, until: number): void {
     const state = this.getStepState(repetition, step);
     state.preemptionAttempts = { ...state.preemptionAttempts, retryAt: until };
   }
 
+  /** Returns whether a run of the step failed on the endpoint, or was moved away from it. */
   hasFailureOn(repetition: number, step: number, endpoint: EndpointIncarnation): boolean {
     return this.getStepState(repetition, step).failedOnEndpoints.has(endpoint);
   }
 
+  /** Records that a run of the step failed on the endpoint, or was moved away from it. */
   recordFailureOn(repetition: number, step: number, endpoint: EndpointIncarnation): void {
     this.getStepState(repetition, step).failedOnEndpoints.add(endpoint);
   }
 
-  /** Returns how often the task was preempted. */
+  /** Returns how often the task was preempted under this leader. */
   countPreemptions(task: TaskName): number {
     return this.preemptionCounts.get(task) ?? 0;
   }
@@ -199,13 +205,13 @@
     this.preemptionCounts.set(task, this.countPreemptions(task) + 1);
   }
 
-  /** Delays the next start of a task until a monotonic time. */
+  /** Delays the next start of a task until a monotonic time, or longer if an earlier backoff lasts longer. */
   recordBackoff(address: TaskAddress, until: number): void {
     const task = toTaskName(this.definition.id, address);
     this.retryAt.set(task, Math.max(until, this.retryAt.get(task) ?? until));
   }
 
-  /** Records that an endpoint rejected a start of the task. The first retry is immediate, later ones back off exponentially. */
+  /** Records that an endpoint rejected a start of the task. From the second consecutive one, delays the next start exponentially. */
   recordStartRejected(address: TaskAddress, now: number): void {
     const task = toTaskName(this.definition.id, address);
     const count = (this.startRejectionCounts.get(task) ?? 0) + 1;
@@ -216,18 +222,19 @@
     }
   }
 
-  /** Records that an endpoint accepted a start of the task. */
+  /** Records that an endpoint accepted a start of the task, which resets the count of its rejected starts. */
   recordStartAccepted(address: TaskAddress): void {
     if (this.startRejectionCounts.size > 0) {
       this.startRejectionCounts.delete(toTaskName(this.definition.id, address));
     }
   }
 
-  /** Returns whether the next start of the task is delayed, after a crash or rejected starts. */
+  /** Returns whether the next start of the task is still delayed at the monotonic time `now`, after a crash or rejected starts. */
   isBackingOff(address: TaskAddress, now: number): boolean {
     return this.retryAt.size > 0 && now < (this.retryAt.get(toTaskName(this.definition.id, address)) ?? now);
   }
 
+  /** Returns the state of a step, which it creates on the first call. */
   private getStepState(repetition: number, step: number): StepState {
     const key = `${repetition}.${step}`;
     const known = this.stepStates.get(key);
@@ -247,6 +254,7 @@
     return created;
   }
 
+  /** Returns the wall clock time at which the next repetition falls due; Infinity when all have. */
   private getNextDueAtMs(wallMs: number): number {
     for (let repetition = 0; repetition < this.definition.times; repetition += 1) {
       const dueAtMs = this.getDueAtMs(repetition);
@@ -257,7 +265,7 @@
     return Infinity;
   }
 
-  /** Returns the number of failed runs that count against the attempts of a task, or of its gang. */
+  /** Returns the number of failed runs of a task, or of all members of its gang, which the allowed attempts limit. */
   countFailures(repetition: number, step: number, index: number): number {
     const tasks = this.progress.listTasks(repetition, step);
     if (this.definition.steps[step]?.isGang === true) {
--- a/packages/dispatch/waiting/LongWaitLogger.ts
+++ b/packages/dispatch/waiting/LongWaitLogger.ts
@@ -5,14 +5,16 @@
 import { toRoundedWaitTimes } from './toRoundedWaitTimes';
 import type { WaitTimes } from './WaitTimes';
 
-/** Shorter waits are logged with the placement only. */
+/** Waits shorter than this are logged only with the placement. */
 const MIN_LOGGED_WAIT_MS = 1000;
-/** Interval between two checks of all waits. */
+/** Minimum interval between two checks of all waits. */
 const CHECK_INTERVAL_MS = 500;
 
+/** Returns the sum of the wait times of all causes, in milliseconds. */
 const computeTotalWaitMs = (times: WaitTimes): number =>
   Object.values(times).reduce((sum, ms) => sum + ms, 0);
 
+/** Creates the fields of a log line on the wait of one step; `step` is its `REPETITION.STEP`. */
 const createLogFields = (
   { definition: { id, queue } }: LiveJob,
   step: string,
@@ -25,12 +27,12 @@
 });
 
 /**
- * Logs why steps wait, each time the wait has doubled. The line of the placement has the whole wait, but a leader that ends before
- * would leave no record of it.
+ * Logs how long steps have waited, by cause, when the wait reaches `MIN_LOGGED_WAIT_MS` and each time it has doubled since. So the wait is
+ * known also if the leader ends before the placement, which logs the whole wait.
  */
 export class LongWaitLogger {
   private lastCheckedAt = -Infinity;
-  /** Duration of each wait when it was last logged, in milliseconds. */
+  /** Length of each wait when it was last logged, in milliseconds. */
   private readonly lastLoggedWaitMs = new WeakMap<StepWait, number>();
 
   constructor(
@@ -38,6 +40,7 @@
     private readonly sendLog: (message: string, fields: LineFields) => void,
   ) {}
 
+  /** Checks the waits of all jobs that haven't ended, and logs the long ones. Does nothing within `CHECK_INTERVAL_MS` of the last check. */
   logLongWaits(now: number): void {
     if (now - this.lastCheckedAt < CHECK_INTERVAL_MS) {
       return;
@@ -50,7 +53,7 @@
     }
   }
 
-  /** Returns the log fields of each open wait, for the end of this leader's epoch. */
+  /** Returns the fields of a log line for each step that waits, in all jobs that haven't ended. */
   listOpenWaits(now: number): readonly LineFields[] {
     return [...this.jobs.values()]
       .filter(({ progress }) => !progress.isEnded())
--- a/packages/dispatch/waiting/StepSpeeds.ts
+++ b/packages/dispatch/waiting/StepSpeeds.ts
@@ -1,19 +1,21 @@
 import { computeQuantile } from '../../common/computeQuantile';
 import { sortAscending } from '../../common/sortAscending';
 
-/** Minimum number of tasks from which a median is computed. */
+/** Number of tasks with a recorded pace from which the median is known. */
 const MIN_MEDIAN_TASK_COUNT = 3;
 
-/** Paces of the tasks of one step, in milliseconds for one percent, by which stragglers are found. */
+/** Newest paces of the tasks of one step, in milliseconds for one percent of progress. Stragglers are compared with their median. */
 export class StepSpeeds {
+  /** By the index of the task. */
   private readonly paces = new Map<number, number>();
-  /** Paces normalized to a baseline endpoint. */
+  /** Paces that the tasks would have on a baseline endpoint, by the index of the task. */
   private readonly normalizedPaces = new Map<number, number>();
-  /** Cached until the next pace is recorded. */
+  /** Cached median of `paces`; undefined until it is computed after the last recorded pace. */
   private medianPace: number | undefined;
+  /** The same for `normalizedPaces`. */
   private normalizedMedianPace: number | undefined;
 
-  /** Records the newest pace of a task, and the pace normalized to a baseline endpoint. */
+  /** Replaces the pace of a task, and the pace that it would have on a baseline endpoint, which is the same by default. */
   recordPace(index: number, msPerPercent: number, normalizedMsPerPercent = msPerPercent): void {
     this.paces.set(index, msPerPercent);
     this.normalizedPaces.set(index, normalizedMsPerPercent);
@@ -21,7 +23,7 @@
     this.normalizedMedianPace = undefined;
   }
 
-  /** Returns the median pace; undefined while too few are known. */
+  /** Returns the median pace of the tasks; undefined while fewer than `MIN_MEDIAN_TASK_COUNT` have one. */
   getMedianPace(): number | undefined {
     if (this.paces.size < MIN_MEDIAN_TASK_COUNT) {
       return undefined;
@@ -30,7 +32,7 @@
     return this.medianPace;
   }
 
-  /** Returns the median of the normalized paces; undefined while too few are known. */
+  /** Returns the median pace on a baseline endpoint; undefined while fewer than `MIN_MEDIAN_TASK_COUNT` tasks have one. */
   getNormalizedMedianPace(): number | undefined {
     if (this.normalizedPaces.size < MIN_MEDIAN_TASK_COUNT) {
       return undefined;
--- a/packages/dispatch/waiting/StepWait.ts
+++ b/packages/dispatch/waiting/StepWait.ts
@@ -1,7 +1,7 @@
 import type { WaitCause } from './WaitCause';
 import type { WaitTimes } from './WaitTimes';
 
-/** Time that the tasks of one step have waited since its last placement, by cause. */
+/** Time that the waiting tasks of one step have waited since its last placement, by cause. */
 export class StepWait {
   private currentCause: WaitCause = 'round';
   private readonly waitTimes: Record<WaitCause, number> = {
@@ -13,21 +13,22 @@
     pause: 0,
   };
 
-  /** `since` is the monotonic time at which the wait begins. */
+  /** `countedUntil` is the monotonic time up to which the wait is in `waitTimes`; at first, that at which the wait begins. */
   constructor(private countedUntil: number) {}
 
-  /** Records why a round has placed no more tasks. The cause applies until the next round. */
+  /** Records why the round at `now` left tasks waiting. The time up to `now` counts for the last cause, later time for this one. */
   recordCause(cause: WaitCause, now: number): void {
     this.updateWaitTimes(now);
     this.currentCause = cause;
   }
 
-  /** Returns the time waited until `now`, in milliseconds by cause. */
+  /** Returns the time waited up to `now` by cause, in milliseconds. */
   getWaitTimes(now: number): WaitTimes {
     this.updateWaitTimes(now);
     return { ...this.waitTimes };
   }
 
+  /** Adds the time since the last update to the current cause. */
   private updateWaitTimes(now: number): void {
     this.waitTimes[this.currentCause] += Math.max(0, now - this.countedUntil);
     this.countedUntil = Math.max(this.countedUntil, now);
--- a/packages/dispatch/waiting/WaitCause.ts
+++ b/packages/dispatch/waiting/WaitCause.ts
@@ -1,10 +1,10 @@
 /**
- * Reason why a task that could start hasn't been placed yet.
- * - `round`: there was no round of placement since it became ready.
- * - `turn`: its advice request waits for a free slot.
- * - `answer`: its advice request has no response yet.
+ * Cause for which a task that may start hasn't been placed yet.
+ * - `round`: no round of placement has considered it yet.
+ * - `turn`: the advice request for its step waits for a free slot.
+ * - `answer`: the advice request for its step has no response yet.
  * - `room`: no endpoint that may run it has enough free capacity.
- * - `limit`: its customer is at its limit.
+ * - `limit`: its customer has too little left of its resource limit.
  * - `pause`: its next start is backing off after a crash or rejected starts.
  */
 export type WaitCause = 'round' | 'turn' | 'answer' | 'room' | 'limit' | 'pause';
--- a/packages/dispatch/waiting/WaitTimes.ts
+++ b/packages/dispatch/waiting/WaitTimes.ts
@@ -1,4 +1,4 @@
 import type { WaitCause } from './WaitCause';
 
-/** Time waited in milliseconds, by cause. */
+/** Time that the tasks of a step have waited, in milliseconds, by cause. */
 export type WaitTimes = Readonly<Record<WaitCause, number>>;
--- a/packages/dispatch/waiting/listWaitingSteps.ts
+++ b/packages/dispatch/waiting/listWaitingSteps.ts
@@ -1,10 +1,13 @@
 import type { LiveJob } from './LiveJob';
 import type { WaitingStep } from './WaitingStep';
 
-/** Returns whether all members of a gang are waiting, since a gang starts as a whole. */
+/** Returns whether all members of a gang are waiting; `count` is the number of members. A gang starts only as a whole. */
 const isWholeGangWaiting = (indexes: readonly number[], count: number): boolean => indexes.length === count;
 
-/** Returns the steps of a job with tasks that may start at a wall clock time. */
+/**
+ * Returns the steps of a job with waiting tasks, in all repetitions that are due at a wall clock time. Leaves out steps that depend on
+ * others that aren't done, and gangs of which some members don't wait.
+ */
 export const listWaitingSteps = (job: LiveJob, wallMs: number): readonly WaitingStep[] => {
   const steps: WaitingStep[] = [];
   const { definition, progress } = job;
--- a/packages/dispatch/waiting/placementOrders.ts
+++ b/packages/dispatch/waiting/placementOrders.ts
@@ -4,21 +4,23 @@
 import { sortByHeldShares } from './sortByHeldShares';
 import type { WaitingStep } from './WaitingStep';
 
-/** Returns a negative number when the left step goes first, 0 for a tie. */
+/** Comparator of waiting steps: negative when the left step goes first, positive when the right one does, 0 for a tie. */
 type Comparator = (left: WaitingStep, right: WaitingStep, input: PlacementOrderInput) => number;
 
 const comparePriority: Comparator = (left, right) =>
   left.job.definition.queue.priority - right.job.definition.queue.priority;
 
+/** Puts steps whose objective has passed last. */
 const compareLateness: Comparator = (left, right, { wallMs }) =>
   Number(left.objectiveAtMs < wallMs) - Number(right.objectiveAtMs < wallMs);
 
 const compareObjective: Comparator = (left, right) => left.objectiveAtMs - right.objectiveAtMs;
 
+/** Puts steps last whose customer was over its share of the job rate when the job was accepted. */
 const compareOverShare: Comparator = (left, right) =>
   Number(left.job.isOverShare) - Number(right.job.isOverShare);
 
-/** Returns the processor usage of a step's customer by its weight; 0 without a customer or a weight. */
+/** Returns the processor usage of a step's customer divided by its weight; 0 without a customer, or for a weight of 0. */
 const computeWeightedUsage = ({ job }: WaitingStep, usage: CustomerUsage): number => {
   const { customer } = job.definition;
   return customer === undefined || customer.weight === 0
@@ -29,7 +31,7 @@
 const compareUsage: Comparator = (left, right, { usage }) =>
   computeWeightedUsage(left, usage) - computeWeightedUsage(right, usage);
 
-/** Comparators of each order. Later ones break ties. */
+/** Comparators of each order. Each one breaks the ties of those before it. */
 const COMPARATORS: Readonly<Record<Exclude<PlacementOrder, 'held'>, readonly Comparator[]>> = {
   objective: [comparePriority, compareLateness, compareObjective],
   shares: [comparePriority, compareOverShare, compareLateness, compareObjective],
@@ -37,6 +39,7 @@
   sharesThenUsage: [comparePriority, compareOverShare, compareUsage, compareLateness, compareObjective],
 };
 
+/** Creates a function that sorts steps by several comparators, without a change of its argument. */
 const createSorter =
   (comparators: readonly Comparator[]) =>
   (waiting: readonly WaitingStep[], input: PlacementOrderInput): readonly WaitingStep[] =>
@@ -55,7 +58,7 @@
 
 const sortByShares = createSorter(COMPARATORS.shares);
 
-/** Placement orders by name. */
+/** Function that sorts waiting steps into each placement order, by its name. */
 export const placementOrders: Readonly<
   Record<
     PlacementOrder,
--- a/packages/dispatch/waiting/sortByHeldShares.ts
+++ b/packages/dispatch/waiting/sortByHeldShares.ts
@@ -8,32 +8,36 @@
 import { computeWaitingDemand } from './computeWaitingDemand';
 import type { WaitingStep } from './WaitingStep';
 
-/** A waiting step and its sort keys. */
+/** A waiting step and the keys by which it is sorted. */
 interface RankedStep {
   readonly step: WaitingStep;
   readonly priority: number;
+  /** One of `TIMELINESS`. */
   readonly timeliness: number;
-  /** Wall clock time by which it has to start to meet its objective, or, if it is late, to be useful. */
+  /** Wall clock time by which the step has to start to meet its objective or, if it can't any more, to be still useful. */
   readonly startByMs: number;
-  /** Dominant share of its waiting tasks, 0 to 1. */
+  /** Dominant share of the total capacity that its waiting tasks demand; 1 for all of it. */
   readonly demandedShare: number;
+  /** Its customer is over its fair share before the step is counted. Set by `updateOverShareFlags`. */
   isOverShare: boolean;
 }
 
-/** Sort keys of steps that can meet their objective, that are late but useful to their callers, and that are neither. */
+/** Sort keys of steps that can meet their objective, that can't but are still useful to their callers, and that are neither. */
 const TIMELINESS = { inTime: 0, late: 1, expired: 2 } as const;
-/** Share of callers' run time estimates that counts as certain, so that work isn't treated as late because of a long estimate. */
+/** Share of callers' estimates that is used as a lower bound, so that a step isn't treated as late because of a long estimate. */
 const CERTAIN_ESTIMATE_SHARE = 0.1;
-/** Expired steps go first in one of this many time slices, so that they aren't starved by newer work. */
+/** Expired steps go first in every time slice whose number is a multiple of this, so that newer work doesn't starve them. */
 const EXPIRED_FIRST_SLICE_INTERVAL = 8;
-/** Longer than a round of placement, short compared to objectives. */
+/** Length of a time slice: longer than a round of placement, and short compared to objectives. */
 const TIME_SLICE_MS = 100;
 
+/** Returns the customer of a step; undefined when the step has none, or one with a weight of 0. */
 const getWeightedCustomer = ({ job }: WaitingStep): { name: CustomerName; weight: number } | undefined => {
   const { customer } = job.definition;
   return customer === undefined || customer.weight === 0 ? undefined : customer;
 };
 
+/** Returns a lower bound of the time from the start of a step to the end of its job, in milliseconds. */
 const estimateCertainRemainingMs = ({ job, step }: WaitingStep): number =>
   job.getCriticalPathMs(step) * CERTAIN_ESTIMATE_SHARE;
 
@@ -58,7 +62,10 @@
   };
 };
 
-/** Returns the fair share of each customer with waiting steps, of the capacity that isn't held by the other customers. */
+/**
+ * Returns the fair share of each weighted customer with waiting steps. They share the capacity that isn't held by customers without
+ * waiting steps; `held` is the dominant share that each customer uses now.
+ */
 const computeCustomerShares = (
   ranked: readonly RankedStep[],
   held: ReadonlyMap<CustomerName, number>,
@@ -77,8 +84,8 @@
 };
 
 /**
- * Marks the steps that begin over their customer's fair share, counting the customer's running tasks and its earlier steps. Each
- * priority is counted separately, so that a gang that waits long for capacity doesn't use up the share of its customer's other work.
+ * Sets `isOverShare` of each step whose customer reaches its fair share by its usage and its earlier steps in the list. Each priority is
+ * counted separately, so that a gang that waits long for capacity doesn't use up the share of the customer's other work.
  */
 const updateOverShareFlags = (
   ranked: readonly RankedStep[],
@@ -103,27 +110,30 @@
   }
 };
 
+/** Returns whether a wall clock time is in a time slice in which expired steps go first. */
 const isExpiredFirstSlice = (wallMs: number): boolean =>
   Math.floor(wallMs / TIME_SLICE_MS) % EXPIRED_FIRST_SLICE_INTERVAL === 0;
 
+/** Compares by priority, then by timeliness, then by latest start time. */
 const compareByStartTime = (left: RankedStep, right: RankedStep): number =>
   left.priority - right.priority || left.timeliness - right.timeliness || left.startByMs - right.startByMs;
 
+/** Compares as `compareByStartTime`, but puts steps over their share last before it compares the latest start time. */
 const compareByShare = (left: RankedStep, right: RankedStep): number =>
   left.priority - right.priority ||
   left.timeliness - right.timeliness ||
   Number(left.isOverShare) - Number(right.isOverShare) ||
   left.startByMs - right.startByMs;
 
-/** Puts expired steps first within a priority. */
+/** Compares as `compareByShare`, but puts expired steps first within a priority. */
 const compareExpiredFirst = (left: RankedStep, right: RankedStep): number =>
   left.priority - right.priority ||
   Number(right.timeliness === TIMELINESS.expired) - Number(left.timeliness === TIMELINESS.expired) ||
   compareByShare(left, right);
 
 /**
- * Sorts by priority, then by whether a step can be in time or still useful, then by whether its customer is over its fair share, then
- * by the latest start time.
+ * Sorts waiting steps by priority, then by whether they can be in time or still useful, then by whether their customer is over its fair
+ * share, then by latest start time. In some time slices expired steps go first within a priority.
  */
 export const sortByHeldShares = (
   waiting: readonly WaitingStep[],
--- a/packages/dispatch/waiting/toRoundedWaitTimes.ts
+++ b/packages/dispatch/waiting/toRoundedWaitTimes.ts
@@ -1,7 +1,7 @@
 import type { WaitCause } from './WaitCause';
 import type { WaitTimes } from './WaitTimes';
 
-/** Converts wait times for a log line: in whole milliseconds, without causes of 0. */
+/** Converts wait times for a log line: to whole milliseconds, without the causes that round to 0. */
 export const toRoundedWaitTimes = (times: WaitTimes): Partial<Record<WaitCause, number>> =>
   Object.fromEntries(
     Object.entries(times)
--- a/packages/dispatch/waiting/toStepName.ts
+++ b/packages/dispatch/waiting/toStepName.ts
@@ -1,6 +1,6 @@
 import type { WaitingStep } from './WaitingStep';
 
-/** Returns the name of a step of a job, `JOB.REPETITION.STEP`, as used by the advice service and in log lines. */
+/** Returns `JOB.REPETITION.STEP` of a step, its name in requests to the advice service and in log lines. */
 export const toStepName = ({
   job,
   repetition,
--- a/packages/dispatch/waiting/waitMetricNames.ts
+++ b/packages/dispatch/waiting/waitMetricNames.ts
@@ -1,6 +1,6 @@
 import type { WaitCause } from './WaitCause';
 
-/** Names of the metrics of wait times, by cause. */
+/** Name of the metric that records the wait time of each cause. */
 export const waitMetricNames = {
   round: 'waitRoundMs',
   turn: 'waitTurnMs',
