--- a/packages/dispatch/Dispatcher.ts
+++ b/packages/dispatch/Dispatcher.ts
@@ -142,11 +142,11 @@
     });
     const { reservations } = this;
     this.capacity = new CapacityView(this.endpoints, reservations);
-    this.quarantine = new EndpointQuarantine(this.endpoints, stops.isQuarantining);
+    this.quarantine = new EndpointQuarantine(this.endpoints, stops.isQuarantineEnabled);
     this.preemptor = new Preemptor({
       jobs: this.jobs,
       reservations,
-      rules: stops.preemptionRules,
+      preemptionRules: stops.preemptionRules,
       handlePreempted: (endpoint, run, step, estimate) => this.handlePreempted(endpoint, run, step, estimate),
     });
     const { preemptor } = this;
@@ -159,9 +159,9 @@
       kindSpeeds: kinds,
       endpointSpeeds: speeds,
       runTimes: times,
-      capacity: this.capacity,
-      speedChoice,
-      hallChoice,
+      capacityView: this.capacity,
+      speedPolicy: speedChoice,
+      hallPolicy: hallChoice,
     });
     this.preference = preference;
     const { capacity: room, adviceStats: history } = this;
@@ -181,8 +181,8 @@
     });
     this.placer = new StepPlacer({
       capacity: this.capacity,
-      limiter: limits,
-      advice: this.adviceRequester,
+      stepLimiter: limits,
+      adviceRequester: this.adviceRequester,
       preemptor,
       reservations,
       preference,
--- a/packages/dispatch/crashes/CrashTracker.ts
+++ b/packages/dispatch/crashes/CrashTracker.ts
@@ -347,7 +347,7 @@
     const { crashes } = job.progress.getTask(address)!;
     const backoffMs = computeBackoffMs(crashes);
     if (backoffMs > 0) {
-      job.recordBackoff(address, now + backoffMs);
+      job.recordTaskBackoff(address, now + backoffMs);
     }
     if (isOverCrashLimit(crashes, this.hasUnexplainedLosses(now))) {
       this.tasksOverLimit.set(job.definition.id, address);
--- a/packages/dispatch/placing/EndpointPreference.ts
+++ b/packages/dispatch/placing/EndpointPreference.ts
@@ -7,8 +7,8 @@
 import type { WaitingStep } from '../waiting/WaitingStep';
 
 interface EndpointPreferenceOptions extends SpeedSources {
-  readonly speedChoice: SpeedPolicyName;
-  readonly hallChoice: HallPolicyName;
+  readonly speedPolicy: SpeedPolicyName;
+  readonly hallPolicy: HallPolicyName;
 }
 
 /** Computes costs of endpoints for a step from their speed and their hall, by the configured policies. */
@@ -33,10 +33,10 @@
     if (step.shape.isLongRunning || step.shape.isFiller) {
       return () => 0;
     }
-    const { capacity, speedChoice, hallChoice } = this.options;
-    const computeSpeedCost = speedPolicies[speedChoice](step, this.options, endpoints, this.roundWallMs);
-    const homeHall = capacity.chooseHomeHall(step);
+    const { capacityView, speedPolicy, hallPolicy } = this.options;
+    const computeSpeedCost = speedPolicies[speedPolicy](step, this.options, endpoints, this.roundWallMs);
+    const homeHall = capacityView.chooseHomeHall(step);
     return (endpoint) =>
-      computeSpeedCost(endpoint) + hallPolicies[hallChoice](endpoint.getProfile().hall === homeHall);
+      computeSpeedCost(endpoint) + hallPolicies[hallPolicy](endpoint.getProfile().hall === homeHall);
   }
 }
--- a/packages/dispatch/placing/EndpointReservations.ts
+++ b/packages/dispatch/placing/EndpointReservations.ts
@@ -5,6 +5,7 @@
 interface Reservation {
   /** `JOB.REPETITION.STEP` of the step that the endpoint is reserved for. */
   readonly stepName: string;
+  /** Priority of the queue of that step. */
   readonly priority: number;
   /** Monotonic time from which `removeExpiredReservations` removes it. */
   readonly expiresAt: number;
@@ -27,19 +28,19 @@
     this.reservations.set(endpoint, { stepName: toStepName(step), priority, expiresAt });
   }
 
-  releaseReservations(step: WaitingStep): void {
-    const holder = toStepName(step);
+  releaseStepReservations(step: WaitingStep): void {
+    const stepName = toStepName(step);
     for (const [endpoint, reservation] of this.reservations) {
-      if (reservation.stepName === holder) {
+      if (reservation.stepName === stepName) {
         this.reservations.delete(endpoint);
       }
     }
   }
 
   /** Returns whether at least one endpoint is reserved for the step. */
-  hasReservation(step: WaitingStep): boolean {
-    const holder = toStepName(step);
-    return [...this.reservations.values()].some((reservation) => reservation.stepName === holder);
+  hasReservationFor(step: WaitingStep): boolean {
+    const stepName = toStepName(step);
+    return [...this.reservations.values()].some((reservation) => reservation.stepName === stepName);
   }
 
   /** Returns whether the endpoint is reserved for another step of the same or a higher priority. */
--- a/packages/dispatch/placing/Preemptor.ts
+++ b/packages/dispatch/placing/Preemptor.ts
@@ -15,7 +15,7 @@
 interface PreemptorOptions {
   readonly jobs: ReadonlyMap<JobId, LiveJob>;
   readonly reservations: EndpointReservations;
-  readonly rules: PreemptionRules;
+  readonly preemptionRules: PreemptionRules;
   /** Called for each run that is to be stopped for the step. */
   readonly handlePreempted: (
     endpoint: EndpointState,
@@ -70,7 +70,7 @@
 
   /** Returns the time for which the ticket of an endpoint must still be valid if runs are preempted there, in milliseconds. */
   getMinTicketValidityMs(): number {
-    return this.options.rules.minTicketValidityMs;
+    return this.options.preemptionRules.minTicketValidityMs;
   }
 
   /**
@@ -81,7 +81,7 @@
   startPreemption(step: WaitingStep, allowed: readonly EndpointState[], now: number): void {
     const { reservations, handlePreempted } = this.options;
     if (
-      reservations.hasReservation(step) ||
+      reservations.hasReservationFor(step) ||
       now < step.job.getPreemptionRetryAt(step.repetition, step.step)
     ) {
       return;
@@ -92,16 +92,21 @@
       return;
     }
     const estimate = this.estimatePreemption(step, allowed, plans, now);
-    if (!this.options.rules.isWorthwhile(estimate)) {
+    if (!this.options.preemptionRules.isWorthwhile(estimate)) {
       step.job.recordPreemptionBackoff(step.repetition, step.step, now + PREEMPTION_RECHECK_MS);
       return;
     }
-    step.job.recordPreemptionAttempt(step.repetition, step.step, now, this.options.rules.initialRetryDelayMs);
+    step.job.recordPreemptionAttempt(
+      step.repetition,
+      step.step,
+      now,
+      this.options.preemptionRules.initialRetryDelayMs,
+    );
     for (const [endpoint, { victims }] of plans) {
       reservations.setReservation(
         endpoint.getProfile().incarnation,
         step,
-        now + this.options.rules.reservationMs,
+        now + this.options.preemptionRules.reservationMs,
       );
       for (const run of victims) {
         this.options.jobs.get(run.job)?.recordPreemption(run.task);
@@ -227,12 +232,12 @@
     if (!resourceMath.isWithin(demand, free)) {
       return undefined;
     }
-    if (this.options.rules.isMinimizingVictims) {
+    if (this.options.preemptionRules.isMinimizingVictims) {
       ({ added, free } = this.computeNeededVictims(added, free, demand));
     }
     const victims = [...earlier, ...added];
     const totalCost = added.reduce(
-      (sum, run) => sum + this.options.rules.computeVictimCost(this.toVictim(run, now)),
+      (sum, run) => sum + this.options.preemptionRules.computeVictimCost(this.toVictim(run, now)),
       before?.totalCost ?? 0,
     );
     const startableCount = (before?.startableCount ?? 0) + 1;
@@ -278,7 +283,7 @@
     const isExcluded = shape.isGang || shape.isLongRunning || shape.isFiller;
     const preemptions = job.countPreemptions(run.task);
     const hasWorkedEnough =
-      preemptions === 0 || now - run.confirmedAt >= this.options.rules.minWorkAfterRestartMs;
+      preemptions === 0 || now - run.confirmedAt >= this.options.preemptionRules.minWorkAfterRestartMs;
     return !isExcluded && preemptions < MAX_PREEMPTIONS && hasWorkedEnough && !this.isEndingSoon(run, now);
   }
 
--- a/packages/dispatch/placing/SpeedSources.ts
+++ b/packages/dispatch/placing/SpeedSources.ts
@@ -8,5 +8,5 @@
   readonly kindSpeeds: KindSpeeds;
   readonly endpointSpeeds: EndpointSpeeds;
   readonly runTimes: RunTimes;
-  readonly capacity: CapacityView;
+  readonly capacityView: CapacityView;
 }
--- a/packages/dispatch/placing/StepPlacer.ts
+++ b/packages/dispatch/placing/StepPlacer.ts
@@ -40,8 +40,8 @@
 
 interface StepPlacerOptions {
   readonly capacity: CapacityView;
-  readonly limiter: StepLimiter;
-  readonly advice: AdviceRequester;
+  readonly stepLimiter: StepLimiter;
+  readonly adviceRequester: AdviceRequester;
   readonly preemptor: Preemptor;
   readonly reservations: EndpointReservations;
   readonly preference: EndpointPreference;
@@ -71,7 +71,7 @@
       wait.recordCause('pause', now);
       return false;
     }
-    const step = this.options.limiter.computeStartablePart(due);
+    const step = this.options.stepLimiter.computeStartablePart(due);
     if (step === undefined) {
       wait.recordCause('limit', now);
       return false;
@@ -84,7 +84,8 @@
     }
     const placements = this.choosePlacements(step, eligible, now);
     const missing = step.indexes.length - placements.length;
-    const cause = missing === 0 ? 'room' : this.options.advice.requestAdvice(step, eligible, missing, now);
+    const cause =
+      missing === 0 ? 'room' : this.options.adviceRequester.requestAdvice(step, eligible, missing, now);
     if (isScarce && placements.length === 0) {
       this.startPreemption(step, eligible, now);
     }
@@ -109,7 +110,7 @@
    */
   requestAdviceAhead(waitingStep: WaitingStep, now: number): void {
     const due = this.computePartWithoutBackoff(waitingStep, now);
-    const step = due === undefined ? undefined : this.options.limiter.computeStartablePart(due);
+    const step = due === undefined ? undefined : this.options.stepLimiter.computeStartablePart(due);
     if (step === undefined) {
       return;
     }
@@ -117,12 +118,18 @@
     if (!this.capacity.hasCapacityForTask(step, eligible)) {
       return;
     }
-    const { advice } = this.options;
-    const neededUntil = now + advice.estimateResponseMs(step);
+    const { adviceRequester } = this.options;
+    const neededUntil = now + adviceRequester.estimateResponseMs(step);
     const placements = this.choosePlacements(step, eligible, neededUntil);
     this.tentativePlacements.push(...placements);
     if (placements.length < step.indexes.length) {
-      advice.requestAdvice(step, eligible, step.indexes.length - placements.length, now, neededUntil);
+      adviceRequester.requestAdvice(
+        step,
+        eligible,
+        step.indexes.length - placements.length,
+        now,
+        neededUntil,
+      );
     }
   }
 
@@ -304,7 +311,7 @@
     const { progress, definition } = job;
     const gangCheckpoint = shape.isGang ? this.getGangCheckpoint(step) : '';
     const waits = job.getStepWait(step.repetition, step.step).getWaitTimes(now);
-    this.options.reservations.releaseReservations(step);
+    this.options.reservations.releaseStepReservations(step);
     const placed = placements.map(({ endpoint: state, run, ticket }) => {
       const { address, task } = run;
       const endpoint = state.getProfile().incarnation;
@@ -312,7 +319,7 @@
       progress.recordPlaced(address, run.run, endpoint);
       run.waits = waits;
       const command = { task, run: run.run, spec: definition.spec, checkpoint, ticket };
-      this.options.advice.recordTicketUse(step, endpoint);
+      this.options.adviceRequester.recordTicketUse(step, endpoint);
       this.options.sendEffect({ kind: 'start', job: definition.id, endpoint, command, waits });
       return {
         task,
--- a/packages/dispatch/placing/SuspectCosts.ts
+++ b/packages/dispatch/placing/SuspectCosts.ts
@@ -12,7 +12,7 @@
 const STARTING_NEIGHBOUR_COST = 2000;
 const RECENT_CRASH_COST = 1500;
 const SERVING_NEIGHBOUR_COST = 300;
-const NEIGHBOUR_COST = 30;
+const OTHER_NEIGHBOUR_COST = 30;
 /** Cost for a task that is no suspect of an endpoint with a suspect in its startup. */
 const SUSPECT_NEIGHBOUR_COST = 1500;
 
@@ -81,7 +81,7 @@
   /** Returns the cost for a suspect of one run that is on the endpoint. */
   private computeNeighbourCost(step: WaitingStep, run: PlacedRun): number {
     const startupCost = isPastStartup(run) || this.isSameGang(step, run) ? 0 : STARTING_NEIGHBOUR_COST;
-    return startupCost + (run.isServing ? SERVING_NEIGHBOUR_COST : NEIGHBOUR_COST);
+    return startupCost + (run.isServing ? SERVING_NEIGHBOUR_COST : OTHER_NEIGHBOUR_COST);
   }
 
   /** Returns whether the endpoint has a suspect in its startup that isn't a member of the gang to be placed. */
--- a/packages/dispatch/placing/speedPolicies.ts
+++ b/packages/dispatch/placing/speedPolicies.ts
@@ -18,8 +18,8 @@
 const SLOWDOWN_STEP = 0.1;
 
 /** Creates a cost function by which the most urgent queue prefers fast kinds of endpoints, and all others slow kinds. */
-const createKindCost: CreateCostFunction = (step, { kindSpeeds, capacity }) => {
-  const isMostUrgent = capacity.isMostUrgentQueue(step.job.definition.queue);
+const createKindCost: CreateCostFunction = (step, { kindSpeeds, capacityView }) => {
+  const isMostUrgent = capacityView.isMostUrgentQueue(step.job.definition.queue);
   return (endpoint) => {
     const slowdown = kindSpeeds.getSlowdown(endpoint.getProfile().labels);
     const cost = DOUBLE_SLOWDOWN_COST * SLOWDOWN_STEP * Math.round((slowdown - 1) / SLOWDOWN_STEP);
--- a/packages/dispatch/runs/RunMover.ts
+++ b/packages/dispatch/runs/RunMover.ts
@@ -57,7 +57,7 @@
         }
       }
     }
-    const maxMoving = counts.runs * this.options.stops.maxMovingShare;
+    const maxMoving = counts.runs * this.options.stops.maxMovingRunShare;
     const stragglers = candidates.filter(({ reason }) => isStragglerCause(reason));
     const chosen = new Set(chooseMoves(stragglers, maxMoving, counts.moving));
     candidates
@@ -124,7 +124,7 @@
       return { baselinePace: median, slowPace: SLOW_RATIO * median };
     }
     const { stops, estimateRunTime } = this.options;
-    const isEstimateUsed = job !== undefined && stops.isUsingRunTimes;
+    const isEstimateUsed = job !== undefined && stops.isUsingLearntRunTimes;
     const estimate = isEstimateUsed ? estimateRunTime(job.definition.queue.name, shape) : undefined;
     if (estimate?.isLearnt === true) {
       const slowMs = Math.max(SLOW_RATIO * estimate.medianMs, P90_RATIO * estimate.p90Ms);
--- a/packages/dispatch/runs/RunTracker.ts
+++ b/packages/dispatch/runs/RunTracker.ts
@@ -4,7 +4,7 @@
 import type { DispatchCounterName } from '../DispatchCounterName';
 import type { DispatchEffect } from '../DispatchEffect';
 import type { EndpointState } from '../endpoints/EndpointState';
-import { computeLostWork } from '../stops/computeLostWork';
+import { computeLostCoreMs } from '../stops/computeLostCoreMs';
 import { getLossCause } from '../stops/getLossCause';
 import { getGangCheckpoint } from '../stops/getGangCheckpoint';
 import type { StopCause } from '../stops/StopCause';
@@ -88,7 +88,7 @@
     if (lossCause === undefined) {
       return;
     }
-    const lostCoreMs = computeLostWork(run, end, now);
+    const lostCoreMs = computeLostCoreMs(run, end, now);
     this.sendCount(`runsLostBy.${lossCause}`);
     this.sendCount(`coreMsLostBy.${lossCause}`, lostCoreMs);
     if (lostCoreMs >= MIN_LOGGED_CORE_MS) {
--- a/packages/dispatch/speeds/createCompletionTimeCost.ts
+++ b/packages/dispatch/speeds/createCompletionTimeCost.ts
@@ -13,14 +13,14 @@
 /** Returns how many members of a gang fit on the endpoints of each ratio, the fastest first. */
 const listGangCapacity = (
   step: WaitingStep,
-  { endpointSpeeds: speeds, capacity: capacityView }: SpeedSources,
+  { endpointSpeeds, capacityView }: SpeedSources,
   endpoints: readonly EndpointState[],
 ): readonly (readonly [ratio: number, count: number])[] => {
   const counts = new Map<number, number>();
   for (const endpoint of endpoints) {
     const count = capacityView.countFittingTasks(endpoint.getFreeCapacity(), step.shape);
     if (count > 0) {
-      const ratio = speeds.getSignificantRatio(endpoint.getProfile());
+      const ratio = endpointSpeeds.getSignificantRatio(endpoint.getProfile());
       counts.set(ratio, (counts.get(ratio) ?? 0) + count);
     }
   }
@@ -66,7 +66,7 @@
   // The run times of gangs are those of the whole gang.
   const count = step.shape.isGang ? 1 : step.shape.count;
   const leftMs = step.objectiveAtMs - wallMs - step.job.getCriticalPathAfterMs(step.step);
-  const isMostUrgent = sources.capacity.isMostUrgentQueue(definition.queue);
+  const isMostUrgent = sources.capacityView.isMostUrgentQueue(definition.queue);
   const baselineChance = computeLateChance({ runTime, count, ratio: 1, leftMs });
   const computeCost = (ratio: number): number => {
     const lateCost = LATE_COST * (computeLateChance({ runTime, count, ratio, leftMs }) - baselineChance);
--- a/packages/dispatch/stops/StopPolicy.ts
+++ b/packages/dispatch/stops/StopPolicy.ts
@@ -13,9 +13,9 @@
   /** Members of gangs are evicted from draining endpoints too. */
   readonly isEvictingGangs: boolean;
   /** Runs whose step has no median pace yet are compared with learnt run times, and only else with the caller's estimate. */
-  readonly isUsingRunTimes: boolean;
+  readonly isUsingLearntRunTimes: boolean;
   /** Maximum share of all runs that are being moved as stragglers at the same time. */
-  readonly maxMovingShare: number;
+  readonly maxMovingRunShare: number;
   /** Endpoints on which consecutive runs failed are quarantined. */
-  readonly isQuarantining: boolean;
+  readonly isQuarantineEnabled: boolean;
 }
--- a/packages/dispatch/stops/isPreemptionWorthwhile.ts
+++ b/packages/dispatch/stops/isPreemptionWorthwhile.ts
@@ -6,7 +6,7 @@
 const SAFE_SLACK_SHARE = 0.1;
 /** Steps that are late by more than this multiple of the time to their objective don't preempt others. */
 const MAX_LATENESS_FACTOR = 2;
-const MILLIS = 1000;
+const CPU_MILLIS_PER_CORE = 1000;
 
 /**
  * Returns whether the step gains more core-milliseconds by an earlier start than the victims lose. It is false for a step that will be in
@@ -21,5 +21,5 @@
   if (savedMs <= 0 || isInTime || isHopeless) {
     return false;
   }
-  return (savedMs * estimate.waitingCpuMillis) / MILLIS > estimate.lostCoreMs;
+  return (savedMs * estimate.waitingCpuMillis) / CPU_MILLIS_PER_CORE > estimate.lostCoreMs;
 };
--- a/packages/dispatch/waiting/LiveJob.ts
+++ b/packages/dispatch/waiting/LiveJob.ts
@@ -206,7 +206,7 @@
   }
 
   /** Delays the next start of a task until a monotonic time, or longer if an earlier backoff lasts longer. */
-  recordBackoff(address: TaskAddress, until: number): void {
+  recordTaskBackoff(address: TaskAddress, until: number): void {
     const task = toTaskName(this.definition.id, address);
     this.retryAt.set(task, Math.max(until, this.retryAt.get(task) ?? until));
   }
@@ -218,7 +218,7 @@
     this.startRejectionCounts.set(task, count);
     if (count > 1) {
       const backoffMs = Math.min(MAX_REJECTION_BACKOFF_MS, INITIAL_REJECTION_BACKOFF_MS * 2 ** (count - 2));
-      this.recordBackoff(address, now + backoffMs);
+      this.recordTaskBackoff(address, now + backoffMs);
     }
   }
 
--- a/packages/dispatch/waiting/sortByHeldShares.ts
+++ b/packages/dispatch/waiting/sortByHeldShares.ts
@@ -68,19 +68,23 @@
  */
 const computeCustomerShares = (
   ranked: readonly RankedStep[],
-  held: ReadonlyMap<CustomerName, number>,
+  usedShares: ReadonlyMap<CustomerName, number>,
 ): FairShares => {
-  const wanted = new Map<CustomerName, { weight: number; demandedShare: number }>();
+  const demandsByCustomer = new Map<CustomerName, { weight: number; demandedShare: number }>();
   for (const { step, demandedShare: share } of ranked) {
     const customer = getWeightedCustomer(step);
     if (customer !== undefined) {
-      const before = wanted.get(customer.name)?.demandedShare ?? held.get(customer.name) ?? 0;
-      wanted.set(customer.name, { weight: customer.weight, demandedShare: before + share });
+      const before =
+        demandsByCustomer.get(customer.name)?.demandedShare ?? usedShares.get(customer.name) ?? 0;
+      demandsByCustomer.set(customer.name, { weight: customer.weight, demandedShare: before + share });
     }
   }
-  const others = [...held].reduce((sum, [name, share]) => sum + (wanted.has(name) ? 0 : share), 0);
-  const demands = [...wanted].map(([customer, demand]) => ({ customer, ...demand }));
-  return computeFairShares(demands, Math.max(0, 1 - others));
+  const otherUsedShare = [...usedShares].reduce(
+    (sum, [name, share]) => sum + (demandsByCustomer.has(name) ? 0 : share),
+    0,
+  );
+  const demands = [...demandsByCustomer].map(([customer, demand]) => ({ customer, ...demand }));
+  return computeFairShares(demands, Math.max(0, 1 - otherUsedShare));
 };
 
 /**
@@ -92,21 +96,21 @@
   { usage }: PlacementOrderInput,
   capacity: TaskDemand,
 ): void => {
-  const held = new Map<CustomerName, number>();
+  const usedShares = new Map<CustomerName, number>();
   for (const [name, { taken }] of usage.getAll()) {
-    held.set(name, computeDominantShare(taken, capacity));
+    usedShares.set(name, computeDominantShare(taken, capacity));
   }
-  const fairShares = computeCustomerShares(ranked, held);
-  const counted = new Map<number, Map<CustomerName, number>>();
+  const fairShares = computeCustomerShares(ranked, usedShares);
+  const sharesByPriority = new Map<number, Map<CustomerName, number>>();
   for (const entry of ranked) {
     const name = getWeightedCustomer(entry.step)?.name;
     if (name === undefined) {
       continue;
     }
-    const shares = counted.get(entry.priority) ?? new Map(held);
+    const shares = sharesByPriority.get(entry.priority) ?? new Map(usedShares);
     const share = shares.get(name) ?? 0;
     entry.isOverShare = share >= fairShares.get(name)!;
-    counted.set(entry.priority, shares.set(name, share + entry.demandedShare));
+    sharesByPriority.set(entry.priority, shares.set(name, share + entry.demandedShare));
   }
 };
 
--- a/tests/heldShares.test.ts
+++ b/tests/heldShares.test.ts
@@ -104,20 +104,22 @@
     return { name, job, repetition: 0, step: 0, shape, indexes, objectiveAtMs };
   };
 
-  interface ReadOptions {
+  interface SortOptions {
     readonly order?: PlacementOrder;
     readonly atMs?: number;
-    readonly held?: ReadonlyMap<JobCustomer, number>;
+    readonly usageByCustomer?: ReadonlyMap<JobCustomer, number>;
     readonly estimateMinRemainingMs?: () => number;
   }
 
   const sortNames = (
     waiting: readonly WaitingStep[],
-    { order = 'held', atMs = wallMs, held = new Map(), ...times }: ReadOptions = {},
+    { order = 'held', atMs = wallMs, usageByCustomer = new Map(), ...estimates }: SortOptions = {},
   ): readonly string[] => {
     const usage = new CustomerUsage();
-    held.forEach((cpuMillis, { name }) => usage.recordRun({ customer: name, charge: toCpu(cpuMillis) }));
-    const input = { wallMs: atMs, usage, getTotalCapacity: () => CAPACITY, ...times };
+    usageByCustomer.forEach((cpuMillis, { name }) =>
+      usage.recordRun({ customer: name, charge: toCpu(cpuMillis) }),
+    );
+    const input = { wallMs: atMs, usage, getTotalCapacity: () => CAPACITY, ...estimates };
     return placementOrders[order]
       .sortSteps(waiting, input)
       .map((step) => (step as { name?: string }).name ?? '');
@@ -157,11 +159,15 @@
       createWaiting('big', { customer: big, objectiveAtMs: wallMs + 1000 }),
       createWaiting('small', { customer: small, count: 3 }),
     ];
-    expect(sortNames(waiting, { held: new Map([[big, 8000]]) })).toEqual(['small', 'big']);
-    expect(sortNames(waiting, { held: new Map([[big, 5000]]) })).toEqual(['big', 'small']);
+    expect(sortNames(waiting, { usageByCustomer: new Map([[big, 8000]]) })).toEqual(['small', 'big']);
+    expect(sortNames(waiting, { usageByCustomer: new Map([[big, 5000]]) })).toEqual(['big', 'small']);
     const alone = [0, 1].map((index) => createWaiting(`big-${index}`, { customer: big }));
     const mixed = [createWaiting('nobody', { objectiveAtMs: wallMs + 9000 }), ...alone];
-    expect(sortNames(mixed, { held: new Map([[big, 6000]]) })).toEqual(['big-0', 'big-1', 'nobody']);
+    expect(sortNames(mixed, { usageByCustomer: new Map([[big, 6000]]) })).toEqual([
+      'big-0',
+      'big-1',
+      'nobody',
+    ]);
   });
 
   it('does not count waiting steps of another priority', () => {
@@ -178,11 +184,11 @@
       createWaiting('late', { customer: big, objectiveAtMs: 1 }),
       createWaiting('new', { customer: small }),
     ];
-    const turns = Array.from(
+    const firstNames = Array.from(
       { length: 80 },
-      (_, turn) => sortNames(waiting, { atMs: wallMs + turn * 100 })[0],
+      (_, slice) => sortNames(waiting, { atMs: wallMs + slice * 100 })[0],
     );
-    expect(turns.filter((name) => name === 'late')).toHaveLength(10);
+    expect(firstNames.filter((name) => name === 'late')).toHaveLength(10);
   });
 
   it('equals `shares` when no customer has a weight', () => {
@@ -194,8 +200,8 @@
         estimatedMs: (index * 31) % 900,
       }),
     );
-    for (let turn = 0; turn < 8; turn += 1) {
-      const atMs = wallMs + turn * 100;
+    for (let slice = 0; slice < 8; slice += 1) {
+      const atMs = wallMs + slice * 100;
       expect(sortNames(waiting, { atMs })).toEqual(sortNames(waiting, { order: 'shares', atMs }));
     }
   });
