--- a/packages/dispatch/Dispatcher.ts
+++ b/packages/dispatch/Dispatcher.ts
@@ -180,7 +180,7 @@
       sendEffect,
     });
     this.placer = new StepPlacer({
-      capacity: this.capacity,
+      capacityView: this.capacity,
       stepLimiter: limits,
       adviceRequester: this.adviceRequester,
       preemptor,
--- a/packages/dispatch/placing/Preemptor.ts
+++ b/packages/dispatch/placing/Preemptor.ts
@@ -115,6 +115,7 @@
     }
   }
 
+  /** Returns the estimated gain and loss of the preemptions in the plans. */
   private estimatePreemption(
     step: WaitingStep,
     allowed: readonly EndpointState[],
@@ -170,6 +171,7 @@
     return estimateRemainingByPaceMs(run, median ?? shape.estimatedMs / MAX_PERCENT, now);
   }
 
+  /** Returns what the cost of preempting a run depends on. */
   private toVictim(run: PlacedRun, now: number): Parameters<PreemptionRules['computeVictimCost']>[0] {
     const shape = this.options.jobs.get(run.job)?.definition.steps[run.address.step];
     return {
--- a/packages/dispatch/placing/StepLimiter.ts
+++ b/packages/dispatch/placing/StepLimiter.ts
@@ -8,7 +8,7 @@
 /** Reduces waiting steps to the tasks that may start within the resource limit of their customer. */
 export class StepLimiter {
   constructor(
-    private readonly usage: CustomerUsage,
+    private readonly customerUsage: CustomerUsage,
     /** Returns the configured limit of a customer; undefined if none is known, when the limit in the job definition applies. */
     private readonly getCustomerLimit: (customer: CustomerName) => TaskDemand | undefined,
   ) {}
@@ -21,7 +21,7 @@
     const { customer } = step.job.definition;
     return customer === undefined
       ? step
-      : this.computePartWithinLimit(step, this.usage.getUsed(customer.name));
+      : this.computePartWithinLimit(step, this.customerUsage.getUsed(customer.name));
   }
 
   /** Returns the same as `computeStartablePart`, but as if the customer had no other usage. */
--- a/packages/dispatch/placing/StepPlacer.ts
+++ b/packages/dispatch/placing/StepPlacer.ts
@@ -39,7 +39,7 @@
 type PlacementEffect = Extract<DispatchEffect, { kind: 'start' | 'tell' }>;
 
 interface StepPlacerOptions {
-  readonly capacity: CapacityView;
+  readonly capacityView: CapacityView;
   readonly stepLimiter: StepLimiter;
   readonly adviceRequester: AdviceRequester;
   readonly preemptor: Preemptor;
@@ -52,12 +52,12 @@
 
 /** Places waiting tasks on endpoints, requests advice for queues that need it, and starts preemption for steps that don't fit. */
 export class StepPlacer {
-  private readonly capacity: CapacityView;
+  private readonly capacityView: CapacityView;
   /** Placements that take capacity only until `releaseTentativePlacements`. */
   private readonly tentativePlacements: Placement[] = [];
 
   constructor(private readonly options: StepPlacerOptions) {
-    this.capacity = options.capacity;
+    this.capacityView = options.capacityView;
   }
 
   /**
@@ -76,9 +76,9 @@
       wait.recordCause('limit', now);
       return false;
     }
-    const eligible = this.capacity.listEligibleEndpoints(step);
-    const isScarce = this.capacity.isCapacityScarce(step, eligible);
-    if (!isScarce && !this.capacity.hasCapacityForTask(step, eligible)) {
+    const eligible = this.capacityView.listEligibleEndpoints(step);
+    const isScarce = this.capacityView.isCapacityScarce(step, eligible);
+    if (!isScarce && !this.capacityView.hasCapacityForTask(step, eligible)) {
       wait.recordCause('room', now);
       return false;
     }
@@ -114,8 +114,8 @@
     if (step === undefined) {
       return;
     }
-    const eligible = this.capacity.listEligibleEndpoints(step);
-    if (!this.capacity.hasCapacityForTask(step, eligible)) {
+    const eligible = this.capacityView.listEligibleEndpoints(step);
+    if (!this.capacityView.hasCapacityForTask(step, eligible)) {
       return;
     }
     const { adviceRequester } = this.options;
@@ -202,7 +202,7 @@
     if (allowed.length === 0) {
       return placements;
     }
-    let unreservedCpuMillis = this.capacity.computeUnreservedCpuMillis(step);
+    let unreservedCpuMillis = this.capacityView.computeUnreservedCpuMillis(step);
     const runNumber = this.computeNextGangRun(step);
     const computePreferenceCost = this.options.preference.createCostFunction(step, allowed);
     for (const { address, task, isSuspect } of this.listStartableTasks(step)) {
@@ -273,7 +273,7 @@
     let best: EndpointState | undefined;
     let bestCost = Infinity;
     for (const endpoint of allowed) {
-      if (!endpoint.hasCapacityFor(demand) || this.capacity.hasMaxTasksOfStep(step, endpoint)) {
+      if (!endpoint.hasCapacityFor(demand) || this.capacityView.hasMaxTasksOfStep(step, endpoint)) {
         continue;
       }
       if (!this.options.quarantine.canAcceptTask(candidate, endpoint, now)) {
--- a/packages/dispatch/placing/SuspectCosts.ts
+++ b/packages/dispatch/placing/SuspectCosts.ts
@@ -10,7 +10,9 @@
 
 /** Cost of a run in its startup on the endpoint, since a crash couldn't be attributed to one of the two. */
 const STARTING_NEIGHBOUR_COST = 2000;
+/** Cost for a suspect of an endpoint at whose address there was a crash recently. */
 const RECENT_CRASH_COST = 1500;
+/** Costs for a suspect of each run on the endpoint: of one that serves, and of any other. */
 const SERVING_NEIGHBOUR_COST = 300;
 const OTHER_NEIGHBOUR_COST = 30;
 /** Cost for a task that is no suspect of an endpoint with a suspect in its startup. */
@@ -30,7 +32,7 @@
 export class SuspectCosts {
   constructor(
     private readonly endpoints: ReadonlyMap<EndpointIncarnation, EndpointState>,
-    private readonly crashes: CrashTracker,
+    private readonly crashTracker: CrashTracker,
   ) {}
 
   /**
@@ -70,7 +72,7 @@
     if (hasOtherSuspects) {
       return Infinity;
     }
-    const hasCrashed = this.crashes.hasCrashedRecently(endpoint.getProfile().address, now);
+    const hasCrashed = this.crashTracker.hasCrashedRecently(endpoint.getProfile().address, now);
     let cost = hasCrashed ? RECENT_CRASH_COST : 0;
     for (const run of endpoint.getRuns()) {
       cost += this.computeNeighbourCost(step, run);
--- a/packages/dispatch/stops/EndpointQuarantine.ts
+++ b/packages/dispatch/stops/EndpointQuarantine.ts
@@ -18,7 +18,7 @@
  */
 export class EndpointQuarantine {
   /** Results of `isExemptService`, cached until `clearCache`. */
-  private readonly exemptServices = new Map<ServiceName, boolean>();
+  private readonly exemptionByService = new Map<ServiceName, boolean>();
 
   constructor(
     private readonly endpoints: ReadonlyMap<EndpointIncarnation, EndpointState>,
@@ -28,7 +28,7 @@
 
   /** Clears the cached results before a new round. */
   clearCache(): void {
-    this.exemptServices.clear();
+    this.exemptionByService.clear();
   }
 
   /**
@@ -52,7 +52,7 @@
 
   /** Returns whether too many endpoints of the service are failing for any of them to be quarantined. */
   private isExemptService(service: ServiceName): boolean {
-    const known = this.exemptServices.get(service);
+    const known = this.exemptionByService.get(service);
     if (known !== undefined) {
       return known;
     }
@@ -61,7 +61,7 @@
     );
     const failing = schedulable.filter((endpoint) => endpoint.getFailureStreak().isFailing());
     const isServiceExempt = failing.length > schedulable.length * MAX_QUARANTINED_SHARE;
-    this.exemptServices.set(service, isServiceExempt);
+    this.exemptionByService.set(service, isServiceExempt);
     return isServiceExempt;
   }
 }
--- a/packages/dispatch/stops/estimateCapacityWaitMs.ts
+++ b/packages/dispatch/stops/estimateCapacityWaitMs.ts
@@ -14,13 +14,13 @@
   demand: TaskDemand,
   maxPerEndpoint: number,
 ): readonly number[] => {
-  const times: number[] = [];
+  const fitTimesMs: number[] = [];
   let remaining = freeCapacity;
   let waitMs = 0;
   const recordFits = (): void => {
-    while (times.length < maxPerEndpoint && resourceMath.isWithin(demand, remaining)) {
+    while (fitTimesMs.length < maxPerEndpoint && resourceMath.isWithin(demand, remaining)) {
       remaining = resourceMath.computeDifference(remaining, demand);
-      times.push(waitMs);
+      fitTimesMs.push(waitMs);
     }
   };
   recordFits();
@@ -29,7 +29,7 @@
     waitMs = holder.remainingMs;
     recordFits();
   }
-  return times;
+  return fitTimesMs;
 };
 
 /**
@@ -43,6 +43,6 @@
   mostPerEndpoint: number,
 ): number => {
   const maxPerEndpoint = mostPerEndpoint === 0 ? count : mostPerEndpoint;
-  const times = endpoints.flatMap((endpoint) => estimateFitTimesMs(endpoint, demand, maxPerEndpoint));
-  return times.sort((left, right) => left - right)[count - 1] ?? Infinity;
+  const fitTimesMs = endpoints.flatMap((endpoint) => estimateFitTimesMs(endpoint, demand, maxPerEndpoint));
+  return fitTimesMs.sort((left, right) => left - right)[count - 1] ?? Infinity;
 };
--- a/packages/dispatch/stops/getLossCause.ts
+++ b/packages/dispatch/stops/getLossCause.ts
@@ -4,7 +4,7 @@
 import type { LossCause } from './LossCause';
 
 /** Loss cause by the kind of end that an endpoint reported, for runs that this leader didn't stop; undefined for no loss. */
-const UNREQUESTED_CAUSES: Readonly<Record<EndedTaskStatus['how'], LossCause | undefined>> = {
+const CAUSES_BY_REPORTED_END: Readonly<Record<EndedTaskStatus['how'], LossCause | undefined>> = {
   done: undefined,
   failed: undefined,
   stopped: 'notWanted',
@@ -28,7 +28,7 @@
     return run.stopCause;
   }
   if (reportedEnd !== undefined) {
-    return UNREQUESTED_CAUSES[reportedEnd];
+    return CAUSES_BY_REPORTED_END[reportedEnd];
   }
   return cause === 'lifeOver' || cause === 'leaseOver' ? 'endpointLost' : undefined;
 };
--- a/packages/dispatch/stops/stopPolicies.ts
+++ b/packages/dispatch/stops/stopPolicies.ts
@@ -11,7 +11,7 @@
 /** The same for `priced`: time for the longest stop that the platform allows, and for a repeated stop command. */
 const LONG_EVICTION_MARGIN_MS = 1300;
 /** Longest time for a stop, the poll that reports the end, and a round of placement. */
-const MAX_STOP_MS = 1200;
+const MAX_STOP_AND_PLACE_MS = 1200;
 /** Usual time for a stop, the poll that reports the end, and a round of placement. */
 const MIN_TICKET_VALIDITY_MS = 600;
 /** Time from the first preemption for a step to the next; longer than a reservation. */
@@ -52,7 +52,7 @@
       isWorthwhile: isPreemptionWorthwhile,
       isMinimizingVictims: true,
       minWorkAfterRestartMs: MIN_WORK_AFTER_RESTART_MS,
-      reservationMs: 2 * MAX_STOP_MS,
+      reservationMs: 2 * MAX_STOP_AND_PLACE_MS,
       minTicketValidityMs: MIN_TICKET_VALIDITY_MS,
       initialRetryDelayMs: INITIAL_PREEMPTION_RETRY_MS,
     },
--- a/packages/dispatch/waiting/LongWaitLogger.ts
+++ b/packages/dispatch/waiting/LongWaitLogger.ts
@@ -11,19 +11,19 @@
 const CHECK_INTERVAL_MS = 500;
 
 /** Returns the sum of the wait times of all causes, in milliseconds. */
-const computeTotalWaitMs = (times: WaitTimes): number =>
-  Object.values(times).reduce((sum, ms) => sum + ms, 0);
+const computeTotalWaitMs = (waitTimes: WaitTimes): number =>
+  Object.values(waitTimes).reduce((sum, ms) => sum + ms, 0);
 
 /** Creates the fields of a log line on the wait of one step; `step` is its `REPETITION.STEP`. */
 const createLogFields = (
   { definition: { id, queue } }: LiveJob,
   step: string,
-  times: WaitTimes,
+  waitTimes: WaitTimes,
 ): LineFields => ({
   job: id,
   step: `${id}.${step}`,
   queue: queue.name,
-  waits: toRoundedWaitTimes(times),
+  waits: toRoundedWaitTimes(waitTimes),
 });
 
 /**
@@ -64,11 +64,11 @@
 
   private logJobWaits(job: LiveJob, now: number): void {
     for (const [name, wait] of job.listStepWaits()) {
-      const times = wait.getWaitTimes(now);
-      const totalMs = computeTotalWaitMs(times);
+      const waitTimes = wait.getWaitTimes(now);
+      const totalMs = computeTotalWaitMs(waitTimes);
       if (totalMs >= Math.max(MIN_LOGGED_WAIT_MS, 2 * (this.lastLoggedWaitMs.get(wait) ?? 0))) {
         this.lastLoggedWaitMs.set(wait, totalMs);
-        this.sendLog('Step waits.', createLogFields(job, name, times));
+        this.sendLog('Step waits.', createLogFields(job, name, waitTimes));
       }
     }
   }
--- a/packages/dispatch/waiting/placementOrders.ts
+++ b/packages/dispatch/waiting/placementOrders.ts
@@ -5,19 +5,19 @@
 import type { WaitingStep } from './WaitingStep';
 
 /** Comparator of waiting steps: negative when the left step goes first, positive when the right one does, 0 for a tie. */
-type Comparator = (left: WaitingStep, right: WaitingStep, input: PlacementOrderInput) => number;
+type StepComparator = (left: WaitingStep, right: WaitingStep, input: PlacementOrderInput) => number;
 
-const comparePriority: Comparator = (left, right) =>
+const comparePriority: StepComparator = (left, right) =>
   left.job.definition.queue.priority - right.job.definition.queue.priority;
 
 /** Puts steps whose objective has passed last. */
-const compareLateness: Comparator = (left, right, { wallMs }) =>
+const compareLateness: StepComparator = (left, right, { wallMs }) =>
   Number(left.objectiveAtMs < wallMs) - Number(right.objectiveAtMs < wallMs);
 
-const compareObjective: Comparator = (left, right) => left.objectiveAtMs - right.objectiveAtMs;
+const compareObjective: StepComparator = (left, right) => left.objectiveAtMs - right.objectiveAtMs;
 
 /** Puts steps last whose customer was over its share of the job rate when the job was accepted. */
-const compareOverShare: Comparator = (left, right) =>
+const compareOverShare: StepComparator = (left, right) =>
   Number(left.job.isOverShare) - Number(right.job.isOverShare);
 
 /** Returns the processor usage of a step's customer divided by its weight; 0 without a customer, or for a weight of 0. */
@@ -28,11 +28,11 @@
     : usage.getUsed(customer.name).cpuMillis / customer.weight;
 };
 
-const compareUsage: Comparator = (left, right, { usage }) =>
+const compareUsage: StepComparator = (left, right, { usage }) =>
   computeWeightedUsage(left, usage) - computeWeightedUsage(right, usage);
 
 /** Comparators of each order. Each one breaks the ties of those before it. */
-const COMPARATORS: Readonly<Record<Exclude<PlacementOrder, 'held'>, readonly Comparator[]>> = {
+const COMPARATORS: Readonly<Record<Exclude<PlacementOrder, 'held'>, readonly StepComparator[]>> = {
   objective: [comparePriority, compareLateness, compareObjective],
   shares: [comparePriority, compareOverShare, compareLateness, compareObjective],
   usage: [comparePriority, compareUsage, compareLateness, compareObjective],
@@ -41,7 +41,7 @@
 
 /** Creates a function that sorts steps by several comparators, without a change of its argument. */
 const createSorter =
-  (comparators: readonly Comparator[]) =>
+  (comparators: readonly StepComparator[]) =>
   (waiting: readonly WaitingStep[], input: PlacementOrderInput): readonly WaitingStep[] =>
     [...waiting].sort((left, right) => {
       for (const comparator of comparators) {
--- a/packages/dispatch/waiting/sortByHeldShares.ts
+++ b/packages/dispatch/waiting/sortByHeldShares.ts
@@ -63,8 +63,8 @@
 };
 
 /**
- * Returns the fair share of each weighted customer with waiting steps. They share the capacity that isn't held by customers without
- * waiting steps; `held` is the dominant share that each customer uses now.
+ * Returns the fair share of each weighted customer with waiting steps. They share the capacity that isn't used by customers without
+ * waiting steps; `usedShares` is the dominant share that each customer uses now.
  */
 const computeCustomerShares = (
   ranked: readonly RankedStep[],
