--- a/packages/dispatch/placing/KindSpeeds.ts
+++ b/packages/dispatch/placing/KindSpeeds.ts
@@ -19,7 +19,7 @@
 export class KindSpeeds {
   private readonly slowdownsByLabel = new Map<string, LabelSlowdown>();
 
-  /** Adds the slowdown of one run to the means of all labels of its endpoint. */
+  /** Adds the slowdown of one run, at most `MAX_RUN_SLOWDOWN`, to the means of all labels of its endpoint. */
   recordRunSlowdown(labels: readonly string[], slowdown: number): void {
     const limited = Math.min(MAX_RUN_SLOWDOWN, slowdown);
     for (const label of labels) {
--- a/packages/dispatch/placing/Preemptor.ts
+++ b/packages/dispatch/placing/Preemptor.ts
@@ -171,7 +171,7 @@
     return estimateRemainingByPaceMs(run, median ?? shape.estimatedMs / MAX_PERCENT, now);
   }
 
-  /** Returns what the cost of preempting a run depends on. */
+  /** Returns the properties of a run on which the cost of its preemption depends. */
   private toVictim(run: PlacedRun, now: number): Parameters<PreemptionRules['computeVictimCost']>[0] {
     const shape = this.options.jobs.get(run.job)?.definition.steps[run.address.step];
     return {
--- a/packages/dispatch/placing/SuspectCosts.ts
+++ b/packages/dispatch/placing/SuspectCosts.ts
@@ -8,17 +8,17 @@
 import type { PlacedRun } from '../runs/PlacedRun';
 import type { WaitingStep } from '../waiting/WaitingStep';
 
-/** Cost of a run in its startup on the endpoint, since a crash couldn't be attributed to one of the two. */
+/** Cost of an endpoint for a suspect for each run there in its startup, since a crash couldn't be attributed to one of the two. */
 const STARTING_NEIGHBOUR_COST = 2000;
-/** Cost for a suspect of an endpoint at whose address there was a crash recently. */
+/** Cost for a suspect, of an endpoint at whose address there was a crash recently. */
 const RECENT_CRASH_COST = 1500;
-/** Costs for a suspect of each run on the endpoint: of one that serves, and of any other. */
+/** Cost of an endpoint for a suspect for each serving run there, and for each other run. */
 const SERVING_NEIGHBOUR_COST = 300;
 const OTHER_NEIGHBOUR_COST = 30;
-/** Cost for a task that is no suspect of an endpoint with a suspect in its startup. */
+/** Cost of an endpoint with a suspect in its startup, for a task that isn't a suspect. */
 const SUSPECT_NEIGHBOUR_COST = 1500;
 
-/** What the costs depend on of the task to be placed. */
+/** Properties of the task to be placed on which the costs depend. */
 interface TaskToPlace {
   readonly isSuspect: boolean;
   /** Number of crashes of endpoints that ran the task. */
@@ -36,8 +36,8 @@
   ) {}
 
   /**
-   * Returns whether a suspect task of the step is in its startup; false for gangs, whose members start together. The suspects of other
-   * steps are started one after the other, since they are likely to behave alike.
+   * Returns whether a suspect task of the step is in its startup. The other suspects of the step then have to wait, since they are likely
+   * to behave alike. Always false for gangs, whose members start together.
    */
   hasStartingSuspectSibling({ job, repetition, step, shape }: WaitingStep): boolean {
     if (shape.isGang) {
@@ -54,8 +54,9 @@
   }
 
   /**
-   * Returns the cost of an endpoint for a task; Infinity where it must not start now. That is beside another suspect in its startup, both
-   * for a suspect and for a task that was present at several crashes, so that another crash doesn't bring it over the crash limit.
+   * Returns the cost of placing a task on an endpoint. It is Infinity beside another suspect in its startup, if the task is a suspect or
+   * was present at so many crashes that one more could bring it over the crash limit. For a suspect, each run on the endpoint and a recent
+   * crash at its address add to the cost.
    */
   computeSuspectCost(
     step: WaitingStep,
--- a/packages/dispatch/placing/rankingRules.ts
+++ b/packages/dispatch/placing/rankingRules.ts
@@ -2,13 +2,16 @@
 import type { RankingRule } from './RankingRule';
 import type { WaitingStep } from '../waiting/WaitingStep';
 
-/** Cost of an endpoint on which a run of the step failed. Lower costs follow; the free share, 0 to 1, breaks ties. */
+/** Cost of an endpoint on which a run of the step failed, or from which one was moved. */
 const FAILED_ON_ENDPOINT_COST = 1000;
+/** Cost of a degraded endpoint. */
 const DEGRADED_ENDPOINT_COST = 500;
+/** Cost of an endpoint outside of the rack that has the data of the step. */
 const OTHER_RACK_COST = 100;
+/** Cost of an endpoint for a filler for each serving run there. */
 const SERVING_NEIGHBOUR_COST = 50;
 
-/** Returns the cost of an endpoint on which a run of the step failed, or that is degraded. */
+/** Returns the cost of an endpoint on which a run of the step failed, or from which one was moved, plus that of a degraded one. */
 const computeFailureCost = (
   { job, repetition, step }: WaitingStep,
   endpoint: EndpointState,
--- a/packages/dispatch/stops/EndpointQuarantine.ts
+++ b/packages/dispatch/stops/EndpointQuarantine.ts
@@ -2,7 +2,7 @@
 import type { ServiceName } from '../../jobs/ServiceName';
 import type { EndpointState } from '../endpoints/EndpointState';
 
-/** What quarantine depends on of the task to be placed. */
+/** Properties of the task to be placed on which quarantine depends. */
 interface TaskToPlace {
   readonly isInGang: boolean;
   /** Number of failed runs of the task. */
@@ -32,8 +32,8 @@
   }
 
   /**
-   * Returns whether a task may be placed on the endpoint: it isn't quarantined, or the task may be its probe. A probe isn't a member of a
-   * gang, has no failures, and waits for the backoff and for the end of an earlier probe.
+   * Returns whether a task may be placed on the endpoint: either the endpoint isn't quarantined, or the task may be its probe. It may if it
+   * has no failures, isn't in a gang, the backoff has passed, and no earlier probe is active.
    */
   canAcceptTask(candidate: TaskToPlace, endpoint: EndpointState, now: number): boolean {
     const streak = endpoint.getFailureStreak();
--- a/packages/dispatch/stops/EvictionInput.ts
+++ b/packages/dispatch/stops/EvictionInput.ts
@@ -1,4 +1,4 @@
-/** What decides whether a run, or a member of a gang, is evicted from a draining endpoint. */
+/** Properties of a run on a draining endpoint that decide whether it is evicted now. */
 export interface EvictionInput {
   /** Time until the endpoint's drain deadline, in milliseconds. */
   readonly untilDeadlineMs: number;
--- a/packages/dispatch/stops/PreemptionRules.ts
+++ b/packages/dispatch/stops/PreemptionRules.ts
@@ -1,6 +1,6 @@
 import type { PreemptionEstimate } from './PreemptionEstimate';
 
-/** Rules of a stop policy for which runs are preempted, and when. */
+/** Rules of a stop policy that decide when and which runs are preempted for a waiting step. */
 export interface PreemptionRules {
   /** Returns the cost of preempting a run. Endpoints with the lowest total cost are chosen. */
   readonly computeVictimCost: (run: Victim) => number;
@@ -18,7 +18,7 @@
   readonly initialRetryDelayMs: number;
 }
 
-/** What the cost of preempting a run depends on. */
+/** Properties of a run on which the cost of its preemption depends. */
 interface Victim {
   readonly cpuMillis: number;
   /** Time since the last known checkpoint, or the confirmed start if there is none, in milliseconds. */
--- a/packages/dispatch/stops/chooseMoves.ts
+++ b/packages/dispatch/stops/chooseMoves.ts
@@ -1,4 +1,4 @@
-/** What moves are ranked by. */
+/** Properties of a move by which moves are ranked. */
 interface Move {
   readonly priority: number;
   /** Time by which the task is expected to end earlier, in milliseconds. */
--- a/packages/dispatch/waiting/LiveJob.ts
+++ b/packages/dispatch/waiting/LiveJob.ts
@@ -36,7 +36,7 @@
 interface CachedWaitingSteps {
   readonly steps: readonly WaitingStep[];
   readonly progressVersion: number;
-  /** Wall clock times from which and until which no further repetition falls due. */
+  /** First wall clock time for which the steps are valid, and that from which they aren't, when the next repetition falls due. */
   readonly validFromMs: number;
   readonly validUntilMs: number;
 }
@@ -66,7 +66,7 @@
   constructor(
     readonly definition: JobDefinition,
     readonly progress: JobProgress,
-    /** Monotonic time at which this leader took over the job, or, if later, at which the last run of it ended; new waits begin then. */
+    /** Monotonic time at which this leader took over the job or, if later, of the newest end of one of its runs; new waits begin then. */
     public changedAt: number,
     /** The customer was over its share of the job rate when the job was accepted. */
     readonly isOverShare = false,
@@ -81,7 +81,10 @@
     return this.definition.firstRunMs + repetition * this.definition.intervalMs;
   }
 
-  /** Returns the wall clock time by which a repetition should be complete to meet the latency objective of its queue. */
+  /**
+   * Returns the wall clock time by which a repetition should be complete. From its due time, or the acceptance of the job if that is later,
+   * the objective allows the target latency of the queue plus `stretch` times the critical path.
+   */
   getObjectiveAtMs(repetition: number): number {
     const { queue, acceptedAtMs } = this.definition;
     const startsAt = Math.max(acceptedAtMs, this.getDueAtMs(repetition));
--- a/packages/dispatch/waiting/StepWait.ts
+++ b/packages/dispatch/waiting/StepWait.ts
@@ -13,7 +13,7 @@
     pause: 0,
   };
 
-  /** `countedUntil` is the monotonic time up to which the wait is in `waitTimes`; at first, that at which the wait begins. */
+  /** `countedUntil` is the monotonic time up to which the wait is counted; at first, the time at which it begins. */
   constructor(private countedUntil: number) {}
 
   /** Records why the round at `now` left tasks waiting. The time up to `now` counts for the last cause, later time for this one. */
--- a/packages/dispatch/waiting/placementOrders.ts
+++ b/packages/dispatch/waiting/placementOrders.ts
@@ -39,7 +39,7 @@
   sharesThenUsage: [comparePriority, compareOverShare, compareUsage, compareLateness, compareObjective],
 };
 
-/** Creates a function that sorts steps by several comparators, without a change of its argument. */
+/** Creates a function that returns the steps sorted by several comparators; later ones break the ties of earlier ones. */
 const createSorter =
   (comparators: readonly StepComparator[]) =>
   (waiting: readonly WaitingStep[], input: PlacementOrderInput): readonly WaitingStep[] =>
