--- a/packages/dispatch/placing/EndpointPreference.ts
+++ b/packages/dispatch/placing/EndpointPreference.ts
@@ -7,24 +7,24 @@
 import type { WaitingStep } from '../waiting/WaitingStep';
 
 interface EndpointPreferenceOptions extends SpeedSources {
-  readonly speedChoice: SpeedPolicyName;
-  readonly hallChoice: HallPolicyName;
+  readonly speedPolicy: SpeedPolicyName;
+  readonly hallPolicy: HallPolicyName;
 }
 
-/** Costs of endpoints for a step by their speed and their hall. */
+/** Computes costs of endpoints for a step from their speed and their hall, by the configured policies. */
 export class EndpointPreference {
-  private wallMs = 0;
+  private roundWallMs = 0;
 
   constructor(private readonly options: EndpointPreferenceOptions) {}
 
-  /** Sets the wall clock time of the round, against which objectives are compared. */
-  setWallTime(wallMs: number): void {
-    this.wallMs = wallMs;
+  /** Sets the wall clock time of the round, which the speed policies compare with objectives. */
+  setRoundWallTime(wallMs: number): void {
+    this.roundWallMs = wallMs;
   }
 
   /**
-   * Returns the cost function of a step over the endpoints that may run it; lower is better. Long-running steps and fillers cost
-   * the same everywhere, since a faster endpoint brings them no earlier end.
+   * Returns a function that gives the cost of an endpoint for the tasks of a step; lower is better. `endpoints` are those that may run
+   * them. For long-running steps and fillers every endpoint costs 0, since a faster one brings them no earlier end.
    */
   createCostFunction(
     step: WaitingStep,
@@ -33,10 +33,10 @@
     if (step.shape.isLongRunning || step.shape.isFiller) {
       return () => 0;
     }
-    const { capacity, speedChoice, hallChoice } = this.options;
-    const computeSpeedCost = speedPolicies[speedChoice](step, this.options, endpoints, this.wallMs);
-    const homeHall = capacity.chooseHomeHall(step);
+    const { capacityView, speedPolicy, hallPolicy } = this.options;
+    const computeSpeedCost = speedPolicies[speedPolicy](step, this.options, endpoints, this.roundWallMs);
+    const homeHall = capacityView.chooseHomeHall(step);
     return (endpoint) =>
-      computeSpeedCost(endpoint) + hallPolicies[hallChoice](endpoint.getProfile().hall === homeHall);
+      computeSpeedCost(endpoint) + hallPolicies[hallPolicy](endpoint.getProfile().hall === homeHall);
   }
 }
--- a/packages/dispatch/placing/Preemptor.ts
+++ b/packages/dispatch/placing/Preemptor.ts
@@ -15,7 +15,8 @@
 interface PreemptorOptions {
   readonly jobs: ReadonlyMap<JobId, LiveJob>;
   readonly reservations: EndpointReservations;
-  readonly rules: PreemptionRules;
+  readonly preemptionRules: PreemptionRules;
+  /** Called for each run that is to be stopped for the step. */
   readonly handlePreempted: (
     endpoint: EndpointState,
     run: PlacedRun,
@@ -24,28 +25,27 @@
   ) => void;
 }
 
-/** Preemptions on one endpoint, and the tasks that they let start. */
+/** Runs to preempt on one endpoint, and the number of tasks that can then start there. */
 interface PreemptionPlan {
-  /** Free capacity after the victims have ended and the tasks have started. */
-  readonly free: TaskDemand;
+  /** Capacity left free after the victims have ended and the tasks have started. */
+  readonly freeCapacity: TaskDemand;
   readonly victims: readonly PlacedRun[];
-  /** Sum of the victims' costs by the preemption rules. */
-  readonly cost: number;
-  /** Number of tasks that can start. */
-  readonly count: number;
+  /** Sum of the costs of the victims by the preemption rules. */
+  readonly totalCost: number;
+  readonly startableCount: number;
 }
 
-/** Preemptions of one task, at most. */
+/** A task that has been preempted this often isn't preempted again. */
 const MAX_PREEMPTIONS = 2;
-/** Runs that are expected to end sooner aren't preempted: a stop and a restart would take longer. */
+/** Runs that are expected to end sooner than this aren't preempted, since a stop and a restart would take longer. */
 const MIN_REMAINING_MS = 700;
-/** Interval after which a preemption that wasn't worthwhile is considered again. */
-const RECHECK_INTERVAL_MS = 200;
+/** Time after which a preemption that wasn't worthwhile is considered again. */
+const PREEMPTION_RECHECK_MS = 200;
 const MAX_PERCENT = 100;
 
 /**
- * Preempts less urgent runs that keep checkpoints so that a step can start. Runs are stopped only where this lets a task, or the
- * whole gang, start.
+ * Preempts less urgent runs, of steps that write checkpoints, so that a waiting step can start. Runs are preempted only where this lets
+ * a task start, or, for a gang, all of its members.
  */
 export class Preemptor {
   /** Wall clock time minus monotonic time, in milliseconds. */
@@ -53,51 +53,60 @@
 
   constructor(private readonly options: PreemptorOptions) {}
 
-  /** Sets the monotonic and the wall clock time of the round. */
-  setTime(now: number, wallMs: number): void {
+  /** Sets the offset between the monotonic and the wall clock, by which slack is computed, from their times in this round. */
+  setRoundTime(now: number, wallMs: number): void {
     this.wallOffsetMs = wallMs - now;
   }
 
-  /** Returns whether one task of the step would fit on the endpoint after preemption of less urgent runs. */
-  hasRoomAfterPreemption(
+  /** Returns whether a demand fits on the endpoint, now or after preemption of runs that are less urgent than the step. */
+  hasCapacityAfterPreemption(
     step: WaitingStep,
     endpoint: EndpointState,
     demand: TaskDemand,
     now: number,
   ): boolean {
-    return this.createPlan(step, endpoint, demand, undefined, now) !== undefined;
+    return this.createExtendedPlan(step, endpoint, demand, undefined, now) !== undefined;
   }
 
-  /** Returns how long a ticket must stay valid for a preemption to complete, in milliseconds. */
-  getMinTicketMs(): number {
-    return this.options.rules.minTicketMs;
+  /** Returns the time for which the ticket of an endpoint must still be valid if runs are preempted there, in milliseconds. */
+  getMinTicketValidityMs(): number {
+    return this.options.preemptionRules.minTicketValidityMs;
   }
 
-  /** Starts to preempt runs on the allowed endpoints, unless a preemption for the step is under way or not worthwhile. */
+  /**
+   * Reserves endpoints for a step and reports the runs to preempt there by `handlePreempted`. Does nothing while the step has a
+   * reservation, while its last attempt is backing off, or when no runs can be preempted. If the preemption isn't worthwhile, only
+   * schedules the next attempt.
+   */
   startPreemption(step: WaitingStep, allowed: readonly EndpointState[], now: number): void {
     const { reservations, handlePreempted } = this.options;
     if (
-      reservations.hasReservation(step) ||
+      reservations.hasReservationFor(step) ||
       now < step.job.getPreemptionRetryAt(step.repetition, step.step)
     ) {
       return;
     }
-    const plans = this.createPlans(step, allowed, now);
+    const plans = this.createPreemptionPlans(step, allowed, now);
     const victimCount = [...plans.values()].reduce((sum, { victims }) => sum + victims.length, 0);
     if (victimCount === 0) {
       return;
     }
     const estimate = this.estimatePreemption(step, allowed, plans, now);
-    if (!this.options.rules.isWorthwhile(estimate)) {
-      step.job.recordPreemptionBackoff(step.repetition, step.step, now + RECHECK_INTERVAL_MS);
+    if (!this.options.preemptionRules.isWorthwhile(estimate)) {
+      step.job.recordPreemptionBackoff(step.repetition, step.step, now + PREEMPTION_RECHECK_MS);
       return;
     }
-    step.job.recordPreemptionAttempt(step.repetition, step.step, now, this.options.rules.initialRetryMs);
+    step.job.recordPreemptionAttempt(
+      step.repetition,
+      step.step,
+      now,
+      this.options.preemptionRules.initialRetryDelayMs,
+    );
     for (const [endpoint, { victims }] of plans) {
       reservations.setReservation(
         endpoint.getProfile().incarnation,
         step,
-        now + this.options.rules.reservationMs,
+        now + this.options.preemptionRules.reservationMs,
       );
       for (const run of victims) {
         this.options.jobs.get(run.job)?.recordPreemption(run.task);
@@ -106,6 +115,7 @@
     }
   }
 
+  /** Returns the estimated gain and loss of the preemptions in the plans. */
   private estimatePreemption(
     step: WaitingStep,
     allowed: readonly EndpointState[],
@@ -113,15 +123,18 @@
     now: number,
   ): PreemptionEstimate {
     const { demand, estimatedMs, isGang, maxPerEndpoint } = step.shape;
-    const startCount = [...plans.values()].reduce((sum, { count }) => sum + count, 0);
+    const totalStartableCount = [...plans.values()].reduce(
+      (sum, { startableCount }) => sum + startableCount,
+      0,
+    );
     const lostCoreMs = [...plans.values()]
       .flatMap(({ victims }) => victims)
       .reduce((sum, run) => sum + computeStopCost(this.toVictim(run, now)), 0);
     const endpoints = allowed.map((endpoint) => ({
-      free: endpoint.getFreeCapacity(),
-      holders: [...endpoint.getRuns()].map((run) => ({
+      freeCapacity: endpoint.getFreeCapacity(),
+      capacityHolders: [...endpoint.getRuns()].map((run) => ({
         demand: run.demand,
-        remainingMs: this.estimateRemainingMs(run, now),
+        remainingMs: this.estimateRemainingRunMs(run, now),
       })),
     }));
     return {
@@ -129,41 +142,50 @@
       roomWaitMs: estimateCapacityWaitMs(
         endpoints,
         demand,
-        isGang ? step.indexes.length : startCount,
+        isGang ? step.indexes.length : totalStartableCount,
         maxPerEndpoint,
       ),
-      waitedMs: this.computeWaitedMs(step, now),
+      waitedMs: this.computeStepWaitMs(step, now),
       slackMs: step.objectiveAtMs - (now + this.wallOffsetMs) - estimatedMs,
       allowedMs: step.objectiveAtMs - step.job.definition.acceptedAtMs,
-      waitingCpuMillis: startCount * demand.cpuMillis,
+      waitingCpuMillis: totalStartableCount * demand.cpuMillis,
     };
   }
 
-  private computeWaitedMs({ job, repetition: time, step }: WaitingStep, now: number): number {
-    return Object.values(job.getWait(time, step).getTimes(now)).reduce((sum, ms) => sum + ms, 0);
+  /** Returns the time that the step has waited since its last placement, in milliseconds. */
+  private computeStepWaitMs({ job, repetition, step }: WaitingStep, now: number): number {
+    return Object.values(job.getStepWait(repetition, step).getWaitTimes(now)).reduce(
+      (sum, ms) => sum + ms,
+      0,
+    );
   }
 
-  private estimateRemainingMs(run: PlacedRun, now: number): number {
+  /** Returns the time until a run ends by its pace, in milliseconds; Infinity for long-running steps and unknown jobs. */
+  private estimateRemainingRunMs(run: PlacedRun, now: number): number {
     const job = this.options.jobs.get(run.job);
     const shape = job?.definition.steps[run.address.step];
     if (job === undefined || shape === undefined || shape.isLongRunning) {
       return Infinity;
     }
-    const median = job.getSpeeds(run.address.repetition, run.address.step).getMedian();
+    const median = job.getSpeeds(run.address.repetition, run.address.step).getMedianPace();
     return estimateRemainingByPaceMs(run, median ?? shape.estimatedMs / MAX_PERCENT, now);
   }
 
-  private toVictim(run: PlacedRun, now: number): Parameters<PreemptionRules['computeCost']>[0] {
+  /** Returns the properties of a run on which the cost of its preemption depends. */
+  private toVictim(run: PlacedRun, now: number): Parameters<PreemptionRules['computeVictimCost']>[0] {
     const shape = this.options.jobs.get(run.job)?.definition.steps[run.address.step];
     return {
       cpuMillis: run.demand.cpuMillis,
-      workedMs: now - (run.checkpointedAt ?? run.confirmedAt),
-      isSaving: shape?.isCheckpointing === true,
+      sinceCheckpointMs: now - (run.checkpointedAt ?? run.confirmedAt),
+      isSavingOnStop: shape?.isCheckpointing === true,
     };
   }
 
-  /** Returns a plan for each endpoint used, for as many tasks as possible; none for a gang that couldn't start as a whole. */
-  private createPlans(
+  /**
+   * Returns plans by endpoint that together let as many tasks start as possible, each on the endpoint whose plan then has the lowest
+   * total cost; none for a gang of which not all members could start.
+   */
+  private createPreemptionPlans(
     step: WaitingStep,
     allowed: readonly EndpointState[],
     now: number,
@@ -173,8 +195,8 @@
       let best: EndpointState | undefined;
       let bestPlan: PreemptionPlan | undefined;
       for (const endpoint of allowed) {
-        const plan = this.createPlan(step, endpoint, step.shape.demand, plans.get(endpoint), now);
-        if (plan !== undefined && (bestPlan === undefined || plan.cost < bestPlan.cost)) {
+        const plan = this.createExtendedPlan(step, endpoint, step.shape.demand, plans.get(endpoint), now);
+        if (plan !== undefined && (bestPlan === undefined || plan.totalCost < bestPlan.totalCost)) {
           best = endpoint;
           bestPlan = plan;
         }
@@ -187,19 +209,19 @@
     return plans;
   }
 
-  /** Returns the plan of an endpoint extended by one task; undefined when the task doesn't fit even after preemption. */
-  private createPlan(
+  /** Returns the plan `before` extended by one task; undefined when the task doesn't fit even after all possible preemptions. */
+  private createExtendedPlan(
     step: WaitingStep,
     endpoint: EndpointState,
     demand: TaskDemand,
     before: PreemptionPlan | undefined,
     now: number,
   ): PreemptionPlan | undefined {
-    let free = before?.free ?? endpoint.getFreeCapacity();
+    let free = before?.freeCapacity ?? endpoint.getFreeCapacity();
     const earlier = before?.victims ?? [];
     let added: PlacedRun[] = [];
     if (!resourceMath.isWithin(demand, free)) {
-      for (const run of this.listCandidates(step, endpoint, now)) {
+      for (const run of this.listPreemptibleRuns(step, endpoint, now)) {
         if (!earlier.includes(run)) {
           added.push(run);
           free = resourceMath.computeSum(free, run.demand);
@@ -212,20 +234,20 @@
     if (!resourceMath.isWithin(demand, free)) {
       return undefined;
     }
-    if (this.options.rules.isMinimizingVictims) {
-      ({ added, free } = this.computeNeeded(added, free, demand));
+    if (this.options.preemptionRules.isMinimizingVictims) {
+      ({ added, free } = this.computeNeededVictims(added, free, demand));
     }
     const victims = [...earlier, ...added];
-    const cost = added.reduce(
-      (sum, run) => sum + this.options.rules.computeCost(this.toVictim(run, now)),
-      before?.cost ?? 0,
+    const totalCost = added.reduce(
+      (sum, run) => sum + this.options.preemptionRules.computeVictimCost(this.toVictim(run, now)),
+      before?.totalCost ?? 0,
     );
-    const count = (before?.count ?? 0) + 1;
-    return { free: resourceMath.computeDifference(free, demand), victims, cost, count };
+    const startableCount = (before?.startableCount ?? 0) + 1;
+    return { freeCapacity: resourceMath.computeDifference(free, demand), victims, totalCost, startableCount };
   }
 
-  /** Returns the victims without those that turn out unnecessary, since later ones free enough capacity. */
-  private computeNeeded(
+  /** Returns the victims without those that needn't be preempted, since the others free enough, and the capacity that is then free. */
+  private computeNeededVictims(
     victims: readonly PlacedRun[],
     free: TaskDemand,
     demand: TaskDemand,
@@ -242,14 +264,18 @@
     return { added, free: remaining };
   }
 
-  /** Returns the runs that may be preempted for the step, lowest priority first, then least progress first. */
-  private listCandidates(step: WaitingStep, endpoint: EndpointState, now: number): readonly PlacedRun[] {
+  /** Returns the runs on an endpoint that may be preempted for the step, the least urgent first, then by progress, the least first. */
+  private listPreemptibleRuns(step: WaitingStep, endpoint: EndpointState, now: number): readonly PlacedRun[] {
     const { priority } = step.job.definition.queue;
     return [...endpoint.getRuns()]
       .filter((run) => run.priority > priority && this.isPreemptible(run, now))
       .sort((left, right) => right.priority - left.priority || left.percent - right.percent);
   }
 
+  /**
+   * Returns whether a run may be preempted at all: it is running, writes checkpoints, belongs to no gang, long-running step or filler, was
+   * not preempted too often or too recently, and isn't about to end.
+   */
   private isPreemptible(run: PlacedRun, now: number): boolean {
     const job = this.options.jobs.get(run.job);
     const shape = job?.definition.steps[run.address.step];
@@ -258,10 +284,12 @@
     }
     const isExcluded = shape.isGang || shape.isLongRunning || shape.isFiller;
     const preemptions = job.countPreemptions(run.task);
-    const hasWorkedEnough = preemptions === 0 || now - run.confirmedAt >= this.options.rules.minWorkMs;
+    const hasWorkedEnough =
+      preemptions === 0 || now - run.confirmedAt >= this.options.preemptionRules.minWorkAfterRestartMs;
     return !isExcluded && preemptions < MAX_PREEMPTIONS && hasWorkedEnough && !this.isEndingSoon(run, now);
   }
 
+  /** Returns whether the run, by its progress so far, ends within `MIN_REMAINING_MS`; false before any progress. */
   private isEndingSoon(run: PlacedRun, now: number): boolean {
     const workedMs = now - run.confirmedAt;
     return run.percent > 0 && (workedMs * (MAX_PERCENT - run.percent)) / run.percent < MIN_REMAINING_MS;
--- a/packages/dispatch/placing/RoundThrottle.ts
+++ b/packages/dispatch/placing/RoundThrottle.ts
@@ -6,28 +6,29 @@
   readonly runRound: () => void;
 }
 
-/** Idle time after a round, as a multiple of its duration. It leaves the process time for heartbeats and calls. */
-const IDLE_RATIO = 2;
-/** Shorter delays are skipped. */
-const MIN_DELAY_MS = 2;
+/** Idle time after a round, as a multiple of the duration of the round. */
+const IDLE_TIME_RATIO = 2;
+/** When less idle time than this is left, the round runs at once. */
+const MIN_ROUND_DELAY_MS = 2;
 
 /**
- * Throttles rounds of placement: requests in one turn of the event loop, or in the idle time after a round, share one. With a
- * long backlog, rounds without idle time would starve the leader's heartbeats.
+ * Throttles rounds of placement. Requests within one turn of the event loop, or in the idle time after a round, are combined into one
+ * round. The idle time leaves the process time for heartbeats and calls, however long the rounds are.
  */
 export class RoundThrottle {
-  private isQueued = false;
+  private isRoundQueued = false;
   private idleUntil = -Infinity;
 
   constructor(private readonly options: RoundThrottleOptions) {}
 
+  /** Runs a round after the idle time of the last one, or in the next turn of the event loop. Does nothing if one is queued. */
   queueRound(): void {
-    if (this.isQueued) {
+    if (this.isRoundQueued) {
       return;
     }
-    this.isQueued = true;
+    this.isRoundQueued = true;
     const delayMs = this.idleUntil - this.options.clock.getNow();
-    if (delayMs < MIN_DELAY_MS) {
+    if (delayMs < MIN_ROUND_DELAY_MS) {
       setImmediate(() => this.runRound());
     } else {
       setTimeout(() => this.runRound(), delayMs);
@@ -35,11 +36,11 @@
   }
 
   private runRound(): void {
-    const { clock, runRound: handleRound } = this.options;
-    this.isQueued = false;
+    const { clock, runRound } = this.options;
+    this.isRoundQueued = false;
     const startedAt = clock.getNow();
-    handleRound();
+    runRound();
     const endedAt = clock.getNow();
-    this.idleUntil = endedAt + (endedAt - startedAt) * IDLE_RATIO;
+    this.idleUntil = endedAt + (endedAt - startedAt) * IDLE_TIME_RATIO;
   }
 }
--- a/packages/dispatch/placing/SpeedSources.ts
+++ b/packages/dispatch/placing/SpeedSources.ts
@@ -3,10 +3,10 @@
 import type { KindSpeeds } from './KindSpeeds';
 import type { CapacityView } from './CapacityView';
 
-/** Inputs of the speed policies. */
+/** Learnt speeds and run times, and the free capacity, from which the speed policies compute costs. */
 export interface SpeedSources {
-  readonly kinds: KindSpeeds;
-  readonly speeds: EndpointSpeeds;
-  readonly times: RunTimes;
-  readonly capacity: CapacityView;
+  readonly kindSpeeds: KindSpeeds;
+  readonly endpointSpeeds: EndpointSpeeds;
+  readonly runTimes: RunTimes;
+  readonly capacityView: CapacityView;
 }
--- a/packages/dispatch/placing/StepLimiter.ts
+++ b/packages/dispatch/placing/StepLimiter.ts
@@ -5,35 +5,37 @@
 import type { TaskDemand } from '../../jobs/TaskDemand';
 import type { WaitingStep } from '../waiting/WaitingStep';
 
-/** Cuts steps down to the tasks that their customer's limit lets start. */
+/** Reduces waiting steps to the tasks that may start within the resource limit of their customer. */
 export class StepLimiter {
   constructor(
-    private readonly usage: CustomerUsage,
-    /** Returns the configured limit; undefined while no configuration is known, or when it doesn't have the customer. */
-    private readonly getLimit: (customer: CustomerName) => TaskDemand | undefined,
+    private readonly customerUsage: CustomerUsage,
+    /** Returns the configured limit of a customer; undefined if none is known, when the limit in the job definition applies. */
+    private readonly getCustomerLimit: (customer: CustomerName) => TaskDemand | undefined,
   ) {}
 
   /**
-   * Returns the part of a step that may start beside all runs that may be active; undefined for none. A gang starts as a whole or
-   * not at all; a step that is wider than the limit runs in waves.
+   * Returns the step with only as many of its tasks as fit into the limit beside the customer's current usage; undefined when none
+   * fits, or not all members of a gang. A step without a customer is returned whole.
    */
-  computeStartable(step: WaitingStep): WaitingStep | undefined {
+  computeStartablePart(step: WaitingStep): WaitingStep | undefined {
     const { customer } = step.job.definition;
-    return customer === undefined ? step : this.computePart(step, this.usage.getUsed(customer.name));
+    return customer === undefined
+      ? step
+      : this.computePartWithinLimit(step, this.customerUsage.getUsed(customer.name));
   }
 
-  /** Returns the largest part of a step that may run at once when nothing else of the customer does; undefined for none. */
-  computeMaxStartable(step: WaitingStep): WaitingStep | undefined {
-    return this.computePart(step, resourceMath.ZERO);
+  /** Returns the same as `computeStartablePart`, but as if the customer had no other usage. */
+  computeMaxStartablePart(step: WaitingStep): WaitingStep | undefined {
+    return this.computePartWithinLimit(step, resourceMath.ZERO);
   }
 
-  private computePart(step: WaitingStep, used: TaskDemand): WaitingStep | undefined {
+  private computePartWithinLimit(step: WaitingStep, used: TaskDemand): WaitingStep | undefined {
     const { customer } = step.job.definition;
     if (customer === undefined) {
       return step;
     }
     const { indexes, shape } = step;
-    const limit = this.getLimit(customer.name) ?? customer.limit;
+    const limit = this.getCustomerLimit(customer.name) ?? customer.limit;
     const count = customerLimits.countFittingTasks(limit, used, shape.demand);
     if (count >= indexes.length) {
       return step;
--- a/packages/dispatch/placing/StepPlacer.ts
+++ b/packages/dispatch/placing/StepPlacer.ts
@@ -16,30 +16,32 @@
 import type { SuspectCosts } from './SuspectCosts';
 import type { EndpointQuarantine } from '../stops/EndpointQuarantine';
 import type { EndpointPreference } from './EndpointPreference';
-import { toRoundedTimes } from '../waiting/toRoundedTimes';
+import { toRoundedWaitTimes } from '../waiting/toRoundedWaitTimes';
 import { toStepName } from '../waiting/toStepName';
 import type { WaitingStep } from '../waiting/WaitingStep';
 
+/** A run that takes capacity on an endpoint, before its start is recorded. */
 interface Placement {
   readonly endpoint: EndpointState;
   readonly run: PlacedRun;
+  /** Ticket of the advice service for the endpoint; empty for queues that need none. */
   readonly ticket: string;
 }
 
-/** A task that may start now. */
+/** A waiting task that this round may place, with its address. Of the crash suspects of a step, only one is startable at a time. */
 interface StartableTask {
   readonly address: TaskAddress;
   readonly task: TaskProgress;
-  /** It may have crashed an endpoint. */
+  /** The task may have crashed an endpoint. */
   readonly isSuspect: boolean;
 }
 
 type PlacementEffect = Extract<DispatchEffect, { kind: 'start' | 'tell' }>;
 
 interface StepPlacerOptions {
-  readonly capacity: CapacityView;
-  readonly limiter: StepLimiter;
-  readonly advice: AdviceRequester;
+  readonly capacityView: CapacityView;
+  readonly stepLimiter: StepLimiter;
+  readonly adviceRequester: AdviceRequester;
   readonly preemptor: Preemptor;
   readonly reservations: EndpointReservations;
   readonly preference: EndpointPreference;
@@ -48,38 +50,42 @@
   readonly sendEffect: (effect: PlacementEffect) => void;
 }
 
-/** Places waiting tasks on endpoints, and requests advice for queues that need it. */
+/** Places waiting tasks on endpoints, requests advice for queues that need it, and starts preemption for steps that don't fit. */
 export class StepPlacer {
-  private readonly capacity: CapacityView;
-  /** Placements that hold capacity only while advice is requested ahead. */
-  private readonly tentative: Placement[] = [];
+  private readonly capacityView: CapacityView;
+  /** Placements that take capacity only until `releaseTentativePlacements`. */
+  private readonly tentativePlacements: Placement[] = [];
 
   constructor(private readonly options: StepPlacerOptions) {
-    this.capacity = options.capacity;
+    this.capacityView = options.capacityView;
   }
 
-  /** Places as many tasks of a step as possible. Returns whether any was placed. */
+  /**
+   * Places as many tasks of a step as possible. For the rest requests advice and records what they wait for; starts preemption if none was
+   * placed while capacity is scarce. Returns whether any was placed.
+   */
   placeStep(waitingStep: WaitingStep, now: number): boolean {
-    const wait = waitingStep.job.getWait(waitingStep.repetition, waitingStep.step);
-    const due = this.computeDueStep(waitingStep, now);
+    const wait = waitingStep.job.getStepWait(waitingStep.repetition, waitingStep.step);
+    const due = this.computePartWithoutBackoff(waitingStep, now);
     if (due === undefined) {
       wait.recordCause('pause', now);
       return false;
     }
-    const step = this.options.limiter.computeStartable(due);
+    const step = this.options.stepLimiter.computeStartablePart(due);
     if (step === undefined) {
       wait.recordCause('limit', now);
       return false;
     }
-    const eligible = this.capacity.listEligible(step);
-    const isScarce = this.capacity.isCapacityScarce(step, eligible);
-    if (!isScarce && !this.capacity.hasAnyCapacity(step, eligible)) {
+    const eligible = this.capacityView.listEligibleEndpoints(step);
+    const isScarce = this.capacityView.isCapacityScarce(step, eligible);
+    if (!isScarce && !this.capacityView.hasCapacityForTask(step, eligible)) {
       wait.recordCause('room', now);
       return false;
     }
     const placements = this.choosePlacements(step, eligible, now);
     const missing = step.indexes.length - placements.length;
-    const cause = missing === 0 ? 'room' : this.options.advice.requestAdvice(step, eligible, missing, now);
+    const cause =
+      missing === 0 ? 'room' : this.options.adviceRequester.requestAdvice(step, eligible, missing, now);
     if (isScarce && placements.length === 0) {
       this.startPreemption(step, eligible, now);
     }
@@ -93,44 +99,50 @@
       );
     }
     if (placements.length < waitingStep.indexes.length) {
-      step.job.getWait(step.repetition, step.step).recordCause(missing > 0 ? cause : 'limit', now);
+      step.job.getStepWait(step.repetition, step.step).recordCause(missing > 0 ? cause : 'limit', now);
     }
     return placements.length > 0;
   }
 
   /**
-   * Requests tickets that the step will lack by the time a response could arrive. What it would use is held until
-   * `releaseTentative`, so that requests for less urgent steps are about the remaining capacity.
+   * Requests the tickets that the step will lack by the time of the response, without placing tasks. The capacity that it would use stays
+   * taken until `releaseTentativePlacements`, so that requests for less urgent steps are for the remaining capacity.
    */
   requestAdviceAhead(waitingStep: WaitingStep, now: number): void {
-    const due = this.computeDueStep(waitingStep, now);
-    const step = due === undefined ? undefined : this.options.limiter.computeStartable(due);
+    const due = this.computePartWithoutBackoff(waitingStep, now);
+    const step = due === undefined ? undefined : this.options.stepLimiter.computeStartablePart(due);
     if (step === undefined) {
       return;
     }
-    const eligible = this.capacity.listEligible(step);
-    if (!this.capacity.hasAnyCapacity(step, eligible)) {
+    const eligible = this.capacityView.listEligibleEndpoints(step);
+    if (!this.capacityView.hasCapacityForTask(step, eligible)) {
       return;
     }
-    const { advice } = this.options;
-    const neededUntil = now + advice.estimateResponseMs(step);
+    const { adviceRequester } = this.options;
+    const neededUntil = now + adviceRequester.estimateResponseMs(step);
     const placements = this.choosePlacements(step, eligible, neededUntil);
-    this.tentative.push(...placements);
+    this.tentativePlacements.push(...placements);
     if (placements.length < step.indexes.length) {
-      advice.requestAdvice(step, eligible, step.indexes.length - placements.length, now, neededUntil);
+      adviceRequester.requestAdvice(
+        step,
+        eligible,
+        step.indexes.length - placements.length,
+        now,
+        neededUntil,
+      );
     }
   }
 
-  /** Releases the capacity held by `requestAdviceAhead`. */
-  releaseTentative(): void {
-    this.tentative.splice(0).forEach((placement) => this.releasePlacement(placement));
+  /** Releases all capacity taken by `requestAdviceAhead`. */
+  releaseTentativePlacements(): void {
+    this.tentativePlacements.splice(0).forEach((placement) => this.releasePlacement(placement));
   }
 
   /** Returns the step without the tasks in backoff; undefined when none is left, or when a gang wouldn't be complete. */
-  private computeDueStep(waitingStep: WaitingStep, now: number): WaitingStep | undefined {
-    const { job, repetition: time, step } = waitingStep;
+  private computePartWithoutBackoff(waitingStep: WaitingStep, now: number): WaitingStep | undefined {
+    const { job, repetition, step } = waitingStep;
     const indexes = waitingStep.indexes.filter(
-      (index) => !job.isBackingOff({ repetition: time, step, index }, now),
+      (index) => !job.isBackingOff({ repetition, step, index }, now),
     );
     if (indexes.length === waitingStep.indexes.length) {
       return waitingStep;
@@ -138,17 +150,20 @@
     return indexes.length === 0 || waitingStep.shape.isGang ? undefined : { ...waitingStep, indexes };
   }
 
+  /** Starts preemption on the eligible endpoints that have a ticket valid for long enough and aren't quarantined. */
   private startPreemption(step: WaitingStep, eligible: readonly EndpointState[], now: number): void {
     const { preemptor, quarantine } = this.options;
-    const candidate = { isGang: step.shape.isGang, failures: 0 };
-    const allowed = this.listAllowed(step, eligible, now + preemptor.getMinTicketMs()).filter((endpoint) =>
-      quarantine.canAccept(candidate, endpoint, now),
-    );
+    const candidate = { isInGang: step.shape.isGang, failureCount: 0 };
+    const allowed = this.listAllowedEndpoints(
+      step,
+      eligible,
+      now + preemptor.getMinTicketValidityMs(),
+    ).filter((endpoint) => quarantine.canAcceptTask(candidate, endpoint, now));
     preemptor.startPreemption(step, allowed, now);
   }
 
-  /** Returns the endpoints that have a ticket valid until a time, or all when the queue needs none. */
-  private listAllowed(
+  /** Returns the eligible endpoints with a ticket that is valid until a monotonic time; all of them when the queue needs no advice. */
+  private listAllowedEndpoints(
     step: WaitingStep,
     eligible: readonly EndpointState[],
     until: number,
@@ -162,7 +177,7 @@
     );
   }
 
-  /** Chooses endpoints for as many tasks as possible and takes their capacity; for all members of a gang or none. */
+  /** Chooses endpoints for as many tasks as possible and takes capacity there. For a gang, chooses them for all members or none. */
   private choosePlacements(step: WaitingStep, eligible: readonly EndpointState[], now: number): Placement[] {
     const placements = this.chooseTaskPlacements(step, eligible, now);
     if (step.shape.isGang && placements.length < step.indexes.length) {
@@ -172,6 +187,10 @@
     return placements;
   }
 
+  /**
+   * Chooses endpoints task by task and takes capacity there. Stops when the processor capacity outside the reserve is used up, or at the
+   * first task that fits nowhere.
+   */
   private chooseTaskPlacements(
     step: WaitingStep,
     eligible: readonly EndpointState[],
@@ -179,12 +198,12 @@
   ): Placement[] {
     const placements: Placement[] = [];
     const advice = step.job.definition.queue.advice === undefined ? undefined : this.getAdvice(step);
-    const allowed = this.listAllowed(step, eligible, now);
+    const allowed = this.listAllowedEndpoints(step, eligible, now);
     if (allowed.length === 0) {
       return placements;
     }
-    let unreservedCpuMillis = this.capacity.computeUnreservedCpuMillis(step);
-    const runNumber = this.computeNextRun(step);
+    let unreservedCpuMillis = this.capacityView.computeUnreservedCpuMillis(step);
+    const runNumber = this.computeNextGangRun(step);
     const computePreferenceCost = this.options.preference.createCostFunction(step, allowed);
     for (const { address, task, isSuspect } of this.listStartableTasks(step)) {
       if (step.shape.demand.cpuMillis > unreservedCpuMillis && !step.shape.isFiller) {
@@ -192,13 +211,13 @@
       }
       const candidate = {
         isSuspect,
-        crashes: task.crashes.length,
-        isGang: step.shape.isGang,
-        failures: task.failures,
+        crashCount: task.crashes.length,
+        isInGang: step.shape.isGang,
+        failureCount: task.failures,
       };
       const endpoint = this.chooseEndpoint(step, allowed, candidate, computePreferenceCost, now);
       if (endpoint === undefined && task.crashes.length > 0) {
-        // Only this task has to avoid starting suspects; its siblings may find an endpoint.
+        // A task with crashes must not be placed beside a crash suspect in its startup; tasks without crashes may still fit.
         continue;
       }
       if (endpoint === undefined) {
@@ -221,7 +240,10 @@
     return placements;
   }
 
-  /** Returns the tasks of a step that may start now: at most one crash suspect, but all members of a gang. */
+  /**
+   * Returns the waiting tasks of a step that may start now. Of the crash suspects only the first is included, and none while a suspect
+   * of the step is in its startup; a gang is returned whole.
+   */
   private listStartableTasks(step: WaitingStep): readonly StartableTask[] {
     const startable = step.indexes.flatMap((index): readonly StartableTask[] => {
       const address = { repetition: step.repetition, step: step.step, index };
@@ -232,14 +254,16 @@
     if (firstSuspect === undefined || step.shape.isGang) {
       return startable;
     }
-    const nextSuspect = this.options.suspectCosts.hasStartingSibling(step) ? undefined : firstSuspect;
+    const nextSuspect = this.options.suspectCosts.hasStartingSuspectSibling(step) ? undefined : firstSuspect;
     return startable.filter((startableTask) => !startableTask.isSuspect || startableTask === nextSuspect);
   }
 
+  /** Returns the endpoint with the lowest total cost on which the task may start; undefined when there is none. */
   private chooseEndpoint(
     step: WaitingStep,
     allowed: readonly EndpointState[],
-    candidate: Parameters<SuspectCosts['computeCost']>[1] & Parameters<EndpointQuarantine['canAccept']>[0],
+    candidate: Parameters<SuspectCosts['computeSuspectCost']>[1] &
+      Parameters<EndpointQuarantine['canAcceptTask']>[0],
     computePreferenceCost: (endpoint: EndpointState) => number,
     now: number,
   ): EndpointState | undefined {
@@ -249,13 +273,13 @@
     let best: EndpointState | undefined;
     let bestCost = Infinity;
     for (const endpoint of allowed) {
-      if (!endpoint.hasCapacityFor(demand) || this.capacity.hasMaxTasks(step, endpoint)) {
+      if (!endpoint.hasCapacityFor(demand) || this.capacityView.hasMaxTasksOfStep(step, endpoint)) {
         continue;
       }
-      if (!this.options.quarantine.canAccept(candidate, endpoint, now)) {
+      if (!this.options.quarantine.canAcceptTask(candidate, endpoint, now)) {
         continue;
       }
-      const suspectCost = this.options.suspectCosts.computeCost(step, candidate, endpoint, now);
+      const suspectCost = this.options.suspectCosts.computeSuspectCost(step, candidate, endpoint, now);
       const cost = rule.computeCost(step, endpoint, now) + computePreferenceCost(endpoint) + suspectCost;
       if (cost < bestCost) {
         bestCost = cost;
@@ -265,25 +289,29 @@
     return best;
   }
 
-  /** Returns the run number for all members of a gang: one above the highest used. */
-  private computeNextRun({ job, repetition: time, step }: WaitingStep): number {
-    return 1 + Math.max(0, ...job.progress.listTasks(time, step).map((task) => task.run));
+  /** Returns the run number that all members of a gang start with: one more than the highest of any member. */
+  private computeNextGangRun({ job, repetition, step }: WaitingStep): number {
+    return 1 + Math.max(0, ...job.progress.listTasks(repetition, step).map((task) => task.run));
   }
 
-  private getAdvice({ job, repetition: time, step }: WaitingStep): ReturnType<LiveJob['getAdvice']> {
-    return job.getAdvice(time, step);
+  private getAdvice({ job, repetition, step }: WaitingStep): ReturnType<LiveJob['getAdvice']> {
+    return job.getAdvice(repetition, step);
   }
 
   private releasePlacement({ endpoint, run }: Placement): void {
     endpoint.removeRun(run);
   }
 
+  /**
+   * Records the placements in the progress of the job, sends the start commands and a log line, and releases the reservations of the
+   * step.
+   */
   private placeTasks(step: WaitingStep, placements: readonly Placement[], now: number): void {
     const { job, shape } = step;
     const { progress, definition } = job;
     const gangCheckpoint = shape.isGang ? this.getGangCheckpoint(step) : '';
-    const waits = job.getWait(step.repetition, step.step).getTimes(now);
-    this.options.reservations.releaseReservations(step);
+    const waits = job.getStepWait(step.repetition, step.step).getWaitTimes(now);
+    this.options.reservations.releaseStepReservations(step);
     const placed = placements.map(({ endpoint: state, run, ticket }) => {
       const { address, task } = run;
       const endpoint = state.getProfile().incarnation;
@@ -291,7 +319,7 @@
       progress.recordPlaced(address, run.run, endpoint);
       run.waits = waits;
       const command = { task, run: run.run, spec: definition.spec, checkpoint, ticket };
-      this.options.advice.recordTicketUse(step, endpoint);
+      this.options.adviceRequester.recordTicketUse(step, endpoint);
       this.options.sendEffect({ kind: 'start', job: definition.id, endpoint, command, waits });
       return {
         task,
@@ -308,15 +336,18 @@
         job: definition.id,
         step: toStepName(step),
         queue: definition.queue.name,
-        waits: toRoundedTimes(waits),
+        waits: toRoundedWaitTimes(waits),
         placed,
       },
     });
   }
 
-  /** Returns the checkpoint that all members of a gang start from; '' for none. The checkpoint of any member is valid for all. */
-  private getGangCheckpoint({ job, repetition: time, step }: WaitingStep): string {
-    const saved = job.progress.listTasks(time, step).find((task) => task.checkpoint !== '');
-    return job.getGangCheckpoint(time, step) ?? saved?.checkpoint ?? '';
+  /**
+   * Returns the checkpoint that all members of a gang start from: the newest known, else one of the progress; '' for none. The checkpoint
+   * of any member is valid for all.
+   */
+  private getGangCheckpoint({ job, repetition, step }: WaitingStep): string {
+    const saved = job.progress.listTasks(repetition, step).find((task) => task.checkpoint !== '');
+    return job.getGangCheckpoint(repetition, step) ?? saved?.checkpoint ?? '';
   }
 }
--- a/packages/dispatch/placing/SuspectCosts.ts
+++ b/packages/dispatch/placing/SuspectCosts.ts
@@ -8,68 +8,72 @@
 import type { PlacedRun } from '../runs/PlacedRun';
 import type { WaitingStep } from '../waiting/WaitingStep';
 
-/** Cost of a neighbour in its startup, beside which a crash couldn't be attributed. */
+/** Cost of an endpoint for a suspect for each run there in its startup, since a crash couldn't be attributed to one of the two. */
 const STARTING_NEIGHBOUR_COST = 2000;
+/** Cost for a suspect, of an endpoint at whose address there was a crash recently. */
 const RECENT_CRASH_COST = 1500;
+/** Cost of an endpoint for a suspect for each serving run there, and for each other run. */
 const SERVING_NEIGHBOUR_COST = 300;
-const NEIGHBOUR_COST = 30;
-/** Cost for a healthy task of an endpoint with a suspect in its startup. */
+const OTHER_NEIGHBOUR_COST = 30;
+/** Cost of an endpoint with a suspect in its startup, for a task that isn't a suspect. */
 const SUSPECT_NEIGHBOUR_COST = 1500;
 
-/** A task to be placed. */
-interface Candidate {
+/** Properties of the task to be placed on which the costs depend. */
+interface TaskToPlace {
   readonly isSuspect: boolean;
-  /** Number of endpoints that crashed while they ran it. */
-  readonly crashes: number;
+  /** Number of crashes of endpoints that ran the task. */
+  readonly crashCount: number;
 }
 
 /**
- * Placement costs that keep crash suspects apart, so that a crash can be attributed to one of them and affects few other runs. No two
- * suspects are in their startup on one endpoint, except members of one gang.
+ * Computes placement costs that keep crash suspects apart, so that a crash can be attributed to one of them and affects few other runs.
+ * Two suspects are never in their startup on the same endpoint, unless they are members of one gang.
  */
 export class SuspectCosts {
   constructor(
     private readonly endpoints: ReadonlyMap<EndpointIncarnation, EndpointState>,
-    private readonly crashes: CrashTracker,
+    private readonly crashTracker: CrashTracker,
   ) {}
 
   /**
-   * Returns whether another suspect task of the step is in its startup. Suspects of one step are started one after the other, since
-   * they are likely to behave alike; members of a gang start together.
+   * Returns whether a suspect task of the step is in its startup. The other suspects of the step then have to wait, since they are likely
+   * to behave alike. Always false for gangs, whose members start together.
    */
-  hasStartingSibling({ job, repetition: time, step, shape }: WaitingStep): boolean {
+  hasStartingSuspectSibling({ job, repetition, step, shape }: WaitingStep): boolean {
     if (shape.isGang) {
       return false;
     }
-    return job.progress.listTasks(time, step).some((task, index) => {
+    return job.progress.listTasks(repetition, step).some((task, index) => {
       if (task.phase !== 'placed' || !isCrashSuspect(task.crashes)) {
         return false;
       }
-      const name = toTaskName(job.definition.id, { repetition: time, step, index });
+      const name = toTaskName(job.definition.id, { repetition, step, index });
       const run = this.endpoints.get(task.endpoint)?.getRun(name, task.run);
       return run !== undefined && !isPastStartup(run);
     });
   }
 
   /**
-   * Returns the cost of an endpoint for a task; Infinity where it must not start now. A healthy task that has been in several crashes
-   * isn't started beside a starting suspect either, so that its neighbours' crashes don't bring it over the crash limit.
+   * Returns the cost of placing a task on an endpoint. It is Infinity beside another suspect in its startup, if the task is a suspect or
+   * was present at so many crashes that one more could bring it over the crash limit. For a suspect, each run on the endpoint and a recent
+   * crash at its address add to the cost.
    */
-  computeCost(
+  computeSuspectCost(
     step: WaitingStep,
-    { isSuspect, crashes }: Candidate,
+    { isSuspect, crashCount }: TaskToPlace,
     endpoint: EndpointState,
     now: number,
   ): number {
     const hasOtherSuspects = this.hasOtherStartingSuspects(step, endpoint);
     if (!isSuspect) {
-      const neighbourCost = crashes >= crashLimits.protectedAfterCrashes ? Infinity : SUSPECT_NEIGHBOUR_COST;
+      const neighbourCost =
+        crashCount >= crashLimits.protectedAfterCrashes ? Infinity : SUSPECT_NEIGHBOUR_COST;
       return hasOtherSuspects ? neighbourCost : 0;
     }
     if (hasOtherSuspects) {
       return Infinity;
     }
-    const hasCrashed = this.crashes.hasCrashedRecently(endpoint.getProfile().address, now);
+    const hasCrashed = this.crashTracker.hasCrashedRecently(endpoint.getProfile().address, now);
     let cost = hasCrashed ? RECENT_CRASH_COST : 0;
     for (const run of endpoint.getRuns()) {
       cost += this.computeNeighbourCost(step, run);
@@ -77,11 +81,13 @@
     return cost;
   }
 
+  /** Returns the cost for a suspect of one run that is on the endpoint. */
   private computeNeighbourCost(step: WaitingStep, run: PlacedRun): number {
     const startupCost = isPastStartup(run) || this.isSameGang(step, run) ? 0 : STARTING_NEIGHBOUR_COST;
-    return startupCost + (run.isServing ? SERVING_NEIGHBOUR_COST : NEIGHBOUR_COST);
+    return startupCost + (run.isServing ? SERVING_NEIGHBOUR_COST : OTHER_NEIGHBOUR_COST);
   }
 
+  /** Returns whether the endpoint has a suspect in its startup that isn't a member of the gang to be placed. */
   private hasOtherStartingSuspects(step: WaitingStep, endpoint: EndpointState): boolean {
     for (const run of endpoint.getStartingSuspects()) {
       if (!this.isSameGang(step, run)) {
@@ -91,7 +97,7 @@
     return false;
   }
 
-  /** Returns whether the run is a member of the gang to be placed; its members start together and share the blame for a crash. */
+  /** Returns whether the step is a gang and the run one of its members. They start together and share the blame for a crash. */
   private isSameGang(step: WaitingStep, { job, address }: PlacedRun): boolean {
     const isSameStep =
       job === step.job.definition.id && address.repetition === step.repetition && address.step === step.step;
--- a/packages/dispatch/placing/speedPolicies.ts
+++ b/packages/dispatch/placing/speedPolicies.ts
@@ -4,30 +4,32 @@
 import type { SpeedPolicyName } from './SpeedPolicyName';
 import type { SpeedSources } from './SpeedSources';
 
-type CostFunction = (endpoint: EndpointState) => number;
-type CreateCostFunction = (
+type EndpointCostFunction = (endpoint: EndpointState) => number;
+type CostFunctionFactory = (
   step: WaitingStep,
   sources: SpeedSources,
   endpoints: readonly EndpointState[],
   wallMs: number,
-) => CostFunction;
+) => EndpointCostFunction;
 
-/** Cost of a slowdown of 2. A tenth of it outweighs packing, which costs at most 1; all of it doesn't outweigh another rack, 100. */
-const SLOWDOWN_COST = 20;
-/** Slowdowns are rounded to multiples of this, so that random differences don't count. */
-const SLOWDOWN_STEP = 0.1;
+/** Cost of a slowdown of 2; less than that of a rack without the data of the step. */
+const DOUBLE_SLOWDOWN_COST = 20;
+/** Slowdowns are rounded to multiples of this, so that small random differences cost nothing. */
+const SLOWDOWN_ROUNDING_STEP = 0.1;
 
-const createKindCost: CreateCostFunction = (step, { kinds, capacity }) => {
-  const isMostUrgent = capacity.isMostUrgent(step.job.definition.queue);
+/** Creates a cost function by which the most urgent queue prefers fast kinds of endpoints, and all others slow kinds. */
+const createKindCost: CostFunctionFactory = (step, { kindSpeeds, capacityView }) => {
+  const isMostUrgent = capacityView.isMostUrgentQueue(step.job.definition.queue);
   return (endpoint) => {
-    const slowdown = kinds.getSlowdown(endpoint.getProfile().labels);
-    const cost = SLOWDOWN_COST * SLOWDOWN_STEP * Math.round((slowdown - 1) / SLOWDOWN_STEP);
+    const slowdown = kindSpeeds.getSlowdown(endpoint.getProfile().labels);
+    const cost =
+      DOUBLE_SLOWDOWN_COST * SLOWDOWN_ROUNDING_STEP * Math.round((slowdown - 1) / SLOWDOWN_ROUNDING_STEP);
     return isMostUrgent ? cost : -cost;
   };
 };
 
-/** Cost functions of a step over the endpoints that may run it, at a wall clock time, by policy. */
-export const speedPolicies: Readonly<Record<SpeedPolicyName, CreateCostFunction>> = {
+/** Functions that create the speed cost function of a step, from the endpoints that may run it and the wall clock time; by policy. */
+export const speedPolicies: Readonly<Record<SpeedPolicyName, CostFunctionFactory>> = {
   blind: () => () => 0,
   kinds: createKindCost,
   endpoints: createCompletionTimeCost,
--- a/packages/dispatch/stops/EndpointQuarantine.ts
+++ b/packages/dispatch/stops/EndpointQuarantine.ts
@@ -2,53 +2,57 @@
 import type { ServiceName } from '../../jobs/ServiceName';
 import type { EndpointState } from '../endpoints/EndpointState';
 
-/** A task to be placed. */
-interface Candidate {
-  readonly isGang: boolean;
-  /** Number of its failed runs. */
-  readonly failures: number;
+/** Properties of the task to be placed on which quarantine depends. */
+interface TaskToPlace {
+  readonly isInGang: boolean;
+  /** Number of failed runs of the task. */
+  readonly failureCount: number;
 }
 
-/** When more than this share of a service's endpoints fail, the work is assumed to be at fault and none is quarantined. */
+/** When more than this share of the endpoints of a service are failing, the tasks are considered at fault and none is quarantined. */
 const MAX_QUARANTINED_SHARE = 0.25;
 
 /**
- * Quarantines endpoints that fail every run, as a circuit breaker does. Such an endpoint always has free capacity, so that it would
- * attract waiting tasks and use up their attempts. After a backoff it gets one run at a time as a probe, of a task without failures.
+ * Quarantines endpoints on which consecutive runs failed, as a circuit breaker does. Such an endpoint always has free capacity, so it
+ * would attract waiting tasks and use up their attempts. After a backoff it may run one task without failures as a probe.
  */
 export class EndpointQuarantine {
-  /** Whether a service is exempt from quarantine, cached for the round. */
-  private readonly exempt = new Map<ServiceName, boolean>();
+  /** Results of `isExemptService`, cached until `clearCache`. */
+  private readonly exemptionByService = new Map<ServiceName, boolean>();
 
   constructor(
     private readonly endpoints: ReadonlyMap<EndpointIncarnation, EndpointState>,
-    /** False to quarantine none. */
+    /** False when no endpoint is quarantined. */
     private readonly isEnabled: boolean,
   ) {}
 
-  /** Clears the results of the last round. */
+  /** Clears the cached results before a new round. */
   clearCache(): void {
-    this.exempt.clear();
+    this.exemptionByService.clear();
   }
 
-  /** Returns whether a task may be placed on the endpoint, by the failures of both. */
-  canAccept(candidate: Candidate, endpoint: EndpointState, now: number): boolean {
+  /**
+   * Returns whether a task may be placed on the endpoint: either the endpoint isn't quarantined, or the task may be its probe. It may if it
+   * has no failures, isn't in a gang, the backoff has passed, and no earlier probe is active.
+   */
+  canAcceptTask(candidate: TaskToPlace, endpoint: EndpointState, now: number): boolean {
     const streak = endpoint.getFailureStreak();
-    if (!this.isEnabled || !streak.isFailing() || this.isExempt(endpoint.getProfile().service)) {
+    if (!this.isEnabled || !streak.isFailing() || this.isExemptService(endpoint.getProfile().service)) {
       return true;
     }
-    const canProbe = !candidate.isGang && candidate.failures === 0 && now >= streak.getProbeAt();
-    return canProbe && !this.isProbing(endpoint);
+    const canProbe = !candidate.isInGang && candidate.failureCount === 0 && now >= streak.getProbeAt();
+    return canProbe && !this.hasActiveProbe(endpoint);
   }
 
-  /** Returns whether a run that was placed after the newest failure is still active. */
-  private isProbing(endpoint: EndpointState): boolean {
-    const failedAt = endpoint.getFailureStreak().getFailedAt();
+  /** Returns whether a run that was placed at or after the newest failure is still active on the endpoint. */
+  private hasActiveProbe(endpoint: EndpointState): boolean {
+    const failedAt = endpoint.getFailureStreak().getLastFailedAt();
     return [...endpoint.getRuns()].some((run) => run.placedAt >= failedAt);
   }
 
-  private isExempt(service: ServiceName): boolean {
-    const known = this.exempt.get(service);
+  /** Returns whether too many endpoints of the service are failing for any of them to be quarantined. */
+  private isExemptService(service: ServiceName): boolean {
+    const known = this.exemptionByService.get(service);
     if (known !== undefined) {
       return known;
     }
@@ -57,7 +61,7 @@
     );
     const failing = schedulable.filter((endpoint) => endpoint.getFailureStreak().isFailing());
     const isServiceExempt = failing.length > schedulable.length * MAX_QUARANTINED_SHARE;
-    this.exempt.set(service, isServiceExempt);
+    this.exemptionByService.set(service, isServiceExempt);
     return isServiceExempt;
   }
 }
--- a/packages/dispatch/stops/EvictionInput.ts
+++ b/packages/dispatch/stops/EvictionInput.ts
@@ -1,9 +1,9 @@
-/** A run, or a whole gang, on a draining endpoint. */
+/** Properties of a run on a draining endpoint that decide whether it is evicted now. */
 export interface EvictionInput {
   /** Time until the endpoint's drain deadline, in milliseconds. */
   readonly untilDeadlineMs: number;
-  /** Estimated time until the run ends there, in milliseconds; Infinity for one that never ends. */
+  /** Estimated time until the run ends, in milliseconds. */
   readonly remainingMs: number;
-  /** The run saves its work when it is stopped. */
-  readonly isSaving: boolean;
+  /** The run writes a checkpoint when it is stopped, so that no work is lost. */
+  readonly isSavingOnStop: boolean;
 }
--- a/packages/dispatch/stops/PreemptionRules.ts
+++ b/packages/dispatch/stops/PreemptionRules.ts
@@ -1,27 +1,28 @@
 import type { PreemptionEstimate } from './PreemptionEstimate';
 
-/** Preemption rules of a stop policy. */
+/** Rules of a stop policy that decide when and which runs are preempted for a waiting step. */
 export interface PreemptionRules {
-  /** Returns the cost of a victim. The plan with the lowest total cost is carried out. */
-  readonly computeCost: (run: Victim) => number;
+  /** Returns the cost of preempting a run. Endpoints with the lowest total cost are chosen. */
+  readonly computeVictimCost: (run: Victim) => number;
+  /** Returns whether a preemption gains enough to be carried out. */
   readonly isWorthwhile: (estimate: PreemptionEstimate) => boolean;
-  /** Victims that turn out unnecessary are left running. */
+  /** Victims are left running when the others free enough capacity. */
   readonly isMinimizingVictims: boolean;
-  /** Minimum time between the restart of a preempted task and its next preemption, in milliseconds. */
-  readonly minWorkMs: number;
-  /** Time for which an endpoint is reserved for the preempting step, in milliseconds. */
+  /** Minimum time from the restart of a preempted task to its next preemption, in milliseconds. */
+  readonly minWorkAfterRestartMs: number;
+  /** Time for which an endpoint is reserved for the step for which runs are preempted, in milliseconds. */
   readonly reservationMs: number;
-  /** Remaining validity of a ticket that allows preemption, in milliseconds. */
-  readonly minTicketMs: number;
-  /** Backoff after the first preemption for a step that didn't start, in milliseconds; doubled each time. */
-  readonly initialRetryMs: number;
+  /** Minimum remaining validity of the ticket of an endpoint on which runs are preempted, in milliseconds. */
+  readonly minTicketValidityMs: number;
+  /** Time from the first preemption for a step to the next, in milliseconds; doubled each time until the step starts. */
+  readonly initialRetryDelayMs: number;
 }
 
-/** A run that may be preempted. */
+/** Properties of a run on which the cost of its preemption depends. */
 interface Victim {
   readonly cpuMillis: number;
-  /** Time since its last known checkpoint, or its start, in milliseconds. */
-  readonly workedMs: number;
-  /** The run saves its work when it is stopped. */
-  readonly isSaving: boolean;
+  /** Time since the last known checkpoint, or the confirmed start if there is none, in milliseconds. */
+  readonly sinceCheckpointMs: number;
+  /** The run writes a checkpoint when it is stopped, so that no work is lost. */
+  readonly isSavingOnStop: boolean;
 }
--- a/packages/dispatch/stops/chooseMoves.ts
+++ b/packages/dispatch/stops/chooseMoves.ts
@@ -1,20 +1,23 @@
-/** Priority and gain of a move. */
+/** Properties of a move by which moves are ranked. */
 interface Move {
   readonly priority: number;
-  /** Time that it is expected to gain, in milliseconds. */
+  /** Time by which the task is expected to end earlier, in milliseconds. */
   readonly gainMs: number;
 }
 
-/** Lower bound of the limit, for small clusters. */
-const MIN_MOVING = 4;
+/** Number of moves that may be under way at the same time in any case, however few runs there are. */
+const MIN_MOVE_LIMIT = 4;
 
-/** Returns the moves to make now, by priority, then by gain, up to the limit less the moves under way. */
+/**
+ * Returns the candidates to move now: the most urgent, then those with the largest gain. With the `movingCount` moves under way they
+ * don't exceed `maxMoving`, or `MIN_MOVE_LIMIT` if that is more.
+ */
 export const chooseMoves = <Candidate extends Move>(
   candidates: readonly Candidate[],
   maxMoving: number,
   movingCount: number,
 ): readonly Candidate[] => {
-  const limit = Math.max(MIN_MOVING, Math.floor(maxMoving));
+  const limit = Math.max(MIN_MOVE_LIMIT, Math.floor(maxMoving));
   return [...candidates]
     .sort((left, right) => left.priority - right.priority || right.gainMs - left.gainMs)
     .slice(0, Math.max(0, limit - movingCount));
--- a/packages/dispatch/stops/estimateCapacityWaitMs.ts
+++ b/packages/dispatch/stops/estimateCapacityWaitMs.ts
@@ -2,39 +2,39 @@
 import type { TaskDemand } from '../../jobs/TaskDemand';
 import type { CapacityHolder } from './CapacityHolder';
 
-/** An endpoint that may run tasks of the step. */
+/** Capacity of an endpoint that may run the tasks: what is free, and the runs that take the rest. */
 interface OccupiedEndpoint {
-  readonly free: TaskDemand;
-  readonly holders: readonly CapacityHolder[];
+  readonly freeCapacity: TaskDemand;
+  readonly capacityHolders: readonly CapacityHolder[];
 }
 
-/** Returns the time until each further task fits on an endpoint as its runs end, in milliseconds. */
-const computeFitTimes = (
-  { free, holders }: OccupiedEndpoint,
+/** Returns, for each task that will fit on an endpoint as its runs end, the time until then in milliseconds; ascending. */
+const estimateFitTimesMs = (
+  { freeCapacity, capacityHolders }: OccupiedEndpoint,
   demand: TaskDemand,
   maxPerEndpoint: number,
 ): readonly number[] => {
-  const times: number[] = [];
-  let remaining = free;
+  const fitTimesMs: number[] = [];
+  let remaining = freeCapacity;
   let waitMs = 0;
   const recordFits = (): void => {
-    while (times.length < maxPerEndpoint && resourceMath.isWithin(demand, remaining)) {
+    while (fitTimesMs.length < maxPerEndpoint && resourceMath.isWithin(demand, remaining)) {
       remaining = resourceMath.computeDifference(remaining, demand);
-      times.push(waitMs);
+      fitTimesMs.push(waitMs);
     }
   };
   recordFits();
-  for (const holder of [...holders].sort((left, right) => left.remainingMs - right.remainingMs)) {
+  for (const holder of [...capacityHolders].sort((left, right) => left.remainingMs - right.remainingMs)) {
     remaining = resourceMath.computeSum(remaining, holder.demand);
     waitMs = holder.remainingMs;
     recordFits();
   }
-  return times;
+  return fitTimesMs;
 };
 
 /**
- * Returns the estimated time until `count` tasks fit on the endpoints as runs end by themselves, in milliseconds; Infinity when they
- * never do. A `mostPerEndpoint` of 0 means no limit.
+ * Returns the estimated time until `count` tasks fit on the endpoints together as runs end by themselves, in milliseconds; Infinity when
+ * they never do. At most `mostPerEndpoint` tasks go on one endpoint; 0 means no limit.
  */
 export const estimateCapacityWaitMs = (
   endpoints: readonly OccupiedEndpoint[],
@@ -43,6 +43,6 @@
   mostPerEndpoint: number,
 ): number => {
   const maxPerEndpoint = mostPerEndpoint === 0 ? count : mostPerEndpoint;
-  const times = endpoints.flatMap((endpoint) => computeFitTimes(endpoint, demand, maxPerEndpoint));
-  return times.sort((left, right) => left - right)[count - 1] ?? Infinity;
+  const fitTimesMs = endpoints.flatMap((endpoint) => estimateFitTimesMs(endpoint, demand, maxPerEndpoint));
+  return fitTimesMs.sort((left, right) => left - right)[count - 1] ?? Infinity;
 };
