--- a/packages/dispatch/Dispatcher.ts
+++ b/packages/dispatch/Dispatcher.ts
@@ -166,12 +166,12 @@
     this.preference = preference;
     const { capacity: room, adviceStats: history } = this;
     const policy = advicePolicies[policies.turnChoice];
-    const selector = policy.createSelector({ capacity: room, preemptor, stats: history, preference });
+    const selector = policy.createSelector({ capacityView: room, preemptor, stats: history, preference });
     this.adviceSelector = selector;
     this.adviceMetrics = new AdviceMetrics((name, amount) => sendEffect({ kind: 'count', name, amount }));
     this.adviceRequester = new AdviceRequester({
       endpoints: this.endpoints,
-      capacity: room,
+      capacityView: room,
       limits,
       policy,
       selector,
@@ -200,9 +200,9 @@
     this.learner = new RunLearner({
       endpoints: this.endpoints,
       jobs: this.jobs,
-      kinds,
+      kindSpeeds: kinds,
       speeds,
-      times,
+      runTimes: times,
       speedPolicy: speedChoice,
       sendLogLine: (message, fields) => this.runTracker.sendLogLine(message, fields),
     });
@@ -444,7 +444,7 @@
     this.adviceSelector.recordResponse(step, requested);
     const validityMs = job?.definition.queue.advice?.validityMs ?? 0;
     const advice = job?.getAdvice(Number(time), Number(index));
-    const tookMs = advice === undefined ? 0 : now - advice.getRequestedAt();
+    const tookMs = advice === undefined ? 0 : now - advice.getLastRequestedAt();
     if (tickets === undefined) {
       this.adviceMetrics.recordFailure(tookMs);
     }
--- a/packages/dispatch/advice/AdviceMetrics.ts
+++ b/packages/dispatch/advice/AdviceMetrics.ts
@@ -3,7 +3,7 @@
 
 /** A request with a response, until a start uses one of its tickets or they expire. */
 interface AnsweredRequest {
-  readonly tookMs: number;
+  readonly responseMs: number;
   /** Monotonic time at which its tickets expire. */
   readonly expiresAt: number;
   isUsed: boolean;
@@ -19,7 +19,7 @@
 /** Counts advice requests by reason, and whether a start used their responses. */
 export class AdviceMetrics {
   /** Answered requests that are not counted yet, in the order of their responses. Bounded by the validity of tickets. */
-  private pending: AnsweredRequest[] = [];
+  private uncountedRequests: AnsweredRequest[] = [];
 
   constructor(private readonly sendCount: (name: DispatchCounterName, amount: number) => void) {}
 
@@ -34,9 +34,9 @@
   }
 
   /** Records a response. Its tickets keep the returned value for `recordTicketUse`. */
-  recordResponse(tookMs: number, expiresAt: number): AnsweredRequest {
-    const request = { tookMs, expiresAt, isUsed: false };
-    this.pending.push(request);
+  recordResponse(responseMs: number, expiresAt: number): AnsweredRequest {
+    const request = { responseMs, expiresAt, isUsed: false };
+    this.uncountedRequests.push(request);
     return request;
   }
 
@@ -45,17 +45,22 @@
     if (!request.isUsed) {
       request.isUsed = true;
       this.sendCount('turnsUsed', 1);
-      this.sendCount('turnUsedMs', Math.round(request.tookMs));
+      this.sendCount('turnUsedMs', Math.round(request.responseMs));
     }
   }
 
   /** Counts requests whose tickets have expired unused. */
   handleTick(now: number): void {
-    const expired = this.pending.filter(({ expiresAt, isUsed }) => !isUsed && expiresAt <= now);
-    this.pending = this.pending.filter(({ expiresAt, isUsed }) => !isUsed && expiresAt > now);
+    const expired = this.uncountedRequests.filter(({ expiresAt, isUsed }) => !isUsed && expiresAt <= now);
+    this.uncountedRequests = this.uncountedRequests.filter(
+      ({ expiresAt, isUsed }) => !isUsed && expiresAt > now,
+    );
     if (expired.length > 0) {
       this.sendCount('turnsWasted', expired.length);
-      this.sendCount('turnWastedMs', Math.round(expired.reduce((sum, { tookMs }) => sum + tookMs, 0)));
+      this.sendCount(
+        'turnWastedMs',
+        Math.round(expired.reduce((sum, { responseMs }) => sum + responseMs, 0)),
+      );
     }
   }
 }
--- a/packages/dispatch/advice/AdvicePolicy.ts
+++ b/packages/dispatch/advice/AdvicePolicy.ts
@@ -6,7 +6,7 @@
 import type { CapacityView } from '../placing/CapacityView';
 
 interface SelectorDependencies {
-  readonly capacity: CapacityView;
+  readonly capacityView: CapacityView;
   readonly preemptor: Preemptor;
   readonly stats: AdviceStats;
   readonly preference: EndpointPreference;
--- a/packages/dispatch/advice/AdviceRequester.ts
+++ b/packages/dispatch/advice/AdviceRequester.ts
@@ -26,7 +26,7 @@
 
 interface AdviceRequesterOptions {
   readonly endpoints: ReadonlyMap<EndpointIncarnation, EndpointState>;
-  readonly capacity: CapacityView;
+  readonly capacityView: CapacityView;
   readonly limits: StepLimiter;
   readonly policy: AdvicePolicy;
   readonly selector: CandidateSelector;
@@ -37,7 +37,7 @@
 
 /** Decides when to request advice for a step, and about which endpoints. */
 export class AdviceRequester {
-  private slots: AdviceSlots = { all: 0, long: 0 };
+  private remainingSlots: AdviceSlots = { all: 0, long: 0 };
 
   constructor(private readonly options: AdviceRequesterOptions) {}
 
@@ -46,7 +46,7 @@
    * whether they are still needed.
    */
   startRound(slots: AdviceSlots): void {
-    this.slots = slots;
+    this.remainingSlots = slots;
     this.options.selector.startRound();
   }
 
@@ -73,7 +73,7 @@
     if (!stepAdvice.canRequest(now)) {
       return 'answer';
     }
-    const { capacity: capacityView, policy, selector } = this.options;
+    const { capacityView, policy, selector } = this.options;
     const isLong = policy.isLong(advice, capacityView.isMostUrgent(step.job.definition.queue));
     if (!this.hasSlot(isLong)) {
       return 'turn';
@@ -85,7 +85,10 @@
       stepAdvice.recordDeferral(now, now + policy.computeDeferralMs(advice));
       return 'room';
     }
-    this.slots = { all: this.slots.all - 1, long: this.slots.long - (isLong ? 1 : 0) };
+    this.remainingSlots = {
+      all: this.remainingSlots.all - 1,
+      long: this.remainingSlots.long - (isLong ? 1 : 0),
+    };
     const endpoints = candidates.map((endpoint) => endpoint.getProfile().incarnation);
     const cause = isEarly ? 'early' : this.getReason(stepAdvice, endpoints);
     const name = toStepName(step);
@@ -106,10 +109,10 @@
   }
 
   /** Records that a task of the step is started on an endpoint, with its ticket if one is needed. */
-  recordTicketUse({ job, repetition: time, step }: WaitingStep, endpoint: EndpointIncarnation): void {
-    const source = job.getAdvice(time, step).getSource(endpoint);
-    if (source !== undefined) {
-      this.options.metrics.recordTicketUse(source);
+  recordTicketUse({ job, repetition, step }: WaitingStep, endpoint: EndpointIncarnation): void {
+    const request = job.getAdvice(repetition, step).getTicketRequest(endpoint);
+    if (request !== undefined) {
+      this.options.metrics.recordTicketUse(request);
     }
   }
 
@@ -122,27 +125,36 @@
   }
 
   private hasSlot(isLong: boolean): boolean {
-    return this.slots.all > 0 && (!isLong || this.slots.long > 0);
+    return this.remainingSlots.all > 0 && (!isLong || this.remainingSlots.long > 0);
   }
 
   /** Requests advice for later steps of a job that are about to become ready. */
   sendEarlyRequests(job: LiveJob, now: number, wallMs: number): void {
     const { definition, progress } = job;
     const { advice } = definition.queue;
-    if (advice === undefined || progress.isEnded() || definition.steps.length === 1 || this.slots.all === 0) {
+    if (
+      advice === undefined ||
+      progress.isEnded() ||
+      definition.steps.length === 1 ||
+      this.remainingSlots.all === 0
+    ) {
       return;
     }
-    for (let time = 0; time < definition.times && job.getDueAtMs(time) <= wallMs; time += 1) {
+    for (
+      let repetition = 0;
+      repetition < definition.times && job.getDueAtMs(repetition) <= wallMs;
+      repetition += 1
+    ) {
       for (const [step, shape] of definition.steps.entries()) {
-        const isLater = shape.dependsOn.length > 0 && !progress.isStepReady(time, step);
-        if (!isLater || job.getAdvice(time, step).isRequestPending()) {
+        const isLater = shape.dependsOn.length > 0 && !progress.isStepReady(repetition, step);
+        if (!isLater || job.getAdvice(repetition, step).isRequestPending()) {
           continue;
         }
         const leadMs = advice.decisionMs + advice.perEndpointMs * BUDGETED_CANDIDATES + EARLY_MARGIN_MS;
-        if (this.estimateReadyInMs(job, time, step, now) <= leadMs) {
-          const indexes = progress.listTasks(time, step).map((_task, index) => index);
+        if (this.estimateReadyInMs(job, repetition, step, now) <= leadMs) {
+          const indexes = progress.listTasks(repetition, step).map((_task, index) => index);
           this.sendEarlyRequest(
-            { job, repetition: time, step, shape, indexes, objectiveAtMs: job.getObjectiveAtMs(time) },
+            { job, repetition, step, shape, indexes, objectiveAtMs: job.getObjectiveAtMs(repetition) },
             now,
           );
         }
@@ -151,7 +163,7 @@
   }
 
   private sendEarlyRequest(whole: WaitingStep, now: number): void {
-    const { limits, capacity: capacityView } = this.options;
+    const { limits, capacityView } = this.options;
     const step = limits.computeMaxStartable(whole);
     if (step !== undefined) {
       this.requestAdvice(step, capacityView.listEligible(step), step.indexes.length, now, now, true);
@@ -159,15 +171,15 @@
   }
 
   /** Returns the estimated time until a later step becomes ready, in milliseconds; Infinity while a task that it depends on waits. */
-  private estimateReadyInMs(job: LiveJob, time: number, step: number, now: number): number {
+  private estimateReadyInMs(job: LiveJob, repetition: number, step: number, now: number): number {
     let readyInMs = 0;
     for (const earlier of job.definition.steps[step]!.dependsOn) {
-      for (const [index, task] of job.progress.listTasks(time, earlier).entries()) {
+      for (const [index, task] of job.progress.listTasks(repetition, earlier).entries()) {
         if (task.phase === 'waiting') {
           return Infinity;
         }
         if (task.phase === 'placed') {
-          const name = toTaskName(job.definition.id, { repetition: time, step: earlier, index });
+          const name = toTaskName(job.definition.id, { repetition, step: earlier, index });
           const run = this.options.endpoints.get(task.endpoint)?.getRun(name, task.run);
           const estimatedMs = job.definition.steps[earlier]!.estimatedMs;
           readyInMs = Math.max(readyInMs, run === undefined ? 0 : estimateRemainingMs(run, estimatedMs, now));
--- a/packages/dispatch/advice/AdviceStats.ts
+++ b/packages/dispatch/advice/AdviceStats.ts
@@ -1,30 +1,30 @@
 import type { EndpointIncarnation } from '../../jobs/EndpointIncarnation';
 
 /** Share of candidates that are expected to be allowed before the first response. */
-const INITIAL_SHARE = 0.5;
+const INITIAL_ALLOWED_SHARE = 0.5;
 /** Weight of the latest response in the moving average of that share. */
 const RESPONSE_WEIGHT = 0.1;
 /** Lower bound, since callers divide by the share. */
-const MIN_SHARE = 0.1;
+const MIN_ALLOWED_SHARE = 0.1;
 
 /** Statistics of advice requests over all steps: the allowed share by queue, and the pending requests by endpoint. */
 export class AdviceStats {
   private readonly allowedShares = new Map<string, number>();
-  private readonly pending = new Map<EndpointIncarnation, number>();
+  private readonly pendingCounts = new Map<EndpointIncarnation, number>();
 
   /** Returns the share of candidates, 0 to 1, that the service is expected to allow for a step of the queue. */
   getAllowedShare(queue: string): number {
-    return this.allowedShares.get(queue) ?? INITIAL_SHARE;
+    return this.allowedShares.get(queue) ?? INITIAL_ALLOWED_SHARE;
   }
 
   /** Returns how many pending requests have the endpoint among their candidates. Their steps may take its free capacity. */
-  countPending(endpoint: EndpointIncarnation): number {
-    return this.pending.get(endpoint) ?? 0;
+  countPendingRequests(endpoint: EndpointIncarnation): number {
+    return this.pendingCounts.get(endpoint) ?? 0;
   }
 
   recordRequest(candidates: readonly EndpointIncarnation[]): void {
     for (const endpoint of candidates) {
-      this.pending.set(endpoint, this.countPending(endpoint) + 1);
+      this.pendingCounts.set(endpoint, this.countPendingRequests(endpoint) + 1);
     }
   }
 
@@ -35,17 +35,17 @@
     allowedCount: number | undefined,
   ): void {
     for (const endpoint of candidates) {
-      const left = this.countPending(endpoint) - 1;
+      const left = this.countPendingRequests(endpoint) - 1;
       if (left > 0) {
-        this.pending.set(endpoint, left);
+        this.pendingCounts.set(endpoint, left);
       } else {
-        this.pending.delete(endpoint);
+        this.pendingCounts.delete(endpoint);
       }
     }
     if (allowedCount !== undefined && candidates.length > 0) {
       const before = this.getAllowedShare(queue);
       const share = before + RESPONSE_WEIGHT * (allowedCount / candidates.length - before);
-      this.allowedShares.set(queue, Math.max(MIN_SHARE, share));
+      this.allowedShares.set(queue, Math.max(MIN_ALLOWED_SHARE, share));
     }
   }
 }
--- a/packages/dispatch/advice/ChannelState.ts
+++ b/packages/dispatch/advice/ChannelState.ts
@@ -1,26 +1,26 @@
 import { SmoothedTime } from '../../common/SmoothedTime';
 
 /** Upper bound on the hedge delay, and its value before the first response. */
-const MAX_DELAY_MS = 1200;
+const MAX_HEDGE_DELAY_MS = 1200;
 /** Lower bound on the hedge delay, since a hedge uses a second slot. */
 const MIN_HEDGE_DELAY_MS = 80;
 /** Half-life of the estimated delay after the latest response, so that a channel that was slow is tried again. */
-const HALF_LIFE_MS = 10_000;
+const DELAY_HALF_LIFE_MS = 10_000;
 
 /** State of one channel: its pending request, the delay of its responses beyond the service's time, and its quarantine. */
 export class ChannelState {
-  private request: { readonly isLong: boolean } | undefined;
+  private pendingRequest: { readonly isLong: boolean } | undefined;
   private readonly delays = new SmoothedTime();
-  private respondedAt = 0;
+  private lastRespondedAt = 0;
   /** Monotonic time until which other channels are preferred, after a late or missing response. */
   private quarantinedUntil = -Infinity;
 
   isBusy(): boolean {
-    return this.request !== undefined;
+    return this.pendingRequest !== undefined;
   }
 
   hasShortRequest(): boolean {
-    return this.request?.isLong === false;
+    return this.pendingRequest?.isLong === false;
   }
 
   isQuarantined(now: number): boolean {
@@ -29,30 +29,32 @@
 
   /** Returns by how much the next response is expected to exceed the service's time, in milliseconds. */
   estimateDelayMs(now: number): number {
-    return (this.delays.getMeanMs() ?? 0) * 0.5 ** ((now - this.respondedAt) / HALF_LIFE_MS);
+    return (this.delays.getMeanMs() ?? 0) * 0.5 ** ((now - this.lastRespondedAt) / DELAY_HALF_LIFE_MS);
   }
 
   /**
    * Returns how long after the service's time a response counts as late, in milliseconds; `defaultMs` before the first response.
    */
-  computeHedgeDelayMs(defaultMs = MAX_DELAY_MS): number {
+  computeHedgeDelayMs(defaultMs = MAX_HEDGE_DELAY_MS): number {
     const limitMs = this.delays.getLimitMs();
-    return limitMs === undefined ? defaultMs : Math.min(MAX_DELAY_MS, Math.max(MIN_HEDGE_DELAY_MS, limitMs));
+    return limitMs === undefined
+      ? defaultMs
+      : Math.min(MAX_HEDGE_DELAY_MS, Math.max(MIN_HEDGE_DELAY_MS, limitMs));
   }
 
   recordRequest(isLong: boolean): void {
-    this.request = { isLong };
+    this.pendingRequest = { isLong };
   }
 
   recordResponse(delayMs: number, now: number): void {
-    this.request = undefined;
+    this.pendingRequest = undefined;
     this.quarantinedUntil = -Infinity;
-    this.respondedAt = now;
+    this.lastRespondedAt = now;
     this.delays.recordTime(delayMs);
   }
 
   /** Quarantines the channel while its response is late; the response may still arrive. */
-  recordLate(quarantinedUntil: number): void {
+  recordLateResponse(quarantinedUntil: number): void {
     this.quarantinedUntil = quarantinedUntil;
   }
 
@@ -63,7 +65,7 @@
 
   /** Records that the pending request has ended without a response. */
   recordFailure(quarantinedUntil: number): void {
-    this.request = undefined;
+    this.pendingRequest = undefined;
     this.quarantinedUntil = quarantinedUntil;
   }
 }
--- a/packages/dispatch/advice/DemandAhead.ts
+++ b/packages/dispatch/advice/DemandAhead.ts
@@ -6,9 +6,9 @@
  * Ratio of demand ahead to capacity, including capacity that preemption could free, above which a step is not expected to get any. It is
  * above 1 since the steps ahead may not use all endpoints.
  */
-const PREEMPTION_FACTOR = 2;
+const MAX_PREEMPTION_RATIO = 2;
 /** The same ratio for steps that cannot preempt; higher since ending runs free more capacity while tickets are valid. */
-const FREE_FACTOR = 5;
+const MAX_FREE_RATIO = 5;
 
 /**
  * Demand of the steps earlier in the placement order of a round. It keeps the steps at the end of a long backlog from using up the
@@ -16,19 +16,19 @@
  */
 export class DemandAhead {
   /** Processor demand, in thousandths of a core, of the steps recorded in this round, by service. */
-  private readonly demands = new Map<ServiceName, number>();
+  private readonly cpuDemands = new Map<ServiceName, number>();
   /** Demand ahead of the step recorded last. */
-  private ahead = 0;
+  private cpuDemandAhead = 0;
 
   startRound(): void {
-    this.demands.clear();
+    this.cpuDemands.clear();
   }
 
   /** Records the next step in placement order. */
   recordStep({ job, shape }: WaitingStep, missing: number): void {
     const { service } = job.definition.queue;
-    this.ahead = this.demands.get(service) ?? 0;
-    this.demands.set(service, this.ahead + missing * shape.demand.cpuMillis);
+    this.cpuDemandAhead = this.cpuDemands.get(service) ?? 0;
+    this.cpuDemands.set(service, this.cpuDemandAhead + missing * shape.demand.cpuMillis);
   }
 
   /** Returns whether the demand ahead of the step recorded last is likely to take all the capacity that the step could use. */
@@ -37,7 +37,7 @@
     eligible: readonly EndpointState[],
     canPreempt: boolean,
   ): boolean {
-    if (this.ahead === 0) {
+    if (this.cpuDemandAhead === 0) {
       return false;
     }
     const { priority } = job.definition.queue;
@@ -50,6 +50,6 @@
         }
       }
     }
-    return this.ahead > capacity * (canPreempt ? PREEMPTION_FACTOR : FREE_FACTOR);
+    return this.cpuDemandAhead > capacity * (canPreempt ? MAX_PREEMPTION_RATIO : MAX_FREE_RATIO);
   }
 }
--- a/packages/dispatch/advice/EagerCandidateSelector.ts
+++ b/packages/dispatch/advice/EagerCandidateSelector.ts
@@ -9,7 +9,7 @@
 import type { WaitingStep } from '../waiting/WaitingStep';
 
 /** Candidates to allow for each missing task, after refusals, since other steps take some of the capacity meanwhile. */
-const CAPACITY_FACTOR = 2;
+const PLACES_PER_TASK = 2;
 /** Minimum number of candidates: the fixed cost of a request exceeds the cost of this many. */
 const MIN_CANDIDATES = 5;
 
@@ -18,7 +18,7 @@
 /** Selects candidates whenever tickets are missing: endpoints with free capacity, or all where that is scarce. */
 export class EagerCandidateSelector implements CandidateSelector {
   constructor(
-    private readonly capacity: CapacityView,
+    private readonly capacityView: CapacityView,
     private readonly preemptor: Preemptor,
     private readonly stats: AdviceStats,
     private readonly preference: EndpointPreference,
@@ -43,8 +43,8 @@
     neededUntil: number,
   ): readonly EndpointState[] {
     const open = eligible.filter((endpoint) => this.isAdviceMissing(step, endpoint, neededUntil));
-    return this.capacity.isCapacityScarce(step, eligible)
-      ? this.chooseScarce(step, open, missing, neededUntil)
+    return this.capacityView.isCapacityScarce(step, eligible)
+      ? this.chooseWhenScarce(step, open, missing, neededUntil)
       : this.chooseAvailable(step, open, missing);
   }
 
@@ -60,12 +60,12 @@
     const { shape } = step;
     const demand = toReservedDemand(shape);
     const available = open.filter((endpoint) => endpoint.hasCapacityFor(demand));
-    if (available.length === 0 || !this.capacity.isOutsideReserve(step)) {
+    if (available.length === 0 || !this.capacityView.isOutsideReserve(step)) {
       return [];
     }
     const allowed = available.filter((endpoint) => this.hasBeenAllowed(step, endpoint));
     const fitCount = computeSum(
-      allowed.map((endpoint) => this.capacity.countFittingTasks(endpoint.getFreeCapacity(), shape)),
+      allowed.map((endpoint) => this.capacityView.countFittingTasks(endpoint.getFreeCapacity(), shape)),
     );
     if (fitCount >= missing) {
       return allowed;
@@ -75,7 +75,7 @@
     const ranked = [...available].sort(
       (left, right) =>
         costs.get(left)! - costs.get(right)! ||
-        this.countPending(left) - this.countPending(right) ||
+        this.countPendingRequests(left) - this.countPendingRequests(right) ||
         right.getFreeCpuMillis() - left.getFreeCpuMillis(),
     );
     return this.chooseEnough(step, ranked, missing);
@@ -87,25 +87,25 @@
     ranked: readonly EndpointState[],
     missing: number,
   ): readonly EndpointState[] {
-    const wanted = (missing * CAPACITY_FACTOR) / this.stats.getAllowedShare(step.job.definition.queue.name);
+    const wanted = (missing * PLACES_PER_TASK) / this.stats.getAllowedShare(step.job.definition.queue.name);
     let fitCount = 0;
     let count = 0;
     while (count < ranked.length && (fitCount < wanted || count < MIN_CANDIDATES)) {
-      fitCount += this.capacity.countFittingTasks(ranked[count]!.getFreeCapacity(), step.shape);
+      fitCount += this.capacityView.countFittingTasks(ranked[count]!.getFreeCapacity(), step.shape);
       count += 1;
     }
     return ranked.slice(0, count);
   }
 
-  private countPending(endpoint: EndpointState): number {
-    return this.stats.countPending(endpoint.getProfile().incarnation);
+  private countPendingRequests(endpoint: EndpointState): number {
+    return this.stats.countPendingRequests(endpoint.getProfile().incarnation);
   }
 
   /**
    * Returns the endpoints allowed before that have free capacity or would have it after preemption; while they do not suffice, also all
    * other endpoints that are large enough, since a refusal is final and a ticket may find free capacity later.
    */
-  private chooseScarce(
+  private chooseWhenScarce(
     step: WaitingStep,
     open: readonly EndpointState[],
     missing: number,
@@ -124,7 +124,7 @@
           this.preemptor.hasRoomAfterPreemption(step, endpoint, demand, neededUntil)),
     );
     const readyCount = computeSum(
-      ready.map((endpoint) => this.capacity.countFittingTasks(endpoint.getProfile().capacity, shape)),
+      ready.map((endpoint) => this.capacityView.countFittingTasks(endpoint.getProfile().capacity, shape)),
     );
     // A gang starts all its tasks or none; tasks of other steps start independently.
     if (shape.isGang && readyCount < missing && unknown.length === 0) {
@@ -138,7 +138,7 @@
     const advice = step.job.getAdvice(step.repetition, step.step);
     const { incarnation } = endpoint.getProfile();
     const isKnown = advice.isRefused(incarnation) || advice.getTicket(incarnation, neededUntil) !== undefined;
-    return !isKnown && !this.capacity.hasMaxTasks(step, endpoint);
+    return !isKnown && !this.capacityView.hasMaxTasks(step, endpoint);
   }
 
   private hasBeenAllowed(step: WaitingStep, endpoint: EndpointState): boolean {
--- a/packages/dispatch/advice/FirstFreeBalancer.ts
+++ b/packages/dispatch/advice/FirstFreeBalancer.ts
@@ -19,7 +19,7 @@
 
 /** Sends each request over the first free channel, and reserves the leader's own box for short ones. */
 export class FirstFreeBalancer implements AdviceBalancer {
-  private readonly states = new Map<string, ChannelState>();
+  private readonly channelStates = new Map<string, ChannelState>();
   private isStopped = false;
 
   constructor(private readonly options: AdviceBalancerOptions) {}
@@ -39,8 +39,8 @@
       this.options.handleResponse(request, undefined, 0);
       return;
     }
-    const state = this.states.get(channel.box) ?? { isBusy: false, quarantinedUntil: 0 };
-    this.states.set(channel.box, state);
+    const state = this.channelStates.get(channel.box) ?? { isBusy: false, quarantinedUntil: 0 };
+    this.channelStates.set(channel.box, state);
     state.isBusy = true;
     const requestedAt = this.options.clock.getNow();
     const timeoutMs = request.expectedMs + TIMEOUT_MARGIN_MS;
@@ -62,10 +62,10 @@
   }
 
   private isFree({ box }: AdviceChannel): boolean {
-    return this.states.get(box)?.isBusy !== true && !this.isQuarantined(box);
+    return this.channelStates.get(box)?.isBusy !== true && !this.isQuarantined(box);
   }
 
   private isQuarantined(box: string): boolean {
-    return (this.states.get(box)?.quarantinedUntil ?? 0) > this.options.clock.getNow();
+    return (this.channelStates.get(box)?.quarantinedUntil ?? 0) > this.options.clock.getNow();
   }
 }
--- a/packages/dispatch/advice/HedgingBalancer.ts
+++ b/packages/dispatch/advice/HedgingBalancer.ts
@@ -25,7 +25,7 @@
 /** Maximum number of attempts for a request. It is above 2 since the second channel may be in the same unreachable hall. */
 const MAX_ATTEMPTS = 3;
 /** Lower bound on the hedge delay, as a share of the expected time. */
-const MIN_HEDGE_SHARE = 0.5;
+const MIN_HEDGE_DELAY_SHARE = 0.5;
 /** Interval between probes of the service while all channels are quarantined. */
 const PROBE_INTERVAL_MS = 100;
 
@@ -34,19 +34,19 @@
  * that is left. A request whose response is late is hedged: it is sent over another channel too, and the first response is used.
  */
 export class HedgingBalancer implements AdviceBalancer {
-  private readonly states = new Map<string, ChannelState>();
+  private readonly channelStates = new Map<string, ChannelState>();
   /** Delays over all channels, for those without a response so far. */
-  private readonly overall = new ChannelState();
-  private readonly reserve = new ShortRequestReserve();
+  private readonly overallState = new ChannelState();
+  private readonly shortRequestReserve = new ShortRequestReserve();
   /** Monotonic time of the latest failed attempt. */
-  private failedAt = -Infinity;
+  private lastFailedAt = -Infinity;
   private isStopped = false;
 
   constructor(private readonly options: AdviceBalancerOptions) {}
 
   getFreeSlots(): AdviceSlots {
-    const free = this.listFree();
-    return { all: free.length, long: Math.max(0, free.length - this.countReserved()) };
+    const free = this.listFreeChannels();
+    return { all: free.length, long: Math.max(0, free.length - this.countReservedChannels()) };
   }
 
   async sendRequest(request: AdviceRequest): Promise<void> {
@@ -58,7 +58,7 @@
     }
     const now = this.options.clock.getNow();
     if (!request.isLong) {
-      this.reserve.recordRequest(now - requestedAt, now);
+      this.shortRequestReserve.recordRequest(now - requestedAt, now);
     }
     this.options.handleResponse(request, tickets, Math.round(now - requestedAt));
   }
@@ -77,7 +77,7 @@
       if (tickets !== undefined || this.isStopped) {
         return tickets ?? undefined;
       }
-      latest.state.recordLate(this.options.clock.getNow() + QUARANTINE_MS);
+      latest.state.recordLateResponse(this.options.clock.getNow() + QUARANTINE_MS);
       const next = attempts.length < MAX_ATTEMPTS ? this.startAttempt(request) : undefined;
       if (next === undefined) {
         return this.waitForFirstResponse(attempts);
@@ -90,8 +90,8 @@
   /** Returns how long after the expected time an attempt is hedged. Long requests wait longer, since a hedge doubles their cost. */
   private computeHedgeDelayMs({ expectedMs }: AdviceRequest, { state }: Attempt): number {
     return Math.max(
-      state.computeHedgeDelayMs(this.overall.computeHedgeDelayMs()),
-      expectedMs * MIN_HEDGE_SHARE,
+      state.computeHedgeDelayMs(this.overallState.computeHedgeDelayMs()),
+      expectedMs * MIN_HEDGE_DELAY_SHARE,
     );
   }
 
@@ -105,8 +105,8 @@
 
   /** Sends the request over the fastest channel that it may use; returns undefined when none is free. */
   private startAttempt(request: AdviceRequest): Attempt | undefined {
-    const free = this.listFree();
-    const index = request.isLong ? Math.min(this.countReserved(), free.length - 1) : 0;
+    const free = this.listFreeChannels();
+    const index = request.isLong ? Math.min(this.countReservedChannels(), free.length - 1) : 0;
     const channel = free[index];
     if (channel === undefined) {
       return undefined;
@@ -127,15 +127,15 @@
     const now = clock.getNow();
     if (tickets === undefined) {
       state.recordFailure(now + QUARANTINE_MS);
-      this.failedAt = now;
+      this.lastFailedAt = now;
     } else {
       // All channels were quarantined, so the service had failed and not the channels.
-      if (this.listHealthy(now).length === 0) {
-        this.states.forEach((other) => other.clearQuarantine());
+      if (this.listHealthyChannels(now).length === 0) {
+        this.channelStates.forEach((other) => other.clearQuarantine());
       }
       const delayMs = Math.max(0, now - requestedAt - request.expectedMs);
       state.recordResponse(delayMs, now);
-      this.overall.recordResponse(delayMs, now);
+      this.overallState.recordResponse(delayMs, now);
     }
     return tickets;
   }
@@ -144,7 +144,7 @@
    * Returns the channels that can send a request now, the fastest first. While all are quarantined, the service itself is assumed to fail:
    * one channel at a time probes it, instead of each waiting for the end of its quarantine.
    */
-  private listFree(): readonly AdviceChannel[] {
+  private listFreeChannels(): readonly AdviceChannel[] {
     const now = this.options.clock.getNow();
     const channels = this.options.listChannels();
     const free = channels
@@ -154,25 +154,25 @@
       );
     const healthy = free.filter((channel) => !this.getState(channel).isQuarantined(now));
     const isServiceFailing = free.length === channels.length && healthy.length === 0;
-    const isProbeDue = isServiceFailing && now - this.failedAt >= PROBE_INTERVAL_MS;
+    const isProbeDue = isServiceFailing && now - this.lastFailedAt >= PROBE_INTERVAL_MS;
     return isProbeDue ? free.slice(0, 1) : healthy;
   }
 
   /** Returns how many of the free channels are reserved for short requests, beside those with a short request now. */
-  private countReserved(): number {
+  private countReservedChannels(): number {
     const now = this.options.clock.getNow();
-    const healthy = this.listHealthy(now);
+    const healthy = this.listHealthyChannels(now);
     const usedCount = healthy.filter((channel) => this.getState(channel).hasShortRequest()).length;
-    return Math.max(0, this.reserve.computeReserved(healthy.length, now) - usedCount);
+    return Math.max(0, this.shortRequestReserve.computeReservedCount(healthy.length, now) - usedCount);
   }
 
-  private listHealthy(now: number): readonly AdviceChannel[] {
+  private listHealthyChannels(now: number): readonly AdviceChannel[] {
     return this.options.listChannels().filter((channel) => !this.getState(channel).isQuarantined(now));
   }
 
   private getState({ box }: AdviceChannel): ChannelState {
-    const state = this.states.get(box) ?? new ChannelState();
-    this.states.set(box, state);
+    const state = this.channelStates.get(box) ?? new ChannelState();
+    this.channelStates.set(box, state);
     return state;
   }
 }
--- a/packages/dispatch/advice/PlannedCandidateSelector.ts
+++ b/packages/dispatch/advice/PlannedCandidateSelector.ts
@@ -15,7 +15,7 @@
 import type { WaitingStep } from '../waiting/WaitingStep';
 
 interface PlannedCandidateSelectorOptions {
-  readonly capacity: CapacityView;
+  readonly capacityView: CapacityView;
   readonly preemptor: Preemptor;
   readonly stats: AdviceStats;
   readonly preference: EndpointPreference;
@@ -25,11 +25,11 @@
 interface Candidate {
   readonly endpoint: EndpointState;
   /** Number of the step's tasks that fit. */
-  readonly tasks: number;
+  readonly taskCount: number;
   /** Probability that the service allows the step to use the endpoint. */
   readonly allowedChance: number;
   /** Probability that it is allowed and still has the capacity when the response arrives. */
-  readonly chance: number;
+  readonly usableChance: number;
   readonly cost: number;
 }
 
@@ -44,7 +44,7 @@
 /** Eligible endpoints of a step, by what a request could achieve there. */
 interface CandidateGroups {
   /** Number of tasks that fit on endpoints whose tickets will still be valid when a response arrives. */
-  ticketedTasks: number;
+  ticketedTaskCount: number;
   /** Without such a ticket, with free capacity that no other request claims. */
   readonly available: Candidate[];
   /** Without such a ticket and without free capacity. */
@@ -66,32 +66,32 @@
 /** Maximum number of endpoints that the service accepts in one request. */
 const MAX_CANDIDATES = 100;
 /** Maximum number of tasks on one endpoint that preemption is tried for. */
-const MAX_TASKS_BY_PREEMPTION = 3;
+const MAX_PREEMPTION_TASKS = 3;
 /** Share of a gang's capacity that has to be available for a request; more may be freed until its tickets expire. */
-const MIN_GANG_SHARE = 0.4;
+const MIN_GANG_CAPACITY_SHARE = 0.4;
 /** Decision time that one expected start justifies. */
-const REQUEST_MS_PER_START = 50;
+const DECISION_MS_PER_START = 50;
 /** Minimum interval between requests whose decision time is not justified by the expected starts. */
-const LOW_VALUE_INTERVAL_MS = 500;
+const MIN_UNJUSTIFIED_DELAY_MS = 500;
 /** Tickets with a smaller share of their validity left are renewed by the next request of a gang. */
-const RENEWAL_SHARE = 0.6;
+const MIN_REMAINING_VALIDITY_SHARE = 0.6;
 
 const countTasks = (candidates: readonly Candidate[]): number =>
-  candidates.reduce((sum, { tasks }) => sum + tasks, 0);
+  candidates.reduce((sum, { taskCount }) => sum + taskCount, 0);
 
 /** Selects candidates only when a response is expected to find free capacity, and enough to make another request unlikely. */
 export class PlannedCandidateSelector implements CandidateSelector {
   private readonly claims = new CapacityClaims();
-  private readonly ahead = new DemandAhead();
+  private readonly demandAhead = new DemandAhead();
 
   constructor(private readonly options: PlannedCandidateSelectorOptions) {}
 
   startRound(): void {
-    this.ahead.startRound();
+    this.demandAhead.startRound();
   }
 
   recordStep(step: WaitingStep, missing: number): void {
-    this.ahead.recordStep(step, missing);
+    this.demandAhead.recordStep(step, missing);
   }
 
   chooseEndpoints(
@@ -101,18 +101,18 @@
     neededUntil: number,
     now: number,
   ): readonly EndpointState[] {
-    const { capacity: capacityView } = this.options;
+    const { capacityView } = this.options;
     const canPreempt = capacityView.isCapacityScarce(step, eligible);
     const isLessUrgent = !capacityView.isMostUrgent(step.job.definition.queue);
-    if (isLessUrgent && this.ahead.isExceedingCapacity(step, eligible, canPreempt)) {
+    if (isLessUrgent && this.demandAhead.isExceedingCapacity(step, eligible, canPreempt)) {
       return [];
     }
     const groups = this.computeCandidateGroups(step, eligible, { canPreempt, neededUntil, now });
-    const needed = missing - groups.ticketedTasks;
+    const needed = missing - groups.ticketedTaskCount;
     if (needed <= 0 || !this.isRequestUseful(step, groups, needed, now)) {
       return [];
     }
-    const chosen = this.chooseFromGroups(step, groups, needed);
+    const chosen = this.chooseCandidates(step, groups, needed);
     this.addClaims(step, chosen, needed);
     return chosen.map(({ endpoint }) => endpoint);
   }
@@ -121,13 +121,13 @@
     this.claims.removeClaims(step, candidates);
   }
 
-  private chooseFromGroups(step: WaitingStep, groups: CandidateGroups, needed: number): readonly Candidate[] {
+  private chooseCandidates(step: WaitingStep, groups: CandidateGroups, needed: number): readonly Candidate[] {
     const { isGang } = step.shape;
     const { decisionMs, perEndpointMs } = step.job.definition.queue.advice!;
     const available = this.sortCandidates(groups.available);
     const ranked = [...available, ...this.sortCandidates(groups.full)];
     const count = chooseRequestSize(ranked, needed, {
-      roundMs: decisionMs + REQUEST_OVERHEAD_MS,
+      fixedMs: decisionMs + REQUEST_OVERHEAD_MS,
       perEndpointMs,
       maxCandidates: isGang ? MAX_CANDIDATES : MAX_CANDIDATES_WITHOUT_GANG,
     });
@@ -145,33 +145,36 @@
     needed: number,
     now: number,
   ): boolean {
-    const expected = available.reduce((sum, { tasks, allowedChance }) => sum + tasks * allowedChance, 0);
+    const expected = available.reduce(
+      (sum, { taskCount, allowedChance }) => sum + taskCount * allowedChance,
+      0,
+    );
     const advice = step.job.getAdvice(step.repetition, step.step);
     const { decisionMs, validityMs } = step.job.definition.queue.advice!;
     if (step.shape.isGang) {
       // The expected share of refusals may be wrong for this step.
       const isDue = advice.getDeferredMs(now) >= validityMs && countTasks(available) >= needed;
-      return isDue || expected >= needed * MIN_GANG_SHARE;
+      return isDue || expected >= needed * MIN_GANG_CAPACITY_SHARE;
     }
-    const isDue = now - advice.getRespondedAt() >= LOW_VALUE_INTERVAL_MS;
-    const isJustified = expected * REQUEST_MS_PER_START >= decisionMs;
-    return available.length > 0 && (isDue || isJustified) && this.options.capacity.isOutsideReserve(step);
+    const isDue = now - advice.getLastRespondedAt() >= MIN_UNJUSTIFIED_DELAY_MS;
+    const isJustified = expected * DECISION_MS_PER_START >= decisionMs;
+    return available.length > 0 && (isDue || isJustified) && this.options.capacityView.isOutsideReserve(step);
   }
 
   /** Sorts by descending chance, then by cost, the number of pending requests, and free capacity. */
   private sortCandidates(candidates: readonly Candidate[]): readonly Candidate[] {
     return [...candidates].sort(
       (left, right) =>
-        right.chance - left.chance ||
+        right.usableChance - left.usableChance ||
         left.cost - right.cost ||
-        this.countPending(left) - this.countPending(right) ||
-        right.tasks - left.tasks ||
+        this.countPendingRequests(left) - this.countPendingRequests(right) ||
+        right.taskCount - left.taskCount ||
         right.endpoint.getFreeCpuMillis() - left.endpoint.getFreeCpuMillis(),
     );
   }
 
-  private countPending({ endpoint }: Candidate): number {
-    return this.options.stats.countPending(endpoint.getProfile().incarnation);
+  private countPendingRequests({ endpoint }: Candidate): number {
+    return this.options.stats.countPendingRequests(endpoint.getProfile().incarnation);
   }
 
   private computeCandidateGroups(
@@ -179,49 +182,50 @@
     eligible: readonly EndpointState[],
     { canPreempt, neededUntil, now }: RequestContext,
   ): CandidateGroups {
-    const { capacity: capacityView, stats, preference } = this.options;
+    const { capacityView, stats, preference } = this.options;
     const { queue } = step.job.definition;
     const { decisionMs, perEndpointMs, validityMs } = queue.advice!;
     const advice = step.job.getAdvice(step.repetition, step.step);
     const responseMs = decisionMs + perEndpointMs * MAX_CANDIDATES_WITHOUT_GANG;
     const usedAt = Math.max(neededUntil, now + responseMs + START_DELAY_MS);
     const stayChance = 0.5 ** (responseMs / CAPACITY_HALF_LIFE_MS);
-    const renewUntil = now + validityMs * RENEWAL_SHARE;
+    const renewUntil = now + validityMs * MIN_REMAINING_VALIDITY_SHARE;
     const demand = toReservedDemand(step.shape);
     const allowedShare = stats.getAllowedShare(queue.name);
     const isMostUrgent = capacityView.isMostUrgent(queue);
     const computeCost = preference.createCostFunction(step, eligible);
-    const groups: CandidateGroups = { ticketedTasks: 0, available: [], full: [], expiring: [] };
+    const groups: CandidateGroups = { ticketedTaskCount: 0, available: [], full: [], expiring: [] };
     for (const endpoint of eligible) {
       const { incarnation, capacity } = endpoint.getProfile();
       if (advice.isRefused(incarnation) || capacityView.hasMaxTasks(step, endpoint)) {
         continue;
       }
-      const tasks = this.countFittingTasks(step, endpoint, canPreempt, now);
+      const taskCount = this.countFittingTasks(step, endpoint, canPreempt, now);
       if (advice.getTicket(incarnation, usedAt) !== undefined) {
-        groups.ticketedTasks += tasks;
-        if (tasks > 0 && advice.getTicket(incarnation, renewUntil) === undefined) {
-          groups.expiring.push({ endpoint, tasks, allowedChance: 1, chance: 1, cost: 0 });
+        groups.ticketedTaskCount += taskCount;
+        if (taskCount > 0 && advice.getTicket(incarnation, renewUntil) === undefined) {
+          groups.expiring.push({ endpoint, taskCount, allowedChance: 1, usableChance: 1, cost: 0 });
         }
         continue;
       }
       const allowedChance = advice.hasBeenAllowed(incarnation) ? 1 : allowedShare;
-      const unclaimed = tasks === 0 || isMostUrgent ? tasks : this.countUnclaimedTasks(step, endpoint, tasks);
+      const unclaimed =
+        taskCount === 0 || isMostUrgent ? taskCount : this.countUnclaimedTasks(step, endpoint, taskCount);
       const cost = computeCost(endpoint);
       if (unclaimed > 0) {
         groups.available.push({
           endpoint,
-          tasks: unclaimed,
+          taskCount: unclaimed,
           allowedChance,
-          chance: allowedChance * stayChance,
+          usableChance: allowedChance * stayChance,
           cost,
         });
       } else if (resourceMath.isWithin(demand, capacity)) {
         groups.full.push({
           endpoint,
-          tasks: 1,
+          taskCount: 1,
           allowedChance,
-          chance: allowedChance * CAPACITY_FREED_CHANCE,
+          usableChance: allowedChance * CAPACITY_FREED_CHANCE,
           cost,
         });
       }
@@ -240,9 +244,11 @@
       endpoint.getFreeCapacity(),
       this.computeStoppingDemand(endpoint),
     );
-    const tasks = this.options.capacity.countFittingTasks(capacity, step.shape);
-    const isPreemptionTried = canPreempt && tasks < MAX_TASKS_BY_PREEMPTION;
-    return isPreemptionTried ? Math.max(tasks, this.countTasksAfterPreemption(step, endpoint, now)) : tasks;
+    const taskCount = this.options.capacityView.countFittingTasks(capacity, step.shape);
+    const isPreemptionTried = canPreempt && taskCount < MAX_PREEMPTION_TASKS;
+    return isPreemptionTried
+      ? Math.max(taskCount, this.countTasksAfterPreemption(step, endpoint, now))
+      : taskCount;
   }
 
   /** Returns the resources of runs that are being stopped. */
@@ -260,8 +266,8 @@
     const demand = toReservedDemand(shape);
     const maxCount =
       shape.maxPerEndpoint === 0
-        ? MAX_TASKS_BY_PREEMPTION
-        : Math.min(MAX_TASKS_BY_PREEMPTION, shape.maxPerEndpoint);
+        ? MAX_PREEMPTION_TASKS
+        : Math.min(MAX_PREEMPTION_TASKS, shape.maxPerEndpoint);
     let count = 0;
     while (
       count < maxCount &&
@@ -273,16 +279,16 @@
   }
 
   /** Returns how many of the fitting tasks remain after the claims of requests that are at least as urgent. */
-  private countUnclaimedTasks(step: WaitingStep, endpoint: EndpointState, tasks: number): number {
-    const { capacity: capacityView } = this.options;
+  private countUnclaimedTasks(step: WaitingStep, endpoint: EndpointState, taskCount: number): number {
+    const { capacityView } = this.options;
     const claimed = this.claims.computeClaimed(
       endpoint.getProfile().incarnation,
       step.job.definition.queue.priority,
     );
     if (claimed === resourceMath.ZERO) {
-      return tasks;
+      return taskCount;
     }
-    const whole = resourceMath.computeProduct(toReservedDemand(step.shape), tasks);
+    const whole = resourceMath.computeProduct(toReservedDemand(step.shape), taskCount);
     return capacityView.countFittingTasks(resourceMath.computeDifference(whole, claimed), step.shape);
   }
 
@@ -291,11 +297,11 @@
     const demand = toReservedDemand(step.shape);
     const share = Math.min(1, needed / Math.max(1, countTasks(chosen)));
     const { priority } = step.job.definition.queue;
-    for (const { endpoint, tasks } of chosen) {
+    for (const { endpoint, taskCount } of chosen) {
       const claim = {
         step: toStepName(step),
         priority,
-        demand: resourceMath.computeProduct(demand, tasks * share),
+        demand: resourceMath.computeProduct(demand, taskCount * share),
       };
       this.claims.addClaim(endpoint.getProfile().incarnation, claim);
     }
--- a/packages/dispatch/advice/StepAdvice.ts
+++ b/packages/dispatch/advice/StepAdvice.ts
@@ -8,7 +8,7 @@
   /** Monotonic time after which no start is chosen with it. */
   readonly usableUntil: number;
   /** The request whose response contained it. */
-  readonly source: AnsweredRequest | undefined;
+  readonly request: AnsweredRequest | undefined;
 }
 
 /** Time from the choice of an endpoint until the start arrives there; a ticket has to be valid until then. */
@@ -21,7 +21,7 @@
 /** Advice received for one step: tickets, which expire, and refusals, which are final. */
 export class StepAdvice {
   private readonly tickets = new Map<EndpointIncarnation, Ticket>();
-  private readonly refused = new Set<EndpointIncarnation>();
+  private readonly refusedEndpoints = new Set<EndpointIncarnation>();
   private hasPendingRequest = false;
   /** Monotonic time from which the next request may be sent. */
   private nextRequestAt = -Infinity;
@@ -30,9 +30,9 @@
   /** Monotonic time since which requests have been deferred; undefined when the latest one was sent. */
   private deferredSince: number | undefined;
   /** Monotonic time of the latest request. */
-  private requestedAt = 0;
+  private lastRequestedAt = 0;
   /** Monotonic time of the latest response. */
-  private respondedAt = -Infinity;
+  private lastRespondedAt = -Infinity;
 
   /** Returns the ticket for an endpoint; undefined when there is none, or when it expires before a start could arrive. */
   getTicket(endpoint: EndpointIncarnation, now: number): string | undefined {
@@ -47,7 +47,7 @@
   }
 
   isRefused(endpoint: EndpointIncarnation): boolean {
-    return this.refused.has(endpoint);
+    return this.refusedEndpoints.has(endpoint);
   }
 
   /** Returns whether the service has allowed the endpoint, even if the ticket has expired since. */
@@ -69,7 +69,7 @@
 
   /** Returns whether any ticket or refusal is known. */
   hasResponse(): boolean {
-    return this.tickets.size > 0 || this.refused.size > 0;
+    return this.tickets.size > 0 || this.refusedEndpoints.size > 0;
   }
 
   /** Returns whether requests are deferred since a recent one would not have been useful. */
@@ -91,22 +91,22 @@
   recordRequest(now: number): void {
     this.hasPendingRequest = true;
     this.deferredSince = undefined;
-    this.requestedAt = now;
+    this.lastRequestedAt = now;
   }
 
   /** Returns the monotonic time of the latest request. */
-  getRequestedAt(): number {
-    return this.requestedAt;
+  getLastRequestedAt(): number {
+    return this.lastRequestedAt;
   }
 
   /** Returns the monotonic time of the latest response; -Infinity before the first. */
-  getRespondedAt(): number {
-    return this.respondedAt;
+  getLastRespondedAt(): number {
+    return this.lastRespondedAt;
   }
 
   /** Returns the request whose response contained the ticket for an endpoint; undefined when there is no ticket. */
-  getSource(endpoint: EndpointIncarnation): AnsweredRequest | undefined {
-    return this.tickets.get(endpoint)?.source;
+  getTicketRequest(endpoint: EndpointIncarnation): AnsweredRequest | undefined {
+    return this.tickets.get(endpoint)?.request;
   }
 
   /**
@@ -118,20 +118,20 @@
     tickets: ReadonlyMap<EndpointIncarnation, string> | undefined,
     now: number,
     validityMs: number,
-    source?: AnsweredRequest,
+    request?: AnsweredRequest,
   ): void {
     this.hasPendingRequest = false;
     if (tickets === undefined) {
       this.nextRequestAt = now + RETRY_DELAY_MS;
       return;
     }
-    this.respondedAt = now;
+    this.lastRespondedAt = now;
     for (const endpoint of candidates) {
       const text = tickets.get(endpoint);
       if (text === undefined) {
-        this.refused.add(endpoint);
+        this.refusedEndpoints.add(endpoint);
       } else {
-        this.tickets.set(endpoint, { text, usableUntil: now + validityMs - START_LATENCY_MS, source });
+        this.tickets.set(endpoint, { text, usableUntil: now + validityMs - START_LATENCY_MS, request });
       }
     }
   }
--- a/packages/dispatch/advice/advicePolicies.ts
+++ b/packages/dispatch/advice/advicePolicies.ts
@@ -8,26 +8,26 @@
 /** Maximum number of endpoints that the service accepts in one request. */
 const MAX_CANDIDATES = 100;
 /** Requests with a longer expected response time are long. */
-const LONG_REQUEST_MS = 150;
+const MAX_SHORT_REQUEST_MS = 150;
 /** Lower bound on a deferral: rounds follow each message, and few of them free capacity that a request needs. */
 const MIN_DEFERRAL_MS = 20;
 /** Deferral as a share of the decision time. It keeps rounds short while many steps wait. */
-const DEFERRAL_SHARE = 0.1;
+const DEFERRAL_DECISION_SHARE = 0.1;
 
 /** Policies for advice requests, by name. */
 export const advicePolicies: Readonly<Record<AdvicePolicyName, AdvicePolicy>> = {
   asked: {
     maxCandidates: BUDGETED_CANDIDATES,
     computeDeferralMs: () => 0,
-    isLong: (advice) => advice.decisionMs + advice.perEndpointMs * BUDGETED_CANDIDATES > LONG_REQUEST_MS,
-    createSelector: ({ capacity: room, preemptor, stats: history, preference }) =>
-      new EagerCandidateSelector(room, preemptor, history, preference),
+    isLong: (advice) => advice.decisionMs + advice.perEndpointMs * BUDGETED_CANDIDATES > MAX_SHORT_REQUEST_MS,
+    createSelector: ({ capacityView, preemptor, stats, preference }) =>
+      new EagerCandidateSelector(capacityView, preemptor, stats, preference),
   },
   planned: {
     maxCandidates: MAX_CANDIDATES,
-    computeDeferralMs: ({ decisionMs }) => Math.max(MIN_DEFERRAL_MS, decisionMs * DEFERRAL_SHARE),
+    computeDeferralMs: ({ decisionMs }) => Math.max(MIN_DEFERRAL_MS, decisionMs * DEFERRAL_DECISION_SHARE),
     isLong: (advice, isMostUrgent) =>
-      !isMostUrgent || advice.decisionMs + advice.perEndpointMs * BUDGETED_CANDIDATES > LONG_REQUEST_MS,
+      !isMostUrgent || advice.decisionMs + advice.perEndpointMs * BUDGETED_CANDIDATES > MAX_SHORT_REQUEST_MS,
     createSelector: (dependencies) => new PlannedCandidateSelector(dependencies),
   },
 };
--- a/packages/dispatch/advice/chooseRequestSize.ts
+++ b/packages/dispatch/advice/chooseRequestSize.ts
@@ -1,14 +1,14 @@
 /** An endpoint that the request may include. */
 interface Candidate {
   /** Number of tasks that fit. */
-  readonly tasks: number;
+  readonly taskCount: number;
   /** Probability that the endpoint is allowed and that they still fit when the response arrives. */
-  readonly chance: number;
+  readonly usableChance: number;
 }
 
 interface RequestCosts {
   /** Time of another request, without its candidates, in milliseconds. */
-  readonly roundMs: number;
+  readonly fixedMs: number;
   /** Time that each candidate adds, in milliseconds. */
   readonly perEndpointMs: number;
   readonly maxCandidates: number;
@@ -36,11 +36,11 @@
   let variance = 0;
   let chanceBefore = 0;
   let count = 0;
-  for (const { tasks, chance } of candidates.slice(0, costs.maxCandidates)) {
-    mean += tasks * chance;
-    variance += tasks * tasks * chance * (1 - chance);
+  for (const { taskCount, usableChance } of candidates.slice(0, costs.maxCandidates)) {
+    mean += taskCount * usableChance;
+    variance += taskCount * taskCount * usableChance * (1 - usableChance);
     const reachChance = computeReachChance(mean, variance, needed);
-    const isSavingTime = (reachChance - chanceBefore) * costs.roundMs > costs.perEndpointMs;
+    const isSavingTime = (reachChance - chanceBefore) * costs.fixedMs > costs.perEndpointMs;
     if (mean > needed && !isSavingTime) {
       break;
     }
--- a/packages/dispatch/speeds/EndpointSpeeds.ts
+++ b/packages/dispatch/speeds/EndpointSpeeds.ts
@@ -10,7 +10,7 @@
 type SpeedSample = Parameters<SpeedEstimator['addSample']>[0];
 
 interface EndpointSpeed {
-  readonly estimator: SpeedEstimator;
+  readonly ownEstimator: SpeedEstimator;
   readonly service: ServiceName;
   readonly groups: readonly string[];
   /** The significant ratio, cached since it is read for each endpoint of each step that is placed. */
@@ -24,9 +24,9 @@
   readonly endpoint: EndpointIncarnation;
   readonly speedClass: SpeedClass;
   readonly estimate: SpeedEstimate;
-  readonly samples: number;
+  readonly sampleCount: number;
   /** Monotonic time of the latest sample. */
-  readonly updatedAt: number;
+  readonly lastSampleAt: number;
 }
 
 /** Minimum number of steps since the latest change of speed for an endpoint's own samples to count. */
@@ -34,12 +34,12 @@
 /** A ratio is significant when it differs from 1 by more than `MIN_DIFFERENCE` plus this many standard deviations. */
 const SIGNIFICANT_DEVIATIONS = 2.5;
 /** Natural logarithm of a ratio. */
-const MIN_DIFFERENCE = Math.log(1.1);
+const MIN_LOG_DIFFERENCE = Math.log(1.1);
 /** Significant ratios are rounded to powers of 1.1, so that similar endpoints compare equal. */
-const RATIO_STEP = Math.log(1.1);
+const LOG_RATIO_STEP = Math.log(1.1);
 
-/** What the estimate of an endpoint's speed depends on; without an estimator it is that of its group. */
-type SpeedQuery = Pick<EndpointSpeed, 'service' | 'groups'> & { readonly estimator?: SpeedEstimator };
+/** What the estimate of an endpoint's speed depends on; without own estimator it is that of its group. */
+type SpeedQuery = Pick<EndpointSpeed, 'service' | 'groups'> & { readonly ownEstimator?: SpeedEstimator };
 
 const listGroups = ({ labels, hall }: EndpointProfile): readonly string[] => [...labels, `hall ${hall}`];
 
@@ -49,13 +49,13 @@
  */
 export class EndpointSpeeds {
   private readonly speeds = new Map<EndpointIncarnation, EndpointSpeed>();
-  private readonly groups = new Map<ServiceName, SpeedGroups>();
+  private readonly groupsByService = new Map<ServiceName, SpeedGroups>();
 
   /** Records how long a run took on an endpoint. */
   recordRun(profile: EndpointProfile, sample: SpeedSample, now: number): void {
-    const speed = this.getOrCreate(profile);
-    speed.estimator.addSample(sample, this.getGroups(speed.service).choosePrior(speed.groups), now);
-    speed.ratio = this.computeRatio(speed);
+    const speed = this.getOrCreateSpeed(profile);
+    speed.ownEstimator.addSample(sample, this.getServiceGroups(speed.service).choosePrior(speed.groups), now);
+    speed.ratio = this.computeStableRatio(speed);
   }
 
   /**
@@ -91,16 +91,16 @@
 
   /** Decays samples, forgets absent incarnations, and updates the groups and baselines. */
   handleTick(now: number, isPresent: (incarnation: EndpointIncarnation) => boolean): void {
-    for (const [incarnation, { estimator }] of this.speeds) {
+    for (const [incarnation, { ownEstimator }] of this.speeds) {
       if (isPresent(incarnation)) {
-        estimator.applyDecay(now);
+        ownEstimator.applyDecay(now);
       } else {
         this.speeds.delete(incarnation);
       }
     }
     this.updateGroups();
     for (const speed of this.speeds.values()) {
-      speed.ratio = this.computeRatio(speed);
+      speed.ratio = this.computeStableRatio(speed);
     }
   }
 
@@ -108,7 +108,7 @@
   countByClass(): Readonly<Record<SpeedClass, number>> {
     const counts = { slow: 0, usual: 0, fast: 0 };
     for (const { ratio } of this.speeds.values()) {
-      counts[this.getClass(ratio)] += 1;
+      counts[this.toSpeedClass(ratio)] += 1;
     }
     return counts;
   }
@@ -117,7 +117,7 @@
   takeChanges(limit: number): readonly ClassChange[] {
     const changes: ClassChange[] = [];
     for (const [endpoint, speed] of this.speeds) {
-      const speedClass = this.getClass(speed.ratio);
+      const speedClass = this.toSpeedClass(speed.ratio);
       if (speedClass !== speed.reportedClass && changes.length < limit) {
         speed.reportedClass = speedClass;
         const estimate = this.computeEstimate(speed);
@@ -125,8 +125,8 @@
           endpoint,
           speedClass,
           estimate,
-          samples: speed.estimator.countSamples(),
-          updatedAt: speed.estimator.getUpdatedAt(),
+          sampleCount: speed.ownEstimator.countSamples(),
+          lastSampleAt: speed.ownEstimator.getLastSampleAt(),
         });
       }
     }
@@ -139,29 +139,29 @@
       addToList(byService, speed.service, speed);
     }
     for (const [service, speeds] of byService) {
-      const members = speeds.flatMap(({ estimator, groups }) => {
+      const members = speeds.flatMap(({ ownEstimator, groups }) => {
         const own =
-          estimator.countStableSteps() >= MIN_STABLE_STEPS ? estimator.computeOwnEstimate() : undefined;
+          ownEstimator.countStableSteps() >= MIN_STABLE_STEPS ? ownEstimator.computeOwnEstimate() : undefined;
         return own === undefined ? [] : [{ ...own, groups }];
       });
-      this.getGroups(service).updatePriors(members, speeds.length);
+      this.getServiceGroups(service).updatePriors(members, speeds.length);
     }
   }
 
-  private getGroups(service: ServiceName): SpeedGroups {
-    const groups = this.groups.get(service) ?? new SpeedGroups();
-    this.groups.set(service, groups);
+  private getServiceGroups(service: ServiceName): SpeedGroups {
+    const groups = this.groupsByService.get(service) ?? new SpeedGroups();
+    this.groupsByService.set(service, groups);
     return groups;
   }
 
-  private getOrCreate(profile: EndpointProfile): EndpointSpeed {
+  private getOrCreateSpeed(profile: EndpointProfile): EndpointSpeed {
     const known = this.speeds.get(profile.incarnation);
     if (known !== undefined) {
       return known;
     }
     const created: EndpointSpeed = {
       ...this.toQuery(profile),
-      estimator: new SpeedEstimator(),
+      ownEstimator: new SpeedEstimator(),
       ratio: 1,
       reportedClass: 'usual',
     };
@@ -173,28 +173,28 @@
     return { service: profile.service, groups: listGroups(profile) };
   }
 
-  private computeEstimate({ service, groups, estimator }: SpeedQuery): SpeedEstimate {
-    const serviceGroups = this.getGroups(service);
+  private computeEstimate({ service, groups, ownEstimator }: SpeedQuery): SpeedEstimate {
+    const serviceGroups = this.getServiceGroups(service);
     const prior = serviceGroups.choosePrior(groups);
-    const { mean, variance } = estimator?.computePosterior(prior) ?? prior;
-    return { ratio: Math.exp(mean - serviceGroups.getBaseline()), spread: Math.sqrt(variance) };
+    const { mean, variance } = ownEstimator?.computePosterior(prior) ?? prior;
+    return { ratio: Math.exp(mean - serviceGroups.getBaselineLogRatio()), spread: Math.sqrt(variance) };
   }
 
-  private computeRatio({ service, groups, estimator }: EndpointSpeed): number {
-    const isStable = estimator.countStableSteps() >= MIN_STABLE_STEPS;
-    return this.computeSignificantRatio(isStable ? { service, groups, estimator } : { service, groups });
+  private computeStableRatio({ service, groups, ownEstimator }: EndpointSpeed): number {
+    const isStable = ownEstimator.countStableSteps() >= MIN_STABLE_STEPS;
+    return this.computeSignificantRatio(isStable ? { service, groups, ownEstimator } : { service, groups });
   }
 
   private computeSignificantRatio(query: SpeedQuery): number {
     const { ratio, spread } = this.computeEstimate(query);
     const logRatio = Math.log(ratio);
-    const hasBaseline = this.getGroups(query.service).hasBaseline();
+    const hasBaseline = this.getServiceGroups(query.service).hasBaseline();
     const isSignificant =
-      hasBaseline && Math.abs(logRatio) - SIGNIFICANT_DEVIATIONS * spread > MIN_DIFFERENCE;
-    return isSignificant ? Math.exp(RATIO_STEP * Math.round(logRatio / RATIO_STEP)) : 1;
+      hasBaseline && Math.abs(logRatio) - SIGNIFICANT_DEVIATIONS * spread > MIN_LOG_DIFFERENCE;
+    return isSignificant ? Math.exp(LOG_RATIO_STEP * Math.round(logRatio / LOG_RATIO_STEP)) : 1;
   }
 
-  private getClass(ratio: number): SpeedClass {
+  private toSpeedClass(ratio: number): SpeedClass {
     return ratio === 1 ? 'usual' : ratio > 1 ? 'slow' : 'fast';
   }
 }
--- a/packages/dispatch/speeds/RunLearner.ts
+++ b/packages/dispatch/speeds/RunLearner.ts
@@ -15,9 +15,9 @@
 interface RunLearnerOptions {
   readonly endpoints: ReadonlyMap<EndpointIncarnation, EndpointState>;
   readonly jobs: ReadonlyMap<JobId, LiveJob>;
-  readonly kinds: KindSpeeds;
+  readonly kindSpeeds: KindSpeeds;
   readonly speeds: EndpointSpeeds;
-  readonly times: RunTimes;
+  readonly runTimes: RunTimes;
   readonly speedPolicy: SpeedPolicyName;
   readonly sendLogLine: (message: string, fields: Readonly<Record<string, unknown>>) => void;
 }
@@ -27,19 +27,19 @@
   readonly endpoint: EndpointState;
   readonly run: PlacedRun;
   readonly job: LiveJob;
-  readonly shape: JobStep;
+  readonly stepDefinition: JobStep;
 }
 
 /** Minimum age of a run for its pace to be informative. */
-const MIN_AGE_MS = 250;
+const MIN_RUN_AGE_MS = 250;
 /** Progress from which the rounding to whole percents is negligible. */
-const MIN_PERCENT = 4;
+const MIN_PROGRESS_PERCENT = 4;
 /** Maximum number of tasks of a step that count for its kind, since they share the error of the step's estimate. */
 const MAX_STEP_SAMPLES = 2;
 /** Minimum number of other endpoints whose runs determine the baseline time of a step without a learnt distribution. */
 const MIN_SIBLINGS = 2;
 /** The same as `MIN_PERCENT` for gangs, whose members are confirmed one by one but start together. */
-const MIN_GANG_PERCENT = 20;
+const MIN_GANG_PROGRESS_PERCENT = 20;
 const FULL_PERCENT = 100;
 /** Upper bound on the ratio that counts as an endpoint's normal speed. Endpoints that are slower still are degraded. */
 const MAX_OWN_RATIO = 3;
@@ -51,14 +51,14 @@
 export class RunLearner {
   /** Runs whose time has been recorded. */
   private readonly measuredRuns = new WeakSet<PlacedRun>();
-  private refreshedAt = -Infinity;
+  private lastRefreshedAt = -Infinity;
 
   constructor(private readonly options: RunLearnerOptions) {}
 
   /** Records the progress of a run, as reported by a poll. */
   recordRun(endpoint: EndpointState, run: PlacedRun, now: number): void {
     const ageMs = now - run.confirmedAt;
-    const measurement = ageMs >= MIN_AGE_MS ? this.createMeasurement(endpoint, run) : undefined;
+    const measurement = ageMs >= MIN_RUN_AGE_MS ? this.createMeasurement(endpoint, run) : undefined;
     if (measurement === undefined) {
       return;
     }
@@ -69,7 +69,7 @@
       this.isTimePredictable(measurement, ageMs)
     ) {
       // Polls report whole percents, rounded down.
-      this.recordTime(measurement, (ageMs * FULL_PERCENT) / (run.percent + 0.5), now);
+      this.recordRunTime(measurement, (ageMs * FULL_PERCENT) / (run.percent + 0.5), now);
     }
   }
 
@@ -83,96 +83,98 @@
     this.recordPace(measurement, runMs / FULL_PERCENT, now);
     this.recordKindPace(measurement, runMs / FULL_PERCENT);
     if (!this.measuredRuns.has(run)) {
-      this.recordTime(measurement, runMs, now);
+      this.recordRunTime(measurement, runMs, now);
     }
   }
 
   /** Refreshes the speeds of endpoints, and logs changes. */
   handleTick(now: number): void {
-    if (now - this.refreshedAt < REFRESH_INTERVAL_MS) {
+    if (now - this.lastRefreshedAt < REFRESH_INTERVAL_MS) {
       return;
     }
-    this.refreshedAt = now;
+    this.lastRefreshedAt = now;
     const { speeds, endpoints } = this.options;
     speeds.handleTick(now, (incarnation) => endpoints.has(incarnation));
-    for (const { endpoint, speedClass, estimate, samples, updatedAt } of speeds.takeChanges(MAX_LOG_LINES)) {
+    for (const { endpoint, speedClass, estimate, sampleCount, lastSampleAt } of speeds.takeChanges(
+      MAX_LOG_LINES,
+    )) {
       const profile = endpoints.get(endpoint)?.getProfile();
       this.options.sendLogLine("Endpoint's speed has changed.", {
         endpoint,
         speed: speedClass,
         ratio: Number(estimate.ratio.toFixed(2)),
         spread: Number(estimate.spread.toFixed(2)),
-        samples,
-        newestMs: Math.round(now - updatedAt),
+        samples: sampleCount,
+        newestMs: Math.round(now - lastSampleAt),
         labels: profile?.labels,
         hall: profile?.hall,
       });
     }
   }
 
-  private recordPace({ endpoint, run, job, shape }: Measurement, pace: number, now: number): void {
+  private recordPace({ endpoint, run, job, stepDefinition }: Measurement, pace: number, now: number): void {
     const stepSpeeds = job.getSpeeds(run.address.repetition, run.address.step);
     const profile = endpoint.getProfile();
     // The members of a gang run at one pace on all endpoints.
-    const ownRatio = shape.isGang ? 1 : this.getOwnRatio(profile);
+    const ownRatio = stepDefinition.isGang ? 1 : this.getOwnRatio(profile);
     stepSpeeds.recordPace(run.address.index, pace, pace / ownRatio);
     const median = stepSpeeds.getNormalizedMedian();
     if (median !== undefined) {
       // An endpoint that is always slow, or of a slow kind, is not degraded.
-      const baselineRatio = ownRatio === 1 ? this.options.kinds.getSlowdown(profile.labels) : ownRatio;
+      const baselineRatio = ownRatio === 1 ? this.options.kindSpeeds.getSlowdown(profile.labels) : ownRatio;
       endpoint.recordSlowdown(pace / median / baselineRatio, now);
     }
   }
 
   /** Returns the bounded ratio learnt for the endpoint itself; 1 under policies that do not use it. */
   private getOwnRatio(profile: EndpointProfile): number {
-    const { speeds, speedPolicy: speedChoice } = this.options;
-    return speedChoice === 'endpoints' ? Math.min(MAX_OWN_RATIO, speeds.getSignificantRatio(profile)) : 1;
+    const { speeds, speedPolicy } = this.options;
+    return speedPolicy === 'endpoints' ? Math.min(MAX_OWN_RATIO, speeds.getSignificantRatio(profile)) : 1;
   }
 
   /** Records the pace of a run that is done for the kind of its endpoint; that of a running one is too imprecise. */
   private recordKindPace({ endpoint, run, job }: Measurement, pace: number): void {
     const median = job.getSpeeds(run.address.repetition, run.address.step).getMedian();
     if (median !== undefined && median > 0) {
-      this.options.kinds.recordRun(endpoint.getProfile().labels, pace / median);
+      this.options.kindSpeeds.recordRun(endpoint.getProfile().labels, pace / median);
     }
   }
 
   /** Returns whether the run's time can be extrapolated: it has made enough progress, or exceeds the median time without. */
-  private isTimePredictable({ run, job, shape }: Measurement, ageMs: number): boolean {
-    if (shape.isGang) {
-      return run.percent >= MIN_GANG_PERCENT;
+  private isTimePredictable({ run, job, stepDefinition }: Measurement, ageMs: number): boolean {
+    if (stepDefinition.isGang) {
+      return run.percent >= MIN_GANG_PROGRESS_PERCENT;
     }
     return (
-      run.percent >= MIN_PERCENT ||
-      ageMs >= this.options.times.getEstimate(job.definition.queue.name, shape).medianMs
+      run.percent >= MIN_PROGRESS_PERCENT ||
+      ageMs >= this.options.runTimes.getEstimate(job.definition.queue.name, stepDefinition).medianMs
     );
   }
 
-  private recordTime(measurement: Measurement, runMs: number, now: number): void {
-    const { run, job, shape } = measurement;
-    const times = job.getRunTimes(run.address.repetition, run.address.step);
+  private recordRunTime(measurement: Measurement, runMs: number, now: number): void {
+    const { run, job, stepDefinition } = measurement;
+    const stepTimes = job.getRunTimes(run.address.repetition, run.address.step);
     this.measuredRuns.add(run);
     if (runMs <= 0 || !this.isAtBaselinePace(measurement)) {
       return;
     }
-    if (!shape.isGang) {
-      this.recordTaskTime(measurement, times, Math.log(runMs), now);
-    } else if (times.claimGangRun(run.run)) {
+    if (!stepDefinition.isGang) {
+      this.recordTaskTime(measurement, stepTimes, Math.log(runMs), now);
+    } else if (stepTimes.claimGangRun(run.run)) {
       this.recordGangTime(measurement, Math.log(runMs), now);
     }
   }
 
   private recordTaskTime(
-    { endpoint, run, job, shape }: Measurement,
+    { endpoint, run, job, stepDefinition }: Measurement,
     stepTimes: StepRunTimes,
     logMs: number,
     now: number,
   ): void {
-    const { speeds, times } = this.options;
+    const { speeds, runTimes } = this.options;
     const profile = endpoint.getProfile();
     const queue = job.definition.queue.name;
-    const distribution = times.getDistribution(queue, shape);
+    const distribution = runTimes.getDistribution(queue, stepDefinition);
     const siblings = stepTimes.listSiblingTimes(profile.incarnation, (incarnation) =>
       speeds.getIncarnationEstimate(incarnation, profile.service),
     );
@@ -190,21 +192,21 @@
     }
     const logBaselineMs = logMs - Math.log(speeds.getEstimate(profile).ratio);
     if (stepTimes.countTasks() <= MAX_STEP_SAMPLES) {
-      times.recordRun(queue, shape, logBaselineMs);
+      runTimes.recordRun(queue, stepDefinition, logBaselineMs);
     }
     if (siblings.length >= MIN_SIBLINGS) {
-      times.recordDeviation(queue, shape, logBaselineMs - stepTime.logMs);
+      runTimes.recordDeviation(queue, stepDefinition, logBaselineMs - stepTime.logMs);
     }
   }
 
-  private recordGangTime({ run, job, shape }: Measurement, logMs: number, now: number): void {
-    const { speeds, times, endpoints } = this.options;
+  private recordGangTime({ run, job, stepDefinition }: Measurement, logMs: number, now: number): void {
+    const { speeds, runTimes, endpoints } = this.options;
     const queue = job.definition.queue.name;
-    const distribution = times.getDistribution(queue, shape);
+    const distribution = runTimes.getDistribution(queue, stepDefinition);
     const members = job.progress
       .listTasks(run.address.repetition, run.address.step)
       .flatMap(({ endpoint }) => endpoints.get(endpoint)?.getProfile() ?? []);
-    if (members.length < shape.count) {
+    if (members.length < stepDefinition.count) {
       return;
     }
     const sample = {
@@ -216,7 +218,7 @@
       speeds.recordGang(members, sample, now);
     }
     const slowest = Math.max(...members.map((member) => Math.log(speeds.getEstimate(member).ratio)));
-    times.recordRun(queue, shape, logMs - slowest);
+    runTimes.recordRun(queue, stepDefinition, logMs - slowest);
   }
 
   private toStepKey({ job, address }: PlacedRun): string {
@@ -224,9 +226,10 @@
   }
 
   /** Returns false for runs that may be slowed down by their distance from their data or from the rest of their gang. */
-  private isAtBaselinePace({ endpoint, shape }: Measurement): boolean {
-    const isNearData = shape.dataRack === '' || endpoint.getProfile().labels.includes(shape.dataRack);
-    return isNearData && !shape.isSameRack;
+  private isAtBaselinePace({ endpoint, stepDefinition }: Measurement): boolean {
+    const isNearData =
+      stepDefinition.dataRack === '' || endpoint.getProfile().labels.includes(stepDefinition.dataRack);
+    return isNearData && !stepDefinition.isSameRack;
   }
 
   /**
@@ -238,9 +241,9 @@
       return undefined;
     }
     const job = this.options.jobs.get(run.job);
-    const shape = job?.definition.steps[run.address.step];
-    return job === undefined || shape === undefined || shape.isLongRunning
+    const stepDefinition = job?.definition.steps[run.address.step];
+    return job === undefined || stepDefinition === undefined || stepDefinition.isLongRunning
       ? undefined
-      : { endpoint, run, job, shape };
+      : { endpoint, run, job, stepDefinition };
   }
 }
--- a/packages/dispatch/speeds/RunTimes.ts
+++ b/packages/dispatch/speeds/RunTimes.ts
@@ -6,9 +6,9 @@
 /** Run times of the tasks of one kind. Values are natural logarithms of ratios. */
 interface KindTimes {
   /** Ratio of the baseline time to the caller's estimate. */
-  readonly ratios: SampleWindow;
+  readonly logRatios: SampleWindow;
   /** Ratio of a task's baseline time to that of its step. */
-  readonly deviations: SampleWindow;
+  readonly logDeviations: SampleWindow;
 }
 
 /** Minimum number of samples for a window to be used. */
@@ -27,7 +27,7 @@
 
 const computeSpread = (window: SampleWindow): number => Math.max(MIN_SPREAD, window.computeSpread());
 
-const getBaseMs = (shape: JobStep): number => Math.max(1, shape.estimatedMs);
+const getEstimatedMs = (step: JobStep): number => Math.max(1, step.estimatedMs);
 
 /**
  * Learns the distribution of run times relative to callers' estimates, by queue and image. Steps without an estimate are kinds of their
@@ -37,23 +37,23 @@
   private readonly kinds = new Map<string, KindTimes>();
 
   /** Records the baseline time of a task or a whole gang, as the natural logarithm of milliseconds. */
-  recordRun(queue: string, shape: JobStep, logMs: number): void {
-    for (const key of this.listKeys(queue, shape)) {
-      this.getOrCreate(key).ratios.addValue(logMs - Math.log(getBaseMs(shape)));
+  recordRun(queue: string, step: JobStep, logMs: number): void {
+    for (const key of this.listKindKeys(queue, step)) {
+      this.getOrCreateKind(key).logRatios.addValue(logMs - Math.log(getEstimatedMs(step)));
     }
   }
 
   /** Records the natural logarithm of the ratio of a task's baseline time to that of its step. */
-  recordDeviation(queue: string, shape: JobStep, deviation: number): void {
-    for (const key of this.listKeys(queue, shape)) {
-      this.getOrCreate(key).deviations.addValue(deviation);
+  recordDeviation(queue: string, step: JobStep, deviation: number): void {
+    for (const key of this.listKindKeys(queue, step)) {
+      this.getOrCreateKind(key).logDeviations.addValue(deviation);
     }
   }
 
   /** Returns the expected run time of a task of a step, or of the whole gang. */
-  getEstimate(queue: string, shape: JobStep): RunTimeEstimate {
-    const baseMs = getBaseMs(shape);
-    const ratios = this.findRatios(queue, shape);
+  getEstimate(queue: string, step: JobStep): RunTimeEstimate {
+    const baseMs = getEstimatedMs(step);
+    const ratios = this.findLogRatios(queue, step);
     if (ratios === undefined) {
       const p90Ms = baseMs * Math.exp(TAIL_DEVIATIONS * DEFAULT_SPREAD);
       return { medianMs: baseMs, p90Ms, isLearnt: false };
@@ -66,11 +66,11 @@
   }
 
   /** Returns the distribution of run times for a step, regardless of its own runs. */
-  getDistribution(queue: string, shape: JobStep): RunTimeDistribution {
-    const ratios = this.findRatios(queue, shape);
-    const deviations = this.findWindow(queue, shape, (kind) => kind.deviations);
+  getDistribution(queue: string, step: JobStep): RunTimeDistribution {
+    const ratios = this.findLogRatios(queue, step);
+    const deviations = this.findWindow(queue, step, (kind) => kind.logDeviations);
     return {
-      logMs: Math.log(getBaseMs(shape)) + (ratios?.computeQuantile(0.5) ?? 0),
+      logMs: Math.log(getEstimatedMs(step)) + (ratios?.computeQuantile(0.5) ?? 0),
       isLearnt: ratios !== undefined,
       spread: ratios === undefined ? DEFAULT_SPREAD : computeSpread(ratios),
       taskSpread: deviations === undefined ? DEFAULT_TASK_SPREAD : computeSpread(deviations),
@@ -81,17 +81,17 @@
     return this.kinds.size;
   }
 
-  private findRatios(queue: string, shape: JobStep): SampleWindow | undefined {
-    return this.findWindow(queue, shape, (kind) => kind.ratios);
+  private findLogRatios(queue: string, step: JobStep): SampleWindow | undefined {
+    return this.findWindow(queue, step, (kind) => kind.logRatios);
   }
 
   /** Returns the window of the narrowest kind that has enough samples; undefined when none has. */
   private findWindow(
     queue: string,
-    shape: JobStep,
+    step: JobStep,
     getWindow: (kind: KindTimes) => SampleWindow,
   ): SampleWindow | undefined {
-    for (const key of this.listKeys(queue, shape)) {
+    for (const key of this.listKindKeys(queue, step)) {
       const kind = this.kinds.get(key);
       const window = kind === undefined ? undefined : getWindow(kind);
       if (window !== undefined && window.countValues() >= MIN_SAMPLES) {
@@ -102,8 +102,8 @@
   }
 
   /** Returns a kind, marked as the most recently updated one. */
-  private getOrCreate(key: string): KindTimes {
-    const kind = this.kinds.get(key) ?? { ratios: new SampleWindow(), deviations: new SampleWindow() };
+  private getOrCreateKind(key: string): KindTimes {
+    const kind = this.kinds.get(key) ?? { logRatios: new SampleWindow(), logDeviations: new SampleWindow() };
     this.kinds.delete(key);
     const [oldest] = this.kinds.keys();
     if (oldest !== undefined && this.kinds.size >= MAX_KINDS) {
@@ -114,8 +114,8 @@
   }
 
   /** Returns the keys of the kinds that a step belongs to, the narrowest first. */
-  private listKeys(queue: string, shape: JobStep): readonly string[] {
-    const wide = `${queue} ${shape.estimatedMs > 0 ? 'estimated' : 'open'} ${shape.isGang ? 'gang' : 'task'}`;
-    return shape.image === '' ? [wide] : [`${wide} ${shape.image}`, wide];
+  private listKindKeys(queue: string, step: JobStep): readonly string[] {
+    const wide = `${queue} ${step.estimatedMs > 0 ? 'estimated' : 'open'} ${step.isGang ? 'gang' : 'task'}`;
+    return step.image === '' ? [wide] : [`${wide} ${step.image}`, wide];
   }
 }
--- a/packages/dispatch/speeds/SpeedEstimator.ts
+++ b/packages/dispatch/speeds/SpeedEstimator.ts
@@ -16,7 +16,7 @@
 }
 
 /** Half-life of the weight of samples, so that the estimate follows slow changes. */
-const HALF_LIFE_MS = 20_000;
+const WEIGHT_HALF_LIFE_MS = 20_000;
 /** Deviation at which samples are clipped, since single runs may take very long. */
 const CLIP_DEVIATIONS = 2;
 /** Deviation beyond which a sample may be a change of the endpoint's speed. */
@@ -26,21 +26,21 @@
 /** Deviation of an endpoint's own estimate from its group beyond which it is an outlier. */
 const OUTLIER_DEVIATIONS = 3.5;
 /** Minimum variance of the prior for outliers. */
-const OUTLIER_VARIANCE = 0.35 ** 2;
+const MIN_OUTLIER_PRIOR_VARIANCE = 0.35 ** 2;
 
 /** Bayesian estimate of the speed of one endpoint, by samples whose weight decays. */
 export class SpeedEstimator {
   /** Sum of the inverse variances of the samples. */
-  private weight = 0;
+  private totalWeight = 0;
   /** Sum of the samples, weighted by their inverse variances. */
   private weightedSum = 0;
   private decayedAt = 0;
-  private updatedAt = 0;
+  private lastSampleAt = 0;
   private sampleCount = 0;
   /** Number of steps with samples since the latest change of speed. */
-  private stableSteps = 0;
+  private stableStepCount = 0;
   /** Number of consecutive steps beyond `CHANGE_DEVIATIONS`; negative for those that were too fast. */
-  private streak = 0;
+  private deviationStreak = 0;
   private lastStep = '';
 
   countSamples(): number {
@@ -48,17 +48,17 @@
   }
 
   /** Returns the monotonic time of the latest sample. */
-  getUpdatedAt(): number {
-    return this.updatedAt;
+  getLastSampleAt(): number {
+    return this.lastSampleAt;
   }
 
   countStableSteps(): number {
-    return this.stableSteps;
+    return this.stableStepCount;
   }
 
   addSample({ logRatio, variance, step }: SpeedSample, prior: SpeedPrior, now: number): void {
     this.applyDecay(now);
-    this.updatedAt = now;
+    this.lastSampleAt = now;
     const posterior = this.computePosterior(prior);
     const expected = Math.sqrt(posterior.variance + variance);
     const bound = CLIP_DEVIATIONS * expected;
@@ -66,17 +66,17 @@
     this.sampleCount += 1;
     const isNewStep = step !== this.lastStep;
     this.lastStep = step;
-    this.streak = isNewStep ? this.computeStreak(deviation / expected) : this.streak;
-    const isChanged = isNewStep && Math.abs(this.streak) >= CHANGE_STREAK;
+    this.deviationStreak = isNewStep ? this.computeStreak(deviation / expected) : this.deviationStreak;
+    const isChanged = isNewStep && Math.abs(this.deviationStreak) >= CHANGE_STREAK;
     if (isChanged) {
-      this.weight = 0;
+      this.totalWeight = 0;
       this.weightedSum = 0;
-      this.stableSteps = 0;
+      this.stableStepCount = 0;
     } else if (isNewStep) {
-      this.stableSteps += 1;
+      this.stableStepCount += 1;
     }
     const clipped = isChanged ? logRatio : posterior.mean + Math.max(-bound, Math.min(bound, deviation));
-    this.weight += 1 / variance;
+    this.totalWeight += 1 / variance;
     this.weightedSum += clipped / variance;
   }
 
@@ -85,24 +85,26 @@
    * among similar ones is recognized.
    */
   computePosterior(prior: SpeedPrior): NormalEstimate {
-    const priorVariance = this.isOutlier(prior) ? Math.max(prior.variance, OUTLIER_VARIANCE) : prior.variance;
-    const weight = this.weight + 1 / priorVariance;
+    const priorVariance = this.isOutlier(prior)
+      ? Math.max(prior.variance, MIN_OUTLIER_PRIOR_VARIANCE)
+      : prior.variance;
+    const weight = this.totalWeight + 1 / priorVariance;
     return { mean: (this.weightedSum + prior.mean / priorVariance) / weight, variance: 1 / weight };
   }
 
   /** Reduces the weight of the samples by the time since the last call. */
   applyDecay(now: number): void {
-    const factor = 0.5 ** (Math.max(0, now - this.decayedAt) / HALF_LIFE_MS);
-    this.weight *= factor;
+    const factor = 0.5 ** (Math.max(0, now - this.decayedAt) / WEIGHT_HALF_LIFE_MS);
+    this.totalWeight *= factor;
     this.weightedSum *= factor;
     this.decayedAt = now;
   }
 
   /** Returns the estimate by the samples alone; undefined when there are none. */
   computeOwnEstimate(): NormalEstimate | undefined {
-    return this.weight === 0
+    return this.totalWeight === 0
       ? undefined
-      : { mean: this.weightedSum / this.weight, variance: 1 / this.weight };
+      : { mean: this.weightedSum / this.totalWeight, variance: 1 / this.totalWeight };
   }
 
   private isOutlier(prior: SpeedPrior): boolean {
@@ -117,6 +119,6 @@
       return 0;
     }
     const side = Math.sign(deviations);
-    return Math.sign(this.streak) === side ? this.streak + side : side;
+    return Math.sign(this.deviationStreak) === side ? this.deviationStreak + side : side;
   }
 }
--- a/packages/dispatch/speeds/SpeedGroups.ts
+++ b/packages/dispatch/speeds/SpeedGroups.ts
@@ -21,7 +21,7 @@
 /** Lower bound on the variance between the members of a group. */
 const MIN_VARIANCE = 0.06 ** 2;
 /** Standard errors by which the median of a distinct group differs from the baseline; high since many groups are compared. */
-const DISTINCT_ERRORS = 4;
+const MIN_DISTINCT_ERRORS = 4;
 
 /** Returns the part of the variance between members that is due to chance in their samples. */
 const computeNoise = (members: readonly GroupMember[]): number =>
@@ -38,26 +38,26 @@
 
 /** Priors for the speed of endpoints of one service, by their labels and hall. */
 export class SpeedGroups {
-  private overall: SpeedPrior = DEFAULT_PRIOR;
+  private overallPrior: SpeedPrior = DEFAULT_PRIOR;
   /** Priors of the groups that differ significantly from the baseline. */
-  private distinct: ReadonlyMap<string, SpeedPrior> = new Map();
+  private distinctPriors: ReadonlyMap<string, SpeedPrior> = new Map();
   private isBaselineKnown = false;
 
   /** Computes the priors anew from the members, which are those of `endpointCount` endpoints that have enough samples. */
   updatePriors(members: readonly GroupMember[], endpointCount: number): void {
     this.isBaselineKnown = members.length >= Math.max(MIN_BASELINE_MEMBERS, endpointCount / 2);
-    this.overall = this.isBaselineKnown ? computePrior(members) : DEFAULT_PRIOR;
+    this.overallPrior = this.isBaselineKnown ? computePrior(members) : DEFAULT_PRIOR;
     const distinct = new Map<string, SpeedPrior>();
     for (const [group, groupMembers] of this.listByGroup(members)) {
       if (groupMembers.length >= MIN_GROUP_MEMBERS) {
         const prior = computePrior(groupMembers);
         const error = Math.sqrt((prior.variance + computeNoise(groupMembers)) / groupMembers.length);
-        if (Math.abs(prior.mean - this.overall.mean) > DISTINCT_ERRORS * error) {
+        if (Math.abs(prior.mean - this.overallPrior.mean) > MIN_DISTINCT_ERRORS * error) {
           distinct.set(group, prior);
         }
       }
     }
-    this.distinct = distinct;
+    this.distinctPriors = distinct;
   }
 
   /** Returns whether enough endpoints have samples for a baseline. */
@@ -67,12 +67,12 @@
 
   /** Returns the prior of the most uniform distinct group of an endpoint; the overall prior if none is more uniform. */
   choosePrior(groups: readonly string[]): SpeedPrior {
-    let best = this.overall;
-    if (this.distinct.size === 0) {
+    let best = this.overallPrior;
+    if (this.distinctPriors.size === 0) {
       return best;
     }
     for (const group of groups) {
-      const prior = this.distinct.get(group);
+      const prior = this.distinctPriors.get(group);
       if (prior !== undefined && prior.variance < best.variance) {
         best = prior;
       }
@@ -81,8 +81,8 @@
   }
 
   /** Returns the logarithmic ratio of the median endpoint. */
-  getBaseline(): number {
-    return this.overall.mean;
+  getBaselineLogRatio(): number {
+    return this.overallPrior.mean;
   }
 
   private listByGroup(members: readonly GroupMember[]): ReadonlyMap<string, readonly GroupMember[]> {
--- a/packages/dispatch/speeds/StepRunTimes.ts
+++ b/packages/dispatch/speeds/StepRunTimes.ts
@@ -12,22 +12,22 @@
 
 /** Run times of the tasks of one step. */
 export class StepRunTimes {
-  private readonly tasks = new Map<number, TaskTime>();
-  private latestGangRun = 0;
+  private readonly taskTimes = new Map<number, TaskTime>();
+  private latestGangRunNumber = 0;
 
   /** Records the time of a task, in place of that of its earlier run. */
   recordTime(index: number, endpoint: EndpointIncarnation, logMs: number): void {
-    this.tasks.set(index, { endpoint, logMs });
+    this.taskTimes.set(index, { endpoint, logMs });
   }
 
   countTasks(): number {
-    return this.tasks.size;
+    return this.taskTimes.size;
   }
 
   /** Returns how many tasks have a recorded time on an endpoint. */
   countTasksOn(endpoint: EndpointIncarnation): number {
     let count = 0;
-    for (const task of this.tasks.values()) {
+    for (const task of this.taskTimes.values()) {
       count += task.endpoint === endpoint ? 1 : 0;
     }
     return count;
@@ -39,7 +39,7 @@
     getEstimate: (endpoint: EndpointIncarnation) => SpeedEstimate,
   ): readonly SiblingTime[] {
     const byEndpoint = new Map<EndpointIncarnation, number[]>();
-    for (const { endpoint, logMs } of this.tasks.values()) {
+    for (const { endpoint, logMs } of this.taskTimes.values()) {
       if (endpoint !== excluded) {
         addToList(byEndpoint, endpoint, logMs);
       }
@@ -52,8 +52,8 @@
 
   /** Returns true once for each run of a gang, since one member's time stands for all. */
   claimGangRun(run: number): boolean {
-    const isFirst = run > this.latestGangRun;
-    this.latestGangRun = Math.max(run, this.latestGangRun);
+    const isFirst = run > this.latestGangRunNumber;
+    this.latestGangRunNumber = Math.max(run, this.latestGangRunNumber);
     return isFirst;
   }
 }
--- a/packages/dispatch/speeds/computeLateChance.ts
+++ b/packages/dispatch/speeds/computeLateChance.ts
@@ -3,7 +3,7 @@
 interface LatenessInput {
   readonly runTime: RunTimeDistribution;
   /** Number of tasks; the step ends with the last one. */
-  readonly count: number;
+  readonly taskCount: number;
   /** Ratio of run times on the endpoint to the baseline. */
   readonly ratio: number;
   /** Time left for the step, in milliseconds. */
@@ -11,7 +11,7 @@
 }
 
 /** Lower bound on the spread between steps, since recent estimates may have been right by chance. */
-const MIN_SPREAD = 0.1;
+const MIN_STEP_SPREAD = 0.1;
 /** Scales the logistic function to approximate the normal distribution function. */
 const LOGISTIC_SLOPE = 1.702;
 
@@ -19,11 +19,11 @@
 const computeExpectedMaximum = (count: number): number => Math.log((count - 0.375) / 0.625) / LOGISTIC_SLOPE;
 
 /** Returns the probability, 0 to 1, that a step takes longer than the time left if its last task runs on an endpoint with the ratio. */
-export const computeLateChance = ({ runTime, count, ratio, leftMs }: LatenessInput): number => {
+export const computeLateChance = ({ runTime, taskCount, ratio, leftMs }: LatenessInput): number => {
   if (leftMs <= 0) {
     return 1;
   }
-  const stepSpread = Math.sqrt(Math.max(MIN_SPREAD ** 2, runTime.spread ** 2 - runTime.taskSpread ** 2));
-  const logLastMs = runTime.logMs + runTime.taskSpread * computeExpectedMaximum(count) + Math.log(ratio);
+  const stepSpread = Math.sqrt(Math.max(MIN_STEP_SPREAD ** 2, runTime.spread ** 2 - runTime.taskSpread ** 2));
+  const logLastMs = runTime.logMs + runTime.taskSpread * computeExpectedMaximum(taskCount) + Math.log(ratio);
   return 1 / (1 + Math.exp((LOGISTIC_SLOPE * (Math.log(leftMs) - logLastMs)) / stepSpread));
 };
--- a/packages/dispatch/speeds/createCompletionTimeCost.ts
+++ b/packages/dispatch/speeds/createCompletionTimeCost.ts
@@ -13,12 +13,12 @@
 /** Returns how many members of a gang fit on the endpoints of each ratio, the fastest first. */
 const listGangCapacity = (
   step: WaitingStep,
-  { speeds, capacity: capacityView }: SpeedSources,
+  { speeds, capacity }: SpeedSources,
   endpoints: readonly EndpointState[],
 ): readonly (readonly [ratio: number, count: number])[] => {
   const counts = new Map<number, number>();
   for (const endpoint of endpoints) {
-    const count = capacityView.countFittingTasks(endpoint.getFreeCapacity(), step.shape);
+    const count = capacity.countFittingTasks(endpoint.getFreeCapacity(), step.shape);
     if (count > 0) {
       const ratio = speeds.getSignificantRatio(endpoint.getProfile());
       counts.set(ratio, (counts.get(ratio) ?? 0) + count);
@@ -64,12 +64,12 @@
   const { definition } = step.job;
   const runTime = sources.times.getDistribution(definition.queue.name, step.shape);
   // The run times of gangs are those of the whole gang.
-  const count = step.shape.isGang ? 1 : step.shape.count;
+  const taskCount = step.shape.isGang ? 1 : step.shape.count;
   const leftMs = step.objectiveAtMs - wallMs - step.job.getCriticalPathAfterMs(step.step);
   const isMostUrgent = sources.capacity.isMostUrgent(definition.queue);
-  const baselineChance = computeLateChance({ runTime, count, ratio: 1, leftMs });
+  const baselineChance = computeLateChance({ runTime, taskCount, ratio: 1, leftMs });
   const computeCost = (ratio: number): number => {
-    const lateCost = LATE_COST * (computeLateChance({ runTime, count, ratio, leftMs }) - baselineChance);
+    const lateCost = LATE_COST * (computeLateChance({ runTime, taskCount, ratio, leftMs }) - baselineChance);
     return lateCost + (isMostUrgent ? URGENT_SLOWDOWN_COST : -FAST_ENDPOINT_COST) * Math.log(ratio);
   };
   const gangRatio = step.shape.isGang ? chooseGangRatio(step, sources, endpoints, computeCost) : undefined;
--- a/packages/dispatch/speeds/estimateStepTime.ts
+++ b/packages/dispatch/speeds/estimateStepTime.ts
@@ -9,7 +9,7 @@
 }
 
 /** Ratio of the variance of the median of normal values to that of their mean. */
-const MEDIAN_FACTOR = 1.57;
+const MEDIAN_VARIANCE_FACTOR = 1.57;
 
 /**
  * Estimates the baseline time of a step's tasks, as the natural logarithm of milliseconds, from the distribution over all such steps and
@@ -25,7 +25,7 @@
     return { logMs: runTime.logMs, variance: stepVariance };
   }
   const correction = siblings.reduce((sum, { variance }) => sum + variance, 0) / siblings.length;
-  const siblingVariance = (MEDIAN_FACTOR * (taskVariance + correction)) / siblings.length;
+  const siblingVariance = (MEDIAN_VARIANCE_FACTOR * (taskVariance + correction)) / siblings.length;
   const weight = 1 / siblingVariance + 1 / stepVariance;
   const logMs = computeMedian(siblings.map((sibling) => sibling.logMs));
   return {
--- a/tests/adviceTurns.test.ts
+++ b/tests/adviceTurns.test.ts
@@ -165,7 +165,7 @@
   computeTotal(simulations, ({ jobs }) => jobs.filter(({ endedAt }) => endedAt !== undefined).length);
 
 const countInvalidTickets = (simulations: readonly AdviceSimulation[]): number =>
-  computeTotal(simulations, ({ invalidTickets: badTickets }) => badTickets);
+  computeTotal(simulations, ({ invalidTickets }) => invalidTickets);
 
 describe('advice requests while capacity is scarce', () => {
   beforeEach(() => {
@@ -231,15 +231,15 @@
 });
 
 describe('the size of a request', () => {
-  const CANDIDATES = Array.from({ length: 200 }, () => ({ tasks: 1, chance: 0.35 }));
+  const CANDIDATES = Array.from({ length: 200 }, () => ({ taskCount: 1, usableChance: 0.35 }));
 
   it('grows until another request is unlikely, the more the higher its fixed cost is', () => {
     const expensive = chooseRequestSize(CANDIDATES, 10, {
-      roundMs: 500,
+      fixedMs: 500,
       perEndpointMs: 7,
       maxCandidates: 100,
     });
-    const cheap = chooseRequestSize(CANDIDATES, 10, { roundMs: 20, perEndpointMs: 7, maxCandidates: 100 });
+    const cheap = chooseRequestSize(CANDIDATES, 10, { fixedMs: 20, perEndpointMs: 7, maxCandidates: 100 });
     // The 29th candidate would bring the mean above ten tasks.
     expect(cheap).toBe(28);
     expect(expensive).toBeGreaterThan(36);
@@ -247,11 +247,11 @@
   });
 
   it('is at most the maximum and the number of candidates', () => {
-    expect(chooseRequestSize(CANDIDATES, 90, { roundMs: 500, perEndpointMs: 7, maxCandidates: 100 })).toBe(
+    expect(chooseRequestSize(CANDIDATES, 90, { fixedMs: 500, perEndpointMs: 7, maxCandidates: 100 })).toBe(
       100,
     );
     expect(
-      chooseRequestSize(CANDIDATES.slice(0, 7), 10, { roundMs: 500, perEndpointMs: 7, maxCandidates: 100 }),
+      chooseRequestSize(CANDIDATES.slice(0, 7), 10, { fixedMs: 500, perEndpointMs: 7, maxCandidates: 100 }),
     ).toBe(7);
   });
 });
@@ -259,21 +259,21 @@
 describe('the reserve for short requests', () => {
   it('is a quarter of the boxes for a new leader, then follows the load with a margin, up to one half', () => {
     const reserve = new ShortRequestReserve();
-    expect(reserve.computeReserved(40, 0)).toBe(10);
-    expect(reserve.computeReserved(40, 3000)).toBe(1);
+    expect(reserve.computeReservedCount(40, 0)).toBe(10);
+    expect(reserve.computeReservedCount(40, 3000)).toBe(1);
     // 50 requests a second of 80 ms each are four concurrent ones.
     for (let now = 3000; now < 13_000; now += 20) {
       reserve.recordRequest(80, now);
     }
-    expect(reserve.computeReserved(40, 13_000)).toBe(8);
-    expect(reserve.computeReserved(10, 13_000)).toBe(5);
-    expect(reserve.computeReserved(40, 33_000)).toBe(1);
+    expect(reserve.computeReservedCount(40, 13_000)).toBe(8);
+    expect(reserve.computeReservedCount(10, 13_000)).toBe(5);
+    expect(reserve.computeReservedCount(40, 33_000)).toBe(1);
   });
 
   it('is one of two boxes, and none of one', () => {
     const reserve = new ShortRequestReserve();
-    expect(reserve.computeReserved(2, 0)).toBe(1);
-    expect(reserve.computeReserved(1, 0)).toBe(0);
+    expect(reserve.computeReservedCount(2, 0)).toBe(1);
+    expect(reserve.computeReservedCount(1, 0)).toBe(0);
   });
 });
 
--- a/tests/endpointSpeeds.test.ts
+++ b/tests/endpointSpeeds.test.ts
@@ -249,11 +249,11 @@
 describe('the probability of being late', () => {
   it('increases with the ratio of the endpoint and the number of tasks, and decreases with the time left', () => {
     const runTime = { logMs: Math.log(1000), spread: 0.5, taskSpread: 0.3, isLearnt: true };
-    const step = { runTime, count: 1, ratio: 1, leftMs: 1000 };
+    const step = { runTime, taskCount: 1, ratio: 1, leftMs: 1000 };
     expect(computeLateChance(step)).toBeCloseTo(0.5);
     expect(computeLateChance({ ...step, leftMs: 1000 * Math.exp(1.28 * 0.4) })).toBeCloseTo(0.1, 1);
     expect(computeLateChance({ ...step, ratio: 2, leftMs: 1600 })).toBeGreaterThan(0.7);
-    expect(computeLateChance({ ...step, count: 25, leftMs: 1600 })).toBeGreaterThan(0.5);
+    expect(computeLateChance({ ...step, taskCount: 25, leftMs: 1600 })).toBeGreaterThan(0.5);
     expect(computeLateChance({ ...step, leftMs: 0 })).toBe(1);
   });
 
--- a/tests/helpers/HeterogeneousSimulation.ts
+++ b/tests/helpers/HeterogeneousSimulation.ts
@@ -127,7 +127,7 @@
         this.sendStatus(endpoint, (tick + index) % STATUS_TICKS === 0),
       );
       this.options.queues
-        .filter(({ intervalMs: everyMs }) => this.now % everyMs < TICK_MS)
+        .filter(({ intervalMs }) => this.now % intervalMs < TICK_MS)
         .forEach((queue) => this.sendJob(queue));
       if (tick % PERIODIC_TICKS === 0) {
         this.dispatcher.handleTick(this.now);
