--- a/packages/dispatch/advice/AdviceChannel.ts
+++ b/packages/dispatch/advice/AdviceChannel.ts
@@ -1,9 +1,9 @@
 import type { AdviceClient } from './AdviceClient';
 
-/** A box that sends advice requests to the service, one at a time. */
+/** A box over which the leader sends advice requests to the service, one at a time. */
 export interface AdviceChannel {
   readonly box: string;
-  /** The leader runs on this box. */
+  /** Whether the leader runs on this box. */
   readonly isOwn: boolean;
   readonly client: AdviceClient;
 }
--- a/packages/dispatch/advice/AdviceClient.ts
+++ b/packages/dispatch/advice/AdviceClient.ts
@@ -1,8 +1,11 @@
 import type { EndpointId } from '../../jobs/EndpointId';
 
-/** Requests advice from the service: which of some endpoints may run a step. */
+/** Client of the advice service, which decides on which endpoints a step may run. */
 export interface AdviceClient {
-  /** Resolves to the ticket of each allowed endpoint; to undefined when there was no response. */
+  /**
+   * Requests tickets for a step (see `toStepName`) on some endpoints. Resolves to the ticket of each allowed endpoint; to undefined when
+   * there was no response within the timeout.
+   */
   requestAdvice(
     step: string,
     endpoints: readonly EndpointId[],
--- a/packages/dispatch/advice/AdviceMetrics.ts
+++ b/packages/dispatch/advice/AdviceMetrics.ts
@@ -1,11 +1,13 @@
 import type { DispatchCounterName } from '../DispatchCounterName';
 import type { AdviceRequestReason } from './AdviceRequestReason';
 
-/** A request with a response, until a start uses one of its tickets or they expire. */
+/** A request that has had a response, kept until a start uses one of its tickets or they expire. */
 interface AnsweredRequest {
+  /** Time from the request to its response, in milliseconds. */
   readonly responseMs: number;
   /** Monotonic time at which its tickets expire. */
   readonly expiresAt: number;
+  /** Whether a start has used one of its tickets. */
   isUsed: boolean;
 }
 
@@ -16,31 +18,34 @@
   early: 'questionsEarly',
 } as const satisfies Readonly<Record<AdviceRequestReason, DispatchCounterName>>;
 
-/** Counts advice requests by reason, and whether a start used their responses. */
+/** Counts advice requests by reason and by outcome: without a response, used by a start, or expired unused. */
 export class AdviceMetrics {
-  /** Answered requests that are not counted yet, in the order of their responses. Bounded by the validity of tickets. */
+  /** Requests with a response that are not counted as expired, in the order of their responses; used ones are removed by `handleTick`. */
   private uncountedRequests: AnsweredRequest[] = [];
 
   constructor(private readonly sendCount: (name: DispatchCounterName, amount: number) => void) {}
 
+  /** Counts a request by its reason. */
   recordRequest(reason: AdviceRequestReason): void {
     this.sendCount(REASON_COUNTERS[reason], 1);
   }
 
-  /** Counts a request without a response. */
+  /** Counts a request that had no response, and the time spent on it, in milliseconds. */
   recordFailure(tookMs: number): void {
     this.sendCount('turnsUnanswered', 1);
     this.sendCount('turnUnansweredMs', Math.round(tookMs));
   }
 
-  /** Records a response. Its tickets keep the returned value for `recordTicketUse`. */
+  /**
+   * Records a response whose tickets expire at a monotonic time. Returns the request, which its tickets refer to for `recordTicketUse`.
+   */
   recordResponse(responseMs: number, expiresAt: number): AnsweredRequest {
     const request = { responseMs, expiresAt, isUsed: false };
     this.uncountedRequests.push(request);
     return request;
   }
 
-  /** Counts a request as used, once a start uses one of its tickets. */
+  /** Counts a request and its response time as used, the first time that a start uses one of its tickets. */
   recordTicketUse(request: AnsweredRequest): void {
     if (!request.isUsed) {
       request.isUsed = true;
@@ -49,7 +54,7 @@
     }
   }
 
-  /** Counts requests whose tickets have expired unused. */
+  /** Counts the requests whose tickets have expired unused, with their response times, and forgets these and the used ones. */
   handleTick(now: number): void {
     const expired = this.uncountedRequests.filter(({ expiresAt, isUsed }) => !isUsed && expiresAt <= now);
     this.uncountedRequests = this.uncountedRequests.filter(
--- a/packages/dispatch/advice/AdvicePolicy.ts
+++ b/packages/dispatch/advice/AdvicePolicy.ts
@@ -12,13 +12,17 @@
   readonly preference: EndpointPreference;
 }
 
-/** Decides when to send advice requests, and which of them are long. */
+/** Rules by which advice requests are sent. */
 export interface AdvicePolicy {
   /** Maximum number of endpoints in one request. */
   readonly maxCandidates: number;
-  /** Returns for how long requests for a step are deferred, in milliseconds, when one would not have been useful. */
+  /** Returns how long no request is considered for a step after a round in which one would not have been useful, in milliseconds. */
   readonly computeDeferralMs: (advice: NonNullable<JobQueue['advice']>) => number;
-  /** Returns whether requests of the queue are long. Long ones do not use the channels that are reserved for short ones. */
+  /**
+   * Returns whether the requests of a queue count as long, by its advice times and by whether it is the most urgent one. Long ones do
+   * not use the channels that are reserved for short ones.
+   */
   readonly isLong: (advice: NonNullable<JobQueue['advice']>, isMostUrgent: boolean) => boolean;
+  /** Creates the selector of the endpoints that requests ask about. */
   readonly createSelector: (dependencies: SelectorDependencies) => CandidateSelector;
 }
--- a/packages/dispatch/advice/AdviceRequestReason.ts
+++ b/packages/dispatch/advice/AdviceRequestReason.ts
@@ -1,8 +1,8 @@
 /**
  * Why an advice request is sent.
- * - `first`: no ticket or refusal is known for the step.
- * - `more`: the endpoints allowed by earlier responses do not suffice.
- * - `again`: all its candidates were allowed before, but their tickets have expired.
- * - `early`: it is sent before the step is ready.
+ * - `first`: no ticket or refusal is known for the step, and the step is ready.
+ * - `more`: a response is known, and at least one candidate has not been allowed before.
+ * - `again`: all its candidates were allowed before, and their tickets expire too soon.
+ * - `early`: the step is not ready yet.
  */
 export type AdviceRequestReason = 'first' | 'more' | 'again' | 'early';
--- a/packages/dispatch/advice/AdviceRequester.ts
+++ b/packages/dispatch/advice/AdviceRequester.ts
@@ -17,11 +17,11 @@
 import type { WaitCause } from '../waiting/WaitCause';
 import type { WaitingStep } from '../waiting/WaitingStep';
 
-/** Number of candidates in the request that a job's objective allows time for. */
+/** Number of candidates assumed when the response time of a future request is estimated. */
 const BUDGETED_CANDIDATES = 30;
-/** Delay from a response to the starts that use it. */
+/** Expected delay from a response to the starts that use it. */
 const START_DELAY_MS = 120;
-/** Time between the expected response to an early request and the moment at which its step becomes ready. */
+/** Time by which an early request is sent before the moment at which its response would arrive as its step becomes ready. */
 const EARLY_MARGIN_MS = 150;
 
 interface AdviceRequesterOptions {
@@ -35,15 +35,16 @@
   readonly sendEffect: (effect: Extract<DispatchEffect, { kind: 'advise' }>) => void;
 }
 
-/** Decides when to request advice for a step, and about which endpoints. */
+/** Sends advice requests for steps, within the slots of a round and when the selector finds useful candidates. */
 export class AdviceRequester {
+  /** Requests that this round may still send. */
   private remainingSlots: AdviceSlots = { all: 0, long: 0 };
 
   constructor(private readonly options: AdviceRequesterOptions) {}
 
   /**
-   * Sets how many requests this round may send. Requests without a slot are not queued: a later round decides anew, in placement order,
-   * whether they are still needed.
+   * Begins a round of placement, also for the selector, and sets how many requests it may send. Requests without a slot are not queued:
+   * a later round decides anew, in placement order, whether they are still needed.
    */
   startRound(slots: AdviceSlots): void {
     this.remainingSlots = slots;
@@ -51,8 +52,9 @@
   }
 
   /**
-   * Requests advice for the tasks of a step that found no endpoint with a ticket valid until `neededUntil`, if that is useful now.
-   * Returns what the tasks wait for.
+   * Requests advice for `missing` tasks of a step, which found no endpoint with a ticket valid until `neededUntil`. Sends no request while
+   * requests are deferred, one is pending, a failed one is not to be repeated yet, or no slot is free; defers requests if the selector
+   * finds no useful candidates. Records the step with the selector, unless the request is early. Returns what the tasks wait for.
    */
   requestAdvice(
     step: WaitingStep,
@@ -101,6 +103,7 @@
     return 'answer';
   }
 
+  /** Returns the reason for a request that is not early, by the responses known for the step. */
   private getReason(advice: StepAdvice, endpoints: readonly EndpointIncarnation[]): AdviceRequestReason {
     if (!advice.hasResponse()) {
       return 'first';
@@ -108,7 +111,7 @@
     return endpoints.every((endpoint) => advice.hasBeenAllowed(endpoint)) ? 'again' : 'more';
   }
 
-  /** Records that a task of the step is started on an endpoint, with its ticket if one is needed. */
+  /** Counts the request that got the step's ticket for an endpoint as used, when a task starts there. No effect without a ticket. */
   recordTicketUse({ job, repetition, step }: WaitingStep, endpoint: EndpointIncarnation): void {
     const request = job.getAdvice(repetition, step).getTicketRequest(endpoint);
     if (request !== undefined) {
@@ -116,7 +119,7 @@
     }
   }
 
-  /** Returns the expected time from a request for the step to the starts that use its response, in milliseconds; 0 if no advice is needed. */
+  /** Returns the expected time from a request for the step to the starts that use its response, in milliseconds; 0 without advice. */
   estimateResponseMs({ job }: WaitingStep): number {
     const { advice } = job.definition.queue;
     return advice === undefined
@@ -128,7 +131,10 @@
     return this.remainingSlots.all > 0 && (!isLong || this.remainingSlots.long > 0);
   }
 
-  /** Requests advice for later steps of a job that are about to become ready. */
+  /**
+   * Requests advice for the dependent steps of a job that are expected to become ready about when the response arrives. Skips steps with a
+   * pending request and repetitions that are not due.
+   */
   sendEarlyRequests(job: LiveJob, now: number, wallMs: number): void {
     const { definition, progress } = job;
     const { advice } = definition.queue;
@@ -162,6 +168,7 @@
     }
   }
 
+  /** Requests advice for the tasks of a step that its customer's limit lets start; none if there are no such tasks. */
   private sendEarlyRequest(whole: WaitingStep, now: number): void {
     const { limits, capacityView } = this.options;
     const step = limits.computeMaxStartable(whole);
@@ -170,7 +177,10 @@
     }
   }
 
-  /** Returns the estimated time until a later step becomes ready, in milliseconds; Infinity while a task that it depends on waits. */
+  /**
+   * Returns the estimated time until a dependent step becomes ready, in milliseconds: the longest remaining time of the placed tasks that
+   * it depends on; Infinity while one of them waits.
+   */
   private estimateReadyInMs(job: LiveJob, repetition: number, step: number, now: number): number {
     let readyInMs = 0;
     for (const earlier of job.definition.steps[step]!.dependsOn) {
--- a/packages/dispatch/advice/AdviceSlots.ts
+++ b/packages/dispatch/advice/AdviceSlots.ts
@@ -1,7 +1,7 @@
 /** Numbers of advice requests that can be sent now. */
 export interface AdviceSlots {
-  /** Requests of any length. */
+  /** Number of requests of any length. */
   readonly all: number;
-  /** The part of them that may be long; some channels are reserved for short requests. */
+  /** Number of these that may be long; the rest is reserved for short requests. */
   readonly long: number;
 }
--- a/packages/dispatch/advice/AdviceStats.ts
+++ b/packages/dispatch/advice/AdviceStats.ts
@@ -1,15 +1,17 @@
 import type { EndpointIncarnation } from '../../jobs/EndpointIncarnation';
 
-/** Share of candidates that are expected to be allowed before the first response. */
+/** Allowed share of candidates that is assumed for a queue before its first response. */
 const INITIAL_ALLOWED_SHARE = 0.5;
-/** Weight of the latest response in the moving average of that share. */
+/** Weight of the latest response in the moving average of a queue's allowed share. */
 const RESPONSE_WEIGHT = 0.1;
-/** Lower bound, since callers divide by the share. */
+/** Lower bound on the allowed share, since callers divide by it. */
 const MIN_ALLOWED_SHARE = 0.1;
 
-/** Statistics of advice requests over all steps: the allowed share by queue, and the pending requests by endpoint. */
+/** Statistics of advice requests over all steps: the allowed share of candidates by queue, and the pending requests by endpoint. */
 export class AdviceStats {
+  /** Moving average of the allowed share of candidates, 0 to 1, by queue. */
   private readonly allowedShares = new Map<string, number>();
+  /** Number of pending requests by candidate; endpoints without one have no entry. */
   private readonly pendingCounts = new Map<EndpointIncarnation, number>();
 
   /** Returns the share of candidates, 0 to 1, that the service is expected to allow for a step of the queue. */
@@ -17,18 +19,22 @@
     return this.allowedShares.get(queue) ?? INITIAL_ALLOWED_SHARE;
   }
 
-  /** Returns how many pending requests have the endpoint among their candidates. Their steps may take its free capacity. */
+  /** Returns how many pending requests have the endpoint among their candidates. */
   countPendingRequests(endpoint: EndpointIncarnation): number {
     return this.pendingCounts.get(endpoint) ?? 0;
   }
 
+  /** Counts a pending request for each of its candidates. */
   recordRequest(candidates: readonly EndpointIncarnation[]): void {
     for (const endpoint of candidates) {
       this.pendingCounts.set(endpoint, this.countPendingRequests(endpoint) + 1);
     }
   }
 
-  /** Records the end of a request, and how many candidates were allowed; undefined when there was no response. */
+  /**
+   * Ends the pending request of the candidates, and updates the allowed share of the queue by how many were allowed. `allowedCount` is
+   * undefined when there was no response, which leaves the share as it is.
+   */
   recordResponse(
     queue: string,
     candidates: readonly EndpointIncarnation[],
--- a/packages/dispatch/advice/CandidateSelector.ts
+++ b/packages/dispatch/advice/CandidateSelector.ts
@@ -2,17 +2,17 @@
 import type { EndpointState } from '../endpoints/EndpointState';
 import type { WaitingStep } from '../waiting/WaitingStep';
 
-/** Chooses the endpoints to request advice on for a step, the most useful first. */
+/** Chooses the endpoints that the advice request of a step asks about. */
 export interface CandidateSelector {
-  /** Begins a round of placement. */
+  /** Begins a round of placement: forgets the steps recorded in the one before. */
   startRound(): void;
 
   /** Records the next step, in placement order, with the number of its tasks that lack tickets. */
   recordStep(step: WaitingStep, missing: number): void;
 
   /**
-   * Returns the endpoints to request advice on for `missing` tasks that lack tickets valid until `neededUntil`; empty when a request
-   * would not be useful. The caller sends the request at once.
+   * Returns the endpoints to request advice on for `missing` tasks that lack tickets valid until `neededUntil`, the most useful first;
+   * empty when a request would not be useful. The caller sends the request at once, so the selector may count it as pending.
    */
   chooseEndpoints(
     step: WaitingStep,
@@ -22,6 +22,6 @@
     now: number,
   ): readonly EndpointState[];
 
-  /** Handles the end of a request for a step (`JOB.TIME.STEP`), with or without a response. */
+  /** Handles the end of a request, with or without a response. `step` is the name of its step (see `toStepName`). */
   recordResponse(step: string, candidates: readonly EndpointIncarnation[]): void;
 }
--- a/packages/dispatch/advice/CapacityClaims.ts
+++ b/packages/dispatch/advice/CapacityClaims.ts
@@ -3,15 +3,16 @@
 import type { TaskDemand } from '../../jobs/TaskDemand';
 
 interface Claim {
-  /** `JOB.TIME.STEP` of the step that the request is for. */
+  /** Name of the step that the request is for (see `toStepName`). */
   readonly step: string;
+  /** Priority of the step's queue; lower values are more urgent. */
   readonly priority: number;
   readonly demand: TaskDemand;
 }
 
 /**
- * Capacity that pending advice requests count on. Requests of steps that are not more urgent do not count on it too, since it is likely
- * to be taken before their response. Claims do not restrict starts.
+ * Capacity of endpoints that pending advice requests count on. Other requests treat the claims of steps at least as urgent as theirs as
+ * occupied. Claims do not restrict starts.
  */
 export class CapacityClaims {
   private readonly claims = new Map<EndpointIncarnation, Claim[]>();
@@ -20,7 +21,7 @@
     this.claims.set(endpoint, [...(this.claims.get(endpoint) ?? []), claim]);
   }
 
-  /** Removes the claims of a step's request, once it has ended. */
+  /** Removes all claims of a step on the candidates of its request, once the request has ended. */
   removeClaims(step: string, candidates: readonly EndpointIncarnation[]): void {
     for (const endpoint of candidates) {
       const left = (this.claims.get(endpoint) ?? []).filter((claim) => claim.step !== step);
@@ -32,7 +33,7 @@
     }
   }
 
-  /** Returns the capacity of an endpoint claimed by requests at least as urgent as `priority`; lower values are more urgent. */
+  /** Returns the sum of an endpoint's capacity claimed by requests at least as urgent as `priority`; lower values are more urgent. */
   computeClaimed(endpoint: EndpointIncarnation, priority: number): TaskDemand {
     return (this.claims.get(endpoint) ?? [])
       .filter((claim) => claim.priority <= priority)
--- a/packages/dispatch/advice/ChannelState.ts
+++ b/packages/dispatch/advice/ChannelState.ts
@@ -1,39 +1,46 @@
 import { SmoothedTime } from '../../common/SmoothedTime';
 
-/** Upper bound on the hedge delay, and its value before the first response. */
+/** Upper bound on the hedge delay, and its default before the first response. */
 const MAX_HEDGE_DELAY_MS = 1200;
 /** Lower bound on the hedge delay, since a hedge uses a second slot. */
 const MIN_HEDGE_DELAY_MS = 80;
-/** Half-life of the estimated delay after the latest response, so that a channel that was slow is tried again. */
+/** Half-life of a channel's estimated response delay while it has no new response, so that a slow channel is tried again. */
 const DELAY_HALF_LIFE_MS = 10_000;
 
-/** State of one channel: its pending request, the delay of its responses beyond the service's time, and its quarantine. */
+/** State of one channel: its pending request, how far its responses exceed their expected response times, and its quarantine. */
 export class ChannelState {
+  /** The request that is under way on this channel; undefined while it is free. */
   private pendingRequest: { readonly isLong: boolean } | undefined;
+  /** By how much responses exceeded their expected response times. */
   private readonly delays = new SmoothedTime();
+  /** Monotonic time of the latest response. */
   private lastRespondedAt = 0;
   /** Monotonic time until which other channels are preferred, after a late or missing response. */
   private quarantinedUntil = -Infinity;
 
+  /** Returns whether a request is pending. */
   isBusy(): boolean {
     return this.pendingRequest !== undefined;
   }
 
+  /** Returns whether the pending request is a short one; false when there is none. */
   hasShortRequest(): boolean {
     return this.pendingRequest?.isLong === false;
   }
 
+  /** Returns whether other channels are preferred, after a late or missing response. */
   isQuarantined(now: number): boolean {
     return now < this.quarantinedUntil;
   }
 
-  /** Returns by how much the next response is expected to exceed the service's time, in milliseconds. */
+  /** Returns by how much the next response is expected to exceed its expected response time, in milliseconds; 0 before the first. */
   estimateDelayMs(now: number): number {
     return (this.delays.getMeanMs() ?? 0) * 0.5 ** ((now - this.lastRespondedAt) / DELAY_HALF_LIFE_MS);
   }
 
   /**
-   * Returns how long after the service's time a response counts as late, in milliseconds; `defaultMs` before the first response.
+   * Returns how far a response may exceed the expected response time before it counts as late, in milliseconds, by the delays of earlier
+   * responses and within fixed bounds; `defaultMs` before the first response.
    */
   computeHedgeDelayMs(defaultMs = MAX_HEDGE_DELAY_MS): number {
     const limitMs = this.delays.getLimitMs();
@@ -42,10 +49,12 @@
       : Math.min(MAX_HEDGE_DELAY_MS, Math.max(MIN_HEDGE_DELAY_MS, limitMs));
   }
 
+  /** Records that a request has been sent over the channel. */
   recordRequest(isLong: boolean): void {
     this.pendingRequest = { isLong };
   }
 
+  /** Ends the pending request and the quarantine, and records by how much the response exceeded its expected response time. */
   recordResponse(delayMs: number, now: number): void {
     this.pendingRequest = undefined;
     this.quarantinedUntil = -Infinity;
@@ -53,17 +62,17 @@
     this.delays.recordTime(delayMs);
   }
 
-  /** Quarantines the channel while its response is late; the response may still arrive. */
+  /** Quarantines the channel until a monotonic time since its response is late. The request stays pending. */
   recordLateResponse(quarantinedUntil: number): void {
     this.quarantinedUntil = quarantinedUntil;
   }
 
-  /** Ends the quarantine, after failures that were not the channel's. */
+  /** Ends the quarantine, when the service had failed and not the channel. */
   clearQuarantine(): void {
     this.quarantinedUntil = -Infinity;
   }
 
-  /** Records that the pending request has ended without a response. */
+  /** Ends the pending request, which had no response, and quarantines the channel until a monotonic time. */
   recordFailure(quarantinedUntil: number): void {
     this.pendingRequest = undefined;
     this.quarantinedUntil = quarantinedUntil;
--- a/packages/dispatch/advice/EagerCandidateSelector.ts
+++ b/packages/dispatch/advice/EagerCandidateSelector.ts
@@ -8,14 +8,14 @@
 import type { EndpointPreference } from '../placing/EndpointPreference';
 import type { WaitingStep } from '../waiting/WaitingStep';
 
-/** Candidates to allow for each missing task, after refusals, since other steps take some of the capacity meanwhile. */
+/** Number of task places expected to be allowed for each missing task; above 1 since other steps take some before the response. */
 const PLACES_PER_TASK = 2;
-/** Minimum number of candidates: the fixed cost of a request exceeds the cost of this many. */
+/** Minimum number of candidates, if there are as many, since the fixed cost of a request exceeds their cost. */
 const MIN_CANDIDATES = 5;
 
 const computeSum = (counts: readonly number[]): number => counts.reduce((sum, count) => sum + count, 0);
 
-/** Selects candidates whenever tickets are missing: endpoints with free capacity, or all where that is scarce. */
+/** Selects candidates whenever tickets are missing: endpoints with free capacity, or all large enough ones if capacity is scarce. */
 export class EagerCandidateSelector implements CandidateSelector {
   constructor(
     private readonly capacityView: CapacityView,
@@ -25,15 +25,15 @@
   ) {}
 
   startRound(): void {
-    // Keeps no state of a round.
+    // There is no state of a round.
   }
 
   recordStep(): void {
-    // Does not consider earlier steps.
+    // Earlier steps are not considered.
   }
 
   recordResponse(): void {
-    // Keeps no state of requests.
+    // There is no state of requests.
   }
 
   chooseEndpoints(
@@ -49,8 +49,9 @@
   }
 
   /**
-   * Returns endpoints with free capacity: only those allowed before if they suffice, otherwise as many as the tasks are likely to need,
-   * by cost, then by the number of pending requests, so that concurrent requests do not count on the same capacity.
+   * Returns endpoints that have free capacity for a task: only those allowed before if the missing tasks fit there, otherwise as many as
+   * the tasks are likely to need, sorted by cost, then by the number of pending requests, then by free capacity. Returns none if the step
+   * would use the reserve of the most urgent queue.
    */
   private chooseAvailable(
     step: WaitingStep,
@@ -81,7 +82,7 @@
     return this.chooseEnough(step, ranked, missing);
   }
 
-  /** Returns the first endpoints that are likely to hold the missing tasks, given the allowed share of the queue. */
+  /** Returns the first endpoints whose free capacity likely suffices for the missing tasks, given refusals and starts of other steps. */
   private chooseEnough(
     step: WaitingStep,
     ranked: readonly EndpointState[],
@@ -97,13 +98,15 @@
     return ranked.slice(0, count);
   }
 
+  /** Returns how many pending requests of all steps have the endpoint as a candidate. */
   private countPendingRequests(endpoint: EndpointState): number {
     return this.stats.countPendingRequests(endpoint.getProfile().incarnation);
   }
 
   /**
-   * Returns the endpoints allowed before that have free capacity or would have it after preemption; while they do not suffice, also all
-   * other endpoints that are large enough, since a refusal is final and a ticket may find free capacity later.
+   * Returns the endpoints allowed before that have free capacity for a task, or would have it after preemption; if the missing tasks would
+   * exceed their whole capacity, also all endpoints of sufficient capacity that have not been allowed before, whether free or not. Returns
+   * none for a gang that exceeds the capacity while no others are left.
    */
   private chooseWhenScarce(
     step: WaitingStep,
@@ -133,7 +136,7 @@
     return readyCount >= missing ? ready : [...ready, ...unknown];
   }
 
-  /** Returns whether the step may start another task on the endpoint, but has neither a refusal nor a ticket valid until then. */
+  /** Returns whether the step may run another task on the endpoint, but has neither a refusal nor a ticket valid until `neededUntil`. */
   private isAdviceMissing(step: WaitingStep, endpoint: EndpointState, neededUntil: number): boolean {
     const advice = step.job.getAdvice(step.repetition, step.step);
     const { incarnation } = endpoint.getProfile();
--- a/packages/dispatch/advice/FirstFreeBalancer.ts
+++ b/packages/dispatch/advice/FirstFreeBalancer.ts
@@ -13,11 +13,12 @@
   quarantinedUntil: number;
 }
 
-/** Time allowed for a response beyond the expected time. */
+/** Time by which a response may exceed its expected response time before the request fails. */
 const TIMEOUT_MARGIN_MS = 1200;
+/** Duration of a channel's quarantine after a request without a response. */
 const QUARANTINE_MS = 2500;
 
-/** Sends each request over the first free channel, and reserves the leader's own box for short ones. */
+/** Sends short requests over the first free channel and long ones over the last, and reserves the leader's own box for short ones. */
 export class FirstFreeBalancer implements AdviceBalancer {
   private readonly channelStates = new Map<string, ChannelState>();
   private isStopped = false;
@@ -27,7 +28,7 @@
   getFreeSlots(): AdviceSlots {
     const channels = this.options.listChannels();
     const free = channels.filter((channel) => this.isFree(channel));
-    // The own box takes long requests too while there is no other one.
+    // The own box takes long requests too while all others are quarantined or there are none.
     const hasOthers = channels.some(({ box, isOwn }) => !isOwn && !this.isQuarantined(box));
     return { all: free.length, long: hasOthers ? free.filter(({ isOwn }) => !isOwn).length : free.length };
   }
@@ -56,11 +57,11 @@
     this.options.handleResponse(request, tickets, Math.round(now - requestedAt));
   }
 
-  /** Discards the responses of pending requests. */
   stop(): void {
     this.isStopped = true;
   }
 
+  /** Returns whether the channel has no pending request and is not quarantined. */
   private isFree({ box }: AdviceChannel): boolean {
     return this.channelStates.get(box)?.isBusy !== true && !this.isQuarantined(box);
   }
--- a/packages/dispatch/advice/HedgingBalancer.ts
+++ b/packages/dispatch/advice/HedgingBalancer.ts
@@ -18,27 +18,28 @@
   readonly response: Promise<Tickets>;
 }
 
-/** Time allowed for a response beyond the expected time. */
+/** Time by which a response may exceed its expected response time before the attempt fails. */
 const TIMEOUT_MARGIN_MS = 1200;
 /** Duration of a channel's quarantine after a late or missing response; a late response ends it. */
 const QUARANTINE_MS = 2500;
 /** Maximum number of attempts for a request. It is above 2 since the second channel may be in the same unreachable hall. */
 const MAX_ATTEMPTS = 3;
-/** Lower bound on the hedge delay, as a share of the expected time. */
+/** Lower bound on the hedge delay, as a share of the expected response time. */
 const MIN_HEDGE_DELAY_SHARE = 0.5;
-/** Interval between probes of the service while all channels are quarantined. */
+/** Minimum time from a failed attempt to the next probe of the service while all channels are quarantined. */
 const PROBE_INTERVAL_MS = 100;
 
 /**
- * Reserves the fastest channels for short requests, as many as these have recently used, and sends each request over the fastest channel
- * that is left. A request whose response is late is hedged: it is sent over another channel too, and the first response is used.
+ * Sends short requests over the fastest free channel, and long ones over the fastest that is not reserved for short ones. As many channels
+ * are reserved as short requests have recently used. A request whose response is late is hedged: it is sent over another channel too, and
+ * the first response is used.
  */
 export class HedgingBalancer implements AdviceBalancer {
   private readonly channelStates = new Map<string, ChannelState>();
-  /** Delays over all channels, for those without a response so far. */
+  /** Response delays over all channels, which determine the hedge delay of channels without a response so far. */
   private readonly overallState = new ChannelState();
   private readonly shortRequestReserve = new ShortRequestReserve();
-  /** Monotonic time of the latest failed attempt. */
+  /** Monotonic time at which a channel last failed to get a response from the service. */
   private lastFailedAt = -Infinity;
   private isStopped = false;
 
@@ -63,12 +64,15 @@
     this.options.handleResponse(request, tickets, Math.round(now - requestedAt));
   }
 
-  /** Discards the responses of pending requests. */
   stop(): void {
     this.isStopped = true;
   }
 
-  /** Resolves to the first response, and starts another attempt each time the latest one is late or has failed. */
+  /**
+   * Resolves to the first response, and starts another attempt each time the latest one is late or all have failed, up to `MAX_ATTEMPTS`
+   * and while a channel is free. Late channels are quarantined.
+   * Resolves to undefined once all attempts have failed, or when the balancer is stopped.
+   */
   private async waitForResponse(request: AdviceRequest, first: Attempt): Promise<Tickets> {
     const attempts = [first];
     for (let latest = first; ;) {
@@ -87,7 +91,7 @@
     }
   }
 
-  /** Returns how long after the expected time an attempt is hedged. Long requests wait longer, since a hedge doubles their cost. */
+  /** Returns how far an attempt may exceed its expected response time before it is hedged, in milliseconds; more for long requests. */
   private computeHedgeDelayMs({ expectedMs }: AdviceRequest, { state }: Attempt): number {
     return Math.max(
       state.computeHedgeDelayMs(this.overallState.computeHedgeDelayMs()),
@@ -103,7 +107,7 @@
     return Promise.any(responses).catch(() => undefined);
   }
 
-  /** Sends the request over the fastest channel that it may use; returns undefined when none is free. */
+  /** Sends the request over the fastest free channel, if it is long the fastest unreserved one; undefined if no channel is free. */
   private startAttempt(request: AdviceRequest): Attempt | undefined {
     const free = this.listFreeChannels();
     const index = request.isLong ? Math.min(this.countReservedChannels(), free.length - 1) : 0;
@@ -115,6 +119,10 @@
     return { state, response: this.sendAttempt(request, channel, state) };
   }
 
+  /**
+   * Sends the request over a channel and records the outcome in the channel's state. The first response after an outage of the service ends
+   * the quarantine of all channels. Resolves to the tickets; to undefined without a response, which quarantines the channel.
+   */
   private async sendAttempt(
     request: AdviceRequest,
     channel: AdviceChannel,
@@ -129,7 +137,7 @@
       state.recordFailure(now + QUARANTINE_MS);
       this.lastFailedAt = now;
     } else {
-      // All channels were quarantined, so the service had failed and not the channels.
+      // If all channels were quarantined, the service had failed and not the channels.
       if (this.listHealthyChannels(now).length === 0) {
         this.channelStates.forEach((other) => other.clearQuarantine());
       }
@@ -141,8 +149,8 @@
   }
 
   /**
-   * Returns the channels that can send a request now, the fastest first. While all are quarantined, the service itself is assumed to fail:
-   * one channel at a time probes it, instead of each waiting for the end of its quarantine.
+   * Returns the channels that are neither busy nor quarantined, the fastest first. While all are quarantined, the service itself is assumed
+   * to fail: if none is busy and a probe is due, only the fastest is returned, to probe the service.
    */
   private listFreeChannels(): readonly AdviceChannel[] {
     const now = this.options.clock.getNow();
@@ -158,7 +166,7 @@
     return isProbeDue ? free.slice(0, 1) : healthy;
   }
 
-  /** Returns how many of the free channels are reserved for short requests, beside those with a short request now. */
+  /** Returns how many free channels to reserve for short requests, beside those that have a pending short request. */
   private countReservedChannels(): number {
     const now = this.options.clock.getNow();
     const healthy = this.listHealthyChannels(now);
@@ -166,10 +174,12 @@
     return Math.max(0, this.shortRequestReserve.computeReservedCount(healthy.length, now) - usedCount);
   }
 
+  /** Returns the channels that are not quarantined, busy or not. */
   private listHealthyChannels(now: number): readonly AdviceChannel[] {
     return this.options.listChannels().filter((channel) => !this.getState(channel).isQuarantined(now));
   }
 
+  /** Returns the state of a channel, created when it is first used. */
   private getState({ box }: AdviceChannel): ChannelState {
     const state = this.channelStates.get(box) ?? new ChannelState();
     this.channelStates.set(box, state);
--- a/packages/dispatch/advice/PlannedCandidateSelector.ts
+++ b/packages/dispatch/advice/PlannedCandidateSelector.ts
@@ -28,60 +28,68 @@
   readonly taskCount: number;
   /** Probability that the service allows the step to use the endpoint. */
   readonly allowedChance: number;
-  /** Probability that it is allowed and still has the capacity when the response arrives. */
+  /** Probability that it is allowed and has free capacity for the tasks when the response arrives. */
   readonly usableChance: number;
+  /** Cost of placing a task of the step there; lower is better. */
   readonly cost: number;
 }
 
+/** Conditions under which the candidates of a step are grouped. */
 interface RequestContext {
-  /** Less urgent runs may be preempted for the step. */
+  /** Whether capacity that preemption of less urgent runs would free counts. */
   readonly canPreempt: boolean;
   /** Monotonic time until which tickets have to be valid. */
   readonly neededUntil: number;
   readonly now: number;
 }
 
-/** Eligible endpoints of a step, by what a request could achieve there. */
+/** Eligible endpoints of a step, by whether they have free capacity and a ticket that is valid until a response could be used. */
 interface CandidateGroups {
-  /** Number of tasks that fit on endpoints whose tickets will still be valid when a response arrives. */
+  /** Number of tasks that fit on the endpoints with such a ticket. */
   ticketedTaskCount: number;
-  /** Without such a ticket, with free capacity that no other request claims. */
+  /** Endpoints without such a ticket, with free capacity that no request at least as urgent claims. */
   readonly available: Candidate[];
-  /** Without such a ticket and without free capacity. */
+  /** Endpoints without such a ticket and without free capacity, but large enough for a task. */
   readonly full: Candidate[];
-  /** With such a ticket, which expires soon. */
+  /** Endpoints with such a ticket, which expires soon, where a task fits. */
   readonly expiring: Candidate[];
 }
 
-/** Time in which half of the free capacity is expected to be taken by others. */
+/** Time in which half of the free capacity is expected to be taken by other steps. */
 const CAPACITY_HALF_LIFE_MS = 1000;
-/** Probability that capacity is freed on a full endpoint while its ticket is valid. */
+/** Assumed probability that capacity is freed on a full endpoint while its ticket is valid. */
 const CAPACITY_FREED_CHANCE = 0.3;
-/** Delay from a response to the starts that use it. */
+/** Expected delay from a response to the starts that use it. */
 const START_DELAY_MS = 120;
 /** Time of a request beyond the response time of the service. */
 const REQUEST_OVERHEAD_MS = 30;
-/** Limit for tasks that start independently, so that the first ones need not wait for a long request. */
+/** Maximum number of candidates for a step that is not a gang, whose first tasks can start before all have tickets. */
 const MAX_CANDIDATES_WITHOUT_GANG = 40;
 /** Maximum number of endpoints that the service accepts in one request. */
 const MAX_CANDIDATES = 100;
-/** Maximum number of tasks on one endpoint that preemption is tried for. */
+/** Maximum number of tasks on one endpoint for which capacity after preemption is computed. */
 const MAX_PREEMPTION_TASKS = 3;
-/** Share of a gang's capacity that has to be available for a request; more may be freed until its tickets expire. */
+/** Minimum share of a gang's missing tasks that are expected to be allowed on available endpoints, for a request to be sent. */
 const MIN_GANG_CAPACITY_SHARE = 0.4;
-/** Decision time that one expected start justifies. */
+/** Decision time of the service that one expected start justifies. */
 const DECISION_MS_PER_START = 50;
-/** Minimum interval between requests whose decision time is not justified by the expected starts. */
+/** Minimum time from a step's latest response to its next request when the expected starts don't justify the decision time. */
 const MIN_UNJUSTIFIED_DELAY_MS = 500;
-/** Tickets with a smaller share of their validity left are renewed by the next request of a gang. */
+/** Tickets with a smaller share of their validity left count as expiring: the next request of a gang renews them. */
 const MIN_REMAINING_VALIDITY_SHARE = 0.6;
 
+/** Returns how many tasks fit on the candidates together. */
 const countTasks = (candidates: readonly Candidate[]): number =>
   candidates.reduce((sum, { taskCount }) => sum + taskCount, 0);
 
-/** Selects candidates only when a response is expected to find free capacity, and enough to make another request unlikely. */
+/**
+ * Selects candidates only when the expected starts justify a request, and so many that another request is unlikely. Claims their capacity
+ * until the request ends, so that less urgent requests do not count on it.
+ */
 export class PlannedCandidateSelector implements CandidateSelector {
+  /** Capacity that pending requests count on. */
   private readonly claims = new CapacityClaims();
+  /** Demand of the steps recorded in this round. */
   private readonly demandAhead = new DemandAhead();
 
   constructor(private readonly options: PlannedCandidateSelectorOptions) {}
@@ -121,6 +129,7 @@
     this.claims.removeClaims(step, candidates);
   }
 
+  /** Returns the candidates of a request for the needed tasks, the most useful first; for a gang also those whose tickets expire soon. */
   private chooseCandidates(step: WaitingStep, groups: CandidateGroups, needed: number): readonly Candidate[] {
     const { isGang } = step.shape;
     const { decisionMs, perEndpointMs } = step.job.definition.queue.advice!;
@@ -136,8 +145,9 @@
   }
 
   /**
-   * Returns whether the expected starts justify a request. A gang needs capacity for all its tasks at once; tasks of other steps start
-   * independently.
+   * Returns whether a request for the needed tasks is justified. For a gang: enough of them are expected to be allowed on available
+   * endpoints, or all fit there and requests have been deferred for as long as tickets are valid. For other steps, which must have an
+   * available endpoint outside the reserve: the expected starts justify the decision time, or the latest response is long ago.
    */
   private isRequestUseful(
     step: WaitingStep,
@@ -161,7 +171,7 @@
     return available.length > 0 && (isDue || isJustified) && this.options.capacityView.isOutsideReserve(step);
   }
 
-  /** Sorts by descending chance, then by cost, the number of pending requests, and free capacity. */
+  /** Returns the candidates by descending usable chance, then by cost, pending requests, fitting tasks (most first) and free capacity. */
   private sortCandidates(candidates: readonly Candidate[]): readonly Candidate[] {
     return [...candidates].sort(
       (left, right) =>
@@ -173,10 +183,12 @@
     );
   }
 
+  /** Returns how many pending requests of all steps have the candidate's endpoint. */
   private countPendingRequests({ endpoint }: Candidate): number {
     return this.options.stats.countPendingRequests(endpoint.getProfile().incarnation);
   }
 
+  /** Groups the eligible endpoints of a step, without those that are refused or that run the maximum number of its tasks. */
   private computeCandidateGroups(
     step: WaitingStep,
     eligible: readonly EndpointState[],
@@ -233,7 +245,7 @@
     return groups;
   }
 
-  /** Returns how many tasks of the step fit, counting capacity that pending and possible preemptions free. */
+  /** Returns how many tasks of the step fit, counting runs that are being stopped as gone and, if `canPreempt`, preemptible ones too. */
   private countFittingTasks(
     step: WaitingStep,
     endpoint: EndpointState,
@@ -251,7 +263,7 @@
       : taskCount;
   }
 
-  /** Returns the resources of runs that are being stopped. */
+  /** Returns the sum of the resources of an endpoint's runs that are being stopped. */
   private computeStoppingDemand(endpoint: EndpointState): TaskDemand {
     let demand = resourceMath.ZERO;
     for (const run of endpoint.getRuns()) {
@@ -260,6 +272,7 @@
     return demand;
   }
 
+  /** Returns how many tasks of the step would fit after preemption of less urgent runs, at most `MAX_PREEMPTION_TASKS`. */
   private countTasksAfterPreemption(step: WaitingStep, endpoint: EndpointState, now: number): number {
     const { preemptor } = this.options;
     const { shape } = step;
@@ -278,7 +291,7 @@
     return count;
   }
 
-  /** Returns how many of the fitting tasks remain after the claims of requests that are at least as urgent. */
+  /** Returns how many of the fitting tasks still fit without the capacity claimed by requests at least as urgent. */
   private countUnclaimedTasks(step: WaitingStep, endpoint: EndpointState, taskCount: number): number {
     const { capacityView } = this.options;
     const claimed = this.claims.computeClaimed(
@@ -292,7 +305,7 @@
     return capacityView.countFittingTasks(resourceMath.computeDifference(whole, claimed), step.shape);
   }
 
-  /** Claims capacity for the needed tasks, spread in proportion over the chosen candidates. */
+  /** Claims capacity for the needed tasks on the chosen candidates, in proportion to how many tasks fit on each. */
   private addClaims(step: WaitingStep, chosen: readonly Candidate[], needed: number): void {
     const demand = toReservedDemand(step.shape);
     const share = Math.min(1, needed / Math.max(1, countTasks(chosen)));
--- a/packages/dispatch/advice/ShortRequestReserve.ts
+++ b/packages/dispatch/advice/ShortRequestReserve.ts
@@ -1,27 +1,31 @@
-/** Time constant of the exponential average of the load. */
+/** Time constant of the exponential average of the number of concurrent short requests. */
 const TIME_CONSTANT_MS = 2000;
-/** Number of standard deviations above the mean load that is reserved, for a Poisson distribution of requests. */
+/** Standard deviations above the mean number of concurrent short requests that are reserved, for a Poisson distribution. */
 const RESERVED_DEVIATIONS = 2;
 /** Maximum share of the channels that is reserved. */
 const MAX_RESERVED_SHARE = 0.5;
-/** Minimum share while the load is unknown, so that a backlog of long requests does not take all channels of a new leader. */
+/** Minimum share of the channels that a new leader reserves, so that a backlog of long requests does not take all of them. */
 const INITIAL_RESERVED_SHARE = 0.25;
 
 /** Computes how many channels to reserve for short requests, by the recent number of concurrent ones. */
 export class ShortRequestReserve {
-  /** Mean number of concurrent short requests, as of `loadAt`. */
+  /** Mean number of concurrent short requests, as of `lastUpdatedAt`. */
   private meanConcurrency = 0;
+  /** Monotonic time of the latest recorded request. */
   private lastUpdatedAt = 0;
-  /** Monotonic time until which the load is not known well enough; undefined before the first call of `computeReserved`. */
+  /** Monotonic time until which `INITIAL_RESERVED_SHARE` applies; undefined before the first call of `computeReservedCount`. */
   private warmUpUntil: number | undefined;
 
-  /** Records a short request that has ended, with or without a response. */
+  /** Records a short request that has ended, with or without a response, and took `tookMs` milliseconds. */
   recordRequest(tookMs: number, now: number): void {
     this.meanConcurrency = this.computeMeanConcurrency(now) + tookMs / TIME_CONSTANT_MS;
     this.lastUpdatedAt = now;
   }
 
-  /** Returns how many of some channels to reserve; 0 when there is only one. */
+  /**
+   * Returns how many of `channelCount` channels to reserve, at least 1 and at most `MAX_RESERVED_SHARE` of them; 0 when there is only one.
+   * The first call begins the period in which `INITIAL_RESERVED_SHARE` is the minimum.
+   */
   computeReservedCount(channelCount: number, now: number): number {
     const load = this.computeMeanConcurrency(now);
     this.warmUpUntil ??= now + TIME_CONSTANT_MS;
@@ -32,6 +36,7 @@
       : Math.min(wanted, Math.max(1, Math.floor(channelCount * MAX_RESERVED_SHARE)));
   }
 
+  /** Returns the mean number of concurrent short requests, decayed since the latest recorded one. */
   private computeMeanConcurrency(now: number): number {
     return this.meanConcurrency * Math.exp(-Math.max(0, now - this.lastUpdatedAt) / TIME_CONSTANT_MS);
   }
--- a/packages/dispatch/advice/StepAdvice.ts
+++ b/packages/dispatch/advice/StepAdvice.ts
@@ -5,64 +5,63 @@
 
 interface Ticket {
   readonly text: string;
-  /** Monotonic time after which no start is chosen with it. */
+  /** Monotonic time until which a start may be chosen with it; earlier than its expiry by `START_LATENCY_MS`. */
   readonly usableUntil: number;
-  /** The request whose response contained it. */
+  /** The request whose response contained the ticket, for the metrics; undefined if these are not kept. */
   readonly request: AnsweredRequest | undefined;
 }
 
-/** Time from the choice of an endpoint until the start arrives there; a ticket has to be valid until then. */
+/** Assumed time from the choice of an endpoint until the start arrives there; a ticket has to be valid until then. */
 const START_LATENCY_MS = 250;
-/** Part of `START_LATENCY_MS` that is left once the start has been recorded. */
+/** Assumed time from the record of a start in the log until it arrives at the endpoint; a part of `START_LATENCY_MS`. */
 const SEND_LATENCY_MS = 100;
 /** Delay before a request without a response is repeated. */
 const RETRY_DELAY_MS = 120;
 
-/** Advice received for one step: tickets, which expire, and refusals, which are final. */
+/** Advice received for one step: tickets, which expire, and refusals, which are final; and the state of its requests. */
 export class StepAdvice {
   private readonly tickets = new Map<EndpointIncarnation, Ticket>();
   private readonly refusedEndpoints = new Set<EndpointIncarnation>();
   private hasPendingRequest = false;
-  /** Monotonic time from which the next request may be sent. */
+  /** Monotonic time from which a request without a response may be repeated. */
   private nextRequestAt = -Infinity;
   /** Monotonic time until which no request is considered. */
   private deferredUntil = -Infinity;
-  /** Monotonic time since which requests have been deferred; undefined when the latest one was sent. */
+  /** Monotonic time of the first deferral after the latest request; undefined when there was none. */
   private deferredSince: number | undefined;
   /** Monotonic time of the latest request. */
   private lastRequestedAt = 0;
   /** Monotonic time of the latest response. */
   private lastRespondedAt = -Infinity;
 
-  /** Returns the ticket for an endpoint; undefined when there is none, or when it expires before a start could arrive. */
+  /** Returns the ticket for an endpoint; undefined when there is none, or when a start chosen at `now` would arrive after it expires. */
   getTicket(endpoint: EndpointIncarnation, now: number): string | undefined {
     const ticket = this.tickets.get(endpoint);
     return ticket !== undefined && ticket.usableUntil > now ? ticket.text : undefined;
   }
 
-  /** Returns whether a recorded start that is sent now would arrive before its ticket expires. */
+  /** Returns whether the endpoint's ticket is valid until a start that is sent at `now` would arrive; false without a ticket. */
   hasSendableTicket(endpoint: EndpointIncarnation, now: number): boolean {
     const ticket = this.tickets.get(endpoint);
     return ticket !== undefined && ticket.usableUntil + START_LATENCY_MS - SEND_LATENCY_MS > now;
   }
 
+  /** Returns whether the service has refused the endpoint for the step, which is final. */
   isRefused(endpoint: EndpointIncarnation): boolean {
     return this.refusedEndpoints.has(endpoint);
   }
 
-  /** Returns whether the service has allowed the endpoint, even if the ticket has expired since. */
+  /** Returns whether the service has allowed the endpoint, even if the ticket has expired since; false once the endpoint rejected it. */
   hasBeenAllowed(endpoint: EndpointIncarnation): boolean {
     return this.tickets.has(endpoint);
   }
 
+  /** Returns whether a request has been sent that has not ended. */
   isRequestPending(): boolean {
     return this.hasPendingRequest;
   }
 
-  /**
-   * Returns whether a request may be sent. There is no delay after a response: no endpoint is asked about again while its ticket or
-   * refusal stands, so the number of requests is bounded.
-   */
+  /** Returns whether a request may be sent: none is pending, and the retry delay after one without a response has passed. */
   canRequest(now: number): boolean {
     return !this.hasPendingRequest && now >= this.nextRequestAt;
   }
@@ -72,29 +71,30 @@
     return this.tickets.size > 0 || this.refusedEndpoints.size > 0;
   }
 
-  /** Returns whether requests are deferred since a recent one would not have been useful. */
+  /** Returns whether requests are deferred at `now`, after one would not have been useful. */
   isDeferred(now: number): boolean {
     return now < this.deferredUntil;
   }
 
-  /** Defers requests until a monotonic time. */
+  /** Defers requests until a monotonic time, and notes `now` as the start of the deferral unless it continues an earlier one. */
   recordDeferral(now: number, until: number): void {
     this.deferredSince ??= now;
     this.deferredUntil = until;
   }
 
-  /** Returns for how long requests have been deferred without interruption, in milliseconds. */
+  /** Returns the time since the first deferral after the latest request, in milliseconds; 0 if there was none. */
   getDeferredMs(now: number): number {
     return this.deferredSince === undefined ? 0 : now - this.deferredSince;
   }
 
+  /** Records that a request is sent, which ends the deferral. */
   recordRequest(now: number): void {
     this.hasPendingRequest = true;
     this.deferredSince = undefined;
     this.lastRequestedAt = now;
   }
 
-  /** Returns the monotonic time of the latest request. */
+  /** Returns the monotonic time of the latest request; 0 before the first. */
   getLastRequestedAt(): number {
     return this.lastRequestedAt;
   }
@@ -110,8 +110,8 @@
   }
 
   /**
-   * Stores the tickets of a response; candidates without one are refused. `tickets` is undefined when there was no response, after which
-   * the request may be repeated.
+   * Ends the pending request. Stores the tickets of its response, valid for `validityMs` from `now`; candidates without one are refused.
+   * `tickets` is undefined when there was no response: the request may then be repeated after a delay, and nothing else is changed.
    */
   recordResponse(
     candidates: readonly EndpointIncarnation[],
@@ -136,7 +136,7 @@
     }
   }
 
-  /** Removes a ticket that an endpoint rejected. */
+  /** Removes a ticket that the endpoint rejected, after which a request may ask about the endpoint again. */
   removeTicket(endpoint: EndpointIncarnation): void {
     this.tickets.delete(endpoint);
   }
--- a/packages/dispatch/advice/adviceBalancers.ts
+++ b/packages/dispatch/advice/adviceBalancers.ts
@@ -4,7 +4,7 @@
 import type { AdviceBalancerOptions } from './AdviceBalancerOptions';
 import type { AdvicePolicyName } from './AdvicePolicyName';
 
-/** Creates the balancer of a policy, by its name. */
+/** Functions that create the balancer of a policy, by the policy's name. */
 export const adviceBalancers: Readonly<
   Record<AdvicePolicyName, (options: AdviceBalancerOptions) => AdviceBalancer>
 > = {
--- a/packages/dispatch/advice/advicePolicies.ts
+++ b/packages/dispatch/advice/advicePolicies.ts
@@ -3,15 +3,15 @@
 import type { AdvicePolicyName } from './AdvicePolicyName';
 import type { AdvicePolicy } from './AdvicePolicy';
 
-/** Number of candidates in the request that a job's objective allows time for. */
+/** Number of candidates by which requests of the `asked` policy are limited, and by which it is determined whether a request is long. */
 const BUDGETED_CANDIDATES = 30;
 /** Maximum number of endpoints that the service accepts in one request. */
 const MAX_CANDIDATES = 100;
-/** Requests with a longer expected response time are long. */
+/** Maximum expected response time of a short request with `BUDGETED_CANDIDATES`; longer ones are long. */
 const MAX_SHORT_REQUEST_MS = 150;
-/** Lower bound on a deferral: rounds follow each message, and few of them free capacity that a request needs. */
+/** Lower bound on a deferral, which spans several rounds. */
 const MIN_DEFERRAL_MS = 20;
-/** Deferral as a share of the decision time. It keeps rounds short while many steps wait. */
+/** Deferral as a share of the queue's decision time, so that few steps are considered in each round while many wait. */
 const DEFERRAL_DECISION_SHARE = 0.1;
 
 /** Policies for advice requests, by name. */
--- a/packages/dispatch/advice/chooseRequestSize.ts
+++ b/packages/dispatch/advice/chooseRequestSize.ts
@@ -1,13 +1,14 @@
 /** An endpoint that the request may include. */
 interface Candidate {
-  /** Number of tasks that fit. */
+  /** Number of the step's tasks that fit on the endpoint. */
   readonly taskCount: number;
-  /** Probability that the endpoint is allowed and that they still fit when the response arrives. */
+  /** Probability that the endpoint is allowed and that the tasks fit there when the response arrives. */
   readonly usableChance: number;
 }
 
+/** Time that a request takes, and its maximum size. */
 interface RequestCosts {
-  /** Time of another request, without its candidates, in milliseconds. */
+  /** Time that each request takes apart from its candidates, in milliseconds. */
   readonly fixedMs: number;
   /** Time that each candidate adds, in milliseconds. */
   readonly perEndpointMs: number;
@@ -17,15 +18,16 @@
 /** Scales the logistic function to approximate the normal distribution function. */
 const LOGISTIC_SLOPE = 1.702;
 
-/** Returns the probability that a normal value of a mean and a variance reaches what is needed. */
+/** Returns the approximate probability that a normally distributed value with a mean and a variance is at least `needed`. */
 const computeReachChance = (mean: number, variance: number, needed: number): number =>
   variance === 0
     ? Number(mean >= needed)
     : 1 / (1 + Math.exp((-LOGISTIC_SLOPE * (mean - needed)) / Math.sqrt(variance)));
 
 /**
- * Returns how many candidates, the best first, one request should include. Beyond those that suffice on average, a candidate is included
- * if it saves more time, by making another request less likely, than it adds.
+ * Returns how many of the candidates, which are sorted with the best first, one request should include for `needed` tasks. Includes those
+ * whose expected number of usable places does not exceed `needed`, then further ones while each saves more time, by making another request
+ * less likely, than it adds.
  */
 export const chooseRequestSize = (
   candidates: readonly Candidate[],
--- a/packages/dispatch/advice/parseTickets.ts
+++ b/packages/dispatch/advice/parseTickets.ts
@@ -5,7 +5,7 @@
   readonly good?: readonly (readonly [id: string, ticket: string])[];
 }
 
-/** Returns the ticket of each allowed endpoint in a response of the advice service; undefined when there was no response. */
+/** Returns the ticket of each allowed endpoint in a response of the advice service; undefined when `response` is. */
 export const parseTickets = (response: unknown): ReadonlyMap<EndpointId, string> | undefined =>
   response === undefined
     ? undefined
--- a/packages/dispatch/advice/sendAdviceRequest.ts
+++ b/packages/dispatch/advice/sendAdviceRequest.ts
@@ -4,8 +4,8 @@
 import type { AdviceChannel } from './AdviceChannel';
 
 /**
- * Sends a request over a channel and returns the tickets of its response; undefined when there was none. The service knows endpoints by
- * their ids; tickets are kept by incarnation.
+ * Sends a request over a channel. Resolves to the tickets of its response by incarnation, for which the service's endpoint ids are
+ * translated; to undefined when there was no response.
  */
 export const sendAdviceRequest = async (
   { client }: AdviceChannel,
--- a/packages/dispatch/speeds/EndpointSpeeds.ts
+++ b/packages/dispatch/speeds/EndpointSpeeds.ts
@@ -9,49 +9,56 @@
 
 type SpeedSample = Parameters<SpeedEstimator['addSample']>[0];
 
+/** What is known of the speed of one incarnation. */
 interface EndpointSpeed {
+  /** Estimator by the endpoint's own samples. */
   readonly ownEstimator: SpeedEstimator;
   readonly service: ServiceName;
+  /** Labels and hall of the endpoint. */
   readonly groups: readonly string[];
-  /** The significant ratio, cached since it is read for each endpoint of each step that is placed. */
+  /** The significant ratio, as of the latest sample or tick. */
   ratio: number;
   /** The class last returned by `takeChanges`. */
   reportedClass: SpeedClass;
 }
 
-/** An endpoint whose class has changed. */
+/** A change of an endpoint's speed class, with the estimate that it follows from. */
 interface ClassChange {
   readonly endpoint: EndpointIncarnation;
   readonly speedClass: SpeedClass;
   readonly estimate: SpeedEstimate;
+  /** Number of the endpoint's own samples. */
   readonly sampleCount: number;
-  /** Monotonic time of the latest sample. */
+  /** Monotonic time of the endpoint's latest own sample. */
   readonly lastSampleAt: number;
 }
 
-/** Minimum number of steps since the latest change of speed for an endpoint's own samples to count. */
+/** Minimum number of steps with samples since the latest change of speed for an endpoint's own samples to count. */
 const MIN_STABLE_STEPS = 2;
-/** A ratio is significant when it differs from 1 by more than `MIN_DIFFERENCE` plus this many standard deviations. */
+/** A ratio is significant when its logarithm differs from 0 by more than `MIN_LOG_DIFFERENCE` plus this many standard deviations. */
 const SIGNIFICANT_DEVIATIONS = 2.5;
-/** Natural logarithm of a ratio. */
+/** Minimum difference of a significant ratio from 1, as a natural logarithm. */
 const MIN_LOG_DIFFERENCE = Math.log(1.1);
-/** Significant ratios are rounded to powers of 1.1, so that similar endpoints compare equal. */
+/** Natural logarithm of the factor to whose powers significant ratios are rounded, so that similar endpoints compare equal. */
 const LOG_RATIO_STEP = Math.log(1.1);
 
-/** What the estimate of an endpoint's speed depends on; without own estimator it is that of its group. */
+/** What the estimate of an endpoint's speed depends on; without an own estimator it is that of its groups. */
 type SpeedQuery = Pick<EndpointSpeed, 'service' | 'groups'> & { readonly ownEstimator?: SpeedEstimator };
 
+/** Returns the names of the groups of an endpoint: its labels and its hall. */
 const listGroups = ({ labels, hall }: EndpointProfile): readonly string[] => [...labels, `hall ${hall}`];
 
 /**
- * Estimates the speed of each endpoint by how long runs take there, as a ratio to their baseline time. Endpoints with few runs are
- * estimated by their label or hall. The baseline of a service is its median endpoint.
+ * Estimates the speed of each endpoint by how long runs take there, as a ratio to their baseline time: above 1 for slow endpoints.
+ * Endpoints with few runs are estimated by their label or hall. The baseline of a service is its median endpoint.
  */
 export class EndpointSpeeds {
+  /** Speeds of the incarnations that have had a sample. */
   private readonly speeds = new Map<EndpointIncarnation, EndpointSpeed>();
+  /** Group priors and baseline of each service. */
   private readonly groupsByService = new Map<ServiceName, SpeedGroups>();
 
-  /** Records how long a run took on an endpoint. */
+  /** Adds a sample of how long a run took on an endpoint, and updates the endpoint's significant ratio. */
   recordRun(profile: EndpointProfile, sample: SpeedSample, now: number): void {
     const speed = this.getOrCreateSpeed(profile);
     speed.ownEstimator.addSample(sample, this.getServiceGroups(speed.service).choosePrior(speed.groups), now);
@@ -59,8 +66,8 @@
   }
 
   /**
-   * Records how long a gang took. A gang runs at the speed of its slowest member, so the sample counts for the member estimated to be
-   * slowest, and for those estimated to be slower than the gang was. It says nothing about faster ones.
+   * Adds a sample of how long a gang took. A gang runs at the speed of its slowest member, so the sample counts for the members estimated
+   * to be the slowest, and for those estimated to be slower than the gang was; not for faster ones.
    */
   recordGang(members: readonly EndpointProfile[], sample: SpeedSample, now: number): void {
     const logRatios = members.map((member) => Math.log(this.getEstimate(member).ratio));
@@ -69,27 +76,27 @@
       (_, index) => logRatios[index] === slowest || logRatios[index]! > sample.logRatio,
     );
     const byIncarnation = new Map(limiting.map((member) => [member.incarnation, member]));
-    // Any one of the slowest members may have slowed the gang down, so each gets a part of the evidence.
+    // If the gang was slower than estimated, any one of these members may be the cause, so the sample has less weight for each.
     const variance = sample.variance * (sample.logRatio > slowest ? byIncarnation.size : 1);
     byIncarnation.forEach((member) => this.recordRun(member, { ...sample, variance }, now));
   }
 
-  /** Returns the estimate for an endpoint, by its own runs and its groups. */
+  /** Returns the speed estimate for an endpoint by its own samples and its groups; by its groups alone while it has no samples. */
   getEstimate(profile: EndpointProfile): SpeedEstimate {
     return this.computeEstimate(this.speeds.get(profile.incarnation) ?? this.toQuery(profile));
   }
 
-  /** Returns the estimate for an incarnation whose profile may be gone; that of its whole service if it has no samples. */
+  /** Returns the speed estimate for an incarnation whose profile may be gone; that of the whole service while it has no samples. */
   getIncarnationEstimate(incarnation: EndpointIncarnation, service: ServiceName): SpeedEstimate {
     return this.computeEstimate(this.speeds.get(incarnation) ?? { service, groups: [] });
   }
 
-  /** Returns the ratio of an endpoint's run times to the baseline, rounded to a power of 1.1; 1 unless it is significant. */
+  /** Returns the estimated ratio of run times on an endpoint to the baseline, rounded to a power of 1.1; 1 unless it is significant. */
   getSignificantRatio(profile: EndpointProfile): number {
     return this.speeds.get(profile.incarnation)?.ratio ?? this.computeSignificantRatio(this.toQuery(profile));
   }
 
-  /** Decays samples, forgets absent incarnations, and updates the groups and baselines. */
+  /** Decays samples, forgets absent incarnations, and updates the groups, the baselines and the significant ratios. */
   handleTick(now: number, isPresent: (incarnation: EndpointIncarnation) => boolean): void {
     for (const [incarnation, { ownEstimator }] of this.speeds) {
       if (isPresent(incarnation)) {
@@ -104,7 +111,7 @@
     }
   }
 
-  /** Returns the number of endpoints of each class. */
+  /** Returns the number of endpoints with samples in each speed class. */
   countByClass(): Readonly<Record<SpeedClass, number>> {
     const counts = { slow: 0, usual: 0, fast: 0 };
     for (const { ratio } of this.speeds.values()) {
@@ -113,7 +120,7 @@
     return counts;
   }
 
-  /** Returns at most `limit` endpoints whose class has changed since it was last returned. */
+  /** Returns at most `limit` changes of speed classes that have not been returned before, and marks them as returned. */
   takeChanges(limit: number): readonly ClassChange[] {
     const changes: ClassChange[] = [];
     for (const [endpoint, speed] of this.speeds) {
@@ -133,6 +140,7 @@
     return changes;
   }
 
+  /** Updates the priors and baseline of each service from its endpoints that have enough samples of their own. */
   private updateGroups(): void {
     const byService = new Map<ServiceName, EndpointSpeed[]>();
     for (const speed of this.speeds.values()) {
@@ -148,12 +156,14 @@
     }
   }
 
+  /** Returns the groups of a service, created when they are first used. */
   private getServiceGroups(service: ServiceName): SpeedGroups {
     const groups = this.groupsByService.get(service) ?? new SpeedGroups();
     this.groupsByService.set(service, groups);
     return groups;
   }
 
+  /** Returns the speed of an endpoint, created without samples when it is first used. */
   private getOrCreateSpeed(profile: EndpointProfile): EndpointSpeed {
     const known = this.speeds.get(profile.incarnation);
     if (known !== undefined) {
@@ -169,10 +179,12 @@
     return created;
   }
 
+  /** Returns the query for an endpoint without samples of its own. */
   private toQuery(profile: EndpointProfile): SpeedQuery {
     return { service: profile.service, groups: listGroups(profile) };
   }
 
+  /** Computes the estimate relative to the service's baseline. */
   private computeEstimate({ service, groups, ownEstimator }: SpeedQuery): SpeedEstimate {
     const serviceGroups = this.getServiceGroups(service);
     const prior = serviceGroups.choosePrior(groups);
@@ -180,11 +192,13 @@
     return { ratio: Math.exp(mean - serviceGroups.getBaselineLogRatio()), spread: Math.sqrt(variance) };
   }
 
+  /** Returns the significant ratio by own samples and groups; by groups alone for few steps since the latest change of speed. */
   private computeStableRatio({ service, groups, ownEstimator }: EndpointSpeed): number {
     const isStable = ownEstimator.countStableSteps() >= MIN_STABLE_STEPS;
     return this.computeSignificantRatio(isStable ? { service, groups, ownEstimator } : { service, groups });
   }
 
+  /** Returns the estimated ratio, rounded; 1 if it is not significant or the service has no baseline. */
   private computeSignificantRatio(query: SpeedQuery): number {
     const { ratio, spread } = this.computeEstimate(query);
     const logRatio = Math.log(ratio);
@@ -194,6 +208,7 @@
     return isSignificant ? Math.exp(LOG_RATIO_STEP * Math.round(logRatio / LOG_RATIO_STEP)) : 1;
   }
 
+  /** Returns the speed class for a significant ratio. */
   private toSpeedClass(ratio: number): SpeedClass {
     return ratio === 1 ? 'usual' : ratio > 1 ? 'slow' : 'fast';
   }
--- a/packages/dispatch/speeds/RunLearner.ts
+++ b/packages/dispatch/speeds/RunLearner.ts
@@ -15,6 +15,7 @@
 interface RunLearnerOptions {
   readonly endpoints: ReadonlyMap<EndpointIncarnation, EndpointState>;
   readonly jobs: ReadonlyMap<JobId, LiveJob>;
+  /** Slowdown of the kinds of endpoints, by label. */
   readonly kindSpeeds: KindSpeeds;
   readonly speeds: EndpointSpeeds;
   readonly runTimes: RunTimes;
@@ -22,7 +23,7 @@
   readonly sendLogLine: (message: string, fields: Readonly<Record<string, unknown>>) => void;
 }
 
-/** A run whose time is informative, with its step and endpoint. */
+/** A run whose time is informative, with its job, the definition of its step, and its endpoint. */
 interface Measurement {
   readonly endpoint: EndpointState;
   readonly run: PlacedRun;
@@ -30,32 +31,40 @@
   readonly stepDefinition: JobStep;
 }
 
-/** Minimum age of a run for its pace to be informative. */
+/** Minimum time since the confirmation of a running task for its pace to be recorded. */
 const MIN_RUN_AGE_MS = 250;
-/** Progress from which the rounding to whole percents is negligible. */
+/** Minimum progress of a run for its time to be extrapolated, from which the rounding to whole percents matters little. */
 const MIN_PROGRESS_PERCENT = 4;
-/** Maximum number of tasks of a step that count for its kind, since they share the error of the step's estimate. */
+/** Maximum number of tasks of a step whose times are added to the run times of its kind. */
 const MAX_STEP_SAMPLES = 2;
-/** Minimum number of other endpoints whose runs determine the baseline time of a step without a learnt distribution. */
+/**
+ * Minimum number of other endpoints with run times of a step for its tasks' deviations to be recorded, and for their speed samples
+ * while no distribution is learnt.
+ */
 const MIN_SIBLINGS = 2;
-/** The same as `MIN_PERCENT` for gangs, whose members are confirmed one by one but start together. */
+/** Minimum progress for the time of a gang's run to be extrapolated; higher since members are confirmed one by one but start together. */
 const MIN_GANG_PROGRESS_PERCENT = 20;
 const FULL_PERCENT = 100;
-/** Upper bound on the ratio that counts as an endpoint's normal speed. Endpoints that are slower still are degraded. */
+/** Upper bound on the ratio that counts as an endpoint's normal speed, so that much slower endpoints count as degraded. */
 const MAX_OWN_RATIO = 3;
+/** Minimum interval between refreshes of the speeds. */
 const REFRESH_INTERVAL_MS = 500;
-/** Maximum number of log lines about endpoints in one refresh; the rest follow in the next. */
+/** Maximum number of log lines about changed speeds in one refresh; the rest follow in the next. */
 const MAX_LOG_LINES = 5;
 
-/** Learns run times of tasks and speeds of endpoints from the reported progress of runs. */
+/** Learns the run times of tasks and the speeds of endpoints from the progress and completion of runs. */
 export class RunLearner {
-  /** Runs whose time has been recorded. */
+  /** Runs whose time has been recorded, or ignored since their pace is not the baseline one. */
   private readonly measuredRuns = new WeakSet<PlacedRun>();
+  /** Monotonic time of the latest refresh of the speeds. */
   private lastRefreshedAt = -Infinity;
 
   constructor(private readonly options: RunLearnerOptions) {}
 
-  /** Records the progress of a run, as reported by a poll. */
+  /**
+   * Records the pace of a run by its progress, as reported by a poll, and once per run its extrapolated time, if that is predictable.
+   * Ignores young runs and those whose time is not informative.
+   */
   recordRun(endpoint: EndpointState, run: PlacedRun, now: number): void {
     const ageMs = now - run.confirmedAt;
     const measurement = ageMs >= MIN_RUN_AGE_MS ? this.createMeasurement(endpoint, run) : undefined;
@@ -73,7 +82,10 @@
     }
   }
 
-  /** Records that a run is done. */
+  /**
+   * Records the pace of a run that is done, also for the kind of its endpoint, and its time unless an extrapolated one has been recorded.
+   * Ignores runs whose time is not informative.
+   */
   recordCompletion(endpoint: EndpointState, run: PlacedRun, now: number): void {
     const measurement = this.createMeasurement(endpoint, run);
     if (measurement === undefined) {
@@ -87,7 +99,7 @@
     }
   }
 
-  /** Refreshes the speeds of endpoints, and logs changes. */
+  /** Refreshes the speeds of endpoints and logs changes of their speed classes, if the latest refresh is long enough ago. */
   handleTick(now: number): void {
     if (now - this.lastRefreshedAt < REFRESH_INTERVAL_MS) {
       return;
@@ -112,6 +124,10 @@
     }
   }
 
+  /**
+   * Records the pace of a run, in milliseconds for one percent, for its step; and for its endpoint the slowdown relative to the step's
+   * median pace, if there is one.
+   */
   private recordPace({ endpoint, run, job, stepDefinition }: Measurement, pace: number, now: number): void {
     const stepSpeeds = job.getSpeeds(run.address.repetition, run.address.step);
     const profile = endpoint.getProfile();
@@ -126,13 +142,13 @@
     }
   }
 
-  /** Returns the bounded ratio learnt for the endpoint itself; 1 under policies that do not use it. */
+  /** Returns the significant ratio of the endpoint, at most `MAX_OWN_RATIO`; 1 under speed policies other than `endpoints`. */
   private getOwnRatio(profile: EndpointProfile): number {
     const { speeds, speedPolicy } = this.options;
     return speedPolicy === 'endpoints' ? Math.min(MAX_OWN_RATIO, speeds.getSignificantRatio(profile)) : 1;
   }
 
-  /** Records the pace of a run that is done for the kind of its endpoint; that of a running one is too imprecise. */
+  /** Records the pace of a run that is done, relative to its step's median, for the kind of its endpoint; nothing without a median. */
   private recordKindPace({ endpoint, run, job }: Measurement, pace: number): void {
     const median = job.getSpeeds(run.address.repetition, run.address.step).getMedian();
     if (median !== undefined && median > 0) {
@@ -140,7 +156,7 @@
     }
   }
 
-  /** Returns whether the run's time can be extrapolated: it has made enough progress, or exceeds the median time without. */
+  /** Returns whether the run's time can be extrapolated: it has made enough progress or, unless it is a gang's, exceeds the median time. */
   private isTimePredictable({ run, job, stepDefinition }: Measurement, ageMs: number): boolean {
     if (stepDefinition.isGang) {
       return run.percent >= MIN_GANG_PROGRESS_PERCENT;
@@ -151,6 +167,10 @@
     );
   }
 
+  /**
+   * Records the time of a run as a sample for its step, kind and endpoint; once for all members of a gang. Only marks the run as measured
+   * if its pace may not be the baseline one.
+   */
   private recordRunTime(measurement: Measurement, runMs: number, now: number): void {
     const { run, job, stepDefinition } = measurement;
     const stepTimes = job.getRunTimes(run.address.repetition, run.address.step);
@@ -165,6 +185,10 @@
     }
   }
 
+  /**
+   * Records the time of a single task for its step. Adds a sample to the speed of its endpoint if the baseline time of the step is known
+   * well enough, to the run times of its kind for the first tasks of a step, and to the deviations if enough other endpoints have times.
+   */
   private recordTaskTime(
     { endpoint, run, job, stepDefinition }: Measurement,
     stepTimes: StepRunTimes,
@@ -181,7 +205,7 @@
     const stepTime = estimateStepTime(distribution, siblings);
     stepTimes.recordTime(run.address.index, profile.incarnation, logMs);
     if (distribution.isLearnt || siblings.length >= MIN_SIBLINGS) {
-      // The tasks of a step on one endpoint share the error of the step's estimate, so together they count little more than one.
+      // The tasks of a step on one endpoint share the error of the step's estimate, so together they count as little more than one.
       const sharedVariance = stepTime.variance * stepTimes.countTasksOn(profile.incarnation) ** 2;
       const variance = distribution.taskSpread ** 2 + sharedVariance;
       speeds.recordRun(
@@ -199,6 +223,10 @@
     }
   }
 
+  /**
+   * Records the time of a gang for the run times of its kind and, if their distribution is learnt, for the speeds of its members. Does
+   * nothing if the endpoint of a member is unknown.
+   */
   private recordGangTime({ run, job, stepDefinition }: Measurement, logMs: number, now: number): void {
     const { speeds, runTimes, endpoints } = this.options;
     const queue = job.definition.queue.name;
@@ -225,7 +253,7 @@
     return `${job}.${address.repetition}.${address.step}`;
   }
 
-  /** Returns false for runs that may be slowed down by their distance from their data or from the rest of their gang. */
+  /** Returns whether the run is not slowed down by distance: it is in the rack of its data, if any, and its step needs no common rack. */
   private isAtBaselinePace({ endpoint, stepDefinition }: Measurement): boolean {
     const isNearData =
       stepDefinition.dataRack === '' || endpoint.getProfile().labels.includes(stepDefinition.dataRack);
@@ -233,8 +261,8 @@
   }
 
   /**
-   * Returns undefined for runs whose time is not informative, such as fillers, which run on spare resources, and runs that continue from
-   * a checkpoint.
+   * Returns the run with its job and the definition of its step; undefined if its time is not informative, as for fillers, servers,
+   * long-running steps and runs that continue from a checkpoint, or if its job is unknown.
    */
   private createMeasurement(endpoint: EndpointState, run: PlacedRun): Measurement | undefined {
     if (run.isFiller || run.isServing || !run.isFromStart) {
--- a/packages/dispatch/speeds/RunTimeEstimate.ts
+++ b/packages/dispatch/speeds/RunTimeEstimate.ts
@@ -1,9 +1,9 @@
-/** Expected run time of one task on a baseline endpoint. */
+/** Expected run time of one task, or of a whole gang, on a baseline endpoint. */
 export interface RunTimeEstimate {
-  /** Median, in milliseconds. */
+  /** Median run time, in milliseconds. */
   readonly medianMs: number;
-  /** 90th percentile, in milliseconds. */
+  /** Run time that 90% of such tasks stay below, in milliseconds. */
   readonly p90Ms: number;
-  /** False while only the caller's estimate is known. */
+  /** Whether the estimate is learnt from runs; false while only the caller's estimate is known. */
   readonly isLearnt: boolean;
 }
--- a/packages/dispatch/speeds/RunTimes.ts
+++ b/packages/dispatch/speeds/RunTimes.ts
@@ -3,54 +3,58 @@
 import { SampleWindow } from './SampleWindow';
 import type { RunTimeDistribution } from './RunTimeDistribution';
 
-/** Run times of the tasks of one kind. Values are natural logarithms of ratios. */
+/** Latest run times of the tasks of one kind of step. Values are natural logarithms of ratios. */
 interface KindTimes {
-  /** Ratio of the baseline time to the caller's estimate. */
+  /** Ratios of run times on a baseline endpoint to the caller's estimate. */
   readonly logRatios: SampleWindow;
-  /** Ratio of a task's baseline time to that of its step. */
+  /** Ratios of a task's run time on a baseline endpoint to the estimated one of its step. */
   readonly logDeviations: SampleWindow;
 }
 
-/** Minimum number of samples for a window to be used. */
+/** Minimum number of samples in a window for its kind to be used. */
 const MIN_SAMPLES = 16;
-/** Maximum number of kinds; the least recently updated one is evicted. */
+/** Maximum number of kinds of steps; the least recently updated one is evicted. */
 const MAX_KINDS = 200;
-/** Spread of the run times around callers' estimates before enough samples are known. */
+/** Standard deviation of the logarithm of run times around callers' estimates, before enough samples are known. */
 const DEFAULT_SPREAD = 0.6;
-/** Spread of the run times within a step before enough samples are known. */
+/** Standard deviation of the logarithm of run times within a step, before enough samples are known. */
 const DEFAULT_TASK_SPREAD = 0.3;
-/** Lower bound on a learned spread, since the samples in a window may agree by chance. */
+/** Lower bound on a learnt standard deviation, since the samples in a window may agree by chance. */
 const MIN_SPREAD = 0.2;
+/** Quantile of `RunTimeEstimate.p90Ms`. */
 const TAIL_QUANTILE = 0.9;
 /** Standard deviations between the median and `TAIL_QUANTILE` of a normal distribution. */
 const TAIL_DEVIATIONS = 1.28;
 
+/** Returns the standard deviation of the values in a window, at least `MIN_SPREAD`. */
 const computeSpread = (window: SampleWindow): number => Math.max(MIN_SPREAD, window.computeSpread());
 
+/** Returns the caller's estimate for a task of the step, at least 1 ms. */
 const getEstimatedMs = (step: JobStep): number => Math.max(1, step.estimatedMs);
 
 /**
- * Learns the distribution of run times relative to callers' estimates, by queue and image. Steps without an estimate are kinds of their
- * own, and so are gangs, which run as long as their longest member.
+ * Learns the distribution of run times on a baseline endpoint relative to callers' estimates, by kind of step: by queue, image, whether it
+ * has an estimate, and whether it is a gang, which runs as long as its longest member.
  */
 export class RunTimes {
+  /** Run times by key of the kind, the least recently updated first. */
   private readonly kinds = new Map<string, KindTimes>();
 
-  /** Records the baseline time of a task or a whole gang, as the natural logarithm of milliseconds. */
+  /** Records the run time of a task or a whole gang on a baseline endpoint, as the natural logarithm of milliseconds. */
   recordRun(queue: string, step: JobStep, logMs: number): void {
     for (const key of this.listKindKeys(queue, step)) {
       this.getOrCreateKind(key).logRatios.addValue(logMs - Math.log(getEstimatedMs(step)));
     }
   }
 
-  /** Records the natural logarithm of the ratio of a task's baseline time to that of its step. */
+  /** Records the natural logarithm of the ratio of a task's run time to that estimated for its step, both on a baseline endpoint. */
   recordDeviation(queue: string, step: JobStep, deviation: number): void {
     for (const key of this.listKindKeys(queue, step)) {
       this.getOrCreateKind(key).logDeviations.addValue(deviation);
     }
   }
 
-  /** Returns the expected run time of a task of a step, or of the whole gang. */
+  /** Returns the expected run time of a step's task, or of the whole gang, on a baseline endpoint; by the caller's estimate until it is learnt. */
   getEstimate(queue: string, step: JobStep): RunTimeEstimate {
     const baseMs = getEstimatedMs(step);
     const ratios = this.findLogRatios(queue, step);
@@ -65,7 +69,7 @@
     };
   }
 
-  /** Returns the distribution of run times for a step, regardless of its own runs. */
+  /** Returns the distribution of run times on a baseline endpoint for a step, by its kind; around the caller's estimate until learnt. */
   getDistribution(queue: string, step: JobStep): RunTimeDistribution {
     const ratios = this.findLogRatios(queue, step);
     const deviations = this.findWindow(queue, step, (kind) => kind.logDeviations);
@@ -77,15 +81,17 @@
     };
   }
 
+  /** Returns the number of kinds of steps with samples. */
   countKinds(): number {
     return this.kinds.size;
   }
 
+  /** Returns the ratios of the narrowest kind of a step that has enough of them; undefined when none has. */
   private findLogRatios(queue: string, step: JobStep): SampleWindow | undefined {
     return this.findWindow(queue, step, (kind) => kind.logRatios);
   }
 
-  /** Returns the window of the narrowest kind that has enough samples; undefined when none has. */
+  /** Returns the window of the narrowest kind of a step that has enough samples in it; undefined when none has. */
   private findWindow(
     queue: string,
     step: JobStep,
@@ -101,7 +107,7 @@
     return undefined;
   }
 
-  /** Returns a kind, marked as the most recently updated one. */
+  /** Returns the run times of a kind, created if needed, and marks it as the latest updated. May evict another one, see `MAX_KINDS`. */
   private getOrCreateKind(key: string): KindTimes {
     const kind = this.kinds.get(key) ?? { logRatios: new SampleWindow(), logDeviations: new SampleWindow() };
     this.kinds.delete(key);
@@ -113,7 +119,7 @@
     return kind;
   }
 
-  /** Returns the keys of the kinds that a step belongs to, the narrowest first. */
+  /** Returns the keys of the kinds that a step belongs to: that with its image, if it has one, then that of any image. */
   private listKindKeys(queue: string, step: JobStep): readonly string[] {
     const wide = `${queue} ${step.estimatedMs > 0 ? 'estimated' : 'open'} ${step.isGang ? 'gang' : 'task'}`;
     return step.image === '' ? [wide] : [`${wide} ${step.image}`, wide];
--- a/packages/dispatch/speeds/SampleWindow.ts
+++ b/packages/dispatch/speeds/SampleWindow.ts
@@ -2,7 +2,7 @@
 import { computeQuantile } from '../../common/computeQuantile';
 import { sortAscending } from '../../common/sortAscending';
 
-/** Capacity of the window. */
+/** Maximum number of values; the oldest is replaced beyond it. */
 const MAX_VALUES = 96;
 
 /** The latest values of a quantity, and their quantiles. */
@@ -13,6 +13,7 @@
   /** The sorted values, cached until the next one is added. */
   private sorted: readonly number[] | undefined;
 
+  /** Adds a value, in place of the oldest one if the window is full. */
   addValue(value: number): void {
     this.sorted = undefined;
     if (this.values.length < MAX_VALUES) {
@@ -32,7 +33,7 @@
     return computeQuantile(this.getSorted(), share) ?? 0;
   }
 
-  /** Returns a robust estimate of the standard deviation; 0 for an empty window. */
+  /** Returns an estimate of the values' standard deviation that is robust against outliers; 0 for an empty window. */
   computeSpread(): number {
     return computeSpread(this.getSorted());
   }
--- a/packages/dispatch/speeds/SpeedClass.ts
+++ b/packages/dispatch/speeds/SpeedClass.ts
@@ -1,2 +1,2 @@
-/** Whether runs take significantly longer on an endpoint than the baseline, significantly less, or neither. */
+/** Whether runs take significantly longer on an endpoint than on a baseline endpoint (`slow`), significantly less (`fast`), or neither. */
 export type SpeedClass = 'slow' | 'usual' | 'fast';
--- a/packages/dispatch/speeds/SpeedEstimator.ts
+++ b/packages/dispatch/speeds/SpeedEstimator.ts
@@ -1,61 +1,71 @@
 import type { SpeedPrior } from './SpeedPrior';
 
+/** How long a run took on an endpoint. */
 interface SpeedSample {
   /** Natural logarithm of the ratio of a run's time to its baseline time. */
   readonly logRatio: number;
   /** Variance of `logRatio` by chance. */
   readonly variance: number;
-  /** The step of the run. Runs of one step share what is unusual about it. */
+  /** Key of the run's step. Consecutive samples of one step count once when changes of speed are detected. */
   readonly step: string;
 }
 
-/** A normal distribution of the natural logarithm of a ratio. */
+/** Normal distribution of the natural logarithm of the ratio of run times to the baseline. */
 interface NormalEstimate {
   readonly mean: number;
   readonly variance: number;
 }
 
-/** Half-life of the weight of samples, so that the estimate follows slow changes. */
+/** Half-life of the weight of samples. */
 const WEIGHT_HALF_LIFE_MS = 20_000;
-/** Deviation at which samples are clipped, since single runs may take very long. */
+/** Deviation from the estimate at which samples are clipped, in standard deviations, since single runs may take very long. */
 const CLIP_DEVIATIONS = 2;
-/** Deviation beyond which a sample may be a change of the endpoint's speed. */
+/** Deviation from the estimate, in standard deviations, beyond which a sample may indicate a change of the endpoint's speed. */
 const CHANGE_DEVIATIONS = 2.5;
-/** Number of consecutive steps with such deviations to one side that count as a change. */
+/** Number of consecutive steps beyond `CHANGE_DEVIATIONS` to one side that count as a change of speed. */
 const CHANGE_STREAK = 2;
-/** Deviation of an endpoint's own estimate from its group beyond which it is an outlier. */
+/** Deviation of an endpoint's own estimate from its group's, in standard deviations, beyond which it is an outlier. */
 const OUTLIER_DEVIATIONS = 3.5;
-/** Minimum variance of the prior for outliers. */
+/** Minimum variance of the prior that is used for outliers. */
 const MIN_OUTLIER_PRIOR_VARIANCE = 0.35 ** 2;
 
 /** Bayesian estimate of the speed of one endpoint, by samples whose weight decays. */
 export class SpeedEstimator {
-  /** Sum of the inverse variances of the samples. */
+  /** Sum of the inverse variances of the samples, decayed as of `decayedAt`. */
   private totalWeight = 0;
-  /** Sum of the samples, weighted by their inverse variances. */
+  /** Sum of the samples' `logRatio`, weighted by their inverse variances, decayed as of `decayedAt`. */
   private weightedSum = 0;
+  /** Monotonic time of the latest decay. */
   private decayedAt = 0;
+  /** Monotonic time of the latest sample. */
   private lastSampleAt = 0;
   private sampleCount = 0;
   /** Number of steps with samples since the latest change of speed. */
   private stableStepCount = 0;
-  /** Number of consecutive steps beyond `CHANGE_DEVIATIONS`; negative for those that were too fast. */
+  /** Number of latest consecutive steps that deviated beyond `CHANGE_DEVIATIONS` to one side; negative if faster than estimated. */
   private deviationStreak = 0;
+  /** Key of the latest sample's step. */
   private lastStep = '';
 
+  /** Returns the number of samples so far, regardless of decay and changes of speed. */
   countSamples(): number {
     return this.sampleCount;
   }
 
-  /** Returns the monotonic time of the latest sample. */
+  /** Returns the monotonic time of the latest sample; 0 before the first. */
   getLastSampleAt(): number {
     return this.lastSampleAt;
   }
 
+  /** Returns the number of steps with samples since the latest change of speed. */
   countStableSteps(): number {
     return this.stableStepCount;
   }
 
+  /**
+   * Adds a sample, clipped to a range around the estimate by the earlier samples and the prior. If it completes a streak of deviating
+   * steps, the speed counts as changed: the earlier samples are discarded, and the sample is not clipped.
+   */
   addSample({ logRatio, variance, step }: SpeedSample, prior: SpeedPrior, now: number): void {
     this.applyDecay(now);
     this.lastSampleAt = now;
@@ -81,8 +91,8 @@
   }
 
   /**
-   * Returns the estimate by the samples and the prior of the endpoint's group. For outliers the prior is widened, so that a faulty endpoint
-   * among similar ones is recognized.
+   * Returns the estimate by the samples and the prior of the endpoint's group. If the samples are an outlier to the prior, its variance is
+   * increased, so that a faulty endpoint among similar ones is recognized.
    */
   computePosterior(prior: SpeedPrior): NormalEstimate {
     const priorVariance = this.isOutlier(prior)
@@ -92,7 +102,7 @@
     return { mean: (this.weightedSum + prior.mean / priorVariance) / weight, variance: 1 / weight };
   }
 
-  /** Reduces the weight of the samples by the time since the last call. */
+  /** Reduces the weight of the samples exponentially by the time since the latest decay. */
   applyDecay(now: number): void {
     const factor = 0.5 ** (Math.max(0, now - this.decayedAt) / WEIGHT_HALF_LIFE_MS);
     this.totalWeight *= factor;
@@ -107,6 +117,7 @@
       : { mean: this.weightedSum / this.totalWeight, variance: 1 / this.totalWeight };
   }
 
+  /** Returns whether the estimate by the samples alone deviates from the prior beyond `OUTLIER_DEVIATIONS`; false without samples. */
   private isOutlier(prior: SpeedPrior): boolean {
     const own = this.computeOwnEstimate();
     const bound =
@@ -114,6 +125,7 @@
     return own !== undefined && Math.abs(own.mean - prior.mean) > bound;
   }
 
+  /** Returns the streak after a step with a deviation in standard deviations: 0 if it is small, otherwise one longer or begun anew. */
   private computeStreak(deviations: number): number {
     if (Math.abs(deviations) <= CHANGE_DEVIATIONS) {
       return 0;
--- a/packages/dispatch/speeds/StepRunTimes.ts
+++ b/packages/dispatch/speeds/StepRunTimes.ts
@@ -4,6 +4,7 @@
 import type { SiblingTime } from './SiblingTime';
 import type { SpeedEstimate } from './SpeedEstimate';
 
+/** Run time of one task. */
 interface TaskTime {
   readonly endpoint: EndpointIncarnation;
   /** Natural logarithm of the run time in milliseconds, extrapolated if the run had not ended. */
@@ -12,14 +13,17 @@
 
 /** Run times of the tasks of one step. */
 export class StepRunTimes {
+  /** Latest run time of each task, by its index. */
   private readonly taskTimes = new Map<number, TaskTime>();
+  /** Highest run number passed to `claimGangRun`. */
   private latestGangRunNumber = 0;
 
-  /** Records the time of a task, in place of that of its earlier run. */
+  /** Records the run time of a task on an endpoint, in place of that of an earlier run. */
   recordTime(index: number, endpoint: EndpointIncarnation, logMs: number): void {
     this.taskTimes.set(index, { endpoint, logMs });
   }
 
+  /** Returns how many tasks have a recorded time. */
   countTasks(): number {
     return this.taskTimes.size;
   }
@@ -33,7 +37,7 @@
     return count;
   }
 
-  /** Returns the median time on each other endpoint than `excluded`, corrected by its estimated speed. */
+  /** Returns the median run time of the tasks on each endpoint other than `excluded`, corrected by the endpoint's estimated speed. */
   listSiblingTimes(
     excluded: EndpointIncarnation,
     getEstimate: (endpoint: EndpointIncarnation) => SpeedEstimate,
@@ -50,10 +54,10 @@
     });
   }
 
-  /** Returns true once for each run of a gang, since one member's time stands for all. */
-  claimGangRun(run: number): boolean {
-    const isFirst = run > this.latestGangRunNumber;
-    this.latestGangRunNumber = Math.max(run, this.latestGangRunNumber);
+  /** Returns whether the run number of a gang is higher than all passed before, so that only one member's time counts for each run. */
+  claimGangRun(runNumber: number): boolean {
+    const isFirst = runNumber > this.latestGangRunNumber;
+    this.latestGangRunNumber = Math.max(runNumber, this.latestGangRunNumber);
     return isFirst;
   }
 }
--- a/packages/dispatch/speeds/createCompletionTimeCost.ts
+++ b/packages/dispatch/speeds/createCompletionTimeCost.ts
@@ -3,14 +3,14 @@
 import type { WaitingStep } from '../waiting/WaitingStep';
 import { computeLateChance } from './computeLateChance';
 
-/** Cost of a certain lateness; less than that of a rack without the data, where runs take longer in any case. */
+/** Cost of a probability 1 of being late; less than that of a rack without the step's data, where runs take longer in any case. */
 const LATE_COST = 80;
-/** Cost of an e-fold run time for the most urgent queue, which benefits from an early completion also within the objective. */
+/** Cost of a run time longer by a factor of e, for the most urgent queue, which benefits from completion before the objective too. */
 const URGENT_SLOWDOWN_COST = 8;
-/** Cost of an e-fold speed for other queues, which leave fast endpoints to the most urgent one. */
+/** Cost of a run time shorter by a factor of e, for other queues, which leave fast endpoints to the most urgent one. */
 const FAST_ENDPOINT_COST = 14;
 
-/** Returns how many members of a gang fit on the endpoints of each ratio, the fastest first. */
+/** Returns how many members of a gang fit in the free capacity of the endpoints of each significant ratio, the fastest first. */
 const listGangCapacity = (
   step: WaitingStep,
   { speeds, capacity }: SpeedSources,
@@ -28,8 +28,8 @@
 };
 
 /**
- * Returns the ratio of a gang's slowest member that costs least, among those at which all members fit on endpoints of this or a lower
- * ratio; undefined when they do not all fit.
+ * Chooses the ratio for a gang's slowest member: the one of the lowest cost among those for which all members fit on endpoints of this or a
+ * lower ratio. Returns undefined when they do not all fit.
  */
 const chooseGangRatio = (
   step: WaitingStep,
@@ -52,8 +52,9 @@
 };
 
 /**
- * Creates a function that returns the cost of an endpoint by the expected completion time of a step's tasks there, mainly by the
- * probability of being late. Costs are relative to a baseline endpoint.
+ * Creates a function that returns the cost of placing a step's tasks on an endpoint, by the probability that the step misses its objective
+ * and by the endpoint's speed. For a gang whose members all fit, the cost rises with the distance from the ratio chosen for its slowest
+ * member. Costs are relative to a baseline endpoint, and cached by ratio.
  */
 export const createCompletionTimeCost = (
   step: WaitingStep,
--- a/packages/dispatch/speeds/estimateStepTime.ts
+++ b/packages/dispatch/speeds/estimateStepTime.ts
@@ -2,9 +2,11 @@
 import type { SiblingTime } from './SiblingTime';
 import type { RunTimeDistribution } from './RunTimeDistribution';
 
+/** Estimated run time of a step's tasks on a baseline endpoint. */
 interface StepTimeEstimate {
+  /** Natural logarithm of milliseconds. */
   readonly logMs: number;
-  /** Uncertainty of the estimate. */
+  /** Variance of the estimate `logMs`. */
   readonly variance: number;
 }
 
@@ -12,8 +14,8 @@
 const MEDIAN_VARIANCE_FACTOR = 1.57;
 
 /**
- * Estimates the baseline time of a step's tasks, as the natural logarithm of milliseconds, from the distribution over all such steps and
- * the times of its tasks on other endpoints, weighted by their inverse variances.
+ * Estimates the run time of a step's tasks on a baseline endpoint from the distribution over all such steps and the median of the times on
+ * other endpoints, weighted by their inverse variances; from the distribution alone when there are no times.
  */
 export const estimateStepTime = (
   runTime: RunTimeDistribution,
