--- a/packages/dispatch/Dispatcher.ts
+++ b/packages/dispatch/Dispatcher.ts
@@ -172,7 +172,7 @@
     this.adviceRequester = new AdviceRequester({
       endpoints: this.endpoints,
       capacityView: room,
-      limits,
+      limiter: limits,
       policy,
       selector,
       stats: history,
--- a/packages/dispatch/advice/AdviceMetrics.ts
+++ b/packages/dispatch/advice/AdviceMetrics.ts
@@ -20,8 +20,8 @@
 
 /** Counts advice requests by reason and by outcome: without a response, used by a start, or expired unused. */
 export class AdviceMetrics {
-  /** Requests with a response that are not counted as expired, in the order of their responses; used ones are removed by `handleTick`. */
-  private uncountedRequests: AnsweredRequest[] = [];
+  /** Requests with a response whose tickets had not expired or been used at the latest tick, in the order of their responses. */
+  private unexpiredRequests: AnsweredRequest[] = [];
 
   constructor(private readonly sendCount: (name: DispatchCounterName, amount: number) => void) {}
 
@@ -41,7 +41,7 @@
    */
   recordResponse(responseMs: number, expiresAt: number): AnsweredRequest {
     const request = { responseMs, expiresAt, isUsed: false };
-    this.uncountedRequests.push(request);
+    this.unexpiredRequests.push(request);
     return request;
   }
 
@@ -56,8 +56,8 @@
 
   /** Counts the requests whose tickets have expired unused, with their response times, and forgets these and the used ones. */
   handleTick(now: number): void {
-    const expired = this.uncountedRequests.filter(({ expiresAt, isUsed }) => !isUsed && expiresAt <= now);
-    this.uncountedRequests = this.uncountedRequests.filter(
+    const expired = this.unexpiredRequests.filter(({ expiresAt, isUsed }) => !isUsed && expiresAt <= now);
+    this.unexpiredRequests = this.unexpiredRequests.filter(
       ({ expiresAt, isUsed }) => !isUsed && expiresAt > now,
     );
     if (expired.length > 0) {
--- a/packages/dispatch/advice/AdviceRequester.ts
+++ b/packages/dispatch/advice/AdviceRequester.ts
@@ -21,13 +21,13 @@
 const BUDGETED_CANDIDATES = 30;
 /** Expected delay from a response to the starts that use it. */
 const START_DELAY_MS = 120;
-/** Time by which an early request is sent before the moment at which its response would arrive as its step becomes ready. */
+/** Time by which the response to an early request is expected to arrive before its step becomes ready. */
 const EARLY_MARGIN_MS = 150;
 
 interface AdviceRequesterOptions {
   readonly endpoints: ReadonlyMap<EndpointIncarnation, EndpointState>;
   readonly capacityView: CapacityView;
-  readonly limits: StepLimiter;
+  readonly limiter: StepLimiter;
   readonly policy: AdvicePolicy;
   readonly selector: CandidateSelector;
   readonly stats: AdviceStats;
@@ -170,8 +170,8 @@
 
   /** Requests advice for the tasks of a step that its customer's limit lets start; none if there are no such tasks. */
   private sendEarlyRequest(whole: WaitingStep, now: number): void {
-    const { limits, capacityView } = this.options;
-    const step = limits.computeMaxStartable(whole);
+    const { limiter, capacityView } = this.options;
+    const step = limiter.computeMaxStartable(whole);
     if (step !== undefined) {
       this.requestAdvice(step, capacityView.listEligible(step), step.indexes.length, now, now, true);
     }
--- a/packages/dispatch/advice/FirstFreeBalancer.ts
+++ b/packages/dispatch/advice/FirstFreeBalancer.ts
@@ -8,6 +8,7 @@
 type AdviceRequest = Extract<DispatchEffect, { kind: 'advise' }>;
 
 interface ChannelState {
+  /** Whether a request is pending. */
   isBusy: boolean;
   /** Monotonic time until which the channel is not used, after a request without a response. */
   quarantinedUntil: number;
@@ -20,6 +21,7 @@
 
 /** Sends short requests over the first free channel and long ones over the last, and reserves the leader's own box for short ones. */
 export class FirstFreeBalancer implements AdviceBalancer {
+  /** State of each channel, by the name of its box. */
   private readonly channelStates = new Map<string, ChannelState>();
   private isStopped = false;
 
--- a/packages/dispatch/advice/HedgingBalancer.ts
+++ b/packages/dispatch/advice/HedgingBalancer.ts
@@ -14,7 +14,8 @@
 
 /** A request as sent over one channel. */
 interface Attempt {
-  readonly state: ChannelState;
+  readonly channelState: ChannelState;
+  /** Resolves to the tickets of its response; to undefined when there was none. */
   readonly response: Promise<Tickets>;
 }
 
@@ -35,6 +36,7 @@
  * the first response is used.
  */
 export class HedgingBalancer implements AdviceBalancer {
+  /** State of each channel, by the name of its box. */
   private readonly channelStates = new Map<string, ChannelState>();
   /** Response delays over all channels, which determine the hedge delay of channels without a response so far. */
   private readonly overallState = new ChannelState();
@@ -70,8 +72,8 @@
 
   /**
    * Resolves to the first response, and starts another attempt each time the latest one is late or all have failed, up to `MAX_ATTEMPTS`
-   * and while a channel is free. Late channels are quarantined.
-   * Resolves to undefined once all attempts have failed, or when the balancer is stopped.
+   * and while a channel is free. Late channels are quarantined. Resolves to undefined once all attempts have failed or the balancer is
+   * stopped.
    */
   private async waitForResponse(request: AdviceRequest, first: Attempt): Promise<Tickets> {
     const attempts = [first];
@@ -81,7 +83,7 @@
       if (tickets !== undefined || this.isStopped) {
         return tickets ?? undefined;
       }
-      latest.state.recordLateResponse(this.options.clock.getNow() + QUARANTINE_MS);
+      latest.channelState.recordLateResponse(this.options.clock.getNow() + QUARANTINE_MS);
       const next = attempts.length < MAX_ATTEMPTS ? this.startAttempt(request) : undefined;
       if (next === undefined) {
         return this.waitForFirstResponse(attempts);
@@ -92,9 +94,9 @@
   }
 
   /** Returns how far an attempt may exceed its expected response time before it is hedged, in milliseconds; more for long requests. */
-  private computeHedgeDelayMs({ expectedMs }: AdviceRequest, { state }: Attempt): number {
+  private computeHedgeDelayMs({ expectedMs }: AdviceRequest, { channelState }: Attempt): number {
     return Math.max(
-      state.computeHedgeDelayMs(this.overallState.computeHedgeDelayMs()),
+      channelState.computeHedgeDelayMs(this.overallState.computeHedgeDelayMs()),
       expectedMs * MIN_HEDGE_DELAY_SHARE,
     );
   }
@@ -115,8 +117,8 @@
     if (channel === undefined) {
       return undefined;
     }
-    const state = this.getState(channel);
-    return { state, response: this.sendAttempt(request, channel, state) };
+    const channelState = this.getState(channel);
+    return { channelState, response: this.sendAttempt(request, channel, channelState) };
   }
 
   /**
@@ -126,15 +128,15 @@
   private async sendAttempt(
     request: AdviceRequest,
     channel: AdviceChannel,
-    state: ChannelState,
+    channelState: ChannelState,
   ): Promise<Tickets> {
     const { clock } = this.options;
     const requestedAt = clock.getNow();
-    state.recordRequest(request.isLong);
+    channelState.recordRequest(request.isLong);
     const tickets = await sendAdviceRequest(channel, request, request.expectedMs + TIMEOUT_MARGIN_MS);
     const now = clock.getNow();
     if (tickets === undefined) {
-      state.recordFailure(now + QUARANTINE_MS);
+      channelState.recordFailure(now + QUARANTINE_MS);
       this.lastFailedAt = now;
     } else {
       // If all channels were quarantined, the service had failed and not the channels.
@@ -142,7 +144,7 @@
         this.channelStates.forEach((other) => other.clearQuarantine());
       }
       const delayMs = Math.max(0, now - requestedAt - request.expectedMs);
-      state.recordResponse(delayMs, now);
+      channelState.recordResponse(delayMs, now);
       this.overallState.recordResponse(delayMs, now);
     }
     return tickets;
--- a/packages/dispatch/advice/PlannedCandidateSelector.ts
+++ b/packages/dispatch/advice/PlannedCandidateSelector.ts
@@ -38,7 +38,7 @@
 interface RequestContext {
   /** Whether capacity that preemption of less urgent runs would free counts. */
   readonly canPreempt: boolean;
-  /** Monotonic time until which tickets have to be valid. */
+  /** Monotonic time until which tickets have to be valid at least. */
   readonly neededUntil: number;
   readonly now: number;
 }
@@ -61,7 +61,7 @@
 const CAPACITY_FREED_CHANCE = 0.3;
 /** Expected delay from a response to the starts that use it. */
 const START_DELAY_MS = 120;
-/** Time of a request beyond the response time of the service. */
+/** Assumed time of a request beyond the response time of the service. */
 const REQUEST_OVERHEAD_MS = 30;
 /** Maximum number of candidates for a step that is not a gang, whose first tasks can start before all have tickets. */
 const MAX_CANDIDATES_WITHOUT_GANG = 40;
@@ -70,7 +70,7 @@
 /** Maximum number of tasks on one endpoint for which capacity after preemption is computed. */
 const MAX_PREEMPTION_TASKS = 3;
 /** Minimum share of a gang's missing tasks that are expected to be allowed on available endpoints, for a request to be sent. */
-const MIN_GANG_CAPACITY_SHARE = 0.4;
+const MIN_EXPECTED_GANG_SHARE = 0.4;
 /** Decision time of the service that one expected start justifies. */
 const DECISION_MS_PER_START = 50;
 /** Minimum time from a step's latest response to its next request when the expected starts don't justify the decision time. */
@@ -84,7 +84,7 @@
 
 /**
  * Selects candidates only when the expected starts justify a request, and so many that another request is unlikely. Claims their capacity
- * until the request ends, so that less urgent requests do not count on it.
+ * until the request ends, so that requests that are not more urgent do not count on it.
  */
 export class PlannedCandidateSelector implements CandidateSelector {
   /** Capacity that pending requests count on. */
@@ -162,9 +162,9 @@
     const advice = step.job.getAdvice(step.repetition, step.step);
     const { decisionMs, validityMs } = step.job.definition.queue.advice!;
     if (step.shape.isGang) {
-      // The expected share of refusals may be wrong for this step.
+      // After a long deferral the request is sent although refusals are expected, since the expected share may be wrong for this step.
       const isDue = advice.getDeferredMs(now) >= validityMs && countTasks(available) >= needed;
-      return isDue || expected >= needed * MIN_GANG_CAPACITY_SHARE;
+      return isDue || expected >= needed * MIN_EXPECTED_GANG_SHARE;
     }
     const isDue = now - advice.getLastRespondedAt() >= MIN_UNJUSTIFIED_DELAY_MS;
     const isJustified = expected * DECISION_MS_PER_START >= decisionMs;
--- a/packages/dispatch/advice/advicePolicies.ts
+++ b/packages/dispatch/advice/advicePolicies.ts
@@ -3,11 +3,11 @@
 import type { AdvicePolicyName } from './AdvicePolicyName';
 import type { AdvicePolicy } from './AdvicePolicy';
 
-/** Number of candidates by which requests of the `asked` policy are limited, and by which it is determined whether a request is long. */
+/** Maximum number of candidates under the `asked` policy, for which both policies compute whether a request is long. */
 const BUDGETED_CANDIDATES = 30;
 /** Maximum number of endpoints that the service accepts in one request. */
 const MAX_CANDIDATES = 100;
-/** Maximum expected response time of a short request with `BUDGETED_CANDIDATES`; longer ones are long. */
+/** Maximum expected response time of short requests, computed for `BUDGETED_CANDIDATES` candidates. */
 const MAX_SHORT_REQUEST_MS = 150;
 /** Lower bound on a deferral, which spans several rounds. */
 const MIN_DEFERRAL_MS = 20;
--- a/packages/dispatch/endpoints/StatusReconciler.ts
+++ b/packages/dispatch/endpoints/StatusReconciler.ts
@@ -110,7 +110,7 @@
       run.percent = row.percent;
       run.progressedAt = now;
     }
-    this.options.learner.recordRun(endpoint, run, now);
+    this.options.learner.recordProgress(endpoint, run, now);
     if (row.checkpoint !== '' && row.checkpoint !== run.checkpoint) {
       run.checkpoint = row.checkpoint;
       run.checkpointedAt = now;
--- a/packages/dispatch/speeds/EndpointSpeeds.ts
+++ b/packages/dispatch/speeds/EndpointSpeeds.ts
@@ -179,12 +179,12 @@
     return created;
   }
 
-  /** Returns the query for an endpoint without samples of its own. */
+  /** Returns the query for the estimate of an endpoint by its groups alone. */
   private toQuery(profile: EndpointProfile): SpeedQuery {
     return { service: profile.service, groups: listGroups(profile) };
   }
 
-  /** Computes the estimate relative to the service's baseline. */
+  /** Returns the ratio relative to the service's baseline by the prior of the groups and, if given, the endpoint's own samples. */
   private computeEstimate({ service, groups, ownEstimator }: SpeedQuery): SpeedEstimate {
     const serviceGroups = this.getServiceGroups(service);
     const prior = serviceGroups.choosePrior(groups);
@@ -192,7 +192,7 @@
     return { ratio: Math.exp(mean - serviceGroups.getBaselineLogRatio()), spread: Math.sqrt(variance) };
   }
 
-  /** Returns the significant ratio by own samples and groups; by groups alone for few steps since the latest change of speed. */
+  /** Returns the significant ratio by own samples and groups; by groups alone until `MIN_STABLE_STEPS` since the latest change of speed. */
   private computeStableRatio({ service, groups, ownEstimator }: EndpointSpeed): number {
     const isStable = ownEstimator.countStableSteps() >= MIN_STABLE_STEPS;
     return this.computeSignificantRatio(isStable ? { service, groups, ownEstimator } : { service, groups });
--- a/packages/dispatch/speeds/RunLearner.ts
+++ b/packages/dispatch/speeds/RunLearner.ts
@@ -38,8 +38,8 @@
 /** Maximum number of tasks of a step whose times are added to the run times of its kind. */
 const MAX_STEP_SAMPLES = 2;
 /**
- * Minimum number of other endpoints with run times of a step for its tasks' deviations to be recorded, and for their speed samples
- * while no distribution is learnt.
+ * Minimum number of other endpoints with run times of a step for the deviations of its tasks to be recorded, and also for their speed
+ * samples while the distribution of its run times is not learnt.
  */
 const MIN_SIBLINGS = 2;
 /** Minimum progress for the time of a gang's run to be extrapolated; higher since members are confirmed one by one but start together. */
@@ -54,7 +54,7 @@
 
 /** Learns the run times of tasks and the speeds of endpoints from the progress and completion of runs. */
 export class RunLearner {
-  /** Runs whose time has been recorded, or ignored since their pace is not the baseline one. */
+  /** Runs whose time has been recorded, or found not to be at the baseline pace. */
   private readonly measuredRuns = new WeakSet<PlacedRun>();
   /** Monotonic time of the latest refresh of the speeds. */
   private lastRefreshedAt = -Infinity;
@@ -65,7 +65,7 @@
    * Records the pace of a run by its progress, as reported by a poll, and once per run its extrapolated time, if that is predictable.
    * Ignores young runs and those whose time is not informative.
    */
-  recordRun(endpoint: EndpointState, run: PlacedRun, now: number): void {
+  recordProgress(endpoint: EndpointState, run: PlacedRun, now: number): void {
     const ageMs = now - run.confirmedAt;
     const measurement = ageMs >= MIN_RUN_AGE_MS ? this.createMeasurement(endpoint, run) : undefined;
     if (measurement === undefined) {
@@ -128,17 +128,21 @@
    * Records the pace of a run, in milliseconds for one percent, for its step; and for its endpoint the slowdown relative to the step's
    * median pace, if there is one.
    */
-  private recordPace({ endpoint, run, job, stepDefinition }: Measurement, pace: number, now: number): void {
+  private recordPace(
+    { endpoint, run, job, stepDefinition }: Measurement,
+    msPerPercent: number,
+    now: number,
+  ): void {
     const stepSpeeds = job.getSpeeds(run.address.repetition, run.address.step);
     const profile = endpoint.getProfile();
     // The members of a gang run at one pace on all endpoints.
     const ownRatio = stepDefinition.isGang ? 1 : this.getOwnRatio(profile);
-    stepSpeeds.recordPace(run.address.index, pace, pace / ownRatio);
+    stepSpeeds.recordPace(run.address.index, msPerPercent, msPerPercent / ownRatio);
     const median = stepSpeeds.getNormalizedMedian();
     if (median !== undefined) {
       // An endpoint that is always slow, or of a slow kind, is not degraded.
       const baselineRatio = ownRatio === 1 ? this.options.kindSpeeds.getSlowdown(profile.labels) : ownRatio;
-      endpoint.recordSlowdown(pace / median / baselineRatio, now);
+      endpoint.recordSlowdown(msPerPercent / median / baselineRatio, now);
     }
   }
 
@@ -148,11 +152,11 @@
     return speedPolicy === 'endpoints' ? Math.min(MAX_OWN_RATIO, speeds.getSignificantRatio(profile)) : 1;
   }
 
-  /** Records the pace of a run that is done, relative to its step's median, for the kind of its endpoint; nothing without a median. */
-  private recordKindPace({ endpoint, run, job }: Measurement, pace: number): void {
+  /** Records the pace of a run that is done, relative to its step's median pace, for the kind of its endpoint; nothing without a median. */
+  private recordKindPace({ endpoint, run, job }: Measurement, msPerPercent: number): void {
     const median = job.getSpeeds(run.address.repetition, run.address.step).getMedian();
     if (median !== undefined && median > 0) {
-      this.options.kindSpeeds.recordRun(endpoint.getProfile().labels, pace / median);
+      this.options.kindSpeeds.recordRun(endpoint.getProfile().labels, msPerPercent / median);
     }
   }
 
@@ -205,7 +209,7 @@
     const stepTime = estimateStepTime(distribution, siblings);
     stepTimes.recordTime(run.address.index, profile.incarnation, logMs);
     if (distribution.isLearnt || siblings.length >= MIN_SIBLINGS) {
-      // The tasks of a step on one endpoint share the error of the step's estimate, so together they count as little more than one.
+      // The tasks of a step on one endpoint share the error of the step's estimate, so together they weigh little more than one.
       const sharedVariance = stepTime.variance * stepTimes.countTasksOn(profile.incarnation) ** 2;
       const variance = distribution.taskSpread ** 2 + sharedVariance;
       speeds.recordRun(
@@ -249,6 +253,7 @@
     runTimes.recordRun(queue, stepDefinition, logMs - slowest);
   }
 
+  /** Returns the key of a run's step, by which the speed samples of one step are recognized. */
   private toStepKey({ job, address }: PlacedRun): string {
     return `${job}.${address.repetition}.${address.step}`;
   }
--- a/packages/dispatch/speeds/RunTimes.ts
+++ b/packages/dispatch/speeds/RunTimes.ts
@@ -54,7 +54,7 @@
     }
   }
 
-  /** Returns the expected run time of a step's task, or of the whole gang, on a baseline endpoint; by the caller's estimate until it is learnt. */
+  /** Returns the expected run time of a step's task or whole gang on a baseline endpoint; by the caller's estimate until it is learnt. */
   getEstimate(queue: string, step: JobStep): RunTimeEstimate {
     const baseMs = getEstimatedMs(step);
     const ratios = this.findLogRatios(queue, step);
--- a/tests/adviceTurns.test.ts
+++ b/tests/adviceTurns.test.ts
@@ -257,7 +257,7 @@
 });
 
 describe('the reserve for short requests', () => {
-  it('is a quarter of the boxes for a new leader, then follows the load with a margin, up to one half', () => {
+  it('is a quarter of the boxes for a new leader, then follows the number of short requests with a margin, up to one half', () => {
     const reserve = new ShortRequestReserve();
     expect(reserve.computeReservedCount(40, 0)).toBe(10);
     expect(reserve.computeReservedCount(40, 3000)).toBe(1);
--- a/tests/endpointSpeeds.test.ts
+++ b/tests/endpointSpeeds.test.ts
@@ -497,7 +497,7 @@
   it('causes few log lines about endpoints', () => {
     const { logLines } = runSimulation('endpoints', 3);
 
-    const changes = logLines.filter(({ sentence }) => sentence === "Endpoint's speed has changed.");
+    const changes = logLines.filter(({ message }) => message === "Endpoint's speed has changed.");
     expect(changes.length).toBeGreaterThanOrEqual(20);
     expect(changes.length).toBeLessThan(2 * ENDPOINTS);
   }, 30_000);
--- a/tests/helpers/AdviceSimulation.ts
+++ b/tests/helpers/AdviceSimulation.ts
@@ -39,7 +39,7 @@
   readonly endpoints: number;
   readonly boxes: number;
   readonly seed: number;
-  /** Returns the delay of a box's responses beyond the service's time, in milliseconds; Infinity while it does not respond. */
+  /** Returns the delay of a box's responses beyond the time that the service takes, in milliseconds; Infinity while it does not respond. */
   readonly getBoxDelayMs: (box: number, now: number) => number;
   /** Time during which the service rejects all requests. */
   readonly outage?: { readonly from: number; readonly until: number };
--- a/tests/helpers/HeterogeneousSimulation.ts
+++ b/tests/helpers/HeterogeneousSimulation.ts
@@ -83,7 +83,7 @@
   readonly results: { readonly queue: string; readonly sentAt: number; readonly isInTime: boolean }[] = [];
   /** Starts in the order of their decisions. */
   readonly starts: string[] = [];
-  readonly logLines: { readonly at: number; readonly sentence: string }[] = [];
+  readonly logLines: { readonly at: number; readonly message: string }[] = [];
   private readonly random: Random;
   private readonly profiles: EndpointProfile[] = [];
   private readonly running = new Map<EndpointIncarnation, SimulatedRun[]>();
@@ -196,7 +196,7 @@
     } else if (effect.kind === 'stop') {
       this.stopRun(effect.endpoint, effect.task, effect.run);
     } else if (effect.kind === 'tell') {
-      this.logLines.push({ at: this.now, sentence: effect.message });
+      this.logLines.push({ at: this.now, message: effect.message });
       if (effect.message === 'Job ended.') {
         this.recordResult(effect.fields);
       }
