--- a/packages/dispatch/advice/CapacityClaims.ts
+++ b/packages/dispatch/advice/CapacityClaims.ts
@@ -4,7 +4,7 @@
 
 interface Claim {
   /** Name of the step that the request is for (see `toStepName`). */
-  readonly step: string;
+  readonly stepName: string;
   /** Priority of the step's queue; lower values are more urgent. */
   readonly priority: number;
   readonly demand: TaskDemand;
@@ -22,9 +22,9 @@
   }
 
   /** Removes all claims of a step on the candidates of its request, once the request has ended. */
-  removeClaims(step: string, candidates: readonly EndpointIncarnation[]): void {
+  removeClaims(stepName: string, candidates: readonly EndpointIncarnation[]): void {
     for (const endpoint of candidates) {
-      const left = (this.claims.get(endpoint) ?? []).filter((claim) => claim.step !== step);
+      const left = (this.claims.get(endpoint) ?? []).filter((claim) => claim.stepName !== stepName);
       if (left.length > 0) {
         this.claims.set(endpoint, left);
       } else {
--- a/packages/dispatch/advice/PlannedCandidateSelector.ts
+++ b/packages/dispatch/advice/PlannedCandidateSelector.ts
@@ -312,7 +312,7 @@
     const { priority } = step.job.definition.queue;
     for (const { endpoint, taskCount } of chosen) {
       const claim = {
-        step: toStepName(step),
+        stepName: toStepName(step),
         priority,
         demand: resourceMath.computeProduct(demand, taskCount * share),
       };
--- a/packages/dispatch/advice/ShortRequestReserve.ts
+++ b/packages/dispatch/advice/ShortRequestReserve.ts
@@ -1,5 +1,5 @@
 /** Time constant of the exponential average of the number of concurrent short requests. */
-const TIME_CONSTANT_MS = 2000;
+const MEAN_TIME_CONSTANT_MS = 2000;
 /** Standard deviations above the mean number of concurrent short requests that are reserved, for a Poisson distribution. */
 const RESERVED_DEVIATIONS = 2;
 /** Maximum share of the channels that is reserved. */
@@ -18,7 +18,7 @@
 
   /** Records a short request that has ended, with or without a response, and took `tookMs` milliseconds. */
   recordRequest(tookMs: number, now: number): void {
-    this.meanConcurrency = this.computeMeanConcurrency(now) + tookMs / TIME_CONSTANT_MS;
+    this.meanConcurrency = this.computeMeanConcurrency(now) + tookMs / MEAN_TIME_CONSTANT_MS;
     this.lastUpdatedAt = now;
   }
 
@@ -28,7 +28,7 @@
    */
   computeReservedCount(channelCount: number, now: number): number {
     const load = this.computeMeanConcurrency(now);
-    this.warmUpUntil ??= now + TIME_CONSTANT_MS;
+    this.warmUpUntil ??= now + MEAN_TIME_CONSTANT_MS;
     const minimum = now < this.warmUpUntil ? Math.ceil(channelCount * INITIAL_RESERVED_SHARE) : 1;
     const wanted = Math.max(minimum, Math.ceil(load + RESERVED_DEVIATIONS * Math.sqrt(load)));
     return channelCount < 2
@@ -38,6 +38,6 @@
 
   /** Returns the mean number of concurrent short requests, decayed since the latest recorded one. */
   private computeMeanConcurrency(now: number): number {
-    return this.meanConcurrency * Math.exp(-Math.max(0, now - this.lastUpdatedAt) / TIME_CONSTANT_MS);
+    return this.meanConcurrency * Math.exp(-Math.max(0, now - this.lastUpdatedAt) / MEAN_TIME_CONSTANT_MS);
   }
 }
--- a/packages/dispatch/advice/StepAdvice.ts
+++ b/packages/dispatch/advice/StepAdvice.ts
@@ -24,7 +24,7 @@
   private readonly refusedEndpoints = new Set<EndpointIncarnation>();
   private hasPendingRequest = false;
   /** Monotonic time from which a request without a response may be repeated. */
-  private nextRequestAt = -Infinity;
+  private retryAt = -Infinity;
   /** Monotonic time until which no request is considered. */
   private deferredUntil = -Infinity;
   /** Monotonic time of the first deferral after the latest request; undefined when there was none. */
@@ -63,7 +63,7 @@
 
   /** Returns whether a request may be sent: none is pending, and the retry delay after one without a response has passed. */
   canRequest(now: number): boolean {
-    return !this.hasPendingRequest && now >= this.nextRequestAt;
+    return !this.hasPendingRequest && now >= this.retryAt;
   }
 
   /** Returns whether any ticket or refusal is known. */
@@ -122,7 +122,7 @@
   ): void {
     this.hasPendingRequest = false;
     if (tickets === undefined) {
-      this.nextRequestAt = now + RETRY_DELAY_MS;
+      this.retryAt = now + RETRY_DELAY_MS;
       return;
     }
     this.lastRespondedAt = now;
--- a/packages/dispatch/speeds/RunLearner.ts
+++ b/packages/dispatch/speeds/RunLearner.ts
@@ -214,7 +214,7 @@
       const variance = distribution.taskSpread ** 2 + sharedVariance;
       speeds.recordRun(
         profile,
-        { logRatio: logMs - stepTime.logMs, variance, step: this.toStepKey(run) },
+        { logRatio: logMs - stepTime.logMs, variance, stepKey: this.toStepKey(run) },
         now,
       );
     }
@@ -244,7 +244,7 @@
     const sample = {
       logRatio: logMs - distribution.logMs,
       variance: distribution.spread ** 2,
-      step: this.toStepKey(run),
+      stepKey: this.toStepKey(run),
     };
     if (distribution.isLearnt) {
       speeds.recordGang(members, sample, now);
--- a/packages/dispatch/speeds/RunTimes.ts
+++ b/packages/dispatch/speeds/RunTimes.ts
@@ -12,7 +12,7 @@
 }
 
 /** Minimum number of samples in a window for its kind to be used. */
-const MIN_SAMPLES = 16;
+const MIN_WINDOW_SAMPLES = 16;
 /** Maximum number of kinds of steps; the least recently updated one is evicted. */
 const MAX_KINDS = 200;
 /** Standard deviation of the logarithm of run times around callers' estimates, before enough samples are known. */
@@ -20,14 +20,14 @@
 /** Standard deviation of the logarithm of run times within a step, before enough samples are known. */
 const DEFAULT_TASK_SPREAD = 0.3;
 /** Lower bound on a learnt standard deviation, since the samples in a window may agree by chance. */
-const MIN_SPREAD = 0.2;
+const MIN_LEARNT_SPREAD = 0.2;
 /** Quantile of `RunTimeEstimate.p90Ms`. */
 const TAIL_QUANTILE = 0.9;
 /** Standard deviations between the median and `TAIL_QUANTILE` of a normal distribution. */
 const TAIL_DEVIATIONS = 1.28;
 
-/** Returns the standard deviation of the values in a window, at least `MIN_SPREAD`. */
-const computeSpread = (window: SampleWindow): number => Math.max(MIN_SPREAD, window.computeSpread());
+/** Returns the standard deviation of the values in a window, at least `MIN_LEARNT_SPREAD`. */
+const computeSpread = (window: SampleWindow): number => Math.max(MIN_LEARNT_SPREAD, window.computeSpread());
 
 /** Returns the caller's estimate for a task of the step, at least 1 ms. */
 const getEstimatedMs = (step: JobStep): number => Math.max(1, step.estimatedMs);
@@ -100,7 +100,7 @@
     for (const key of this.listKindKeys(queue, step)) {
       const kind = this.kinds.get(key);
       const window = kind === undefined ? undefined : getWindow(kind);
-      if (window !== undefined && window.countValues() >= MIN_SAMPLES) {
+      if (window !== undefined && window.countValues() >= MIN_WINDOW_SAMPLES) {
         return window;
       }
     }
--- a/packages/dispatch/speeds/SpeedEstimator.ts
+++ b/packages/dispatch/speeds/SpeedEstimator.ts
@@ -6,8 +6,8 @@
   readonly logRatio: number;
   /** Variance of `logRatio` by chance. */
   readonly variance: number;
-  /** Key of the run's step. Consecutive samples of one step count once when changes of speed are detected. */
-  readonly step: string;
+  /** Key of the run's step, `JOB.REPETITION.STEP`. Consecutive samples of one step count once when changes of speed are detected. */
+  readonly stepKey: string;
 }
 
 /** Normal distribution of the natural logarithm of the ratio of run times to the baseline. */
@@ -23,7 +23,7 @@
 /** Deviation from the estimate, in standard deviations, beyond which a sample may indicate a change of the endpoint's speed. */
 const CHANGE_DEVIATIONS = 2.5;
 /** Number of consecutive steps beyond `CHANGE_DEVIATIONS` to one side that count as a change of speed. */
-const CHANGE_STREAK = 2;
+const MIN_CHANGE_STREAK = 2;
 /** Deviation of an endpoint's own estimate from its group's, in standard deviations, beyond which it is an outlier. */
 const OUTLIER_DEVIATIONS = 3.5;
 /** Minimum variance of the prior that is used for outliers. */
@@ -45,7 +45,7 @@
   /** Number of latest consecutive steps that deviated beyond `CHANGE_DEVIATIONS` to one side; negative if faster than estimated. */
   private deviationStreak = 0;
   /** Key of the latest sample's step. */
-  private lastStep = '';
+  private lastStepKey = '';
 
   /** Returns the number of samples so far, regardless of decay and changes of speed. */
   countSamples(): number {
@@ -66,7 +66,7 @@
    * Adds a sample, clipped to a range around the estimate by the earlier samples and the prior. If it completes a streak of deviating
    * steps, the speed counts as changed: the earlier samples are discarded, and the sample is not clipped.
    */
-  addSample({ logRatio, variance, step }: SpeedSample, prior: SpeedPrior, now: number): void {
+  addSample({ logRatio, variance, stepKey }: SpeedSample, prior: SpeedPrior, now: number): void {
     this.applyDecay(now);
     this.lastSampleAt = now;
     const posterior = this.computePosterior(prior);
@@ -74,10 +74,10 @@
     const bound = CLIP_DEVIATIONS * expected;
     const deviation = logRatio - posterior.mean;
     this.sampleCount += 1;
-    const isNewStep = step !== this.lastStep;
-    this.lastStep = step;
+    const isNewStep = stepKey !== this.lastStepKey;
+    this.lastStepKey = stepKey;
     this.deviationStreak = isNewStep ? this.computeStreak(deviation / expected) : this.deviationStreak;
-    const isChanged = isNewStep && Math.abs(this.deviationStreak) >= CHANGE_STREAK;
+    const isChanged = isNewStep && Math.abs(this.deviationStreak) >= MIN_CHANGE_STREAK;
     if (isChanged) {
       this.totalWeight = 0;
       this.weightedSum = 0;
--- a/packages/dispatch/speeds/SpeedGroups.ts
+++ b/packages/dispatch/speeds/SpeedGroups.ts
@@ -21,12 +21,12 @@
 /** Minimum number of members for a service to have a baseline. */
 const MIN_BASELINE_MEMBERS = 4;
 /** Lower bound on the estimated variance between the members of a group. */
-const MIN_VARIANCE = 0.06 ** 2;
+const MIN_GROUP_VARIANCE = 0.06 ** 2;
 /** Minimum difference of a distinct group's median from the baseline, in standard errors; high since many groups are compared. */
 const MIN_DISTINCT_ERRORS = 4;
 
 /** Returns the mean variance of the members' own estimates, by which the variance between them is overestimated. */
-const computeNoise = (members: readonly GroupMember[]): number =>
+const computeSamplingVariance = (members: readonly GroupMember[]): number =>
   members.reduce((sum, { variance }) => sum + variance, 0) / members.length;
 
 /** Returns the median of the members, and the variance between them without the chance in their samples. */
@@ -35,7 +35,7 @@
   const spread = computeSpread(means);
   return {
     mean: computeQuantile(means, 0.5) ?? 0,
-    variance: Math.max(MIN_VARIANCE, spread ** 2 - computeNoise(members)),
+    variance: Math.max(MIN_GROUP_VARIANCE, spread ** 2 - computeSamplingVariance(members)),
   };
 };
 
@@ -59,7 +59,9 @@
     for (const [group, groupMembers] of this.listByGroup(members)) {
       if (groupMembers.length >= MIN_GROUP_MEMBERS) {
         const prior = computePrior(groupMembers);
-        const error = Math.sqrt((prior.variance + computeNoise(groupMembers)) / groupMembers.length);
+        const error = Math.sqrt(
+          (prior.variance + computeSamplingVariance(groupMembers)) / groupMembers.length,
+        );
         if (Math.abs(prior.mean - this.overallPrior.mean) > MIN_DISTINCT_ERRORS * error) {
           distinct.set(group, prior);
         }
--- a/tests/endpointSpeeds.test.ts
+++ b/tests/endpointSpeeds.test.ts
@@ -56,7 +56,7 @@
         const logRatio = Math.log(getRatio(number)) + tail + normal * Math.sqrt(SAMPLE_VARIANCE);
         this.speeds.recordRun(
           profile,
-          { logRatio, variance: SAMPLE_VARIANCE, step: `${number}.${this.now}` },
+          { logRatio, variance: SAMPLE_VARIANCE, stepKey: `${number}.${this.now}` },
           this.now,
         );
       });
@@ -122,7 +122,7 @@
     fixture.recordRuns(10, getSlowThirdRatio);
     for (let run = 0; run < 20; run += 1) {
       const members = [0, 1, 2].map((number) => fixture.getProfile(number));
-      const sample = { logRatio: Math.log(2), variance: SAMPLE_VARIANCE, step: `gang ${run}` };
+      const sample = { logRatio: Math.log(2), variance: SAMPLE_VARIANCE, stepKey: `gang ${run}` };
       fixture.speeds.recordGang(members, sample, fixture.now + run);
     }
     expect(fixture.listSlowNumbers()).toEqual(SLOW_THIRD);
@@ -136,7 +136,7 @@
     for (let run = 0; run < 10; run += 1) {
       fixture.recordRuns(1, getSlowThirdRatio);
       for (const profile of others) {
-        const sample = { logRatio: Math.log(3), variance: SAMPLE_VARIANCE, step: `other ${run}` };
+        const sample = { logRatio: Math.log(3), variance: SAMPLE_VARIANCE, stepKey: `other ${run}` };
         fixture.speeds.recordRun(profile, sample, fixture.now);
       }
     }
@@ -159,7 +159,7 @@
       endpoint: fc.nat(9),
       logRatio: fc.double({ min: -8, max: 8, noNaN: true }),
       variance: fc.double({ min: 0.04, max: 4, noNaN: true }),
-      step: fc.constantFrom('a', 'b', 'c'),
+      stepKey: fc.constantFrom('a', 'b', 'c'),
       afterMs: fc.nat(60_000),
       isGang: fc.boolean(),
     });
