--- a/packages/dispatch/advice/AdviceRequester.ts
+++ b/packages/dispatch/advice/AdviceRequester.ts
@@ -17,17 +17,17 @@
 import type { WaitCause } from '../waiting/WaitCause';
 import type { WaitingStep } from '../waiting/WaitingStep';
 
-/** Number of candidates in the request that a job's objective allows time for. */
+/** Number of candidates assumed when the response time of a future request is estimated. */
 const BUDGETED_CANDIDATES = 30;
-/** Delay from a response to the starts that use it. */
+/** Expected delay from a response to the starts that use it. */
 const START_DELAY_MS = 120;
-/** Time between the expected response to an early request and the moment at which its step becomes ready. */
+/** Time by which the response to an early request is expected to arrive before its step becomes ready. */
 const EARLY_MARGIN_MS = 150;
 
 interface AdviceRequesterOptions {
   readonly endpoints: ReadonlyMap<EndpointIncarnation, EndpointState>;
-  readonly capacity: CapacityView;
-  readonly limits: StepLimiter;
+  readonly capacityView: CapacityView;
+  readonly limiter: StepLimiter;
   readonly policy: AdvicePolicy;
   readonly selector: CandidateSelector;
   readonly stats: AdviceStats;
@@ -35,24 +35,26 @@
   readonly sendEffect: (effect: Extract<DispatchEffect, { kind: 'advise' }>) => void;
 }
 
-/** Decides when to request advice for a step, and about which endpoints. */
+/** Sends advice requests for steps, within the slots of a round and when the selector finds useful candidates. */
 export class AdviceRequester {
-  private slots: AdviceSlots = { all: 0, long: 0 };
+  /** Requests that this round may still send. */
+  private remainingSlots: AdviceSlots = { all: 0, long: 0 };
 
   constructor(private readonly options: AdviceRequesterOptions) {}
 
   /**
-   * Sets how many requests this round may send. Requests without a slot are not queued: a later round decides anew, in placement order,
-   * whether they are still needed.
+   * Begins a round of placement, also for the selector, and sets how many requests it may send. Requests without a slot are not queued:
+   * a later round decides anew, in placement order, whether they are still needed.
    */
   startRound(slots: AdviceSlots): void {
-    this.slots = slots;
+    this.remainingSlots = slots;
     this.options.selector.startRound();
   }
 
   /**
-   * Requests advice for the tasks of a step that found no endpoint with a ticket valid until `neededUntil`, if that is useful now.
-   * Returns what the tasks wait for.
+   * Requests advice for `missing` tasks of a step, which found no endpoint with a ticket valid until `neededUntil`. Sends no request while
+   * requests are deferred, one is pending, a failed one is not to be repeated yet, or no slot is free; defers requests if the selector
+   * finds no useful candidates. Records the step with the selector, unless the request is early. Returns what the tasks wait for.
    */
   requestAdvice(
     step: WaitingStep,
@@ -73,8 +75,8 @@
     if (!stepAdvice.canRequest(now)) {
       return 'answer';
     }
-    const { capacity: capacityView, policy, selector } = this.options;
-    const isLong = policy.isLong(advice, capacityView.isMostUrgentQueue(step.job.definition.queue));
+    const { capacityView, policy, selector } = this.options;
+    const isLong = policy.isLong(advice, capacityView.isMostUrgent(step.job.definition.queue));
     if (!this.hasSlot(isLong)) {
       return 'turn';
     }
@@ -85,7 +87,10 @@
       stepAdvice.recordDeferral(now, now + policy.computeDeferralMs(advice));
       return 'room';
     }
-    this.slots = { all: this.slots.all - 1, long: this.slots.long - (isLong ? 1 : 0) };
+    this.remainingSlots = {
+      all: this.remainingSlots.all - 1,
+      long: this.remainingSlots.long - (isLong ? 1 : 0),
+    };
     const endpoints = candidates.map((endpoint) => endpoint.getProfile().incarnation);
     const cause = isEarly ? 'early' : this.getReason(stepAdvice, endpoints);
     const name = toStepName(step);
@@ -98,6 +103,7 @@
     return 'answer';
   }
 
+  /** Returns the reason for a request that is not early, by the responses known for the step. */
   private getReason(advice: StepAdvice, endpoints: readonly EndpointIncarnation[]): AdviceRequestReason {
     if (!advice.hasResponse()) {
       return 'first';
@@ -105,15 +111,15 @@
     return endpoints.every((endpoint) => advice.hasBeenAllowed(endpoint)) ? 'again' : 'more';
   }
 
-  /** Records that a task of the step is started on an endpoint, with its ticket if one is needed. */
-  recordTicketUse({ job, repetition: time, step }: WaitingStep, endpoint: EndpointIncarnation): void {
-    const source = job.getAdvice(time, step).getSource(endpoint);
-    if (source !== undefined) {
-      this.options.metrics.recordTicketUse(source);
+  /** Counts the request that got the step's ticket for an endpoint as used, when a task starts there. No effect without a ticket. */
+  recordTicketUse({ job, repetition, step }: WaitingStep, endpoint: EndpointIncarnation): void {
+    const request = job.getAdvice(repetition, step).getTicketRequest(endpoint);
+    if (request !== undefined) {
+      this.options.metrics.recordTicketUse(request);
     }
   }
 
-  /** Returns the expected time from a request for the step to the starts that use its response, in milliseconds; 0 if no advice is needed. */
+  /** Returns the expected time from a request for the step to the starts that use its response, in milliseconds; 0 without advice. */
   estimateResponseMs({ job }: WaitingStep): number {
     const { advice } = job.definition.queue;
     return advice === undefined
@@ -122,27 +128,39 @@
   }
 
   private hasSlot(isLong: boolean): boolean {
-    return this.slots.all > 0 && (!isLong || this.slots.long > 0);
+    return this.remainingSlots.all > 0 && (!isLong || this.remainingSlots.long > 0);
   }
 
-  /** Requests advice for later steps of a job that are about to become ready. */
+  /**
+   * Requests advice for the dependent steps of a job that are expected to become ready about when the response arrives. Skips steps with a
+   * pending request and repetitions that are not due.
+   */
   sendEarlyRequests(job: LiveJob, now: number, wallMs: number): void {
     const { definition, progress } = job;
     const { advice } = definition.queue;
-    if (advice === undefined || progress.isEnded() || definition.steps.length === 1 || this.slots.all === 0) {
+    if (
+      advice === undefined ||
+      progress.isEnded() ||
+      definition.steps.length === 1 ||
+      this.remainingSlots.all === 0
+    ) {
       return;
     }
-    for (let time = 0; time < definition.times && job.getDueAtMs(time) <= wallMs; time += 1) {
+    for (
+      let repetition = 0;
+      repetition < definition.times && job.getDueAtMs(repetition) <= wallMs;
+      repetition += 1
+    ) {
       for (const [step, shape] of definition.steps.entries()) {
-        const isLater = shape.dependsOn.length > 0 && !progress.isStepReady(time, step);
-        if (!isLater || job.getAdvice(time, step).isRequestPending()) {
+        const isLater = shape.dependsOn.length > 0 && !progress.isStepReady(repetition, step);
+        if (!isLater || job.getAdvice(repetition, step).isRequestPending()) {
           continue;
         }
         const leadMs = advice.decisionMs + advice.perEndpointMs * BUDGETED_CANDIDATES + EARLY_MARGIN_MS;
-        if (this.estimateReadyInMs(job, time, step, now) <= leadMs) {
-          const indexes = progress.listTasks(time, step).map((_task, index) => index);
+        if (this.estimateReadyInMs(job, repetition, step, now) <= leadMs) {
+          const indexes = progress.listTasks(repetition, step).map((_task, index) => index);
           this.sendEarlyRequest(
-            { job, repetition: time, step, shape, indexes, objectiveAtMs: job.getObjectiveAtMs(time) },
+            { job, repetition, step, shape, indexes, objectiveAtMs: job.getObjectiveAtMs(repetition) },
             now,
           );
         }
@@ -150,24 +168,28 @@
     }
   }
 
+  /** Requests advice for the tasks of a step that its customer's limit lets start; none if there are no such tasks. */
   private sendEarlyRequest(whole: WaitingStep, now: number): void {
-    const { limits, capacity: capacityView } = this.options;
-    const step = limits.computeMaxStartablePart(whole);
+    const { limiter, capacityView } = this.options;
+    const step = limiter.computeMaxStartable(whole);
     if (step !== undefined) {
       this.requestAdvice(step, capacityView.listEligibleEndpoints(step), step.indexes.length, now, now, true);
     }
   }
 
-  /** Returns the estimated time until a later step becomes ready, in milliseconds; Infinity while a task that it depends on waits. */
-  private estimateReadyInMs(job: LiveJob, time: number, step: number, now: number): number {
+  /**
+   * Returns the estimated time until a dependent step becomes ready, in milliseconds: the longest remaining time of the placed tasks that
+   * it depends on; Infinity while one of them waits.
+   */
+  private estimateReadyInMs(job: LiveJob, repetition: number, step: number, now: number): number {
     let readyInMs = 0;
     for (const earlier of job.definition.steps[step]!.dependsOn) {
-      for (const [index, task] of job.progress.listTasks(time, earlier).entries()) {
+      for (const [index, task] of job.progress.listTasks(repetition, earlier).entries()) {
         if (task.phase === 'waiting') {
           return Infinity;
         }
         if (task.phase === 'placed') {
-          const name = toTaskName(job.definition.id, { repetition: time, step: earlier, index });
+          const name = toTaskName(job.definition.id, { repetition, step: earlier, index });
           const run = this.options.endpoints.get(task.endpoint)?.getRun(name, task.run);
           const estimatedMs = job.definition.steps[earlier]!.estimatedMs;
           readyInMs = Math.max(readyInMs, run === undefined ? 0 : estimateRemainingMs(run, estimatedMs, now));
--- a/packages/dispatch/advice/EagerCandidateSelector.ts
+++ b/packages/dispatch/advice/EagerCandidateSelector.ts
@@ -8,32 +8,32 @@
 import type { EndpointPreference } from '../placing/EndpointPreference';
 import type { WaitingStep } from '../waiting/WaitingStep';
 
-/** Candidates to allow for each missing task, after refusals, since other steps take some of the capacity meanwhile. */
-const CAPACITY_FACTOR = 2;
-/** Minimum number of candidates: the fixed cost of a request exceeds the cost of this many. */
+/** Number of task places expected to be allowed for each missing task; above 1 since other steps take some before the response. */
+const PLACES_PER_TASK = 2;
+/** Minimum number of candidates, if there are as many, since the fixed cost of a request exceeds their cost. */
 const MIN_CANDIDATES = 5;
 
 const computeSum = (counts: readonly number[]): number => counts.reduce((sum, count) => sum + count, 0);
 
-/** Selects candidates whenever tickets are missing: endpoints with free capacity, or all where that is scarce. */
+/** Selects candidates whenever tickets are missing: endpoints with free capacity, or all large enough ones if capacity is scarce. */
 export class EagerCandidateSelector implements CandidateSelector {
   constructor(
-    private readonly capacity: CapacityView,
+    private readonly capacityView: CapacityView,
     private readonly preemptor: Preemptor,
     private readonly stats: AdviceStats,
     private readonly preference: EndpointPreference,
   ) {}
 
   startRound(): void {
-    // Keeps no state of a round.
+    // There is no state of a round.
   }
 
   recordStep(): void {
-    // Does not consider earlier steps.
+    // Earlier steps are not considered.
   }
 
   recordResponse(): void {
-    // Keeps no state of requests.
+    // There is no state of requests.
   }
 
   chooseEndpoints(
@@ -43,14 +43,15 @@
     neededUntil: number,
   ): readonly EndpointState[] {
     const open = eligible.filter((endpoint) => this.isAdviceMissing(step, endpoint, neededUntil));
-    return this.capacity.isCapacityScarce(step, eligible)
-      ? this.chooseScarce(step, open, missing, neededUntil)
+    return this.capacityView.isCapacityScarce(step, eligible)
+      ? this.chooseWhenScarce(step, open, missing, neededUntil)
       : this.chooseAvailable(step, open, missing);
   }
 
   /**
-   * Returns endpoints with free capacity: only those allowed before if they suffice, otherwise as many as the tasks are likely to need,
-   * by cost, then by the number of pending requests, so that concurrent requests do not count on the same capacity.
+   * Returns endpoints that have free capacity for a task: only those allowed before if the missing tasks fit there, otherwise as many as
+   * the tasks are likely to need, sorted by cost, then by the number of pending requests, then by free capacity. Returns none if the step
+   * would use the reserve of the most urgent queue.
    */
   private chooseAvailable(
     step: WaitingStep,
@@ -60,12 +61,12 @@
     const { shape } = step;
     const demand = toReservedDemand(shape);
     const available = open.filter((endpoint) => endpoint.hasCapacityFor(demand));
-    if (available.length === 0 || !this.capacity.hasUnreservedCpu(step)) {
+    if (available.length === 0 || !this.capacityView.isOutsideReserve(step)) {
       return [];
     }
     const allowed = available.filter((endpoint) => this.hasBeenAllowed(step, endpoint));
     const fitCount = computeSum(
-      allowed.map((endpoint) => this.capacity.countFittingTasks(endpoint.getFreeCapacity(), shape)),
+      allowed.map((endpoint) => this.capacityView.countFittingTasks(endpoint.getFreeCapacity(), shape)),
     );
     if (fitCount >= missing) {
       return allowed;
@@ -75,37 +76,39 @@
     const ranked = [...available].sort(
       (left, right) =>
         costs.get(left)! - costs.get(right)! ||
-        this.countPending(left) - this.countPending(right) ||
+        this.countPendingRequests(left) - this.countPendingRequests(right) ||
         right.getFreeCpuMillis() - left.getFreeCpuMillis(),
     );
     return this.chooseEnough(step, ranked, missing);
   }
 
-  /** Returns the first endpoints that are likely to hold the missing tasks, given the allowed share of the queue. */
+  /** Returns the first endpoints whose free capacity likely suffices for the missing tasks, given refusals and starts of other steps. */
   private chooseEnough(
     step: WaitingStep,
     ranked: readonly EndpointState[],
     missing: number,
   ): readonly EndpointState[] {
-    const wanted = (missing * CAPACITY_FACTOR) / this.stats.getAllowedShare(step.job.definition.queue.name);
+    const wanted = (missing * PLACES_PER_TASK) / this.stats.getAllowedShare(step.job.definition.queue.name);
     let fitCount = 0;
     let count = 0;
     while (count < ranked.length && (fitCount < wanted || count < MIN_CANDIDATES)) {
-      fitCount += this.capacity.countFittingTasks(ranked[count]!.getFreeCapacity(), step.shape);
+      fitCount += this.capacityView.countFittingTasks(ranked[count]!.getFreeCapacity(), step.shape);
       count += 1;
     }
     return ranked.slice(0, count);
   }
 
-  private countPending(endpoint: EndpointState): number {
-    return this.stats.countPending(endpoint.getProfile().incarnation);
+  /** Returns how many pending requests of all steps have the endpoint as a candidate. */
+  private countPendingRequests(endpoint: EndpointState): number {
+    return this.stats.countPendingRequests(endpoint.getProfile().incarnation);
   }
 
   /**
-   * Returns the endpoints allowed before that have free capacity or would have it after preemption; while they do not suffice, also all
-   * other endpoints that are large enough, since a refusal is final and a ticket may find free capacity later.
+   * Returns the endpoints allowed before that have free capacity for a task, or would have it after preemption; if the missing tasks would
+   * exceed their whole capacity, also all endpoints of sufficient capacity that have not been allowed before, whether free or not. Returns
+   * none for a gang that exceeds the capacity while no others are left.
    */
-  private chooseScarce(
+  private chooseWhenScarce(
     step: WaitingStep,
     open: readonly EndpointState[],
     missing: number,
@@ -124,7 +127,7 @@
           this.preemptor.hasCapacityAfterPreemption(step, endpoint, demand, neededUntil)),
     );
     const readyCount = computeSum(
-      ready.map((endpoint) => this.capacity.countFittingTasks(endpoint.getProfile().capacity, shape)),
+      ready.map((endpoint) => this.capacityView.countFittingTasks(endpoint.getProfile().capacity, shape)),
     );
     // A gang starts all its tasks or none; tasks of other steps start independently.
     if (shape.isGang && readyCount < missing && unknown.length === 0) {
@@ -133,12 +136,12 @@
     return readyCount >= missing ? ready : [...ready, ...unknown];
   }
 
-  /** Returns whether the step may start another task on the endpoint, but has neither a refusal nor a ticket valid until then. */
+  /** Returns whether the step may run another task on the endpoint, but has neither a refusal nor a ticket valid until `neededUntil`. */
   private isAdviceMissing(step: WaitingStep, endpoint: EndpointState, neededUntil: number): boolean {
     const advice = step.job.getAdvice(step.repetition, step.step);
     const { incarnation } = endpoint.getProfile();
     const isKnown = advice.isRefused(incarnation) || advice.getTicket(incarnation, neededUntil) !== undefined;
-    return !isKnown && !this.capacity.hasMaxTasksOfStep(step, endpoint);
+    return !isKnown && !this.capacityView.hasMaxTasks(step, endpoint);
   }
 
   private hasBeenAllowed(step: WaitingStep, endpoint: EndpointState): boolean {
--- a/packages/dispatch/advice/FirstFreeBalancer.ts
+++ b/packages/dispatch/advice/FirstFreeBalancer.ts
@@ -8,18 +8,21 @@
 type AdviceRequest = Extract<DispatchEffect, { kind: 'advise' }>;
 
 interface ChannelState {
+  /** Whether a request is pending. */
   isBusy: boolean;
   /** Monotonic time until which the channel is not used, after a request without a response. */
   quarantinedUntil: number;
 }
 
-/** Time allowed for a response beyond the expected time. */
+/** Time by which a response may exceed its expected response time before the request fails. */
 const TIMEOUT_MARGIN_MS = 1200;
+/** Duration of a channel's quarantine after a request without a response. */
 const QUARANTINE_MS = 2500;
 
-/** Sends each request over the first free channel, and reserves the leader's own box for short ones. */
+/** Sends short requests over the first free channel and long ones over the last, and reserves the leader's own box for short ones. */
 export class FirstFreeBalancer implements AdviceBalancer {
-  private readonly states = new Map<string, ChannelState>();
+  /** State of each channel, by the name of its box. */
+  private readonly channelStates = new Map<string, ChannelState>();
   private isStopped = false;
 
   constructor(private readonly options: AdviceBalancerOptions) {}
@@ -27,7 +30,7 @@
   getFreeSlots(): AdviceSlots {
     const channels = this.options.listChannels();
     const free = channels.filter((channel) => this.isFree(channel));
-    // The own box takes long requests too while there is no other one.
+    // The own box takes long requests too while all others are quarantined or there are none.
     const hasOthers = channels.some(({ box, isOwn }) => !isOwn && !this.isQuarantined(box));
     return { all: free.length, long: hasOthers ? free.filter(({ isOwn }) => !isOwn).length : free.length };
   }
@@ -39,8 +42,8 @@
       this.options.handleResponse(request, undefined, 0);
       return;
     }
-    const state = this.states.get(channel.box) ?? { isBusy: false, quarantinedUntil: 0 };
-    this.states.set(channel.box, state);
+    const state = this.channelStates.get(channel.box) ?? { isBusy: false, quarantinedUntil: 0 };
+    this.channelStates.set(channel.box, state);
     state.isBusy = true;
     const requestedAt = this.options.clock.getNow();
     const timeoutMs = request.expectedMs + TIMEOUT_MARGIN_MS;
@@ -56,16 +59,16 @@
     this.options.handleResponse(request, tickets, Math.round(now - requestedAt));
   }
 
-  /** Discards the responses of pending requests. */
   stop(): void {
     this.isStopped = true;
   }
 
+  /** Returns whether the channel has no pending request and is not quarantined. */
   private isFree({ box }: AdviceChannel): boolean {
-    return this.states.get(box)?.isBusy !== true && !this.isQuarantined(box);
+    return this.channelStates.get(box)?.isBusy !== true && !this.isQuarantined(box);
   }
 
   private isQuarantined(box: string): boolean {
-    return (this.states.get(box)?.quarantinedUntil ?? 0) > this.options.clock.getNow();
+    return (this.channelStates.get(box)?.quarantinedUntil ?? 0) > this.options.clock.getNow();
   }
 }
--- a/packages/dispatch/advice/HedgingBalancer.ts
+++ b/packages/dispatch/advice/HedgingBalancer.ts
@@ -14,39 +14,42 @@
 
 /** A request as sent over one channel. */
 interface Attempt {
-  readonly state: ChannelState;
+  readonly channelState: ChannelState;
+  /** Resolves to the tickets of its response; to undefined when there was none. */
   readonly response: Promise<Tickets>;
 }
 
-/** Time allowed for a response beyond the expected time. */
+/** Time by which a response may exceed its expected response time before the attempt fails. */
 const TIMEOUT_MARGIN_MS = 1200;
 /** Duration of a channel's quarantine after a late or missing response; a late response ends it. */
 const QUARANTINE_MS = 2500;
 /** Maximum number of attempts for a request. It is above 2 since the second channel may be in the same unreachable hall. */
 const MAX_ATTEMPTS = 3;
-/** Lower bound on the hedge delay, as a share of the expected time. */
-const MIN_HEDGE_SHARE = 0.5;
-/** Interval between probes of the service while all channels are quarantined. */
+/** Lower bound on the hedge delay, as a share of the expected response time. */
+const MIN_HEDGE_DELAY_SHARE = 0.5;
+/** Minimum time from a failed attempt to the next probe of the service while all channels are quarantined. */
 const PROBE_INTERVAL_MS = 100;
 
 /**
- * Reserves the fastest channels for short requests, as many as these have recently used, and sends each request over the fastest channel
- * that is left. A request whose response is late is hedged: it is sent over another channel too, and the first response is used.
+ * Sends short requests over the fastest free channel, and long ones over the fastest that is not reserved for short ones. As many channels
+ * are reserved as short requests have recently used. A request whose response is late is hedged: it is sent over another channel too, and
+ * the first response is used.
  */
 export class HedgingBalancer implements AdviceBalancer {
-  private readonly states = new Map<string, ChannelState>();
-  /** Delays over all channels, for those without a response so far. */
-  private readonly overall = new ChannelState();
-  private readonly reserve = new ShortRequestReserve();
-  /** Monotonic time of the latest failed attempt. */
-  private failedAt = -Infinity;
+  /** State of each channel, by the name of its box. */
+  private readonly channelStates = new Map<string, ChannelState>();
+  /** Response delays over all channels, which determine the hedge delay of channels without a response so far. */
+  private readonly overallState = new ChannelState();
+  private readonly shortRequestReserve = new ShortRequestReserve();
+  /** Monotonic time at which a channel last failed to get a response from the service. */
+  private lastFailedAt = -Infinity;
   private isStopped = false;
 
   constructor(private readonly options: AdviceBalancerOptions) {}
 
   getFreeSlots(): AdviceSlots {
-    const free = this.listFree();
-    return { all: free.length, long: Math.max(0, free.length - this.countReserved()) };
+    const free = this.listFreeChannels();
+    return { all: free.length, long: Math.max(0, free.length - this.countReservedChannels()) };
   }
 
   async sendRequest(request: AdviceRequest): Promise<void> {
@@ -58,17 +61,20 @@
     }
     const now = this.options.clock.getNow();
     if (!request.isLong) {
-      this.reserve.recordRequest(now - requestedAt, now);
+      this.shortRequestReserve.recordRequest(now - requestedAt, now);
     }
     this.options.handleResponse(request, tickets, Math.round(now - requestedAt));
   }
 
-  /** Discards the responses of pending requests. */
   stop(): void {
     this.isStopped = true;
   }
 
-  /** Resolves to the first response, and starts another attempt each time the latest one is late or has failed. */
+  /**
+   * Resolves to the first response, and starts another attempt each time the latest one is late or all have failed, up to `MAX_ATTEMPTS`
+   * and while a channel is free. Late channels are quarantined. Resolves to undefined once all attempts have failed or the balancer is
+   * stopped.
+   */
   private async waitForResponse(request: AdviceRequest, first: Attempt): Promise<Tickets> {
     const attempts = [first];
     for (let latest = first; ;) {
@@ -77,7 +83,7 @@
       if (tickets !== undefined || this.isStopped) {
         return tickets ?? undefined;
       }
-      latest.state.recordLate(this.options.clock.getNow() + QUARANTINE_MS);
+      latest.channelState.recordLateResponse(this.options.clock.getNow() + QUARANTINE_MS);
       const next = attempts.length < MAX_ATTEMPTS ? this.startAttempt(request) : undefined;
       if (next === undefined) {
         return this.waitForFirstResponse(attempts);
@@ -87,11 +93,11 @@
     }
   }
 
-  /** Returns how long after the expected time an attempt is hedged. Long requests wait longer, since a hedge doubles their cost. */
-  private computeHedgeDelayMs({ expectedMs }: AdviceRequest, { state }: Attempt): number {
+  /** Returns how far an attempt may exceed its expected response time before it is hedged, in milliseconds; more for long requests. */
+  private computeHedgeDelayMs({ expectedMs }: AdviceRequest, { channelState }: Attempt): number {
     return Math.max(
-      state.computeHedgeDelayMs(this.overall.computeHedgeDelayMs()),
-      expectedMs * MIN_HEDGE_SHARE,
+      channelState.computeHedgeDelayMs(this.overallState.computeHedgeDelayMs()),
+      expectedMs * MIN_HEDGE_DELAY_SHARE,
     );
   }
 
@@ -103,48 +109,52 @@
     return Promise.any(responses).catch(() => undefined);
   }
 
-  /** Sends the request over the fastest channel that it may use; returns undefined when none is free. */
+  /** Sends the request over the fastest free channel, if it is long the fastest unreserved one; undefined if no channel is free. */
   private startAttempt(request: AdviceRequest): Attempt | undefined {
-    const free = this.listFree();
-    const index = request.isLong ? Math.min(this.countReserved(), free.length - 1) : 0;
+    const free = this.listFreeChannels();
+    const index = request.isLong ? Math.min(this.countReservedChannels(), free.length - 1) : 0;
     const channel = free[index];
     if (channel === undefined) {
       return undefined;
     }
-    const state = this.getState(channel);
-    return { state, response: this.sendAttempt(request, channel, state) };
+    const channelState = this.getState(channel);
+    return { channelState, response: this.sendAttempt(request, channel, channelState) };
   }
 
+  /**
+   * Sends the request over a channel and records the outcome in the channel's state. The first response after an outage of the service ends
+   * the quarantine of all channels. Resolves to the tickets; to undefined without a response, which quarantines the channel.
+   */
   private async sendAttempt(
     request: AdviceRequest,
     channel: AdviceChannel,
-    state: ChannelState,
+    channelState: ChannelState,
   ): Promise<Tickets> {
     const { clock } = this.options;
     const requestedAt = clock.getNow();
-    state.recordRequest(request.isLong);
+    channelState.recordRequest(request.isLong);
     const tickets = await sendAdviceRequest(channel, request, request.expectedMs + TIMEOUT_MARGIN_MS);
     const now = clock.getNow();
     if (tickets === undefined) {
-      state.recordFailure(now + QUARANTINE_MS);
-      this.failedAt = now;
+      channelState.recordFailure(now + QUARANTINE_MS);
+      this.lastFailedAt = now;
     } else {
-      // All channels were quarantined, so the service had failed and not the channels.
-      if (this.listHealthy(now).length === 0) {
-        this.states.forEach((other) => other.clearQuarantine());
+      // If all channels were quarantined, the service had failed and not the channels.
+      if (this.listHealthyChannels(now).length === 0) {
+        this.channelStates.forEach((other) => other.clearQuarantine());
       }
       const delayMs = Math.max(0, now - requestedAt - request.expectedMs);
-      state.recordResponse(delayMs, now);
-      this.overall.recordResponse(delayMs, now);
+      channelState.recordResponse(delayMs, now);
+      this.overallState.recordResponse(delayMs, now);
     }
     return tickets;
   }
 
   /**
-   * Returns the channels that can send a request now, the fastest first. While all are quarantined, the service itself is assumed to fail:
-   * one channel at a time probes it, instead of each waiting for the end of its quarantine.
+   * Returns the channels that are neither busy nor quarantined, the fastest first. While all are quarantined, the service itself is assumed
+   * to fail: if none is busy and a probe is due, only the fastest is returned, to probe the service.
    */
-  private listFree(): readonly AdviceChannel[] {
+  private listFreeChannels(): readonly AdviceChannel[] {
     const now = this.options.clock.getNow();
     const channels = this.options.listChannels();
     const free = channels
@@ -154,25 +164,27 @@
       );
     const healthy = free.filter((channel) => !this.getState(channel).isQuarantined(now));
     const isServiceFailing = free.length === channels.length && healthy.length === 0;
-    const isProbeDue = isServiceFailing && now - this.failedAt >= PROBE_INTERVAL_MS;
+    const isProbeDue = isServiceFailing && now - this.lastFailedAt >= PROBE_INTERVAL_MS;
     return isProbeDue ? free.slice(0, 1) : healthy;
   }
 
-  /** Returns how many of the free channels are reserved for short requests, beside those with a short request now. */
-  private countReserved(): number {
+  /** Returns how many free channels to reserve for short requests, beside those that have a pending short request. */
+  private countReservedChannels(): number {
     const now = this.options.clock.getNow();
-    const healthy = this.listHealthy(now);
+    const healthy = this.listHealthyChannels(now);
     const usedCount = healthy.filter((channel) => this.getState(channel).hasShortRequest()).length;
-    return Math.max(0, this.reserve.computeReserved(healthy.length, now) - usedCount);
+    return Math.max(0, this.shortRequestReserve.computeReservedCount(healthy.length, now) - usedCount);
   }
 
-  private listHealthy(now: number): readonly AdviceChannel[] {
+  /** Returns the channels that are not quarantined, busy or not. */
+  private listHealthyChannels(now: number): readonly AdviceChannel[] {
     return this.options.listChannels().filter((channel) => !this.getState(channel).isQuarantined(now));
   }
 
+  /** Returns the state of a channel, created when it is first used. */
   private getState({ box }: AdviceChannel): ChannelState {
-    const state = this.states.get(box) ?? new ChannelState();
-    this.states.set(box, state);
+    const state = this.channelStates.get(box) ?? new ChannelState();
+    this.channelStates.set(box, state);
     return state;
   }
 }
--- a/packages/dispatch/advice/PlannedCandidateSelector.ts
+++ b/packages/dispatch/advice/PlannedCandidateSelector.ts
@@ -15,7 +15,7 @@
 import type { WaitingStep } from '../waiting/WaitingStep';
 
 interface PlannedCandidateSelectorOptions {
-  readonly capacity: CapacityView;
+  readonly capacityView: CapacityView;
   readonly preemptor: Preemptor;
   readonly stats: AdviceStats;
   readonly preference: EndpointPreference;
@@ -25,73 +25,81 @@
 interface Candidate {
   readonly endpoint: EndpointState;
   /** Number of the step's tasks that fit. */
-  readonly tasks: number;
+  readonly taskCount: number;
   /** Probability that the service allows the step to use the endpoint. */
   readonly allowedChance: number;
-  /** Probability that it is allowed and still has the capacity when the response arrives. */
-  readonly chance: number;
+  /** Probability that it is allowed and has free capacity for the tasks when the response arrives. */
+  readonly usableChance: number;
+  /** Cost of placing a task of the step there; lower is better. */
   readonly cost: number;
 }
 
+/** Conditions under which the candidates of a step are grouped. */
 interface RequestContext {
-  /** Less urgent runs may be preempted for the step. */
+  /** Whether capacity that preemption of less urgent runs would free counts. */
   readonly canPreempt: boolean;
-  /** Monotonic time until which tickets have to be valid. */
+  /** Monotonic time until which tickets have to be valid at least. */
   readonly neededUntil: number;
   readonly now: number;
 }
 
-/** Eligible endpoints of a step, by what a request could achieve there. */
+/** Eligible endpoints of a step, by whether they have free capacity and a ticket that is valid until a response could be used. */
 interface CandidateGroups {
-  /** Number of tasks that fit on endpoints whose tickets will still be valid when a response arrives. */
-  ticketedTasks: number;
-  /** Without such a ticket, with free capacity that no other request claims. */
+  /** Number of tasks that fit on the endpoints with such a ticket. */
+  ticketedTaskCount: number;
+  /** Endpoints without such a ticket, with free capacity that no request at least as urgent claims. */
   readonly available: Candidate[];
-  /** Without such a ticket and without free capacity. */
+  /** Endpoints without such a ticket and without free capacity, but large enough for a task. */
   readonly full: Candidate[];
-  /** With such a ticket, which expires soon. */
+  /** Endpoints with such a ticket, which expires soon, where a task fits. */
   readonly expiring: Candidate[];
 }
 
-/** Time in which half of the free capacity is expected to be taken by others. */
+/** Time in which half of the free capacity is expected to be taken by other steps. */
 const CAPACITY_HALF_LIFE_MS = 1000;
-/** Probability that capacity is freed on a full endpoint while its ticket is valid. */
+/** Assumed probability that capacity is freed on a full endpoint while its ticket is valid. */
 const CAPACITY_FREED_CHANCE = 0.3;
-/** Delay from a response to the starts that use it. */
+/** Expected delay from a response to the starts that use it. */
 const START_DELAY_MS = 120;
-/** Time of a request beyond the response time of the service. */
+/** Assumed time of a request beyond the response time of the service. */
 const REQUEST_OVERHEAD_MS = 30;
-/** Limit for tasks that start independently, so that the first ones need not wait for a long request. */
+/** Maximum number of candidates for a step that is not a gang, whose first tasks can start before all have tickets. */
 const MAX_CANDIDATES_WITHOUT_GANG = 40;
 /** Maximum number of endpoints that the service accepts in one request. */
 const MAX_CANDIDATES = 100;
-/** Maximum number of tasks on one endpoint that preemption is tried for. */
-const MAX_TASKS_BY_PREEMPTION = 3;
-/** Share of a gang's capacity that has to be available for a request; more may be freed until its tickets expire. */
-const MIN_GANG_SHARE = 0.4;
-/** Decision time that one expected start justifies. */
-const REQUEST_MS_PER_START = 50;
-/** Minimum interval between requests whose decision time is not justified by the expected starts. */
-const LOW_VALUE_INTERVAL_MS = 500;
-/** Tickets with a smaller share of their validity left are renewed by the next request of a gang. */
-const RENEWAL_SHARE = 0.6;
+/** Maximum number of tasks on one endpoint for which capacity after preemption is computed. */
+const MAX_PREEMPTION_TASKS = 3;
+/** Minimum share of a gang's missing tasks that are expected to be allowed on available endpoints, for a request to be sent. */
+const MIN_EXPECTED_GANG_SHARE = 0.4;
+/** Decision time of the service that one expected start justifies. */
+const DECISION_MS_PER_START = 50;
+/** Minimum time from a step's latest response to its next request when the expected starts don't justify the decision time. */
+const MIN_UNJUSTIFIED_DELAY_MS = 500;
+/** Tickets with a smaller share of their validity left count as expiring: the next request of a gang renews them. */
+const MIN_REMAINING_VALIDITY_SHARE = 0.6;
 
+/** Returns how many tasks fit on the candidates together. */
 const countTasks = (candidates: readonly Candidate[]): number =>
-  candidates.reduce((sum, { tasks }) => sum + tasks, 0);
+  candidates.reduce((sum, { taskCount }) => sum + taskCount, 0);
 
-/** Selects candidates only when a response is expected to find free capacity, and enough to make another request unlikely. */
+/**
+ * Selects candidates only when the expected starts justify a request, and so many that another request is unlikely. Claims their capacity
+ * until the request ends, so that requests that are not more urgent do not count on it.
+ */
 export class PlannedCandidateSelector implements CandidateSelector {
+  /** Capacity that pending requests count on. */
   private readonly claims = new CapacityClaims();
-  private readonly ahead = new DemandAhead();
+  /** Demand of the steps recorded in this round. */
+  private readonly demandAhead = new DemandAhead();
 
   constructor(private readonly options: PlannedCandidateSelectorOptions) {}
 
   startRound(): void {
-    this.ahead.startRound();
+    this.demandAhead.startRound();
   }
 
   recordStep(step: WaitingStep, missing: number): void {
-    this.ahead.recordStep(step, missing);
+    this.demandAhead.recordStep(step, missing);
   }
 
   chooseEndpoints(
@@ -101,18 +109,18 @@
     neededUntil: number,
     now: number,
   ): readonly EndpointState[] {
-    const { capacity: capacityView } = this.options;
+    const { capacityView } = this.options;
     const canPreempt = capacityView.isCapacityScarce(step, eligible);
-    const isLessUrgent = !capacityView.isMostUrgentQueue(step.job.definition.queue);
-    if (isLessUrgent && this.ahead.isExceedingCapacity(step, eligible, canPreempt)) {
+    const isLessUrgent = !capacityView.isMostUrgent(step.job.definition.queue);
+    if (isLessUrgent && this.demandAhead.isExceedingCapacity(step, eligible, canPreempt)) {
       return [];
     }
     const groups = this.computeCandidateGroups(step, eligible, { canPreempt, neededUntil, now });
-    const needed = missing - groups.ticketedTasks;
+    const needed = missing - groups.ticketedTaskCount;
     if (needed <= 0 || !this.isRequestUseful(step, groups, needed, now)) {
       return [];
     }
-    const chosen = this.chooseFromGroups(step, groups, needed);
+    const chosen = this.chooseCandidates(step, groups, needed);
     this.addClaims(step, chosen, needed);
     return chosen.map(({ endpoint }) => endpoint);
   }
@@ -121,13 +129,14 @@
     this.claims.removeClaims(step, candidates);
   }
 
-  private chooseFromGroups(step: WaitingStep, groups: CandidateGroups, needed: number): readonly Candidate[] {
+  /** Returns the candidates of a request for the needed tasks, the most useful first; for a gang also those whose tickets expire soon. */
+  private chooseCandidates(step: WaitingStep, groups: CandidateGroups, needed: number): readonly Candidate[] {
     const { isGang } = step.shape;
     const { decisionMs, perEndpointMs } = step.job.definition.queue.advice!;
     const available = this.sortCandidates(groups.available);
     const ranked = [...available, ...this.sortCandidates(groups.full)];
     const count = chooseRequestSize(ranked, needed, {
-      roundMs: decisionMs + REQUEST_OVERHEAD_MS,
+      fixedMs: decisionMs + REQUEST_OVERHEAD_MS,
       perEndpointMs,
       maxCandidates: isGang ? MAX_CANDIDATES : MAX_CANDIDATES_WITHOUT_GANG,
     });
@@ -136,8 +145,9 @@
   }
 
   /**
-   * Returns whether the expected starts justify a request. A gang needs capacity for all its tasks at once; tasks of other steps start
-   * independently.
+   * Returns whether a request for the needed tasks is justified. For a gang: enough of them are expected to be allowed on available
+   * endpoints, or all fit there and requests have been deferred for as long as tickets are valid. For other steps, which must have an
+   * available endpoint outside the reserve: the expected starts justify the decision time, or the latest response is long ago.
    */
   private isRequestUseful(
     step: WaitingStep,
@@ -145,83 +155,89 @@
     needed: number,
     now: number,
   ): boolean {
-    const expected = available.reduce((sum, { tasks, allowedChance }) => sum + tasks * allowedChance, 0);
+    const expected = available.reduce(
+      (sum, { taskCount, allowedChance }) => sum + taskCount * allowedChance,
+      0,
+    );
     const advice = step.job.getAdvice(step.repetition, step.step);
     const { decisionMs, validityMs } = step.job.definition.queue.advice!;
     if (step.shape.isGang) {
-      // The expected share of refusals may be wrong for this step.
+      // After a long deferral the request is sent although refusals are expected, since the expected share may be wrong for this step.
       const isDue = advice.getDeferredMs(now) >= validityMs && countTasks(available) >= needed;
-      return isDue || expected >= needed * MIN_GANG_SHARE;
+      return isDue || expected >= needed * MIN_EXPECTED_GANG_SHARE;
     }
-    const isDue = now - advice.getRespondedAt() >= LOW_VALUE_INTERVAL_MS;
-    const isJustified = expected * REQUEST_MS_PER_START >= decisionMs;
-    return available.length > 0 && (isDue || isJustified) && this.options.capacity.hasUnreservedCpu(step);
+    const isDue = now - advice.getLastRespondedAt() >= MIN_UNJUSTIFIED_DELAY_MS;
+    const isJustified = expected * DECISION_MS_PER_START >= decisionMs;
+    return available.length > 0 && (isDue || isJustified) && this.options.capacityView.isOutsideReserve(step);
   }
 
-  /** Sorts by descending chance, then by cost, the number of pending requests, and free capacity. */
+  /** Returns the candidates by descending usable chance, then by cost, pending requests, fitting tasks (most first) and free capacity. */
   private sortCandidates(candidates: readonly Candidate[]): readonly Candidate[] {
     return [...candidates].sort(
       (left, right) =>
-        right.chance - left.chance ||
+        right.usableChance - left.usableChance ||
         left.cost - right.cost ||
-        this.countPending(left) - this.countPending(right) ||
-        right.tasks - left.tasks ||
+        this.countPendingRequests(left) - this.countPendingRequests(right) ||
+        right.taskCount - left.taskCount ||
         right.endpoint.getFreeCpuMillis() - left.endpoint.getFreeCpuMillis(),
     );
   }
 
-  private countPending({ endpoint }: Candidate): number {
-    return this.options.stats.countPending(endpoint.getProfile().incarnation);
+  /** Returns how many pending requests of all steps have the candidate's endpoint. */
+  private countPendingRequests({ endpoint }: Candidate): number {
+    return this.options.stats.countPendingRequests(endpoint.getProfile().incarnation);
   }
 
+  /** Groups the eligible endpoints of a step, without those that are refused or that run the maximum number of its tasks. */
   private computeCandidateGroups(
     step: WaitingStep,
     eligible: readonly EndpointState[],
     { canPreempt, neededUntil, now }: RequestContext,
   ): CandidateGroups {
-    const { capacity: capacityView, stats, preference } = this.options;
+    const { capacityView, stats, preference } = this.options;
     const { queue } = step.job.definition;
     const { decisionMs, perEndpointMs, validityMs } = queue.advice!;
     const advice = step.job.getAdvice(step.repetition, step.step);
     const responseMs = decisionMs + perEndpointMs * MAX_CANDIDATES_WITHOUT_GANG;
     const usedAt = Math.max(neededUntil, now + responseMs + START_DELAY_MS);
     const stayChance = 0.5 ** (responseMs / CAPACITY_HALF_LIFE_MS);
-    const renewUntil = now + validityMs * RENEWAL_SHARE;
+    const renewUntil = now + validityMs * MIN_REMAINING_VALIDITY_SHARE;
     const demand = toReservedDemand(step.shape);
     const allowedShare = stats.getAllowedShare(queue.name);
     const isMostUrgent = capacityView.isMostUrgentQueue(queue);
     const computeCost = preference.createCostFunction(step, eligible);
-    const groups: CandidateGroups = { ticketedTasks: 0, available: [], full: [], expiring: [] };
+    const groups: CandidateGroups = { ticketedTaskCount: 0, available: [], full: [], expiring: [] };
     for (const endpoint of eligible) {
       const { incarnation, capacity } = endpoint.getProfile();
       if (advice.isRefused(incarnation) || capacityView.hasMaxTasksOfStep(step, endpoint)) {
         continue;
       }
-      const tasks = this.countFittingTasks(step, endpoint, canPreempt, now);
+      const taskCount = this.countFittingTasks(step, endpoint, canPreempt, now);
       if (advice.getTicket(incarnation, usedAt) !== undefined) {
-        groups.ticketedTasks += tasks;
-        if (tasks > 0 && advice.getTicket(incarnation, renewUntil) === undefined) {
-          groups.expiring.push({ endpoint, tasks, allowedChance: 1, chance: 1, cost: 0 });
+        groups.ticketedTaskCount += taskCount;
+        if (taskCount > 0 && advice.getTicket(incarnation, renewUntil) === undefined) {
+          groups.expiring.push({ endpoint, taskCount, allowedChance: 1, usableChance: 1, cost: 0 });
         }
         continue;
       }
       const allowedChance = advice.hasBeenAllowed(incarnation) ? 1 : allowedShare;
-      const unclaimed = tasks === 0 || isMostUrgent ? tasks : this.countUnclaimedTasks(step, endpoint, tasks);
+      const unclaimed =
+        taskCount === 0 || isMostUrgent ? taskCount : this.countUnclaimedTasks(step, endpoint, taskCount);
       const cost = computeCost(endpoint);
       if (unclaimed > 0) {
         groups.available.push({
           endpoint,
-          tasks: unclaimed,
+          taskCount: unclaimed,
           allowedChance,
-          chance: allowedChance * stayChance,
+          usableChance: allowedChance * stayChance,
           cost,
         });
       } else if (resourceMath.isWithin(demand, capacity)) {
         groups.full.push({
           endpoint,
-          tasks: 1,
+          taskCount: 1,
           allowedChance,
-          chance: allowedChance * CAPACITY_FREED_CHANCE,
+          usableChance: allowedChance * CAPACITY_FREED_CHANCE,
           cost,
         });
       }
@@ -229,7 +245,7 @@
     return groups;
   }
 
-  /** Returns how many tasks of the step fit, counting capacity that pending and possible preemptions free. */
+  /** Returns how many tasks of the step fit, counting runs that are being stopped as gone and, if `canPreempt`, preemptible ones too. */
   private countFittingTasks(
     step: WaitingStep,
     endpoint: EndpointState,
@@ -240,12 +256,14 @@
       endpoint.getFreeCapacity(),
       this.computeStoppingDemand(endpoint),
     );
-    const tasks = this.options.capacity.countFittingTasks(capacity, step.shape);
-    const isPreemptionTried = canPreempt && tasks < MAX_TASKS_BY_PREEMPTION;
-    return isPreemptionTried ? Math.max(tasks, this.countTasksAfterPreemption(step, endpoint, now)) : tasks;
+    const taskCount = this.options.capacityView.countFittingTasks(capacity, step.shape);
+    const isPreemptionTried = canPreempt && taskCount < MAX_PREEMPTION_TASKS;
+    return isPreemptionTried
+      ? Math.max(taskCount, this.countTasksAfterPreemption(step, endpoint, now))
+      : taskCount;
   }
 
-  /** Returns the resources of runs that are being stopped. */
+  /** Returns the sum of the resources of an endpoint's runs that are being stopped. */
   private computeStoppingDemand(endpoint: EndpointState): TaskDemand {
     let demand = resourceMath.ZERO;
     for (const run of endpoint.getRuns()) {
@@ -254,14 +272,15 @@
     return demand;
   }
 
+  /** Returns how many tasks of the step would fit after preemption of less urgent runs, at most `MAX_PREEMPTION_TASKS`. */
   private countTasksAfterPreemption(step: WaitingStep, endpoint: EndpointState, now: number): number {
     const { preemptor } = this.options;
     const { shape } = step;
     const demand = toReservedDemand(shape);
     const maxCount =
       shape.maxPerEndpoint === 0
-        ? MAX_TASKS_BY_PREEMPTION
-        : Math.min(MAX_TASKS_BY_PREEMPTION, shape.maxPerEndpoint);
+        ? MAX_PREEMPTION_TASKS
+        : Math.min(MAX_PREEMPTION_TASKS, shape.maxPerEndpoint);
     let count = 0;
     while (
       count < maxCount &&
@@ -277,30 +296,30 @@
     return count;
   }
 
-  /** Returns how many of the fitting tasks remain after the claims of requests that are at least as urgent. */
-  private countUnclaimedTasks(step: WaitingStep, endpoint: EndpointState, tasks: number): number {
-    const { capacity: capacityView } = this.options;
+  /** Returns how many of the fitting tasks still fit without the capacity claimed by requests at least as urgent. */
+  private countUnclaimedTasks(step: WaitingStep, endpoint: EndpointState, taskCount: number): number {
+    const { capacityView } = this.options;
     const claimed = this.claims.computeClaimed(
       endpoint.getProfile().incarnation,
       step.job.definition.queue.priority,
     );
     if (claimed === resourceMath.ZERO) {
-      return tasks;
+      return taskCount;
     }
-    const whole = resourceMath.computeProduct(toReservedDemand(step.shape), tasks);
+    const whole = resourceMath.computeProduct(toReservedDemand(step.shape), taskCount);
     return capacityView.countFittingTasks(resourceMath.computeDifference(whole, claimed), step.shape);
   }
 
-  /** Claims capacity for the needed tasks, spread in proportion over the chosen candidates. */
+  /** Claims capacity for the needed tasks on the chosen candidates, in proportion to how many tasks fit on each. */
   private addClaims(step: WaitingStep, chosen: readonly Candidate[], needed: number): void {
     const demand = toReservedDemand(step.shape);
     const share = Math.min(1, needed / Math.max(1, countTasks(chosen)));
     const { priority } = step.job.definition.queue;
-    for (const { endpoint, tasks } of chosen) {
+    for (const { endpoint, taskCount } of chosen) {
       const claim = {
-        step: toStepName(step),
+        stepName: toStepName(step),
         priority,
-        demand: resourceMath.computeProduct(demand, tasks * share),
+        demand: resourceMath.computeProduct(demand, taskCount * share),
       };
       this.claims.addClaim(endpoint.getProfile().incarnation, claim);
     }
--- a/packages/dispatch/speeds/RunLearner.ts
+++ b/packages/dispatch/speeds/RunLearner.ts
@@ -15,50 +15,59 @@
 interface RunLearnerOptions {
   readonly endpoints: ReadonlyMap<EndpointIncarnation, EndpointState>;
   readonly jobs: ReadonlyMap<JobId, LiveJob>;
-  readonly kinds: KindSpeeds;
+  /** Slowdown of the kinds of endpoints, by label. */
+  readonly kindSpeeds: KindSpeeds;
   readonly speeds: EndpointSpeeds;
-  readonly times: RunTimes;
+  readonly runTimes: RunTimes;
   readonly speedPolicy: SpeedPolicyName;
   readonly sendLogLine: (message: string, fields: Readonly<Record<string, unknown>>) => void;
 }
 
-/** A run whose time is informative, with its step and endpoint. */
+/** A run whose time is informative, with its job, the definition of its step, and its endpoint. */
 interface Measurement {
   readonly endpoint: EndpointState;
   readonly run: PlacedRun;
   readonly job: LiveJob;
-  readonly shape: JobStep;
+  readonly stepDefinition: JobStep;
 }
 
-/** Minimum age of a run for its pace to be informative. */
-const MIN_AGE_MS = 250;
-/** Progress from which the rounding to whole percents is negligible. */
-const MIN_PERCENT = 4;
-/** Maximum number of tasks of a step that count for its kind, since they share the error of the step's estimate. */
+/** Minimum time since the confirmation of a running task for its pace to be recorded. */
+const MIN_RUN_AGE_MS = 250;
+/** Minimum progress of a run for its time to be extrapolated, from which the rounding to whole percents matters little. */
+const MIN_PROGRESS_PERCENT = 4;
+/** Maximum number of tasks of a step whose times are added to the run times of its kind. */
 const MAX_STEP_SAMPLES = 2;
-/** Minimum number of other endpoints whose runs determine the baseline time of a step without a learnt distribution. */
+/**
+ * Minimum number of other endpoints with run times of a step for the deviations of its tasks to be recorded, and also for their speed
+ * samples while the distribution of its run times is not learnt.
+ */
 const MIN_SIBLINGS = 2;
-/** The same as `MIN_PERCENT` for gangs, whose members are confirmed one by one but start together. */
-const MIN_GANG_PERCENT = 20;
+/** Minimum progress for the time of a gang's run to be extrapolated; higher since members are confirmed one by one but start together. */
+const MIN_GANG_PROGRESS_PERCENT = 20;
 const FULL_PERCENT = 100;
-/** Upper bound on the ratio that counts as an endpoint's normal speed. Endpoints that are slower still are degraded. */
+/** Upper bound on the ratio that counts as an endpoint's normal speed, so that much slower endpoints count as degraded. */
 const MAX_OWN_RATIO = 3;
+/** Minimum interval between refreshes of the speeds. */
 const REFRESH_INTERVAL_MS = 500;
-/** Maximum number of log lines about endpoints in one refresh; the rest follow in the next. */
+/** Maximum number of log lines about changed speeds in one refresh; the rest follow in the next. */
 const MAX_LOG_LINES = 5;
 
-/** Learns run times of tasks and speeds of endpoints from the reported progress of runs. */
+/** Learns the run times of tasks and the speeds of endpoints from the progress and completion of runs. */
 export class RunLearner {
-  /** Runs whose time has been recorded. */
+  /** Runs whose time has been recorded, or found not to be at the baseline pace. */
   private readonly measuredRuns = new WeakSet<PlacedRun>();
-  private refreshedAt = -Infinity;
+  /** Monotonic time of the latest refresh of the speeds. */
+  private lastRefreshedAt = -Infinity;
 
   constructor(private readonly options: RunLearnerOptions) {}
 
-  /** Records the progress of a run, as reported by a poll. */
-  recordRun(endpoint: EndpointState, run: PlacedRun, now: number): void {
+  /**
+   * Records the pace of a run by its progress, as reported by a poll, and once per run its extrapolated time, if that is predictable.
+   * Ignores young runs and those whose time is not informative.
+   */
+  recordProgress(endpoint: EndpointState, run: PlacedRun, now: number): void {
     const ageMs = now - run.confirmedAt;
-    const measurement = ageMs >= MIN_AGE_MS ? this.createMeasurement(endpoint, run) : undefined;
+    const measurement = ageMs >= MIN_RUN_AGE_MS ? this.createMeasurement(endpoint, run) : undefined;
     if (measurement === undefined) {
       return;
     }
@@ -69,11 +78,14 @@
       this.isTimePredictable(measurement, ageMs)
     ) {
       // Polls report whole percents, rounded down.
-      this.recordTime(measurement, (ageMs * FULL_PERCENT) / (run.percent + 0.5), now);
+      this.recordRunTime(measurement, (ageMs * FULL_PERCENT) / (run.percent + 0.5), now);
     }
   }
 
-  /** Records that a run is done. */
+  /**
+   * Records the pace of a run that is done, also for the kind of its endpoint, and its time unless an extrapolated one has been recorded.
+   * Ignores runs whose time is not informative.
+   */
   recordCompletion(endpoint: EndpointState, run: PlacedRun, now: number): void {
     const measurement = this.createMeasurement(endpoint, run);
     if (measurement === undefined) {
@@ -83,164 +95,188 @@
     this.recordPace(measurement, runMs / FULL_PERCENT, now);
     this.recordKindPace(measurement, runMs / FULL_PERCENT);
     if (!this.measuredRuns.has(run)) {
-      this.recordTime(measurement, runMs, now);
+      this.recordRunTime(measurement, runMs, now);
     }
   }
 
-  /** Refreshes the speeds of endpoints, and logs changes. */
+  /** Refreshes the speeds of endpoints and logs changes of their speed classes, if the latest refresh is long enough ago. */
   handleTick(now: number): void {
-    if (now - this.refreshedAt < REFRESH_INTERVAL_MS) {
+    if (now - this.lastRefreshedAt < REFRESH_INTERVAL_MS) {
       return;
     }
-    this.refreshedAt = now;
+    this.lastRefreshedAt = now;
     const { speeds, endpoints } = this.options;
     speeds.handleTick(now, (incarnation) => endpoints.has(incarnation));
-    for (const { endpoint, speedClass, estimate, samples, updatedAt } of speeds.takeChanges(MAX_LOG_LINES)) {
+    for (const { endpoint, speedClass, estimate, sampleCount, lastSampleAt } of speeds.takeChanges(
+      MAX_LOG_LINES,
+    )) {
       const profile = endpoints.get(endpoint)?.getProfile();
       this.options.sendLogLine("Endpoint's speed has changed.", {
         endpoint,
         speed: speedClass,
         ratio: Number(estimate.ratio.toFixed(2)),
         spread: Number(estimate.spread.toFixed(2)),
-        samples,
-        newestMs: Math.round(now - updatedAt),
+        samples: sampleCount,
+        newestMs: Math.round(now - lastSampleAt),
         labels: profile?.labels,
         hall: profile?.hall,
       });
     }
   }
 
-  private recordPace({ endpoint, run, job, shape }: Measurement, pace: number, now: number): void {
+  /**
+   * Records the pace of a run, in milliseconds for one percent, for its step; and for its endpoint the slowdown relative to the step's
+   * median pace, if there is one.
+   */
+  private recordPace(
+    { endpoint, run, job, stepDefinition }: Measurement,
+    msPerPercent: number,
+    now: number,
+  ): void {
     const stepSpeeds = job.getSpeeds(run.address.repetition, run.address.step);
     const profile = endpoint.getProfile();
     // The members of a gang run at one pace on all endpoints.
-    const ownRatio = shape.isGang ? 1 : this.getOwnRatio(profile);
-    stepSpeeds.recordPace(run.address.index, pace, pace / ownRatio);
-    const median = stepSpeeds.getNormalizedMedianPace();
+    const ownRatio = stepDefinition.isGang ? 1 : this.getOwnRatio(profile);
+    stepSpeeds.recordPace(run.address.index, msPerPercent, msPerPercent / ownRatio);
+    const median = stepSpeeds.getNormalizedMedian();
     if (median !== undefined) {
       // An endpoint that is always slow, or of a slow kind, is not degraded.
-      const baselineRatio = ownRatio === 1 ? this.options.kinds.getSlowdown(profile.labels) : ownRatio;
-      endpoint.recordSlowdown(pace / median / baselineRatio, now);
+      const baselineRatio = ownRatio === 1 ? this.options.kindSpeeds.getSlowdown(profile.labels) : ownRatio;
+      endpoint.recordSlowdown(msPerPercent / median / baselineRatio, now);
     }
   }
 
-  /** Returns the bounded ratio learnt for the endpoint itself; 1 under policies that do not use it. */
+  /** Returns the significant ratio of the endpoint, at most `MAX_OWN_RATIO`; 1 under speed policies other than `endpoints`. */
   private getOwnRatio(profile: EndpointProfile): number {
-    const { speeds, speedPolicy: speedChoice } = this.options;
-    return speedChoice === 'endpoints' ? Math.min(MAX_OWN_RATIO, speeds.getSignificantRatio(profile)) : 1;
+    const { speeds, speedPolicy } = this.options;
+    return speedPolicy === 'endpoints' ? Math.min(MAX_OWN_RATIO, speeds.getSignificantRatio(profile)) : 1;
   }
 
-  /** Records the pace of a run that is done for the kind of its endpoint; that of a running one is too imprecise. */
-  private recordKindPace({ endpoint, run, job }: Measurement, pace: number): void {
-    const median = job.getSpeeds(run.address.repetition, run.address.step).getMedianPace();
+  /** Records the pace of a run that is done, relative to its step's median pace, for the kind of its endpoint; nothing without a median. */
+  private recordKindPace({ endpoint, run, job }: Measurement, msPerPercent: number): void {
+    const median = job.getSpeeds(run.address.repetition, run.address.step).getMedian();
     if (median !== undefined && median > 0) {
-      this.options.kinds.recordRunSlowdown(endpoint.getProfile().labels, pace / median);
+      this.options.kindSpeeds.recordRun(endpoint.getProfile().labels, msPerPercent / median);
     }
   }
 
-  /** Returns whether the run's time can be extrapolated: it has made enough progress, or exceeds the median time without. */
-  private isTimePredictable({ run, job, shape }: Measurement, ageMs: number): boolean {
-    if (shape.isGang) {
-      return run.percent >= MIN_GANG_PERCENT;
+  /** Returns whether the run's time can be extrapolated: it has made enough progress or, unless it is a gang's, exceeds the median time. */
+  private isTimePredictable({ run, job, stepDefinition }: Measurement, ageMs: number): boolean {
+    if (stepDefinition.isGang) {
+      return run.percent >= MIN_GANG_PROGRESS_PERCENT;
     }
     return (
-      run.percent >= MIN_PERCENT ||
-      ageMs >= this.options.times.getEstimate(job.definition.queue.name, shape).medianMs
+      run.percent >= MIN_PROGRESS_PERCENT ||
+      ageMs >= this.options.runTimes.getEstimate(job.definition.queue.name, stepDefinition).medianMs
     );
   }
 
-  private recordTime(measurement: Measurement, runMs: number, now: number): void {
-    const { run, job, shape } = measurement;
-    const times = job.getRunTimes(run.address.repetition, run.address.step);
+  /**
+   * Records the time of a run as a sample for its step, kind and endpoint; once for all members of a gang. Only marks the run as measured
+   * if its pace may not be the baseline one.
+   */
+  private recordRunTime(measurement: Measurement, runMs: number, now: number): void {
+    const { run, job, stepDefinition } = measurement;
+    const stepTimes = job.getRunTimes(run.address.repetition, run.address.step);
     this.measuredRuns.add(run);
     if (runMs <= 0 || !this.isAtBaselinePace(measurement)) {
       return;
     }
-    if (!shape.isGang) {
-      this.recordTaskTime(measurement, times, Math.log(runMs), now);
-    } else if (times.claimGangRun(run.run)) {
+    if (!stepDefinition.isGang) {
+      this.recordTaskTime(measurement, stepTimes, Math.log(runMs), now);
+    } else if (stepTimes.claimGangRun(run.run)) {
       this.recordGangTime(measurement, Math.log(runMs), now);
     }
   }
 
+  /**
+   * Records the time of a single task for its step. Adds a sample to the speed of its endpoint if the baseline time of the step is known
+   * well enough, to the run times of its kind for the first tasks of a step, and to the deviations if enough other endpoints have times.
+   */
   private recordTaskTime(
-    { endpoint, run, job, shape }: Measurement,
+    { endpoint, run, job, stepDefinition }: Measurement,
     stepTimes: StepRunTimes,
     logMs: number,
     now: number,
   ): void {
-    const { speeds, times } = this.options;
+    const { speeds, runTimes } = this.options;
     const profile = endpoint.getProfile();
     const queue = job.definition.queue.name;
-    const distribution = times.getDistribution(queue, shape);
+    const distribution = runTimes.getDistribution(queue, stepDefinition);
     const siblings = stepTimes.listSiblingTimes(profile.incarnation, (incarnation) =>
       speeds.getIncarnationEstimate(incarnation, profile.service),
     );
     const stepTime = estimateStepTime(distribution, siblings);
     stepTimes.recordTime(run.address.index, profile.incarnation, logMs);
     if (distribution.isLearnt || siblings.length >= MIN_SIBLINGS) {
-      // The tasks of a step on one endpoint share the error of the step's estimate, so together they count little more than one.
+      // The tasks of a step on one endpoint share the error of the step's estimate, so together they weigh little more than one.
       const sharedVariance = stepTime.variance * stepTimes.countTasksOn(profile.incarnation) ** 2;
       const variance = distribution.taskSpread ** 2 + sharedVariance;
       speeds.recordRun(
         profile,
-        { logRatio: logMs - stepTime.logMs, variance, step: this.toStepKey(run) },
+        { logRatio: logMs - stepTime.logMs, variance, stepKey: this.toStepKey(run) },
         now,
       );
     }
     const logBaselineMs = logMs - Math.log(speeds.getEstimate(profile).ratio);
     if (stepTimes.countTasks() <= MAX_STEP_SAMPLES) {
-      times.recordRun(queue, shape, logBaselineMs);
+      runTimes.recordRun(queue, stepDefinition, logBaselineMs);
     }
     if (siblings.length >= MIN_SIBLINGS) {
-      times.recordDeviation(queue, shape, logBaselineMs - stepTime.logMs);
+      runTimes.recordDeviation(queue, stepDefinition, logBaselineMs - stepTime.logMs);
     }
   }
 
-  private recordGangTime({ run, job, shape }: Measurement, logMs: number, now: number): void {
-    const { speeds, times, endpoints } = this.options;
+  /**
+   * Records the time of a gang for the run times of its kind and, if their distribution is learnt, for the speeds of its members. Does
+   * nothing if the endpoint of a member is unknown.
+   */
+  private recordGangTime({ run, job, stepDefinition }: Measurement, logMs: number, now: number): void {
+    const { speeds, runTimes, endpoints } = this.options;
     const queue = job.definition.queue.name;
-    const distribution = times.getDistribution(queue, shape);
+    const distribution = runTimes.getDistribution(queue, stepDefinition);
     const members = job.progress
       .listTasks(run.address.repetition, run.address.step)
       .flatMap(({ endpoint }) => endpoints.get(endpoint)?.getProfile() ?? []);
-    if (members.length < shape.count) {
+    if (members.length < stepDefinition.count) {
       return;
     }
     const sample = {
       logRatio: logMs - distribution.logMs,
       variance: distribution.spread ** 2,
-      step: this.toStepKey(run),
+      stepKey: this.toStepKey(run),
     };
     if (distribution.isLearnt) {
       speeds.recordGang(members, sample, now);
     }
     const slowest = Math.max(...members.map((member) => Math.log(speeds.getEstimate(member).ratio)));
-    times.recordRun(queue, shape, logMs - slowest);
+    runTimes.recordRun(queue, stepDefinition, logMs - slowest);
   }
 
+  /** Returns the key of a run's step, by which the speed samples of one step are recognized. */
   private toStepKey({ job, address }: PlacedRun): string {
     return `${job}.${address.repetition}.${address.step}`;
   }
 
-  /** Returns false for runs that may be slowed down by their distance from their data or from the rest of their gang. */
-  private isAtBaselinePace({ endpoint, shape }: Measurement): boolean {
-    const isNearData = shape.dataRack === '' || endpoint.getProfile().labels.includes(shape.dataRack);
-    return isNearData && !shape.isSameRack;
+  /** Returns whether the run is not slowed down by distance: it is in the rack of its data, if any, and its step needs no common rack. */
+  private isAtBaselinePace({ endpoint, stepDefinition }: Measurement): boolean {
+    const isNearData =
+      stepDefinition.dataRack === '' || endpoint.getProfile().labels.includes(stepDefinition.dataRack);
+    return isNearData && !stepDefinition.isSameRack;
   }
 
   /**
-   * Returns undefined for runs whose time is not informative, such as fillers, which run on spare resources, and runs that continue from
-   * a checkpoint.
+   * Returns the run with its job and the definition of its step; undefined if its time is not informative, as for fillers, servers,
+   * long-running steps and runs that continue from a checkpoint, or if its job is unknown.
    */
   private createMeasurement(endpoint: EndpointState, run: PlacedRun): Measurement | undefined {
     if (run.isFiller || run.isServing || !run.isFromStart) {
       return undefined;
     }
     const job = this.options.jobs.get(run.job);
-    const shape = job?.definition.steps[run.address.step];
-    return job === undefined || shape === undefined || shape.isLongRunning
+    const stepDefinition = job?.definition.steps[run.address.step];
+    return job === undefined || stepDefinition === undefined || stepDefinition.isLongRunning
       ? undefined
-      : { endpoint, run, job, shape };
+      : { endpoint, run, job, stepDefinition };
   }
 }
--- a/tests/endpointSpeeds.test.ts
+++ b/tests/endpointSpeeds.test.ts
@@ -56,7 +56,7 @@
         const logRatio = Math.log(getRatio(number)) + tail + normal * Math.sqrt(SAMPLE_VARIANCE);
         this.speeds.recordRun(
           profile,
-          { logRatio, variance: SAMPLE_VARIANCE, step: `${number}.${this.now}` },
+          { logRatio, variance: SAMPLE_VARIANCE, stepKey: `${number}.${this.now}` },
           this.now,
         );
       });
@@ -122,7 +122,7 @@
     fixture.recordRuns(10, getSlowThirdRatio);
     for (let run = 0; run < 20; run += 1) {
       const members = [0, 1, 2].map((number) => fixture.getProfile(number));
-      const sample = { logRatio: Math.log(2), variance: SAMPLE_VARIANCE, step: `gang ${run}` };
+      const sample = { logRatio: Math.log(2), variance: SAMPLE_VARIANCE, stepKey: `gang ${run}` };
       fixture.speeds.recordGang(members, sample, fixture.now + run);
     }
     expect(fixture.listSlowNumbers()).toEqual(SLOW_THIRD);
@@ -136,7 +136,7 @@
     for (let run = 0; run < 10; run += 1) {
       fixture.recordRuns(1, getSlowThirdRatio);
       for (const profile of others) {
-        const sample = { logRatio: Math.log(3), variance: SAMPLE_VARIANCE, step: `other ${run}` };
+        const sample = { logRatio: Math.log(3), variance: SAMPLE_VARIANCE, stepKey: `other ${run}` };
         fixture.speeds.recordRun(profile, sample, fixture.now);
       }
     }
@@ -159,7 +159,7 @@
       endpoint: fc.nat(9),
       logRatio: fc.double({ min: -8, max: 8, noNaN: true }),
       variance: fc.double({ min: 0.04, max: 4, noNaN: true }),
-      step: fc.constantFrom('a', 'b', 'c'),
+      stepKey: fc.constantFrom('a', 'b', 'c'),
       afterMs: fc.nat(60_000),
       isGang: fc.boolean(),
     });
@@ -249,11 +249,11 @@
 describe('the probability of being late', () => {
   it('increases with the ratio of the endpoint and the number of tasks, and decreases with the time left', () => {
     const runTime = { logMs: Math.log(1000), spread: 0.5, taskSpread: 0.3, isLearnt: true };
-    const step = { runTime, count: 1, ratio: 1, leftMs: 1000 };
+    const step = { runTime, taskCount: 1, ratio: 1, leftMs: 1000 };
     expect(computeLateChance(step)).toBeCloseTo(0.5);
     expect(computeLateChance({ ...step, leftMs: 1000 * Math.exp(1.28 * 0.4) })).toBeCloseTo(0.1, 1);
     expect(computeLateChance({ ...step, ratio: 2, leftMs: 1600 })).toBeGreaterThan(0.7);
-    expect(computeLateChance({ ...step, count: 25, leftMs: 1600 })).toBeGreaterThan(0.5);
+    expect(computeLateChance({ ...step, taskCount: 25, leftMs: 1600 })).toBeGreaterThan(0.5);
     expect(computeLateChance({ ...step, leftMs: 0 })).toBe(1);
   });
 
@@ -497,7 +497,7 @@
   it('causes few log lines about endpoints', () => {
     const { logLines } = runSimulation('endpoints', 3);
 
-    const changes = logLines.filter(({ sentence }) => sentence === "Endpoint's speed has changed.");
+    const changes = logLines.filter(({ message }) => message === "Endpoint's speed has changed.");
     expect(changes.length).toBeGreaterThanOrEqual(20);
     expect(changes.length).toBeLessThan(2 * ENDPOINTS);
   }, 30_000);
