--- a/packages/dispatch/advice/AdviceRequester.ts
+++ b/packages/dispatch/advice/AdviceRequester.ts
@@ -76,7 +76,7 @@
       return 'answer';
     }
     const { capacityView, policy, selector } = this.options;
-    const isLong = policy.isLong(advice, capacityView.isMostUrgent(step.job.definition.queue));
+    const isLong = policy.isLong(advice, capacityView.isMostUrgentQueue(step.job.definition.queue));
     if (!this.hasSlot(isLong)) {
       return 'turn';
     }
@@ -171,7 +171,7 @@
   /** Requests advice for the tasks of a step that its customer's limit lets start; none if there are no such tasks. */
   private sendEarlyRequest(whole: WaitingStep, now: number): void {
     const { limiter, capacityView } = this.options;
-    const step = limiter.computeMaxStartable(whole);
+    const step = limiter.computeMaxStartablePart(whole);
     if (step !== undefined) {
       this.requestAdvice(step, capacityView.listEligibleEndpoints(step), step.indexes.length, now, now, true);
     }
--- a/packages/dispatch/advice/EagerCandidateSelector.ts
+++ b/packages/dispatch/advice/EagerCandidateSelector.ts
@@ -61,7 +61,7 @@
     const { shape } = step;
     const demand = toReservedDemand(shape);
     const available = open.filter((endpoint) => endpoint.hasCapacityFor(demand));
-    if (available.length === 0 || !this.capacityView.isOutsideReserve(step)) {
+    if (available.length === 0 || !this.capacityView.hasUnreservedCpu(step)) {
       return [];
     }
     const allowed = available.filter((endpoint) => this.hasBeenAllowed(step, endpoint));
@@ -141,7 +141,7 @@
     const advice = step.job.getAdvice(step.repetition, step.step);
     const { incarnation } = endpoint.getProfile();
     const isKnown = advice.isRefused(incarnation) || advice.getTicket(incarnation, neededUntil) !== undefined;
-    return !isKnown && !this.capacityView.hasMaxTasks(step, endpoint);
+    return !isKnown && !this.capacityView.hasMaxTasksOfStep(step, endpoint);
   }
 
   private hasBeenAllowed(step: WaitingStep, endpoint: EndpointState): boolean {
--- a/packages/dispatch/advice/PlannedCandidateSelector.ts
+++ b/packages/dispatch/advice/PlannedCandidateSelector.ts
@@ -111,7 +111,7 @@
   ): readonly EndpointState[] {
     const { capacityView } = this.options;
     const canPreempt = capacityView.isCapacityScarce(step, eligible);
-    const isLessUrgent = !capacityView.isMostUrgent(step.job.definition.queue);
+    const isLessUrgent = !capacityView.isMostUrgentQueue(step.job.definition.queue);
     if (isLessUrgent && this.demandAhead.isExceedingCapacity(step, eligible, canPreempt)) {
       return [];
     }
@@ -168,7 +168,7 @@
     }
     const isDue = now - advice.getLastRespondedAt() >= MIN_UNJUSTIFIED_DELAY_MS;
     const isJustified = expected * DECISION_MS_PER_START >= decisionMs;
-    return available.length > 0 && (isDue || isJustified) && this.options.capacityView.isOutsideReserve(step);
+    return available.length > 0 && (isDue || isJustified) && this.options.capacityView.hasUnreservedCpu(step);
   }
 
   /** Returns the candidates by descending usable chance, then by cost, pending requests, fitting tasks (most first) and free capacity. */
--- a/packages/dispatch/speeds/RunLearner.ts
+++ b/packages/dispatch/speeds/RunLearner.ts
@@ -138,7 +138,7 @@
     // The members of a gang run at one pace on all endpoints.
     const ownRatio = stepDefinition.isGang ? 1 : this.getOwnRatio(profile);
     stepSpeeds.recordPace(run.address.index, msPerPercent, msPerPercent / ownRatio);
-    const median = stepSpeeds.getNormalizedMedian();
+    const median = stepSpeeds.getNormalizedMedianPace();
     if (median !== undefined) {
       // An endpoint that is always slow, or of a slow kind, is not degraded.
       const baselineRatio = ownRatio === 1 ? this.options.kindSpeeds.getSlowdown(profile.labels) : ownRatio;
@@ -154,9 +154,9 @@
 
   /** Records the pace of a run that is done, relative to its step's median pace, for the kind of its endpoint; nothing without a median. */
   private recordKindPace({ endpoint, run, job }: Measurement, msPerPercent: number): void {
-    const median = job.getSpeeds(run.address.repetition, run.address.step).getMedian();
+    const median = job.getSpeeds(run.address.repetition, run.address.step).getMedianPace();
     if (median !== undefined && median > 0) {
-      this.options.kindSpeeds.recordRun(endpoint.getProfile().labels, msPerPercent / median);
+      this.options.kindSpeeds.recordRunSlowdown(endpoint.getProfile().labels, msPerPercent / median);
     }
   }
 
--- a/packages/dispatch/speeds/createCompletionTimeCost.ts
+++ b/packages/dispatch/speeds/createCompletionTimeCost.ts
@@ -13,12 +13,12 @@
 /** Returns how many members of a gang fit in the free capacity of the endpoints of each significant ratio, the fastest first. */
 const listGangCapacity = (
   step: WaitingStep,
-  { speeds, capacity }: SpeedSources,
+  { endpointSpeeds, capacityView }: SpeedSources,
   endpoints: readonly EndpointState[],
 ): readonly (readonly [ratio: number, count: number])[] => {
   const counts = new Map<number, number>();
   for (const endpoint of endpoints) {
-    const count = capacity.countFittingTasks(endpoint.getFreeCapacity(), step.shape);
+    const count = capacityView.countFittingTasks(endpoint.getFreeCapacity(), step.shape);
     if (count > 0) {
       const ratio = endpointSpeeds.getSignificantRatio(endpoint.getProfile());
       counts.set(ratio, (counts.get(ratio) ?? 0) + count);
@@ -67,7 +67,7 @@
   // The run times of gangs are those of the whole gang.
   const taskCount = step.shape.isGang ? 1 : step.shape.count;
   const leftMs = step.objectiveAtMs - wallMs - step.job.getCriticalPathAfterMs(step.step);
-  const isMostUrgent = sources.capacity.isMostUrgent(definition.queue);
+  const isMostUrgent = sources.capacityView.isMostUrgentQueue(definition.queue);
   const baselineChance = computeLateChance({ runTime, taskCount, ratio: 1, leftMs });
   const computeCost = (ratio: number): number => {
     const lateCost = LATE_COST * (computeLateChance({ runTime, taskCount, ratio, leftMs }) - baselineChance);
