--- a/dev/bench/customersSection.ts
+++ b/dev/bench/customersSection.ts
@@ -98,7 +98,7 @@
   const dispatcher = new Dispatcher({
     getDefinition: () => undefined,
     earlierLeasesEndAt: 0,
-    getLimit: () => ({ ...UNLIMITED, cpuMillis }),
+    getCustomerLimit: () => ({ ...UNLIMITED, cpuMillis }),
   });
   for (let number = 0; number < ENDPOINTS; number += 1) {
     const id = toId<EndpointId>(`i-${number}`);
--- a/packages/dispatch/DispatchEffect.ts
+++ b/packages/dispatch/DispatchEffect.ts
@@ -34,9 +34,9 @@
   | {
       readonly kind: 'advise';
       readonly step: string;
-      readonly endpoints: readonly EndpointIncarnation[];
+      readonly candidates: readonly EndpointIncarnation[];
       /** Expected time until the response, in milliseconds. */
-      readonly expectedMs: number;
+      readonly expectedResponseMs: number;
       /** Takes a slot for long requests. */
       readonly isLong: boolean;
       readonly cause: AdviceRequestReason;
--- a/packages/dispatch/Dispatcher.ts
+++ b/packages/dispatch/Dispatcher.ts
@@ -67,14 +67,14 @@
   /** Longest lease that an endpoint accepts, in milliseconds. */
   readonly longestLeaseMs?: number;
   /** Returns a customer's limit in the current configuration; if undefined, the limit stored with the job applies. */
-  readonly getLimit?: (customer: CustomerName) => TaskDemand | undefined;
+  readonly getCustomerLimit?: (customer: CustomerName) => TaskDemand | undefined;
 }
 
 type StartEffect = Extract<DispatchEffect, { kind: 'start' }>;
 
 /** For platforms that set no maximum. */
 const DEFAULT_LONGEST_LEASE_MS = 10_000;
-const UNLIMITED_SLOTS: AdviceSlots = { all: Infinity, long: Infinity };
+const UNLIMITED_ADVICE_SLOTS: AdviceSlots = { all: Infinity, long: Infinity };
 
 /**
  * The leader's scheduler as a state machine without clock or I/O: events come in with the current time, and the side effects to
@@ -84,52 +84,52 @@
   private readonly endpoints = new Map<EndpointIncarnation, EndpointState>();
   private readonly jobs = new Map<JobId, LiveJob>();
   /** Resources in use by customer, updated by each endpoint's state. */
-  private readonly usage = new CustomerUsage();
-  private readonly jobRates = new JobRateMeter();
-  private effects: DispatchEffect[] = [];
+  private readonly customerUsage = new CustomerUsage();
+  private readonly jobRateMeter = new JobRateMeter();
+  private pendingEffects: DispatchEffect[] = [];
   private readonly changedJobs = new Set<JobId>();
   private readonly placementOrder: (typeof placementOrders)[PlacementOrder];
-  private readonly placer: StepPlacer;
+  private readonly stepPlacer: StepPlacer;
   private readonly runTracker: RunTracker;
-  private readonly commands: RunCommands;
-  private readonly reconciler: StatusReconciler;
+  private readonly runCommands: RunCommands;
+  private readonly statusReconciler: StatusReconciler;
   private readonly adviceRequester: AdviceRequester;
   private readonly adviceStats = new AdviceStats();
   private readonly adviceMetrics: AdviceMetrics;
-  private readonly adviceSelector: CandidateSelector;
-  private readonly mover: RunMover;
+  private readonly candidateSelector: CandidateSelector;
+  private readonly runMover: RunMover;
   private readonly preemptor: Preemptor;
-  private readonly quarantine: EndpointQuarantine;
-  private readonly speeds = new EndpointSpeeds();
-  private readonly learner: RunLearner;
-  private readonly preference: EndpointPreference;
+  private readonly endpointQuarantine: EndpointQuarantine;
+  private readonly endpointSpeeds = new EndpointSpeeds();
+  private readonly runLearner: RunLearner;
+  private readonly endpointPreference: EndpointPreference;
   private readonly gangMonitor: GangMonitor;
-  private readonly longWaits: LongWaitLogger;
-  private readonly crashes: CrashTracker;
+  private readonly longWaitLogger: LongWaitLogger;
+  private readonly crashTracker: CrashTracker;
   private readonly lossHandler: EndpointLossHandler;
   /** True when an event since the last round may allow a start. */
   private isRoundDue = false;
   /** True when the last round only requested advice, so that the next one has to run in any case. */
-  private hasRequestedAhead = false;
+  private hasOnlyRequestedAdvice = false;
   /** True when a tick has passed since the last early advice requests. */
-  private hasTicked = false;
-  private readonly capacity: CapacityView;
+  private isEarlyAdviceDue = false;
+  private readonly capacityView: CapacityView;
   private readonly reservations = new EndpointReservations();
 
   constructor(private readonly options: DispatcherOptions) {
-    const sendEffect = (effect: DispatchEffect): void => void this.effects.push(effect);
+    const sendEffect = (effect: DispatchEffect): void => void this.pendingEffects.push(effect);
     const policies: DispatchPolicies = { ...defaultPolicies, ...options };
     this.placementOrder = placementOrders[policies.placementOrder];
-    const stops = stopPolicies[policies.stopChoice];
-    const callbacks = {
-      handleFreed: () => {
+    const stopPolicy = stopPolicies[policies.stopChoice];
+    const runCallbacks = {
+      handleCapacityReleased: () => {
         this.isRoundDue = true;
       },
-      handleChanged: (job: JobId) => this.changedJobs.add(job),
+      handleProgressChanged: (job: JobId) => this.changedJobs.add(job),
       sendEffect,
     };
-    this.runTracker = new RunTracker(this.endpoints, this.jobs, callbacks, stops.isEvictingGangs);
-    this.crashes = new CrashTracker({
+    this.runTracker = new RunTracker(this.endpoints, this.jobs, runCallbacks, stopPolicy.isEvictingGangs);
+    this.crashTracker = new CrashTracker({
       jobs: this.jobs,
       tracker: this.runTracker,
       handleChanged: (job) => this.changedJobs.add(job),
@@ -137,89 +137,94 @@
     this.lossHandler = new EndpointLossHandler({
       endpoints: this.endpoints,
       tracker: this.runTracker,
-      crashes: this.crashes,
+      crashes: this.crashTracker,
       longestLeaseMs: options.longestLeaseMs ?? DEFAULT_LONGEST_LEASE_MS,
     });
     const { reservations } = this;
-    this.capacity = new CapacityView(this.endpoints, reservations);
-    this.quarantine = new EndpointQuarantine(this.endpoints, stops.isQuarantining);
+    this.capacityView = new CapacityView(this.endpoints, reservations);
+    this.endpointQuarantine = new EndpointQuarantine(this.endpoints, stopPolicy.isQuarantining);
     this.preemptor = new Preemptor({
       jobs: this.jobs,
       reservations,
-      rules: stops.preemption,
+      rules: stopPolicy.preemption,
       handlePreempted: (endpoint, run, step, estimate) => this.handlePreempted(endpoint, run, step, estimate),
     });
     const { preemptor } = this;
-    const limits = new StepLimiter(this.usage, options.getLimit ?? (() => undefined));
-    const kinds = new KindSpeeds();
-    const { speeds } = this;
-    const times = new RunTimes();
+    const limiter = new StepLimiter(this.customerUsage, options.getCustomerLimit ?? (() => undefined));
+    const kindSpeeds = new KindSpeeds();
+    const { endpointSpeeds } = this;
+    const runTimes = new RunTimes();
     const { speedChoice, hallChoice } = policies;
-    const preference = new EndpointPreference({
-      kinds,
-      speeds,
-      times,
-      capacity: this.capacity,
+    const endpointPreference = new EndpointPreference({
+      kinds: kindSpeeds,
+      speeds: endpointSpeeds,
+      times: runTimes,
+      capacity: this.capacityView,
       speedChoice,
       hallChoice,
     });
-    this.preference = preference;
-    const { capacity: room, adviceStats: history } = this;
-    const policy = advicePolicies[policies.turnChoice];
-    const selector = policy.createSelector({ capacity: room, preemptor, stats: history, preference });
-    this.adviceSelector = selector;
+    this.endpointPreference = endpointPreference;
+    const { capacityView, adviceStats } = this;
+    const advicePolicy = advicePolicies[policies.turnChoice];
+    const candidateSelector = advicePolicy.createSelector({
+      capacity: capacityView,
+      preemptor,
+      stats: adviceStats,
+      preference: endpointPreference,
+    });
+    this.candidateSelector = candidateSelector;
     this.adviceMetrics = new AdviceMetrics((name, amount) => sendEffect({ kind: 'count', name, amount }));
     this.adviceRequester = new AdviceRequester({
       endpoints: this.endpoints,
-      capacity: room,
-      limits,
-      policy,
-      selector,
-      stats: history,
+      capacity: capacityView,
+      limits: limiter,
+      policy: advicePolicy,
+      selector: candidateSelector,
+      stats: adviceStats,
       metrics: this.adviceMetrics,
       sendEffect,
     });
-    this.placer = new StepPlacer({
-      capacity: this.capacity,
-      limiter: limits,
+    this.stepPlacer = new StepPlacer({
+      capacity: this.capacityView,
+      limiter,
       advice: this.adviceRequester,
       preemptor,
       reservations,
-      preference,
-      suspectCosts: new SuspectCosts(this.endpoints, this.crashes),
-      quarantine: this.quarantine,
+      preference: endpointPreference,
+      suspectCosts: new SuspectCosts(this.endpoints, this.crashTracker),
+      quarantine: this.endpointQuarantine,
       sendEffect,
     });
-    this.mover = new RunMover({
+    this.runMover = new RunMover({
       endpoints: this.endpoints,
       jobs: this.jobs,
-      stops,
-      estimateRunTime: (queue, shape) => times.getEstimate(queue, shape),
+      stopPolicy,
+      estimateRunTime: (queue, shape) => runTimes.getEstimate(queue, shape),
       handleMove: (candidate) => this.handleMove(candidate),
     });
-    this.learner = new RunLearner({
+    this.runLearner = new RunLearner({
       endpoints: this.endpoints,
       jobs: this.jobs,
-      kinds,
-      speeds,
-      times,
+      kinds: kindSpeeds,
+      speeds: endpointSpeeds,
+      times: runTimes,
       speedPolicy: speedChoice,
       sendLogLine: (message, fields) => this.runTracker.sendLogLine(message, fields),
     });
-    this.commands = new RunCommands({
+    this.runCommands = new RunCommands({
       endpoints: this.endpoints,
       jobs: this.jobs,
       runTracker: this.runTracker,
       handleIncarnationEnd: (incarnation, now) => this.handleIncarnationEnd(incarnation, now),
     });
-    this.reconciler = new StatusReconciler({
+    this.statusReconciler = new StatusReconciler({
       jobs: this.jobs,
       tracker: this.runTracker,
-      learner: this.learner,
-      crashes: this.crashes,
+      learner: this.runLearner,
+      crashes: this.crashTracker,
       getDefinition: options.getDefinition,
     });
-    this.longWaits = new LongWaitLogger(this.jobs, (message, fields) =>
+    this.longWaitLogger = new LongWaitLogger(this.jobs, (message, fields) =>
       this.runTracker.sendLogLine(message, fields),
     );
     this.gangMonitor = new GangMonitor(this.endpoints, this.jobs, (endpoint, run) =>
@@ -230,9 +235,9 @@
   /** Returns and clears the pending effects; records come before the starts that depend on them. */
   takeEffects(): readonly DispatchEffect[] {
     const records: DispatchEffect[] = [...this.changedJobs].map((job) => ({ kind: 'record', job }));
-    const effects = [...records, ...this.effects];
+    const effects = [...records, ...this.pendingEffects];
     this.changedJobs.clear();
-    this.effects = [];
+    this.pendingEffects = [];
     return effects;
   }
 
@@ -245,11 +250,11 @@
   }
 
   getUsage(): CustomerUsage {
-    return this.usage;
+    return this.customerUsage;
   }
 
   getSpeeds(): EndpointSpeeds {
-    return this.speeds;
+    return this.endpointSpeeds;
   }
 
   /** Counts the tasks that are ready and not placed, by customer. Iterates over all jobs. */
@@ -283,7 +288,7 @@
     return computeLoad({
       endpoints: this.endpoints.values(),
       jobs: this.jobs,
-      usage: this.usage,
+      usage: this.customerUsage,
       capacity,
       wallMs,
     });
@@ -302,19 +307,19 @@
       return;
     }
     const { customer, acceptedAtMs } = definition;
-    const isOverShare = customer !== undefined && this.jobRates.recordJob(customer, acceptedAtMs);
+    const isOverShare = customer !== undefined && this.jobRateMeter.recordJob(customer, acceptedAtMs);
     if (progress.isEnded()) {
       return;
     }
     const job = new LiveJob(definition, progress, now, isOverShare);
     this.jobs.set(definition.id, job);
-    this.capacity.recordQueue(definition.queue);
+    this.capacityView.recordQueue(definition.queue);
     this.isRoundDue = true;
-    for (let time = 0; time < definition.times; time += 1) {
+    for (let repetition = 0; repetition < definition.times; repetition += 1) {
       for (const [step] of definition.steps.entries()) {
-        for (const [index, task] of progress.listTasks(time, step).entries()) {
-          const address = { repetition: time, step, index };
-          this.crashes.applyRecoveredCrashes(job, address, now);
+        for (const [index, task] of progress.listTasks(repetition, step).entries()) {
+          const address = { repetition, step, index };
+          this.crashTracker.applyRecoveredCrashes(job, address, now);
           if (task.phase === 'placed') {
             this.addRecoveredRun(job, address, task, now);
           }
@@ -339,7 +344,7 @@
     if (endpoint === undefined) {
       this.endpoints.set(
         profile.incarnation,
-        new EndpointState(profile, this.options.earlierLeasesEndAt, this.usage),
+        new EndpointState(profile, this.options.earlierLeasesEndAt, this.customerUsage),
       );
       return;
     }
@@ -382,7 +387,7 @@
 
   /** Returns true while a poll may still show whether an endpoint that was unreachable until its lease expired has crashed. */
   isCrashUnconfirmed(incarnation: EndpointIncarnation, now: number): boolean {
-    return this.crashes.isCrashUnconfirmed(incarnation, now);
+    return this.crashTracker.isCrashUnconfirmed(incarnation, now);
   }
 
   /** Marks an endpoint as unreachable, since it did not respond to a poll. */
@@ -392,7 +397,7 @@
       return;
     }
     if (endpoint.getUnreachableSince() === undefined) {
-      this.crashes.handleUnreachable(endpoint, now);
+      this.crashTracker.handleUnreachable(endpoint, now);
     }
     endpoint.recordUnreachable(now);
   }
@@ -408,7 +413,7 @@
     }
     // Most polls show no change, so a poll alone does not make a round due.
     this.isRoundDue ||= !endpoint.isSchedulable();
-    this.reconciler.applyStatus(endpoint, status, now, wallMs);
+    this.statusReconciler.applyStatus(endpoint, status, now, wallMs);
   }
 
   handleStartResult(
@@ -418,7 +423,7 @@
     result: CommandResult,
     now: number,
   ): void {
-    this.commands.handleStartResult(incarnation, task, runNumber, result, now);
+    this.runCommands.handleStartResult(incarnation, task, runNumber, result, now);
   }
 
   handleStopResult(
@@ -428,7 +433,7 @@
     result: CommandResult,
     now: number,
   ): void {
-    this.commands.handleStopResult(incarnation, task, runNumber, result, now);
+    this.runCommands.handleStopResult(incarnation, task, runNumber, result, now);
   }
 
   /** Applies the response to an advice request. Without `tickets` the request has failed. */
@@ -438,12 +443,12 @@
     tickets: ReadonlyMap<EndpointIncarnation, string> | undefined,
     now: number,
   ): void {
-    const [id, time, index] = step.split('.');
+    const [id, repetition, index] = step.split('.');
     const job = this.jobs.get(id as JobId);
     this.adviceStats.recordResponse(job?.definition.queue.name ?? '', requested, tickets?.size);
-    this.adviceSelector.recordResponse(step, requested);
+    this.candidateSelector.recordResponse(step, requested);
     const validityMs = job?.definition.queue.advice?.validityMs ?? 0;
-    const advice = job?.getAdvice(Number(time), Number(index));
+    const advice = job?.getAdvice(Number(repetition), Number(index));
     const tookMs = advice === undefined ? 0 : now - advice.getRequestedAt();
     if (tickets === undefined) {
       this.adviceMetrics.recordFailure(tookMs);
@@ -455,50 +460,50 @@
 
   /** Returns whether to send a start whose record is durable; if not, its capacity is released. */
   handleStartRecorded(effect: StartEffect, now: number): boolean {
-    return this.commands.handleStartRecorded(effect, now);
+    return this.runCommands.handleStartRecorded(effect, now);
   }
 
   /** Releases the capacity of a start that could not be sent. */
   handleStartUnsent(effect: StartEffect, now: number): void {
-    this.commands.handleStartUnsent(effect, now);
+    this.runCommands.handleStartUnsent(effect, now);
   }
 
   /** Runs periodic work: expires leases, retries stops, moves runs, removes ended jobs. */
   handleTick(now: number): void {
     this.isRoundDue = true;
-    this.hasTicked = true;
+    this.isEarlyAdviceDue = true;
     for (const endpoint of [...this.endpoints.values()]) {
       this.lossHandler.checkLease(endpoint, now);
-      this.runTracker.retryStops(endpoint, now);
+      this.runTracker.sendDueStops(endpoint, now);
     }
     this.reservations.removeExpired(now);
     this.adviceMetrics.handleTick(now);
-    this.learner.handleTick(now);
-    this.mover.handleTick(now);
-    this.longWaits.logLongWaits(now);
-    this.gangMonitor.checkAll();
+    this.runLearner.handleTick(now);
+    this.runMover.handleTick(now);
+    this.longWaitLogger.logLongWaits(now);
+    this.gangMonitor.checkAllGangs();
     this.removeEndedJobs();
   }
 
   /** Returns the log fields of each step that waits. */
-  listWaits(now: number): ReturnType<LongWaitLogger['listOpenWaits']> {
-    return this.longWaits.listOpenWaits(now);
+  listOpenWaits(now: number): ReturnType<LongWaitLogger['listOpenWaits']> {
+    return this.longWaitLogger.listOpenWaits(now);
   }
 
   /** Runs a scheduling round: places waiting tasks, if an event since the last round may allow a start. */
-  placeWaiting(now: number, wallMs: number, slots = UNLIMITED_SLOTS): void {
-    if (!this.isRoundDue && !this.hasRequestedAhead) {
+  placeWaiting(now: number, wallMs: number, slots = UNLIMITED_ADVICE_SLOTS): void {
+    if (!this.isRoundDue && !this.hasOnlyRequestedAdvice) {
       return;
     }
-    this.hasRequestedAhead = false;
+    this.hasOnlyRequestedAdvice = false;
     for (const step of this.startRound(now, wallMs, slots)) {
-      if (this.placer.placeStep(step, now)) {
+      if (this.stepPlacer.placeStep(step, now)) {
         this.changedJobs.add(step.job.definition.id);
       }
     }
-    if (this.hasTicked) {
-      this.hasTicked = false;
-      this.sendEarlyRequests(now, wallMs);
+    if (this.isEarlyAdviceDue) {
+      this.isEarlyAdviceDue = false;
+      this.sendEarlyAdviceRequests(now, wallMs);
     }
   }
 
@@ -506,30 +511,30 @@
    * Replaces `placeWaiting` while the log is unavailable and no start can be recorded: requests the tickets that the first steps to
    * be placed will need, and renews expired ones.
    */
-  requestAdviceAhead(now: number, wallMs: number, slots = UNLIMITED_SLOTS): void {
+  requestAdviceAhead(now: number, wallMs: number, slots = UNLIMITED_ADVICE_SLOTS): void {
     if (!this.isRoundDue) {
       return;
     }
-    this.hasRequestedAhead = true;
+    this.hasOnlyRequestedAdvice = true;
     for (const step of this.startRound(now, wallMs, slots)) {
-      this.placer.requestAdviceAhead(step, now);
+      this.stepPlacer.requestAdviceAhead(step, now);
     }
-    this.placer.releaseTentative();
+    this.stepPlacer.releaseTentative();
   }
 
   /** Cancels the starts whose records are not durable yet, so that their tasks are placed again. */
   cancelUnrecordedStarts(now: number): void {
-    this.commands.cancelUnrecordedStarts(now);
+    this.runCommands.cancelUnrecordedStarts(now);
   }
 
   /** Prepares a scheduling round and returns the waiting steps in placement order. */
   private startRound(now: number, wallMs: number, slots: AdviceSlots): readonly WaitingStep[] {
-    this.crashes.applyCrashLimits(now, wallMs);
+    this.crashTracker.applyCrashLimits(now, wallMs);
     this.isRoundDue = false;
-    this.capacity.clearCache();
+    this.capacityView.clearCache();
     this.preemptor.setTime(now, wallMs);
-    this.quarantine.clearCache();
-    this.preference.setWallTime(wallMs);
+    this.endpointQuarantine.clearCache();
+    this.endpointPreference.setWallTime(wallMs);
     this.adviceRequester.startRound(slots);
     const waiting: WaitingStep[] = [];
     for (const job of this.jobs.values()) {
@@ -539,12 +544,12 @@
     }
     return this.placementOrder.sortSteps(waiting, {
       wallMs,
-      usage: this.usage,
+      usage: this.customerUsage,
       getCapacity: () => this.computeCapacity(),
     });
   }
 
-  private sendEarlyRequests(now: number, wallMs: number): void {
+  private sendEarlyAdviceRequests(now: number, wallMs: number): void {
     for (const job of this.jobs.values()) {
       this.adviceRequester.sendEarlyRequests(job, now, wallMs);
     }
@@ -590,7 +595,7 @@
     if (endpoint === undefined) {
       // The endpoint has no record, but may be partitioned and keep the run until its lease expires.
       const profile = createDeregisteredProfile(task.endpoint, definition.queue.service);
-      endpoint = new EndpointState(profile, this.options.earlierLeasesEndAt, this.usage);
+      endpoint = new EndpointState(profile, this.options.earlierLeasesEndAt, this.customerUsage);
       // It may have left as planned or crashed before this leader read the records.
       endpoint.recordDeregistration();
       this.endpoints.set(task.endpoint, endpoint);
--- a/packages/dispatch/LeaderController.ts
+++ b/packages/dispatch/LeaderController.ts
@@ -54,7 +54,7 @@
   /** Called with each published load digest; without it no load is published. */
   readonly handleLoadDigest?: (digest: string) => void;
   /** Returns a customer's limit in the current configuration. */
-  readonly getLimit: (customer: CustomerName) => TaskDemand | undefined;
+  readonly getCustomerLimit: (customer: CustomerName) => TaskDemand | undefined;
   /** Parses an endpoint's record; fails with what is wrong with it. */
   readonly parseEndpoint: (id: string, text: string) => Result<EndpointProfile, string>;
   /** Creates a client of an endpoint; `getToken` returns the current fencing token. */
@@ -86,42 +86,42 @@
   readonly recordTime: (name: LeaderDurationName, valueMs: number) => void;
 }
 
-const TICK_MS = 100;
+const TICK_INTERVAL_MS = 100;
 /** Age, since it was sent, of the newest acknowledged write above which the log may be unavailable. */
-const MAX_AGE_MS = leaderTimings.heartbeatMs + TICK_MS + appendRules.initialTimeoutMs;
+const MAX_ACK_AGE_MS = leaderTimings.heartbeatMs + TICK_INTERVAL_MS + appendRules.initialTimeoutMs;
 /** Duration of a log outage after which starts are held. Longer than an append with one retry, so that a slow log does not cause it. */
-const HOLD_STARTS_AFTER_MS = 1000;
+const MAX_LOG_OUTAGE_MS = 1000;
 
 /** Runs everything that the leader does: connects the dispatcher with the log, the endpoints and the advice service. */
 export class LeaderController {
   private readonly dispatcher: Dispatcher;
   private readonly journal: LeaderJournal;
-  private readonly recovery: ProgressRecovery;
-  private readonly endpoints: EndpointSessions;
-  private readonly batcher: LineBatcher;
+  private readonly progressRecovery: ProgressRecovery;
+  private readonly endpointSessions: EndpointSessions;
+  private readonly lineBatcher: LineBatcher;
   private readonly adviceBalancer: AdviceBalancer;
   private readonly loadPublisher: LoadPublisher;
-  private readonly commands: CommandSender;
+  private readonly commandSender: CommandSender;
   /** Services of all known jobs, whose endpoints are needed even when the configuration no longer names them. */
-  private readonly services = new Set<ServiceName>();
+  private readonly jobServices = new Set<ServiceName>();
   private hasReadJobs = false;
   private hasTakenOver = false;
   private isHoldingStarts = false;
   private isStopped = false;
   private readonly roundThrottle: RoundThrottle;
   private readonly slowRoundLogger: SlowRoundLogger;
-  private timer: NodeJS.Timeout | undefined;
+  private tickTimer: NodeJS.Timeout | undefined;
 
   constructor(private readonly options: LeaderControllerOptions) {
     const { clock, client, epoch, replica } = options;
-    this.batcher = new LineBatcher(options.logger);
+    this.lineBatcher = new LineBatcher(options.logger);
     this.loadPublisher = new LoadPublisher(epoch, clock.getNow());
     this.dispatcher = new Dispatcher({
       ...options.policies,
       earlierLeasesEndAt: options.earlierLeasesEndAt,
       longestLeaseMs: options.longestLeaseMs,
       getDefinition: (id) => replica.getDefinition(id),
-      getLimit: options.getLimit,
+      getCustomerLimit: options.getCustomerLimit,
     });
     this.roundThrottle = new RoundThrottle({ clock, runRound: () => this.runRound() });
     this.slowRoundLogger = new SlowRoundLogger({
@@ -133,14 +133,14 @@
       ...options,
       handleFenced: (detail) => this.handleLeadershipLost(`the log rejected a write: ${detail}`),
     });
-    this.recovery = new ProgressRecovery({
+    this.progressRecovery = new ProgressRecovery({
       client,
-      topic: options.progressTopic,
+      progressTopic: options.progressTopic,
       epoch,
-      handleUnreadable: (job) => options.logger.error('Progress of a job cannot be read.', { job }),
+      handleUnreadableProgress: (job) => options.logger.error('Progress of a job cannot be read.', { job }),
       handleFenced: (detail) => this.handleLeadershipLost(`the log rejected a write: ${detail}`),
     });
-    this.endpoints = new EndpointSessions({
+    this.endpointSessions = new EndpointSessions({
       epoch,
       client,
       topic: options.endpointsTopic,
@@ -150,10 +150,10 @@
       dispatcher: this.dispatcher,
       parseEndpoint: options.parseEndpoint,
       createEndpointClient: options.createEndpointClient,
-      isServiceUsed: (service) => options.isServiceRouted(service) || this.services.has(service),
+      isServiceUsed: (service) => options.isServiceRouted(service) || this.jobServices.has(service),
       isRenewing: () => this.canGrantLeases(),
-      handleStatusApplied: (newEndCount) => this.handlePolled(newEndCount),
-      waitForFlush: () => this.journal.waitForFlush(),
+      handleStatusApplied: (newEndCount) => this.handleStatusApplied(newEndCount),
+      waitForFlush: () => this.journal.waitForProgressFlush(),
       recordCount: (name) => options.recordCount(name),
       handleChanged: () => {
         this.takeOver();
@@ -162,14 +162,14 @@
       handleFenced: (detail) => this.handleLeadershipLost(detail),
       handleLogRecovered: options.handleLogRecovered,
     });
-    this.commands = new CommandSender({
+    this.commandSender = new CommandSender({
       ...options,
       dispatcher: this.dispatcher,
-      endpoints: this.endpoints,
-      lines: this.batcher,
+      endpoints: this.endpointSessions,
+      lines: this.lineBatcher,
       isStopped: () => this.isStopped,
       isRenewing: () => this.canGrantLeases(),
-      handleStarted: (job) => this.recordStart(job),
+      handleStarted: (job) => this.recordStartForLoad(job),
       handleChanged: () => this.queueRound(),
       handleLeadershipLost: (detail) => this.handleLeadershipLost(detail),
     });
@@ -180,12 +180,12 @@
         options.logger.info('Advice answered.', {
           step: request.step,
           cause: request.cause,
-          asked: request.endpoints.length,
+          asked: request.candidates.length,
           allowed: response?.size ?? 'no answer',
           tookMs,
-          expectedMs: Math.round(request.expectedMs),
+          expectedMs: Math.round(request.expectedResponseMs),
         });
-        this.dispatcher.handleAdviceResponse(request.step, request.endpoints, response, clock.getNow());
+        this.dispatcher.handleAdviceResponse(request.step, request.candidates, response, clock.getNow());
         this.queueRound();
       },
     });
@@ -196,29 +196,29 @@
    * applied and acknowledged only if its job is known.
    */
   start(): void {
-    this.endpoints.start();
+    this.endpointSessions.start();
     void this.readJobs();
-    this.timer = setInterval(() => this.handleTick(), TICK_MS);
+    this.tickTimer = setInterval(() => this.handleTick(), TICK_INTERVAL_MS);
   }
 
   /** Stops at once, without further commands. */
   stop(): void {
     if (!this.isStopped) {
-      this.logWaits();
+      this.logOpenWaits();
     }
     this.isStopped = true;
-    clearInterval(this.timer);
-    this.recovery.stop();
+    clearInterval(this.tickTimer);
+    this.progressRecovery.stop();
     this.journal.stop();
-    this.endpoints.stop();
+    this.endpointSessions.stop();
     this.adviceBalancer.stop();
   }
 
   /** Stops commands, flushes the journal, writes that another box may lead, then stops. */
   async stopGracefully(): Promise<void> {
     this.hasTakenOver = false;
-    clearInterval(this.timer);
-    this.endpoints.stop();
+    clearInterval(this.tickTimer);
+    this.endpointSessions.stop();
     this.adviceBalancer.stop();
     // While the log is unavailable, the next leader is notified directly or notices that this process has ended.
     if (this.getLogOutageMs() === 0) {
@@ -249,13 +249,13 @@
 
   /** Returns true while the log acknowledges heartbeats in time. */
   isHeartbeatFresh(): boolean {
-    return !this.isStopped && this.getLogOutageMs() === 0 && this.journal.isAcknowledgedWithin(MAX_AGE_MS);
+    return !this.isStopped && this.getLogOutageMs() === 0 && this.journal.hasAckedWriteWithin(MAX_ACK_AGE_MS);
   }
 
   /** Retries calls to the log that are pending since its outage. `sentAt` is when the call that it has answered was sent. */
-  retryPending(sentAt: number): void {
-    this.journal.retryPending();
-    this.endpoints.retryPending(sentAt);
+  retryPendingLogCalls(sentAt: number): void {
+    this.journal.retryPendingAppends();
+    this.endpointSessions.retryPending(sentAt);
   }
 
   getDispatcher(): Dispatcher {
@@ -268,21 +268,21 @@
   }
 
   /** Logs the open waits, which the next leader does not know. */
-  private logWaits(): void {
+  private logOpenWaits(): void {
     const now = this.options.clock.getNow();
-    for (const fields of this.dispatcher.listWaits(now)) {
-      this.batcher.recordLine('Step waits.', fields, now);
+    for (const fields of this.dispatcher.listOpenWaits(now)) {
+      this.lineBatcher.recordLine('Step waits.', fields, now);
     }
-    this.batcher.stop();
+    this.lineBatcher.stop();
   }
 
   private async readJobs(): Promise<void> {
     // Jobs are read after earlier leaders were fenced, so that they include every job that one of those has started.
-    await this.recovery.run();
+    await this.progressRecovery.run();
     while (!this.isStopped && !this.hasReadJobs) {
       this.hasReadJobs = await this.options.updateReplica();
       if (!this.hasReadJobs) {
-        await waitForDelay(TICK_MS);
+        await waitForDelay(TICK_INTERVAL_MS);
       }
     }
     this.takeOver();
@@ -290,7 +290,7 @@
 
   /** Takes over the jobs of earlier leaders, then starts to poll the endpoints, once all records have been read. */
   private takeOver(): void {
-    if (this.hasTakenOver || this.isStopped || !this.endpoints.hasReadRecords() || !this.hasReadJobs) {
+    if (this.hasTakenOver || this.isStopped || !this.endpointSessions.hasReadRecords() || !this.hasReadJobs) {
       return;
     }
     const { replica, clock, logger, epoch } = this.options;
@@ -301,26 +301,26 @@
         this.dispatcher.handleCancel(definition.id, clock.getWallTime());
       }
     }
-    this.endpoints.startSessions();
+    this.endpointSessions.startSessions();
     logger.info('Leading.', {
       epoch,
       jobs: this.dispatcher.countJobs(),
-      endpoints: this.endpoints.countEndpoints(),
+      endpoints: this.endpointSessions.countEndpoints(),
     });
   }
 
   /** Adds a job with the progress that earlier leaders have written, and writes its state if it differs from the written one. */
   private addJob(definition: JobDefinition): void {
-    const progress = this.recovery.takeProgress(definition);
-    this.services.add(definition.queue.service);
+    const progress = this.progressRecovery.takeProgress(definition);
+    this.jobServices.add(definition.queue.service);
     this.dispatcher.handleJob(definition, progress, this.options.clock.getNow());
     if (progress.getState() !== 'queued') {
-      this.journal.queueState(definition.id, progress.getState());
+      this.journal.queueJobState(definition.id, progress.getState());
     }
   }
 
   /** Queues the records that follow from a poll. */
-  private handlePolled(newEndCount: number): void {
+  private handleStatusApplied(newEndCount: number): void {
     this.options.recordCount('ends', newEndCount);
     this.sendEffects();
     this.queueRound();
@@ -336,16 +336,16 @@
   private handleTick(): void {
     const now = this.options.clock.getNow();
     this.journal.handleTick(now);
-    this.batcher.handleTick(now);
+    this.lineBatcher.handleTick(now);
     if (this.hasTakenOver) {
-      this.endpoints.startPendingSessions();
+      this.endpointSessions.startPendingSessions();
       this.dispatcher.handleTick(now);
-      this.queueLoad(now);
+      this.queueLoadDigest(now);
       this.queueRound();
     }
   }
 
-  private queueLoad(now: number): void {
+  private queueLoadDigest(now: number): void {
     const { clock, handleLoadDigest, recordCount } = this.options;
     if (handleLoadDigest === undefined) {
       return;
@@ -356,14 +356,14 @@
     );
     if (digest !== undefined) {
       recordCount('digests');
-      this.journal.queueLoad(digest);
+      this.journal.queueLoadDigest(digest);
       handleLoadDigest(digest);
     }
   }
 
   /** Returns true while this leader may grant leases; the next leader waits until the last of them has expired. */
   private canGrantLeases(): boolean {
-    return this.journal.isAcknowledgedWithin(leaderTimings.unconfirmedGraceMs);
+    return this.journal.hasAckedWriteWithin(leaderTimings.unconfirmedGraceMs);
   }
 
   private queueRound(): void {
@@ -378,7 +378,7 @@
     }
     const { clock } = this.options;
     const now = clock.getNow();
-    this.checkHold(now);
+    this.updateStartHold(now);
     const slots = this.adviceBalancer.getFreeSlots();
     if (this.isHoldingStarts) {
       this.dispatcher.requestAdviceAhead(now, clock.getWallTime(), slots);
@@ -390,9 +390,9 @@
   }
 
   /** Holds starts while they cannot be recorded, since they would take capacity and be sent with expired tickets. */
-  private checkHold(now: number): void {
+  private updateStartHold(now: number): void {
     const outageMs = this.journal.getProgressOutageMs();
-    const isHolding = outageMs > HOLD_STARTS_AFTER_MS;
+    const isHolding = outageMs > MAX_LOG_OUTAGE_MS;
     if (isHolding === this.isHoldingStarts) {
       return;
     }
@@ -414,16 +414,16 @@
   private sendEffect(effect: DispatchEffect): void {
     switch (effect.kind) {
       case 'record':
-        this.queueProgress(effect.job);
+        this.queueProgressRecord(effect.job);
         return;
       case 'start':
-        this.queueProgress(effect.job, () => void this.commands.sendStart(effect));
+        this.queueProgressRecord(effect.job, () => void this.commandSender.sendStart(effect));
         return;
       case 'stop':
-        void this.commands.sendStop(effect);
+        void this.commandSender.sendStop(effect);
         return;
       case 'look':
-        void this.endpoints.getSession(effect.endpoint)?.sendExtraPoll();
+        void this.endpointSessions.getSession(effect.endpoint)?.sendExtraPoll();
         return;
       case 'advise':
         this.options.recordCount('questions');
@@ -433,19 +433,19 @@
         this.options.recordCount(effect.name, effect.amount);
         return;
       case 'tell':
-        this.batcher.recordLine(effect.message, effect.fields, this.options.clock.getNow());
+        this.lineBatcher.recordLine(effect.message, effect.fields, this.options.clock.getNow());
         return;
     }
   }
 
-  private queueProgress(id: JobId, handleWritten?: () => void): void {
+  private queueProgressRecord(id: JobId, handleWritten?: () => void): void {
     const job = this.dispatcher.getJob(id);
     if (job !== undefined) {
-      this.journal.queueProgress(job.definition, job.progress, handleWritten);
+      this.journal.queueJobProgress(job.definition, job.progress, handleWritten);
     }
   }
 
-  private recordStart(job: JobId): void {
+  private recordStartForLoad(job: JobId): void {
     const queue = this.dispatcher.getJob(job)?.definition.queue.name;
     if (queue !== undefined && this.options.handleLoadDigest !== undefined) {
       this.loadPublisher.recordStart(queue, this.options.clock.getNow());
--- a/packages/dispatch/LeaderJournal.ts
+++ b/packages/dispatch/LeaderJournal.ts
@@ -34,8 +34,8 @@
 }
 
 /** Time for which changes are gathered into one append. */
-const LINGER_MS = 8;
-const RESIGN_TIMEOUT_MS = 600;
+const APPEND_LINGER_MS = 8;
+const RESIGNATION_FLUSH_TIMEOUT_MS = 600;
 
 /** Writes a leader's records to the log: job progress, then the job states that follow from it, heartbeats and load digests. */
 export class LeaderJournal {
@@ -57,7 +57,7 @@
    * Returns true while less than `limitMs` has certainly passed, including time in which the machine was suspended, since the newest
    * acknowledged write was sent. The next leader computes from that write, which it has read, how long leases may last.
    */
-  isAcknowledgedWithin(limitMs: number): boolean {
+  hasAckedWriteWithin(limitMs: number): boolean {
     return this.options.clock.getMaxElapsedSince(this.acknowledgedSentAt) < limitMs;
   }
 
@@ -72,7 +72,7 @@
   }
 
   /** Queues a write of a job's progress, formatted when the append is sent, then of its state. */
-  queueProgress(definition: JobDefinition, progress: JobProgress, handleWritten?: () => void): void {
+  queueJobProgress(definition: JobDefinition, progress: JobProgress, handleWritten?: () => void): void {
     let writtenState: JobState | undefined;
     const formatValue = (): string => {
       writtenState = progress.getState();
@@ -81,14 +81,14 @@
     this.progressWriter.queueWrite(jobKeys.toProgressKey(definition.id), formatValue, () => {
       // Several changes in one append are formatted once, with the last.
       if (writtenState !== undefined) {
-        this.queueState(definition.id, writtenState);
+        this.queueJobState(definition.id, writtenState);
       }
       handleWritten?.();
     });
   }
 
   /** Queues a write of the state of a job whose progress is durable, unless it is written already. */
-  queueState(id: JobId, state: JobState): void {
+  queueJobState(id: JobId, state: JobState): void {
     const { replica } = this.options;
     if (replica.getWrittenState(id) !== state) {
       this.stateWriter.queueWrite(
@@ -100,7 +100,7 @@
   }
 
   /** Resolves once all progress queued so far is durable. */
-  waitForFlush(): Promise<void> {
+  waitForProgressFlush(): Promise<void> {
     return new Promise((resolve) => this.progressWriter.queueBarrier(resolve));
   }
 
@@ -112,19 +112,19 @@
   }
 
   /** Queues a write of the load digest. */
-  queueLoad(digest: string): void {
+  queueLoadDigest(digest: string): void {
     this.stateWriter.queueWrite(loadKeys.digestKey, () => digest);
   }
 
   /** Flushes queued progress, then writes that another box may lead. Resolves after a time limit if the log is unavailable. */
   async writeResignation(): Promise<void> {
-    await this.progressWriter.waitForFlush(RESIGN_TIMEOUT_MS);
+    await this.progressWriter.waitForFlush(RESIGNATION_FLUSH_TIMEOUT_MS);
     this.stateWriter.queueWrite(leaderKeys.recordKey, () => this.options.formatLeaderRecord(true));
-    await this.stateWriter.waitForFlush(RESIGN_TIMEOUT_MS);
+    await this.stateWriter.waitForFlush(RESIGNATION_FLUSH_TIMEOUT_MS);
   }
 
   /** Retries appends that are pending since the log's outage. */
-  retryPending(): void {
+  retryPendingAppends(): void {
     this.progressWriter.retryPending();
     this.stateWriter.retryPending();
   }
@@ -143,7 +143,7 @@
       producer: leaderKeys.producer,
       epoch,
       lastSequence: leaderKeys.claimSequence,
-      lingerMs: LINGER_MS,
+      lingerMs: APPEND_LINGER_MS,
       maxBytes: maxAppendBytes,
       handleFenced,
       handleConfirmed,
--- a/packages/dispatch/advice/AdviceRequester.ts
+++ b/packages/dispatch/advice/AdviceRequester.ts
@@ -93,8 +93,15 @@
     stepAdvice.recordRequest(now);
     stats.recordRequest(endpoints);
     metrics.recordRequest(cause);
-    const expectedMs = advice.decisionMs + advice.perEndpointMs * candidates.length;
-    sendEffect({ kind: 'advise', step: name, endpoints, expectedMs, isLong, cause });
+    const expectedResponseMs = advice.decisionMs + advice.perEndpointMs * candidates.length;
+    sendEffect({
+      kind: 'advise',
+      step: name,
+      candidates: endpoints,
+      expectedResponseMs,
+      isLong,
+      cause,
+    });
     return 'answer';
   }
 
--- a/packages/dispatch/advice/FirstFreeBalancer.ts
+++ b/packages/dispatch/advice/FirstFreeBalancer.ts
@@ -43,7 +43,7 @@
     this.states.set(channel.box, state);
     state.isBusy = true;
     const requestedAt = this.options.clock.getNow();
-    const timeoutMs = request.expectedMs + TIMEOUT_MARGIN_MS;
+    const timeoutMs = request.expectedResponseMs + TIMEOUT_MARGIN_MS;
     const tickets = await sendAdviceRequest(channel, request, timeoutMs);
     state.isBusy = false;
     if (this.isStopped) {
--- a/packages/dispatch/advice/HedgingBalancer.ts
+++ b/packages/dispatch/advice/HedgingBalancer.ts
@@ -72,7 +72,7 @@
   private async waitForResponse(request: AdviceRequest, first: Attempt): Promise<Tickets> {
     const attempts = [first];
     for (let latest = first; ;) {
-      const lateMs = request.expectedMs + this.computeHedgeDelayMs(request, latest);
+      const lateMs = request.expectedResponseMs + this.computeHedgeDelayMs(request, latest);
       const tickets = await Promise.race([this.waitForFirstResponse(attempts), waitForDelay(lateMs)]);
       if (tickets !== undefined || this.isStopped) {
         return tickets ?? undefined;
@@ -88,10 +88,10 @@
   }
 
   /** Returns how long after the expected time an attempt is hedged. Long requests wait longer, since a hedge doubles their cost. */
-  private computeHedgeDelayMs({ expectedMs }: AdviceRequest, { state }: Attempt): number {
+  private computeHedgeDelayMs({ expectedResponseMs }: AdviceRequest, { state }: Attempt): number {
     return Math.max(
       state.computeHedgeDelayMs(this.overall.computeHedgeDelayMs()),
-      expectedMs * MIN_HEDGE_SHARE,
+      expectedResponseMs * MIN_HEDGE_SHARE,
     );
   }
 
@@ -123,7 +123,7 @@
     const { clock } = this.options;
     const requestedAt = clock.getNow();
     state.recordRequest(request.isLong);
-    const tickets = await sendAdviceRequest(channel, request, request.expectedMs + TIMEOUT_MARGIN_MS);
+    const tickets = await sendAdviceRequest(channel, request, request.expectedResponseMs + TIMEOUT_MARGIN_MS);
     const now = clock.getNow();
     if (tickets === undefined) {
       state.recordFailure(now + QUARANTINE_MS);
@@ -133,7 +133,7 @@
       if (this.listHealthy(now).length === 0) {
         this.states.forEach((other) => other.clearQuarantine());
       }
-      const delayMs = Math.max(0, now - requestedAt - request.expectedMs);
+      const delayMs = Math.max(0, now - requestedAt - request.expectedResponseMs);
       state.recordResponse(delayMs, now);
       this.overall.recordResponse(delayMs, now);
     }
--- a/packages/dispatch/advice/sendAdviceRequest.ts
+++ b/packages/dispatch/advice/sendAdviceRequest.ts
@@ -9,11 +9,11 @@
  */
 export const sendAdviceRequest = async (
   { client }: AdviceChannel,
-  { step, endpoints }: Extract<DispatchEffect, { kind: 'advise' }>,
+  { step, candidates }: Extract<DispatchEffect, { kind: 'advise' }>,
   timeoutMs: number,
 ): Promise<ReadonlyMap<EndpointIncarnation, string> | undefined> => {
   const incarnations = new Map(
-    endpoints.map((incarnation) => [endpointIncarnations.toEndpointId(incarnation), incarnation]),
+    candidates.map((incarnation) => [endpointIncarnations.toEndpointId(incarnation), incarnation]),
   );
   const tickets = await client.requestAdvice(step, [...incarnations.keys()], timeoutMs);
   return (
--- a/packages/dispatch/computeLoad.ts
+++ b/packages/dispatch/computeLoad.ts
@@ -18,18 +18,18 @@
   readonly wallMs: number;
 }
 
-type QueueRow = {
+type QueueLoad = {
   -readonly [Field in keyof LoadSnapshot['queues'][number]]: LoadSnapshot['queues'][number][Field];
 };
-type CustomerRow = LoadSnapshot['customers'] extends ReadonlyMap<CustomerName, infer Row> ? Row : never;
+type CustomerLoad = LoadSnapshot['customers'] extends ReadonlyMap<CustomerName, infer Row> ? Row : never;
 
 /** Computes a snapshot of waiting and running work. Iterates over all jobs and runs, so it is too expensive for each round. */
 export const computeLoad = ({ endpoints, jobs, usage, capacity, wallMs }: LoadInput): LoadSnapshot => {
-  const queues = new Map<string, QueueRow>();
-  const customers = new Map<CustomerName, CustomerRow>();
+  const queues = new Map<string, QueueLoad>();
+  const customers = new Map<CustomerName, CustomerLoad>();
   let freeCpuMillis = 0;
 
-  const getRow = (queue: string): QueueRow => {
+  const getQueueLoad = (queue: string): QueueLoad => {
     const row = queues.get(queue) ?? { queue, waitingTasks: 0, waitingCpuMillis: 0, runningCpuMillis: 0 };
     queues.set(queue, row);
     return row;
@@ -42,7 +42,7 @@
     for (const { job, demand } of endpoint.getRuns()) {
       const definition = jobs.get(job)?.definition;
       if (definition !== undefined) {
-        getRow(definition.queue.name).runningCpuMillis += demand.cpuMillis;
+        getQueueLoad(definition.queue.name).runningCpuMillis += demand.cpuMillis;
       }
     }
   }
@@ -51,15 +51,15 @@
     const { customer, queue } = job.definition;
     for (const step of steps) {
       const demand = computeWaitingDemand(step);
-      const row = getRow(queue.name);
+      const row = getQueueLoad(queue.name);
       row.waitingTasks += step.indexes.length;
       row.waitingCpuMillis += demand.cpuMillis;
       if (customer !== undefined) {
-        const known = customers.get(customer.name);
+        const earlier = customers.get(customer.name);
         customers.set(customer.name, {
           weight: customer.weight,
-          waitingTasks: (known?.waitingTasks ?? 0) + step.indexes.length,
-          waiting: resourceMath.computeSum(known?.waiting ?? resourceMath.ZERO, demand),
+          waitingTasks: (earlier?.waitingTasks ?? 0) + step.indexes.length,
+          waiting: resourceMath.computeSum(earlier?.waiting ?? resourceMath.ZERO, demand),
           held: usage.getUsed(customer.name),
         });
       }
--- a/packages/dispatch/crashes/CrashTracker.ts
+++ b/packages/dispatch/crashes/CrashTracker.ts
@@ -151,7 +151,7 @@
       return;
     }
     const { clearedAgeFactor, clearedAgeMs, maxClearedAgeMs: longestClearedAgeMs } = crashLimits;
-    const listedMs = run.lastListedAt - run.confirmedAt;
+    const listedMs = run.lastListedAt - run.startConfirmedAt;
     const isCleared = ({ ageMs }: TaskCrash): boolean =>
       listedMs >= Math.min(longestClearedAgeMs, clearedAgeFactor * ageMs + clearedAgeMs);
     if (progress?.removeCrashes(run.address, isCleared) === true) {
@@ -276,7 +276,7 @@
   private getAgeMs(run: PlacedRun): number {
     return run.stage === 'unconfirmed'
       ? crashLimits.unknownAgeMs
-      : Math.round(run.lastListedAt - run.confirmedAt);
+      : Math.round(run.lastListedAt - run.startConfirmedAt);
   }
 
   private removeCrashes(
--- a/packages/dispatch/crashes/isPastStartup.ts
+++ b/packages/dispatch/crashes/isPastStartup.ts
@@ -3,4 +3,4 @@
 
 /** Returns true when a poll has listed the run long enough after its start that the startup can't crash the endpoint any more. */
 export const isPastStartup = (run: PlacedRun): boolean =>
-  run.lastListedAt - run.confirmedAt >= crashLimits.startupMs;
+  run.lastListedAt - run.startConfirmedAt >= crashLimits.startupMs;
--- a/packages/dispatch/endpoints/EndpointLossHandler.ts
+++ b/packages/dispatch/endpoints/EndpointLossHandler.ts
@@ -14,8 +14,8 @@
   readonly longestLeaseMs: number;
 }
 
-const INCARNATION_OVER: RunEnd = { outcome: 'interrupted', cause: 'lifeOver', checkpoint: '' };
-const LEASE_EXPIRED: RunEnd = { outcome: 'interrupted', cause: 'leaseOver', checkpoint: '' };
+const INCARNATION_OVER: RunEnd = { outcome: 'interrupted', evidence: 'lifeOver', checkpoint: '' };
+const LEASE_EXPIRED: RunEnd = { outcome: 'interrupted', evidence: 'leaseOver', checkpoint: '' };
 
 /** Ends the runs of endpoints whose incarnation has ended or whose lease has expired. */
 export class EndpointLossHandler {
@@ -34,7 +34,7 @@
     const runs = [...endpoint.getRuns()];
     const nextEndpoint = next === undefined ? undefined : endpoints.get(next);
     const transferred =
-      nextEndpoint === undefined ? [] : runs.filter((run) => run.stage !== 'recording' && !run.isListed);
+      nextEndpoint === undefined ? [] : runs.filter((run) => run.stage !== 'recording' && !run.hasBeenListed);
     const fields = formatIncarnationEnd(endpoint, runs, now, { next, carriedCount: transferred.length });
     tracker.sendLogLine('Endpoint incarnation has ended.', fields);
     tracker.sendCount('lifeEnds');
--- a/packages/dispatch/endpoints/StatusReconciler.ts
+++ b/packages/dispatch/endpoints/StatusReconciler.ts
@@ -34,8 +34,8 @@
   broken: 'interrupted',
   alone: 'interrupted',
 };
-const NOT_LISTED: RunEnd = { outcome: 'interrupted', cause: 'notListed', checkpoint: '' };
-const ENDED_WITH_INCARNATION: RunEnd = { outcome: 'interrupted', cause: 'lifeOver', checkpoint: '' };
+const NOT_LISTED: RunEnd = { outcome: 'interrupted', evidence: 'notListed', checkpoint: '' };
+const ENDED_WITH_INCARNATION: RunEnd = { outcome: 'interrupted', evidence: 'lifeOver', checkpoint: '' };
 /** Highest number of ends in one status; a list of this length may be incomplete. */
 const MAX_LISTED_ENDS = 500;
 
@@ -74,7 +74,7 @@
     this.options.tracker.recordRunEnd(
       endpoint,
       run,
-      { outcome, cause: 'listed', checkpoint: row.checkpoint, reportedEnd: row.how },
+      { outcome, evidence: 'listed', checkpoint: row.checkpoint, reportedEnd: row.how },
       now,
     );
     const job = this.options.jobs.get(run.job);
@@ -88,7 +88,7 @@
     if (run.stage === 'ordered' || run.stage === 'unconfirmed') {
       run.stage = 'running';
       // A run whose start had no response may have begun just now, so that its startup is counted from here.
-      run.confirmedAt = now;
+      run.startConfirmedAt = now;
       if (run.startTimedOutAt !== undefined) {
         this.logLateConfirmation(
           'Run has started, though its start command had no response.',
@@ -100,7 +100,7 @@
       }
     }
     this.checkTransferred(run, now);
-    run.isListed = true;
+    run.hasBeenListed = true;
     run.lastListedAt = now;
     if (isPastStartup(run)) {
       endpoint.recordStartupPassed(run);
@@ -108,7 +108,7 @@
     }
     if (row.percent > run.percent) {
       run.percent = row.percent;
-      run.progressedAt = now;
+      run.lastProgressAt = now;
     }
     this.options.learner.recordRun(endpoint, run, now);
     if (row.checkpoint !== '' && row.checkpoint !== run.checkpoint) {
@@ -209,7 +209,7 @@
       case 'unconfirmed':
         return true;
       case 'running':
-        return run.confirmedAt < sentAt;
+        return run.startConfirmedAt < sentAt;
       case 'stopping':
         return run.stopRespondedAt !== undefined && run.stopRespondedAt <= sentAt;
     }
--- a/packages/dispatch/endpoints/formatIncarnationEnd.ts
+++ b/packages/dispatch/endpoints/formatIncarnationEnd.ts
@@ -28,8 +28,8 @@
       task: run.task,
       run: run.run,
       stage: run.stage,
-      ageMs: Math.round(now - run.confirmedAt),
-      listedAgeMs: Math.round(run.lastListedAt - run.confirmedAt),
+      ageMs: Math.round(now - run.startConfirmedAt),
+      listedAgeMs: Math.round(run.lastListedAt - run.startConfirmedAt),
     })),
   };
 };
--- a/packages/dispatch/placing/Preemptor.ts
+++ b/packages/dispatch/placing/Preemptor.ts
@@ -157,7 +157,7 @@
     const shape = this.options.jobs.get(run.job)?.definition.steps[run.address.step];
     return {
       cpuMillis: run.demand.cpuMillis,
-      workedMs: now - (run.checkpointedAt ?? run.confirmedAt),
+      workedMs: now - (run.checkpointedAt ?? run.startConfirmedAt),
       isSaving: shape?.isCheckpointing === true,
     };
   }
@@ -258,12 +258,12 @@
     }
     const isExcluded = shape.isGang || shape.isLongRunning || shape.isFiller;
     const preemptions = job.countPreemptions(run.task);
-    const hasWorkedEnough = preemptions === 0 || now - run.confirmedAt >= this.options.rules.minWorkMs;
+    const hasWorkedEnough = preemptions === 0 || now - run.startConfirmedAt >= this.options.rules.minWorkMs;
     return !isExcluded && preemptions < MAX_PREEMPTIONS && hasWorkedEnough && !this.isEndingSoon(run, now);
   }
 
   private isEndingSoon(run: PlacedRun, now: number): boolean {
-    const workedMs = now - run.confirmedAt;
+    const workedMs = now - run.startConfirmedAt;
     return run.percent > 0 && (workedMs * (MAX_PERCENT - run.percent)) / run.percent < MIN_REMAINING_MS;
   }
 }
--- a/packages/dispatch/placing/StepPlacer.ts
+++ b/packages/dispatch/placing/StepPlacer.ts
@@ -289,7 +289,7 @@
       const endpoint = state.getProfile().incarnation;
       const checkpoint = shape.isGang ? gangCheckpoint : progress.getTask(address)!.checkpoint;
       progress.recordPlaced(address, run.run, endpoint);
-      run.waits = waits;
+      run.waitTimes = waits;
       const command = { task, run: run.run, spec: definition.spec, checkpoint, ticket };
       this.options.advice.recordTicketUse(step, endpoint);
       this.options.sendEffect({ kind: 'start', job: definition.id, endpoint, command, waits });
--- a/packages/dispatch/runs/GangMonitor.ts
+++ b/packages/dispatch/runs/GangMonitor.ts
@@ -15,20 +15,20 @@
   ) {}
 
   /** Checks all gangs. One that lost members cannot work: its other members have to be stopped, so that it restarts as a whole. */
-  checkAll(): void {
+  checkAllGangs(): void {
     for (const job of this.jobs.values()) {
       for (const [step, shape] of job.definition.steps.entries()) {
         if (shape.isGang) {
-          for (let time = 0; time < job.definition.times; time += 1) {
-            this.checkGang(job, time, step);
+          for (let repetition = 0; repetition < job.definition.times; repetition += 1) {
+            this.checkGang(job, repetition, step);
           }
         }
       }
     }
   }
 
-  private checkGang(job: LiveJob, time: number, step: number): void {
-    const tasks = job.progress.listTasks(time, step);
+  private checkGang(job: LiveJob, repetition: number, step: number): void {
+    const tasks = job.progress.listTasks(repetition, step);
     const isIncomplete =
       tasks.some((task) => task.phase === 'waiting') && tasks.some((task) => task.phase === 'placed');
     if (!isIncomplete) {
@@ -36,10 +36,7 @@
     }
     for (const [index, task] of tasks.entries()) {
       const endpoint = this.endpoints.get(task.endpoint);
-      const run = endpoint?.getRun(
-        toTaskName(job.definition.id, { repetition: time, step, index }),
-        task.run,
-      );
+      const run = endpoint?.getRun(toTaskName(job.definition.id, { repetition, step, index }), task.run);
       if (task.phase === 'placed' && endpoint !== undefined && run !== undefined) {
         this.handleRemainingMember(endpoint, run);
       }
--- a/packages/dispatch/runs/PlacedRun.ts
+++ b/packages/dispatch/runs/PlacedRun.ts
@@ -39,21 +39,21 @@
   readonly isFromStart: boolean;
   stage: RunStage;
   /** A poll has listed it, so it has certainly started on its current incarnation. */
-  isListed: boolean;
+  hasBeenListed: boolean;
   /** Incarnation that the start was sent to, if the next one may have received it; undefined once a poll has shown which. */
   transferredFrom: EndpointIncarnation | undefined;
   /** How long its task waited before the placement, by cause; undefined for one that an earlier leader placed. */
-  waits: WaitTimes | undefined;
+  waitTimes: WaitTimes | undefined;
   /** Monotonic time of the placement. */
   placedAt: number;
   /** Monotonic time at which its record became durable; `placedAt` until then. */
   recordedAt: number;
   /** Monotonic time at which the endpoint confirmed the start. */
-  confirmedAt: number;
+  startConfirmedAt: number;
   /** Monotonic time at which the start command timed out; undefined if it did not. */
   startTimedOutAt: number | undefined;
   /** Monotonic time from which the delay of the next stop retry counts; undefined before the first check. */
-  stopSentAt: number | undefined;
+  stopRetryTimedFrom: number | undefined;
   /** Reason for the stop; undefined while it is not being stopped. */
   stopCause: StopCause | undefined;
   /** The stop command was retried. */
@@ -64,7 +64,7 @@
   /** Monotonic time of the newest poll that listed it; `placedAt` before the first. */
   lastListedAt: number;
   /** Monotonic time at which `percent` last increased. */
-  progressedAt: number;
+  lastProgressAt: number;
   checkpoint: string;
   /** Monotonic time at which `checkpoint` last changed; undefined if this run has written none. */
   checkpointedAt: number | undefined;
--- a/packages/dispatch/runs/RunCommands.ts
+++ b/packages/dispatch/runs/RunCommands.ts
@@ -19,10 +19,10 @@
   readonly handleIncarnationEnd: (incarnation: EndpointIncarnation, now: number) => void;
 }
 
-const NOT_SENT: RunEnd = { outcome: 'interrupted', cause: 'notSent', checkpoint: '' };
-const NOT_DELIVERED: RunEnd = { outcome: 'interrupted', cause: 'notDelivered', checkpoint: '' };
-const REJECTED: RunEnd = { outcome: 'interrupted', cause: 'turnedDown', checkpoint: '' };
-const UNHEALTHY: RunEnd = { outcome: 'interrupted', cause: 'unhealthy', checkpoint: '' };
+const NOT_SENT_END: RunEnd = { outcome: 'interrupted', evidence: 'notSent', checkpoint: '' };
+const NOT_DELIVERED_END: RunEnd = { outcome: 'interrupted', evidence: 'notDelivered', checkpoint: '' };
+const REJECTED_END: RunEnd = { outcome: 'interrupted', evidence: 'turnedDown', checkpoint: '' };
+const UNHEALTHY_END: RunEnd = { outcome: 'interrupted', evidence: 'unhealthy', checkpoint: '' };
 
 /** Decides which recorded starts are sent, and applies the results of start and stop commands. */
 export class RunCommands {
@@ -44,12 +44,12 @@
     const isRunnable =
       job !== undefined && !job.progress.isEnded() && endpoint.isSchedulable() && !endpoint.isOvercommitted();
     if (!isRunnable || !this.isTicketValid(job, run, effect, now)) {
-      runTracker.recordRunEnd(endpoint, run, NOT_SENT, now);
+      runTracker.recordRunEnd(endpoint, run, NOT_SENT_END, now);
       return false;
     }
     run.stage = 'ordered';
     run.recordedAt = now;
-    run.confirmedAt = now;
+    run.startConfirmedAt = now;
     return true;
   }
 
@@ -59,8 +59,8 @@
     { endpoint, command }: StartEffect,
     now: number,
   ): boolean {
-    const { repetition: time, step } = run.address;
-    return command.ticket === '' || job.getAdvice(time, step).hasSendableTicket(endpoint, now);
+    const { repetition, step } = run.address;
+    return command.ticket === '' || job.getAdvice(repetition, step).hasSendableTicket(endpoint, now);
   }
 
   /** Cancels all starts whose records are not durable yet, so that their tasks are placed again. */
@@ -68,7 +68,7 @@
     for (const endpoint of this.options.endpoints.values()) {
       for (const run of [...endpoint.getRuns()]) {
         if (run.stage === 'recording') {
-          this.options.runTracker.recordRunEnd(endpoint, run, NOT_SENT, now);
+          this.options.runTracker.recordRunEnd(endpoint, run, NOT_SENT_END, now);
         }
       }
     }
@@ -78,7 +78,7 @@
   handleStartUnsent(effect: StartEffect, now: number): void {
     const found = this.findRun(effect.endpoint, effect.command.task, effect.command.run);
     if (found !== undefined) {
-      this.options.runTracker.recordRunEnd(found.endpoint, found.run, NOT_SENT, now);
+      this.options.runTracker.recordRunEnd(found.endpoint, found.run, NOT_SENT_END, now);
     }
   }
 
@@ -133,13 +133,13 @@
       case 'done':
         jobs.get(run.job)?.recordStartAccepted(run.address);
         run.stage = 'running';
-        run.confirmedAt = now;
+        run.startConfirmedAt = now;
         return;
       case 'undelivered':
         endpoint.recordOutcome(true, now);
         endpoint.recordUnreachable(now);
         // Nothing was sent, so the task can be placed again at once, and is not blamed for a crash of the endpoint.
-        runTracker.recordRunEnd(endpoint, run, NOT_DELIVERED, now);
+        runTracker.recordRunEnd(endpoint, run, NOT_DELIVERED_END, now);
         return;
       case 'unanswered':
         endpoint.recordOutcome(true, now);
@@ -157,12 +157,12 @@
           jobs.get(run.job)?.getAdvice(run.address.repetition, run.address.step).removeTicket(incarnation);
         }
         jobs.get(run.job)?.recordStartRejected(run.address, now);
-        runTracker.recordRunEnd(endpoint, run, REJECTED, now);
+        runTracker.recordRunEnd(endpoint, run, REJECTED_END, now);
         return;
       case 'unhealthy':
         endpoint.recordOutcome(true, now);
         jobs.get(run.job)?.recordStartRejected(run.address, now);
-        runTracker.recordRunEnd(endpoint, run, UNHEALTHY, now);
+        runTracker.recordRunEnd(endpoint, run, UNHEALTHY_END, now);
         return;
     }
   }
--- a/packages/dispatch/runs/RunTracker.ts
+++ b/packages/dispatch/runs/RunTracker.ts
@@ -17,20 +17,20 @@
 
 interface RunTrackerCallbacks {
   /** Called when capacity has been released. */
-  readonly handleFreed: () => void;
+  readonly handleCapacityReleased: () => void;
   /** Called when the progress of a job has changed and must be recorded. */
-  readonly handleChanged: (job: JobId) => void;
+  readonly handleProgressChanged: (job: JobId) => void;
   readonly sendEffect: (effect: DispatchEffect) => void;
 }
 
 /** Delay of the first retry of a stop; longer than its usual timeout. */
-const FIRST_STOP_RETRY_MS = 200;
+const FIRST_STOP_RETRY_DELAY_MS = 200;
 /** Smaller losses of work, in core-milliseconds, are counted but not logged. */
-const MIN_LOGGED_CORE_MS = 1000;
+const MIN_LOGGED_LOST_CORE_MS = 1000;
 /** A run whose start command timed out is stopped after this time, unless a poll lists it before. */
-const UNANSWERED_STOP_MS = 300;
+const TIMED_OUT_START_GRACE_MS = 300;
 /** Delay of later retries, whose timeout is longer. */
-const STOP_RETRY_MS = 600;
+const LATER_STOP_RETRY_DELAY_MS = 600;
 
 /** Records the ends of runs and jobs in the endpoints' state and the jobs' progress, and sends stops. */
 export class RunTracker {
@@ -44,9 +44,9 @@
 
   /** Releases the capacity of a run and records its end in the job's progress. */
   recordRunEnd(endpoint: EndpointState, run: PlacedRun, end: RunEnd, now: number): void {
-    const { outcome, cause, checkpoint } = end;
+    const { outcome, evidence, checkpoint } = end;
     endpoint.removeRun(run);
-    this.callbacks.handleFreed();
+    this.callbacks.handleCapacityReleased();
     this.recordLostWork(endpoint, run, end, now);
     const job = this.jobs.get(run.job);
     const newestCheckpoint = checkpoint === '' ? run.checkpoint : checkpoint;
@@ -58,20 +58,20 @@
     if (job?.progress.recordEnd(run.address, run.run, outcome, newestCheckpoint) === true) {
       job.changedAt = now;
       job.trace.recordRun(run, endpoint.getProfile(), end, now);
-      this.callbacks.handleChanged(run.job);
+      this.callbacks.handleProgressChanged(run.job);
       this.sendLogLine('Run ended.', {
         job: run.job,
         task: run.task,
         run: run.run,
         endpoint: endpoint.getProfile().incarnation,
         outcome,
-        cause,
+        cause: evidence,
         how: end.reportedEnd,
         why: run.stopCause,
         stage: run.stage,
         ageMs: Math.round(now - run.placedAt),
         recordMs: Math.round(run.recordedAt - run.placedAt),
-        startMs: Math.round(run.confirmedAt - run.recordedAt),
+        startMs: Math.round(run.startConfirmedAt - run.recordedAt),
         unheardMs: Math.round(now - run.lastListedAt),
       });
     }
@@ -91,7 +91,7 @@
     const lostCoreMs = computeLostWork(run, end, now);
     this.sendCount(`runsLostBy.${lossCause}`);
     this.sendCount(`coreMsLostBy.${lossCause}`, lostCoreMs);
-    if (lostCoreMs >= MIN_LOGGED_CORE_MS) {
+    if (lostCoreMs >= MIN_LOGGED_LOST_CORE_MS) {
       this.sendLogLine('Work is lost.', {
         job: run.job,
         task: run.task,
@@ -115,7 +115,7 @@
     to.addRun(run);
     const { incarnation } = to.getProfile();
     this.jobs.get(run.job)?.progress.recordTransfer(run.address, run.run, incarnation);
-    this.callbacks.handleChanged(run.job);
+    this.callbacks.handleProgressChanged(run.job);
     this.sendLogLine('Run may have reached the next life.', {
       job: run.job,
       task: run.task,
@@ -140,17 +140,17 @@
     incarnation: EndpointIncarnation,
     wallMs: number,
   ): void {
-    const { repetition: time, step, index } = run.address;
+    const { repetition, step, index } = run.address;
     const shape = job.definition.steps[step]!;
     if (outcome === 'failed') {
-      job.recordFailureOn(time, step, incarnation);
-      const failures = job.countFailures(time, step, index);
+      job.recordFailureOn(repetition, step, incarnation);
+      const failures = job.countFailures(repetition, step, index);
       if (!shape.isLongRunning && failures >= job.definition.queue.attempts) {
         this.recordJobEnd(job, 'failed', wallMs);
       }
     }
     if (outcome === 'done' && shape.isGang) {
-      job.progress.recordGangDone(time, step);
+      job.progress.recordGangDone(repetition, step);
     }
     if (job.progress.isAllDone()) {
       this.recordJobEnd(job, 'completed', wallMs);
@@ -163,7 +163,7 @@
       return;
     }
     job.progress.recordJobEnd(ending, wallMs);
-    this.callbacks.handleChanged(job.definition.id);
+    this.callbacks.handleProgressChanged(job.definition.id);
     this.sendLogLine('Job ended.', { job: job.definition.id, queue: job.definition.queue.name, ending });
     this.logLateJob(job, ending, wallMs);
     for (const endpoint of this.endpoints.values()) {
@@ -184,25 +184,25 @@
     run.stage = 'stopping';
     run.stopCause = cause;
     run.stopRespondedAt = undefined;
-    run.stopSentAt = undefined;
+    run.stopRetryTimedFrom = undefined;
     run.isStopRepeated = false;
     this.sendStopCommand(endpoint, run);
   }
 
   /** Retries stops without a response, and stops runs whose start timed out and that no poll has listed since. */
-  retryStops(endpoint: EndpointState, now: number): void {
+  sendDueStops(endpoint: EndpointState, now: number): void {
     for (const run of endpoint.getRuns()) {
-      if (run.stage === 'ordered' && now - (run.startTimedOutAt ?? now) >= UNANSWERED_STOP_MS) {
+      if (run.stage === 'ordered' && now - (run.startTimedOutAt ?? now) >= TIMED_OUT_START_GRACE_MS) {
         this.sendStop(endpoint, run, 'unanswered');
         continue;
       }
       if (run.stage !== 'stopping' || run.stopRespondedAt !== undefined) {
         continue;
       }
-      run.stopSentAt ??= now;
-      const retryMs = run.isStopRepeated ? STOP_RETRY_MS : FIRST_STOP_RETRY_MS;
-      if (now - run.stopSentAt >= retryMs) {
-        run.stopSentAt = now;
+      run.stopRetryTimedFrom ??= now;
+      const retryMs = run.isStopRepeated ? LATER_STOP_RETRY_DELAY_MS : FIRST_STOP_RETRY_DELAY_MS;
+      if (now - run.stopRetryTimedFrom >= retryMs) {
+        run.stopRetryTimedFrom = now;
         run.isStopRepeated = true;
         this.sendStopCommand(endpoint, run);
       }
@@ -225,13 +225,13 @@
   }
 
   private sendStopCommand(endpoint: EndpointState, run: PlacedRun): void {
-    const { task, run: number, isStopRepeated: isRepeated } = run;
+    const { task, run: number, isStopRepeated } = run;
     this.callbacks.sendEffect({
       kind: 'stop',
       endpoint: endpoint.getProfile().incarnation,
       task,
       run: number,
-      isRepeated,
+      isRepeated: isStopRepeated,
     });
   }
 
--- a/packages/dispatch/runs/estimateRemainingMs.ts
+++ b/packages/dispatch/runs/estimateRemainingMs.ts
@@ -1,14 +1,14 @@
 import type { PlacedRun } from './PlacedRun';
 
 /** Below this progress the speed of a run is not known. */
-const MIN_SPEED_PERCENT = 5;
+const MIN_PERCENT_FOR_SPEED = 5;
 
 /** Estimates the time until a run ends in milliseconds, from its speed so far, or from `estimatedMs` for the whole run. */
 export const estimateRemainingMs = (run: PlacedRun, estimatedMs: number, now: number): number => {
   const ageMs = now - run.placedAt;
-  if (run.percent < MIN_SPEED_PERCENT) {
+  if (run.percent < MIN_PERCENT_FOR_SPEED) {
     return Math.max(0, estimatedMs - ageMs);
   }
-  const totalMs = ((run.progressedAt - run.placedAt) * 100) / run.percent;
+  const totalMs = ((run.lastProgressAt - run.placedAt) * 100) / run.percent;
   return Math.max(0, totalMs - ageMs);
 };
--- a/packages/dispatch/runs/findStragglerReason.ts
+++ b/packages/dispatch/runs/findStragglerReason.ts
@@ -14,22 +14,22 @@
 }
 
 /** Default of `slowPace`, as a multiple of `usualPace`. */
-const SLOW_RATIO = 2.5;
+const SLOW_PACE_RATIO = 2.5;
 /** Remaining time at which a move pays off, as a multiple of the time that a new run takes. */
-const MIN_GAIN_RATIO = 1.3;
+const MIN_REMAINING_RATIO = 1.3;
 const MIN_STALL_MS = 900;
 /** A run is stalled when it makes no progress in the baseline time for this many percent. */
-const STALL_PERCENT = 25;
+const STALL_BASELINE_PERCENT = 25;
 const ALL_PERCENT = 100;
 
 /** Returns why a run would end sooner on another endpoint, or undefined when it would not. */
 export const findStragglerReason = (input: StragglerInput): 'stalled' | 'slow' | undefined => {
-  if (input.stalledMs > Math.max(MIN_STALL_MS, STALL_PERCENT * input.baselinePace)) {
+  if (input.stalledMs > Math.max(MIN_STALL_MS, STALL_BASELINE_PERCENT * input.baselinePace)) {
     return 'stalled';
   }
   const remainingMs = input.pace * (ALL_PERCENT - input.percent);
-  const { baselinePace: usualPace, slowPace = SLOW_RATIO * usualPace, restartPercent = ALL_PERCENT } = input;
-  const restartMs = usualPace * restartPercent + input.moveMs;
+  const { baselinePace, slowPace = SLOW_PACE_RATIO * baselinePace, restartPercent = ALL_PERCENT } = input;
+  const restartMs = baselinePace * restartPercent + input.moveMs;
   const isSlow = input.pace > slowPace;
-  return isSlow && remainingMs > MIN_GAIN_RATIO * restartMs ? 'slow' : undefined;
+  return isSlow && remainingMs > MIN_REMAINING_RATIO * restartMs ? 'slow' : undefined;
 };
--- a/packages/dispatch/speeds/RunLearner.ts
+++ b/packages/dispatch/speeds/RunLearner.ts
@@ -57,7 +57,7 @@
 
   /** Records the progress of a run, as reported by a poll. */
   recordRun(endpoint: EndpointState, run: PlacedRun, now: number): void {
-    const ageMs = now - run.confirmedAt;
+    const ageMs = now - run.startConfirmedAt;
     const measurement = ageMs >= MIN_AGE_MS ? this.createMeasurement(endpoint, run) : undefined;
     if (measurement === undefined) {
       return;
@@ -79,7 +79,7 @@
     if (measurement === undefined) {
       return;
     }
-    const runMs = now - run.confirmedAt;
+    const runMs = now - run.startConfirmedAt;
     this.recordPace(measurement, runMs / FULL_PERCENT, now);
     this.recordKindPace(measurement, runMs / FULL_PERCENT);
     if (!this.measuredRuns.has(run)) {
--- a/packages/dispatch/stops/computeLostWork.ts
+++ b/packages/dispatch/stops/computeLostWork.ts
@@ -9,6 +9,6 @@
   if (run.stage === 'recording' || isAllSaved) {
     return 0;
   }
-  const savedAt = run.checkpointedAt ?? run.confirmedAt;
+  const savedAt = run.checkpointedAt ?? run.startConfirmedAt;
   return Math.round((Math.max(0, now - savedAt) * run.demand.cpuMillis) / MILLIS);
 };
--- a/packages/dispatch/stops/estimateRemainingByPaceMs.ts
+++ b/packages/dispatch/stops/estimateRemainingByPaceMs.ts
@@ -4,7 +4,7 @@
 
 /** Returns the estimated time until a run ends, in milliseconds: by its pace at the newest poll, or the baseline while unknown. */
 export const estimateRemainingByPaceMs = (run: PlacedRun, baselinePace: number, now: number): number => {
-  const workedMs = run.lastListedAt - run.confirmedAt;
+  const workedMs = run.lastListedAt - run.startConfirmedAt;
   const hasPace = run.isFromStart && run.percent > 0 && workedMs > 0;
   const pace = hasPace ? workedMs / run.percent : baselinePace;
   return Math.max(0, pace * (MAX_PERCENT - run.percent) - (now - run.lastListedAt));
--- a/packages/dispatch/stops/getGangCheckpoint.ts
+++ b/packages/dispatch/stops/getGangCheckpoint.ts
@@ -16,6 +16,6 @@
     return undefined;
   }
   const isNewer = checkpoint !== '' && checkpoint !== run.checkpoint;
-  const knownAt = isNewer ? run.lastListedAt : (run.checkpointedAt ?? run.confirmedAt);
+  const knownAt = isNewer ? run.lastListedAt : (run.checkpointedAt ?? run.startConfirmedAt);
   return { checkpoint: newest, run: run.run, savedAt: reportedEnd === 'stopped' ? now : knownAt };
 };
--- a/packages/dispatch/stops/getLossCause.ts
+++ b/packages/dispatch/stops/getLossCause.ts
@@ -16,7 +16,7 @@
 /** Returns the cause by which an interrupted run was lost; undefined for one that ended by itself, or never began. */
 export const getLossCause = (
   run: PlacedRun,
-  { outcome, cause, reportedEnd }: RunEnd,
+  { outcome, evidence, reportedEnd }: RunEnd,
 ): LossCause | undefined => {
   if (outcome !== 'interrupted') {
     return undefined;
@@ -27,5 +27,5 @@
   if (reportedEnd !== undefined) {
     return UNREQUESTED_CAUSES[reportedEnd];
   }
-  return cause === 'lifeOver' || cause === 'leaseOver' ? 'endpointLost' : undefined;
+  return evidence === 'lifeOver' || evidence === 'leaseOver' ? 'endpointLost' : undefined;
 };
--- a/packages/logging/JobTrace.ts
+++ b/packages/logging/JobTrace.ts
@@ -30,7 +30,7 @@
       task: run.task,
       run: run.run,
       placedAt: run.placedAt,
-      waits: run.waits ?? {},
+      waits: run.waitTimes ?? {},
       endedAt: now,
       outcome,
       how: reportedEnd ?? '',
@@ -38,7 +38,7 @@
       endpoint: incarnation,
       hall,
       recordMs: run.recordedAt - run.placedAt,
-      startMs: Math.max(0, run.confirmedAt - run.recordedAt),
+      startMs: Math.max(0, run.startConfirmedAt - run.recordedAt),
     });
     this.removeExcessRun();
   }
--- a/packages/serve/ServeProcess.ts
+++ b/packages/serve/ServeProcess.ts
@@ -323,7 +323,7 @@
   private handleLogBack(answeredSentAt: number): void {
     this.followers.startAgain(answeredSentAt);
     this.writer.retryPending();
-    this.duty?.retryPending(answeredSentAt);
+    this.duty?.retryPendingLogCalls(answeredSentAt);
   }
 
   private handleJobRecords(records: readonly LogRecord[]): void {
@@ -408,7 +408,7 @@
       ...(admissionModes[settings.door].isLoadPublished
         ? { handleLoadDigest: (value) => this.foldLoad([{ key: loadKeys.digestKey, value }]) }
         : {}),
-      getLimit: (customer) => this.router.getCustomers().findByName(customer)?.limit,
+      getCustomerLimit: (customer) => this.router.getCustomers().findByName(customer)?.limit,
       parseEndpoint: (id, text) => adapter.parseEndpoint(id, text),
       createEndpointClient: (profile, readToken) => adapter.createEndpointClient(profile, readToken),
       isServiceRouted: (service) => this.router.hasService(service),
--- a/tests/adviceQuestions.test.ts
+++ b/tests/adviceQuestions.test.ts
@@ -48,15 +48,15 @@
     sendJob(2);
     const [first, second] = takeRequests(0);
     // Two tasks, with half of the endpoints refused and twice the capacity, need eight.
-    expect(first!.endpoints).toHaveLength(8);
-    expect(second!.endpoints).toHaveLength(8);
-    expect(new Set([...first!.endpoints, ...second!.endpoints]).size).toBe(16);
+    expect(first!.candidates).toHaveLength(8);
+    expect(second!.candidates).toHaveLength(8);
+    expect(new Set([...first!.candidates, ...second!.candidates]).size).toBe(16);
   });
 
   it('follow the share of endpoints that are allowed for the queue', () => {
     for (let number = 1; number < 40; number += 1) {
       sendJob(number);
-      for (const { step, endpoints } of takeRequests(number)) {
+      for (const { step, candidates: endpoints } of takeRequests(number)) {
         dispatcher.handleAdviceResponse(
           step,
           endpoints,
@@ -70,22 +70,22 @@
     sendJob(40);
     const [last] = takeRequests(40);
     // With hardly any refusals four would do; the minimum is five.
-    expect(last!.endpoints).toHaveLength(5);
+    expect(last!.candidates).toHaveLength(5);
   });
 
   it('are sent at once after a response that does not suffice, with new candidates', () => {
     sendJob(1);
     const [first] = takeRequests(0);
-    dispatcher.handleAdviceResponse(first!.step, first!.endpoints, new Map(), 40);
+    dispatcher.handleAdviceResponse(first!.step, first!.candidates, new Map(), 40);
     const [second] = takeRequests(41);
-    expect(second!.endpoints.length).toBeGreaterThan(0);
-    expect(second!.endpoints.filter((id) => first!.endpoints.includes(id))).toEqual([]);
+    expect(second!.candidates.length).toBeGreaterThan(0);
+    expect(second!.candidates.filter((id) => first!.candidates.includes(id))).toEqual([]);
   });
 
   it('are delayed after one without a response', () => {
     sendJob(1);
     const [first] = takeRequests(0);
-    dispatcher.handleAdviceResponse(first!.step, first!.endpoints, undefined, 40);
+    dispatcher.handleAdviceResponse(first!.step, first!.candidates, undefined, 40);
     expect(takeRequests(41)).toEqual([]);
     dispatcher.handleTick(161);
     expect(takeRequests(161)).toHaveLength(1);
--- a/tests/customerLimits.test.ts
+++ b/tests/customerLimits.test.ts
@@ -24,7 +24,7 @@
     dispatcher = new Dispatcher({
       getDefinition: () => undefined,
       earlierLeasesEndAt,
-      getLimit: () => limit,
+      getCustomerLimit: () => limit,
     });
     PROFILES.forEach((profile) => dispatcher.handleEndpointProfile(profile));
     if (isSynced) {
--- a/tests/heldStarts.test.ts
+++ b/tests/heldStarts.test.ts
@@ -41,7 +41,7 @@
   const addJob = (definition: JobDefinition, now: number): void =>
     dispatcher.handleJob(definition, new JobProgress(definition), now);
 
-  const sendResponse = ({ step, endpoints }: AdviceRequest, now: number): void => {
+  const sendResponse = ({ step, candidates: endpoints }: AdviceRequest, now: number): void => {
     const tickets = new Map(endpoints.map((id) => [id, `ticket ${step} ${now}`]));
     dispatcher.handleAdviceResponse(step, endpoints, tickets, now);
   };
--- a/tests/helpers/AdviceSimulation.ts
+++ b/tests/helpers/AdviceSimulation.ts
@@ -150,7 +150,7 @@
     return adviceBalancers[this.options.policy]({
       clock: { getNow: () => Date.now(), getWallTime: () => Date.now() },
       listChannels: () => this.channels,
-      handleResponse: ({ step, endpoints }, tickets) =>
+      handleResponse: ({ step, candidates: endpoints }, tickets) =>
         dispatcher.handleAdviceResponse(step, endpoints, tickets, Date.now()),
     });
   }
--- a/tests/helpers/IncarnationSimulation.ts
+++ b/tests/helpers/IncarnationSimulation.ts
@@ -145,7 +145,7 @@
         stopChoice: 'ranked',
         turnChoice: 'asked',
       },
-      getLimit: () => undefined,
+      getCustomerLimit: () => undefined,
       parseEndpoint: (_id, text) => ({ ok: true, value: JSON.parse(text) as EndpointProfile }),
       createEndpointClient: (profile, getToken) => this.createClient(profile, getToken, epoch),
       isServiceRouted: () => true,
--- a/tests/lateJobs.test.ts
+++ b/tests/lateJobs.test.ts
@@ -336,7 +336,7 @@
     const trace = new JobTrace(1);
     for (let index = 0; index < 500; index += 1) {
       const run = createPlacedRun(definition, { repetition: 0, step: 0, index }, 1, 10);
-      const end = { outcome: 'done', cause: 'listed', reportedEnd: 'done', checkpoint: '' } as const;
+      const end = { outcome: 'done', evidence: 'listed', reportedEnd: 'done', checkpoint: '' } as const;
       trace.recordRun(run, createProfile(`i-${index}`), end, 1000 + index);
     }
     const account = trace.createAccount(definition, 'completed', 1499);
--- a/tests/longWaitLogger.test.ts
+++ b/tests/longWaitLogger.test.ts
@@ -26,7 +26,7 @@
       }
     }
   }
-  return { logged, job: definition.id, open: dispatcher.listWaits(untilMs) };
+  return { logged, job: definition.id, open: dispatcher.listOpenWaits(untilMs) };
 };
 
 describe('a waiting step', () => {
--- a/tests/preemption.test.ts
+++ b/tests/preemption.test.ts
@@ -92,7 +92,7 @@
   }
 
   /** Responds to an advice request: the accepted endpoints may run the step. */
-  sendAdvice({ step, endpoints }: AdviceRequest, accepted: readonly string[]): void {
+  sendAdvice({ step, candidates: endpoints }: AdviceRequest, accepted: readonly string[]): void {
     const tickets = new Map(accepted.map((id) => [toId<EndpointIncarnation>(id), 'ticket']));
     this.dispatcher.handleAdviceResponse(step, endpoints, tickets, this.now);
   }
@@ -235,7 +235,7 @@
     const cluster = new SmallCluster();
     cluster.sendJob(advised);
     const { requests } = cluster.runRound();
-    expect(requests.map(({ endpoints }) => endpoints.length)).toEqual([2]);
+    expect(requests.map(({ candidates: endpoints }) => endpoints.length)).toEqual([2]);
     cluster.sendAdvice(requests[0]!, ['i-0']);
     expect(cluster.runRound().starts).toHaveLength(1);
   });
@@ -248,12 +248,12 @@
     const single = createJob(2, URGENT, { count: 1, demand: { ...demand, accelerators: ACCELERATORS / 2 } });
     cluster.sendJob({ ...single, queue: { ...single.queue, advice } });
     const [request] = cluster.runRound().requests;
-    expect(request!.endpoints).toHaveLength(1);
-    expect(request!.endpoints).not.toContain(endpoint);
+    expect(request!.candidates).toHaveLength(1);
+    expect(request!.candidates).not.toContain(endpoint);
     cluster.sendAdvice(request!, []);
     // The free endpoint was refused: advice is requested about the other one, and runs there are preempted.
     const [second] = [...cluster.runRound().requests, ...cluster.runRound().requests];
-    expect(second!.endpoints).toEqual([endpoint]);
+    expect(second!.candidates).toEqual([endpoint]);
     cluster.sendAdvice(second!, [endpoint]);
     expect(cluster.runRound().stops.length).toBeGreaterThan(0);
   });
@@ -271,7 +271,7 @@
     }
     cluster.dispatcher.handleCancel(other.id, 0);
     cluster.runRound().stops.forEach((stop) => cluster.sendStopped(stop));
-    expect(cluster.runRound().requests.map(({ endpoints }) => endpoints)).toEqual([['i-0']]);
+    expect(cluster.runRound().requests.map(({ candidates: endpoints }) => endpoints)).toEqual([['i-0']]);
   });
 });
 
--- a/tests/suspension.test.ts
+++ b/tests/suspension.test.ts
@@ -178,7 +178,7 @@
       handleFenced: handleUnexpectedCall,
       handleLogRecovered: () => undefined,
     });
-    const isRenewing = (): boolean => journal.isAcknowledgedWithin(leaderTimings.unconfirmedGraceMs);
+    const isRenewing = (): boolean => journal.hasAckedWriteWithin(leaderTimings.unconfirmedGraceMs);
     const startAppend = async (): Promise<void> => {
       journal.handleTick(machine.getNow() + leaderTimings.heartbeatMs);
       while (pendingResponses.length === 0) {
