--- a/packages/dispatch/DispatchCounterName.ts
+++ b/packages/dispatch/DispatchCounterName.ts
@@ -4,13 +4,14 @@
  * Name of a counter that the dispatcher keeps for the metrics.
  * - `lifeEnds`: incarnations of endpoints that ended.
  * - `runsLost`: runs that ended with the incarnation of their endpoint.
- * - `runsLapsed`: runs whose lease expired on an unreachable endpoint.
- * - `crashesCharged`: crash records; one crash may be put down to several tasks.
- * - `tasksGivenUp`: tasks over the crash limit, which are not started again.
+ * - `runsLapsed`: runs whose lease expired on an endpoint that was unreachable or not yet synced.
+ * - `crashesCharged`: crash records; one crash may be recorded for several tasks.
+ * - `tasksGivenUp`: tasks that exceeded the crash limit, whose job fails.
  * - `questionsFirst`, `questionsMore`, `questionsAgain`, `questionsEarly`: advice requests by `AdviceRequestReason`.
- * - `turnsUsed`, `turnsWasted`, `turnsUnanswered`: advice requests whose response a start used, whose tickets expired unused, and
- *   that had no response; `turnUsedMs` and the like: their durations.
- * - the rest: runs that lost work, and the core-milliseconds lost, by cause.
+ * - `turnsUsed`, `turnsWasted`, `turnsUnanswered`: advice requests whose response a start used, whose response no start used in
+ *   time, and that failed.
+ * - `turnUsedMs`, `turnWastedMs`, `turnUnansweredMs`: total response times of these requests, in milliseconds.
+ * - `LossCounterName`: runs that lost work, and the core-milliseconds lost, by cause.
  */
 export type DispatchCounterName =
   | 'lifeEnds'
--- a/packages/dispatch/DispatchEffect.ts
+++ b/packages/dispatch/DispatchEffect.ts
@@ -6,11 +6,11 @@
 import type { StartCommand } from './endpoints/StartCommand';
 import type { WaitTimes } from './waiting/WaitTimes';
 
-/** A side effect that the dispatcher requests. */
+/** A side effect that the dispatcher requests and the `LeaderController` carries out. */
 export type DispatchEffect =
-  /** Write the job's progress to the log, then call `Dispatcher.handleStartRecorded` for each start in it. */
+  /** Write the job's progress to the log. */
   | { readonly kind: 'record'; readonly job: JobId }
-  /** Send a start command once the job's progress is durable. */
+  /** Write the job's progress to the log, then send a start command if `Dispatcher.handleStartRecorded` returns true. */
   | {
       readonly kind: 'start';
       readonly job: JobId;
@@ -19,29 +19,30 @@
       /** How long the task waited before its placement, by cause. */
       readonly waits: WaitTimes;
     }
-  /** Send a stop command. */
+  /** Send a stop command for a run to the endpoint. */
   | {
       readonly kind: 'stop';
       readonly endpoint: EndpointIncarnation;
       readonly task: TaskName;
       readonly run: number;
-      /** An earlier stop command for the run had no response. */
+      /** True when an earlier stop command for the run had no response. */
       readonly isRepeated: boolean;
     }
-  /** Poll the endpoint at once, in addition to the poll under way. */
+  /** Send an extra poll to the endpoint at once, in addition to the long poll under way. */
   | { readonly kind: 'look'; readonly endpoint: EndpointIncarnation }
-  /** Ask the advice service which of the endpoints may run the step. */
+  /** Ask the advice service which of the candidates may run the step's tasks. */
   | {
       readonly kind: 'advise';
+      /** Job, repetition and index of the step, as `toStepName` formats them. */
       readonly step: string;
       readonly candidates: readonly EndpointIncarnation[];
-      /** Expected time until the response, in milliseconds. */
+      /** Time from the request to its response that the queue's settings predict, in milliseconds. */
       readonly expectedResponseMs: number;
-      /** Takes a slot for long requests. */
+      /** True when the request takes one of the slots for long requests. */
       readonly isLong: boolean;
       readonly cause: AdviceRequestReason;
     }
-  /** Increase a counter of the metrics. */
+  /** Increase a counter of the metrics by an amount. */
   | { readonly kind: 'count'; readonly name: DispatchCounterName; readonly amount: number }
-  /** Write a log line. */
+  /** Write a log line with a message and fields. */
   | { readonly kind: 'tell'; readonly message: string; readonly fields: Readonly<Record<string, unknown>> };
--- a/packages/dispatch/DispatchPolicies.ts
+++ b/packages/dispatch/DispatchPolicies.ts
@@ -4,16 +4,16 @@
 import type { StopPolicyName } from './stops/StopPolicyName';
 import type { PlacementOrder } from './waiting/PlacementOrder';
 
-/** The leader's scheduling policies, each by its name. */
+/** The scheduling policies that a leader uses, each given by the policy's name. */
 export interface DispatchPolicies {
-  /** Order in which waiting steps are placed. */
+  /** Name of the order in which waiting steps are placed. */
   readonly placementOrder: PlacementOrder;
-  /** How the speed of an endpoint affects its ranking. */
+  /** Name of the policy by which the speed of endpoints affects their ranking at a placement. */
   readonly speedChoice: SpeedPolicyName;
-  /** How the tasks of a job are spread over halls. */
+  /** Name of the policy by which the tasks of a step are spread over halls. */
   readonly hallChoice: HallPolicyName;
-  /** When advice is requested. */
+  /** Name of the policy by which advice is requested: when, for which candidates and over which box. */
   readonly turnChoice: AdvicePolicyName;
-  /** Which runs are preempted or moved. */
+  /** Name of the policy by which runs are preempted or moved, and endpoints quarantined. */
   readonly stopChoice: StopPolicyName;
 }
--- a/packages/dispatch/Dispatcher.ts
+++ b/packages/dispatch/Dispatcher.ts
@@ -60,11 +60,11 @@
 import { LongWaitLogger } from './waiting/LongWaitLogger';
 
 interface DispatcherOptions extends Partial<DispatchPolicies> {
-  /** Returns the definition of any job, including ended ones. */
+  /** Returns the definition of any accepted job, including ended ones; undefined for an unknown id. */
   readonly getDefinition: (id: JobId) => JobDefinition | undefined;
   /** Monotonic time at which leases granted by earlier leaders have expired on endpoints that are not yet synced. */
   readonly earlierLeasesEndAt: number;
-  /** Longest lease that an endpoint accepts, in milliseconds. */
+  /** Longest lease that an endpoint accepts, in milliseconds; `DEFAULT_LONGEST_LEASE_MS` if not given. */
   readonly longestLeaseMs?: number;
   /** Returns a customer's limit in the current configuration; if undefined, the limit stored with the job applies. */
   readonly getCustomerLimit?: (customer: CustomerName) => TaskDemand | undefined;
@@ -72,21 +72,23 @@
 
 type StartEffect = Extract<DispatchEffect, { kind: 'start' }>;
 
-/** For platforms that set no maximum. */
+/** Longest lease that an endpoint accepts, in milliseconds, unless the options give another. */
 const DEFAULT_LONGEST_LEASE_MS = 10_000;
 const UNLIMITED_ADVICE_SLOTS: AdviceSlots = { all: Infinity, long: Infinity };
 
 /**
  * The leader's scheduler as a state machine without clock or I/O: events come in with the current time, and the side effects to
- * carry out are returned by `takeEffects`. A run takes capacity from its placement until its end is certain.
+ * carry out are returned by `takeEffects`. A run takes capacity of its endpoint from its placement until its end is certain.
  */
 export class Dispatcher {
   private readonly endpoints = new Map<EndpointIncarnation, EndpointState>();
   private readonly jobs = new Map<JobId, LiveJob>();
-  /** Resources in use by customer, updated by each endpoint's state. */
+  /** Resources in use by each customer's runs, kept up to date by the `EndpointState`s. */
   private readonly customerUsage = new CustomerUsage();
+  /** Finds the jobs that are over their customer's share of jobs per second. */
   private readonly jobRateMeter = new JobRateMeter();
   private pendingEffects: DispatchEffect[] = [];
+  /** Jobs whose progress has changed since the last `takeEffects` and has to be recorded. */
   private readonly changedJobs = new Set<JobId>();
   private readonly placementOrder: (typeof placementOrders)[PlacementOrder];
   private readonly stepPlacer: StepPlacer;
@@ -107,11 +109,11 @@
   private readonly longWaitLogger: LongWaitLogger;
   private readonly crashTracker: CrashTracker;
   private readonly lossHandler: EndpointLossHandler;
-  /** True when an event since the last round may allow a start. */
+  /** True when an event since the last scheduling round may allow a start, so that the next round is not skipped. */
   private isRoundDue = false;
-  /** True when the last round only requested advice, so that the next one has to run in any case. */
+  /** True after a round that requested advice but placed nothing, so that the next `placeWaiting` must not be skipped. */
   private hasOnlyRequestedAdvice = false;
-  /** True when a tick has passed since the last early advice requests. */
+  /** True when a tick has passed since `placeWaiting` last sent early advice requests, which it does at most once a tick. */
   private isEarlyAdviceDue = false;
   private readonly capacityView: CapacityView;
   private readonly reservations = new EndpointReservations();
@@ -232,7 +234,7 @@
     );
   }
 
-  /** Returns and clears the pending effects; records come before the starts that depend on them. */
+  /** Returns the pending effects, with a record for each changed job before all others, and clears them. */
   takeEffects(): readonly DispatchEffect[] {
     const records: DispatchEffect[] = [...this.changedJobs].map((job) => ({ kind: 'record', job }));
     const effects = [...records, ...this.pendingEffects];
@@ -257,7 +259,7 @@
     return this.endpointSpeeds;
   }
 
-  /** Counts the tasks that are ready and not placed, by customer. Iterates over all jobs. */
+  /** Counts the tasks that are ready and not placed, by customer. Leaves out jobs without a customer. Iterates over all jobs. */
   countWaitingTasks(wallMs: number): ReadonlyMap<CustomerName, number> {
     const counts = new Map<CustomerName, number>();
     for (const job of this.jobs.values()) {
@@ -299,8 +301,8 @@
   }
 
   /**
-   * Adds a job. Jobs have to come in the order of acceptance, including ended ones, since they count against their customer's
-   * share. Tasks that are placed according to the progress may be running until their endpoint is synced.
+   * Adds a job with its recovered progress, unless it is known. Jobs have to be added in the order of acceptance. An ended one
+   * only counts against its customer's share of jobs per second. Each placed task of the progress becomes an unconfirmed run.
    */
   handleJob(definition: JobDefinition, progress: JobProgress, now: number): void {
     if (this.jobs.has(definition.id)) {
@@ -328,6 +330,7 @@
     }
   }
 
+  /** Ends a job as cancelled and stops its runs. Does nothing if the job is unknown or has ended. */
   handleCancel(id: JobId, wallMs: number): void {
     const job = this.jobs.get(id);
     if (job === undefined || job.progress.isEnded()) {
@@ -337,7 +340,7 @@
     this.runTracker.recordJobEnd(job, 'cancelled', wallMs);
   }
 
-  /** Applies the profile of a new or changed endpoint. */
+  /** Adds an endpoint's incarnation with its profile, or applies a changed profile to a known one; makes a round due. */
   handleEndpointProfile(profile: EndpointProfile): void {
     this.isRoundDue = true;
     const endpoint = this.endpoints.get(profile.incarnation);
@@ -352,8 +355,8 @@
   }
 
   /**
-   * Marks an endpoint as deregistered, since its record was deleted. It gets no more starts; its runs go on until it reports their
-   * ends or its lease expires.
+   * Marks an endpoint as deregistered, since its record was deleted, and removes its state if it has no address and no runs. It
+   * gets no more starts; its runs go on until it reports their ends or its lease expires.
    */
   handleEndpointDeregistered(incarnation: EndpointIncarnation): void {
     const endpoint = this.endpoints.get(incarnation);
@@ -363,7 +366,7 @@
     }
   }
 
-  /** Lists the known other incarnations of the same endpoint. Iterates over all endpoints. */
+  /** Lists the other incarnations with the same endpoint id that the dispatcher has a state of. Iterates over all endpoints. */
   listOtherIncarnations(incarnation: EndpointIncarnation): readonly EndpointIncarnation[] {
     const id = endpointIncarnations.toEndpointId(incarnation);
     return [...this.endpoints.keys()].filter(
@@ -371,26 +374,26 @@
     );
   }
 
-  /** Removes the state of an incarnation that no longer matters. */
+  /** Removes the state of an incarnation, without ending its runs. */
   removeEndpointState(incarnation: EndpointIncarnation): void {
     this.endpoints.delete(incarnation);
   }
 
   /**
-   * Ends the runs that the ended incarnation has reported. A run that it never reported may have reached, or may yet reach, the
-   * `next` incarnation: it is transferred there, and the first poll of that incarnation that fences earlier commands shows whether
-   * it runs.
+   * Removes an incarnation that has ended, and ends its runs. A run that was sent to it but that no poll has listed may have
+   * reached, or may yet reach, the `next` incarnation, if that is given and known: it is transferred there, and the first poll of
+   * that incarnation that fences earlier commands shows whether it runs. Does nothing for an unknown incarnation.
    */
   handleIncarnationEnd(incarnation: EndpointIncarnation, now: number, next?: EndpointIncarnation): void {
     this.lossHandler.handleIncarnationEnd(incarnation, now, next);
   }
 
-  /** Returns true while a poll may still show whether an endpoint that was unreachable until its lease expired has crashed. */
+  /** Returns true while a poll may still show whether an endpoint whose lease expired while it was unreachable has crashed. */
   isCrashUnconfirmed(incarnation: EndpointIncarnation, now: number): boolean {
     return this.crashTracker.isCrashUnconfirmed(incarnation, now);
   }
 
-  /** Marks an endpoint as unreachable, since it did not respond to a poll. */
+  /** Marks an endpoint as unreachable, since it did not respond to a poll; the first time, the crash tracker is notified too. */
   handleUnreachable(incarnation: EndpointIncarnation, now: number): void {
     const endpoint = this.endpoints.get(incarnation);
     if (endpoint === undefined) {
@@ -403,8 +406,8 @@
   }
 
   /**
-   * Applies the status that an endpoint returned to a poll. A run that was confirmed before the poll was sent has ended if the status
-   * does not list it.
+   * Applies the status that an endpoint returned to a poll: the ends and the progress of its runs. A run that was confirmed before
+   * the poll was sent has ended if the status does not list it. Makes a round due if the endpoint was not schedulable.
    */
   handleStatus(status: EndpointStatus, now: number, wallMs: number): void {
     const endpoint = this.endpoints.get(status.endpoint);
@@ -416,6 +419,7 @@
     this.statusReconciler.applyStatus(endpoint, status, now, wallMs);
   }
 
+  /** Applies the result of a start command. Does nothing if the run's stage has changed since the command was sent. */
   handleStartResult(
     incarnation: EndpointIncarnation,
     task: TaskName,
@@ -426,6 +430,7 @@
     this.runCommands.handleStartResult(incarnation, task, runNumber, result, now);
   }
 
+  /** Records a response to a stop command, or ends the incarnation if the result is that it is gone. Ignores other results. */
   handleStopResult(
     incarnation: EndpointIncarnation,
     task: TaskName,
@@ -436,7 +441,7 @@
     this.runCommands.handleStopResult(incarnation, task, runNumber, result, now);
   }
 
-  /** Applies the response to an advice request. Without `tickets` the request has failed. */
+  /** Applies the response to an advice request and makes a round due. `tickets` is undefined when the request has failed. */
   handleAdviceResponse(
     step: string,
     requested: readonly EndpointIncarnation[],
@@ -458,17 +463,23 @@
     this.isRoundDue = true;
   }
 
-  /** Returns whether to send a start whose record is durable; if not, its capacity is released. */
+  /**
+   * Called once a start's record is durable. Returns true when the start command is to be sent. Otherwise ends the run as not sent,
+   * unless it has ended already, and returns false.
+   */
   handleStartRecorded(effect: StartEffect, now: number): boolean {
     return this.runCommands.handleStartRecorded(effect, now);
   }
 
-  /** Releases the capacity of a start that could not be sent. */
+  /** Ends the run of a recorded start that was not sent, so that its capacity is free and its task waits again. */
   handleStartUnsent(effect: StartEffect, now: number): void {
     this.runCommands.handleStartUnsent(effect, now);
   }
 
-  /** Runs periodic work: expires leases, retries stops, moves runs, removes ended jobs. */
+  /**
+   * Runs the periodic work and makes a round due: ends runs whose lease has expired, sends due stops, removes expired reservations,
+   * updates metrics and learned speeds, moves runs, logs long waits, stops broken gangs and removes ended jobs.
+   */
   handleTick(now: number): void {
     this.isRoundDue = true;
     this.isEarlyAdviceDue = true;
@@ -485,12 +496,15 @@
     this.removeEndedJobs();
   }
 
-  /** Returns the log fields of each step that waits. */
+  /** Returns the log fields of each step that waits for a start. */
   listOpenWaits(now: number): ReturnType<LongWaitLogger['listOpenWaits']> {
     return this.longWaitLogger.listOpenWaits(now);
   }
 
-  /** Runs a scheduling round: places waiting tasks, if an event since the last round may allow a start. */
+  /**
+   * Runs a scheduling round, unless nothing has happened since the last one that may allow a start: places waiting tasks in
+   * placement order and requests missing advice, with the given free slots. Sends early advice requests at most once a tick.
+   */
   placeWaiting(now: number, wallMs: number, slots = UNLIMITED_ADVICE_SLOTS): void {
     if (!this.isRoundDue && !this.hasOnlyRequestedAdvice) {
       return;
@@ -508,8 +522,8 @@
   }
 
   /**
-   * Replaces `placeWaiting` while the log is unavailable and no start can be recorded: requests the tickets that the first steps to
-   * be placed will need, and renews expired ones.
+   * Runs instead of `placeWaiting` while the log is unavailable and no start can be recorded: requests, in placement order and with
+   * the given free slots, the tickets that waiting steps will need, and places nothing. Does nothing if no round is due.
    */
   requestAdviceAhead(now: number, wallMs: number, slots = UNLIMITED_ADVICE_SLOTS): void {
     if (!this.isRoundDue) {
@@ -522,12 +536,15 @@
     this.stepPlacer.releaseTentative();
   }
 
-  /** Cancels the starts whose records are not durable yet, so that their tasks are placed again. */
+  /** Ends the runs whose start records are not durable yet as not sent, so that their tasks wait again. */
   cancelUnrecordedStarts(now: number): void {
     this.runCommands.cancelUnrecordedStarts(now);
   }
 
-  /** Prepares a scheduling round and returns the waiting steps in placement order. */
+  /**
+   * Fails jobs over the crash limit, clears what was cached for the last round, sets the time and the free slots of this one, and
+   * returns the waiting steps of all jobs in placement order.
+   */
   private startRound(now: number, wallMs: number, slots: AdviceSlots): readonly WaitingStep[] {
     this.crashTracker.applyCrashLimits(now, wallMs);
     this.isRoundDue = false;
@@ -549,12 +566,14 @@
     });
   }
 
+  /** Requests advice for later steps of all jobs that are about to become ready. */
   private sendEarlyAdviceRequests(now: number, wallMs: number): void {
     for (const job of this.jobs.values()) {
       this.adviceRequester.sendEarlyRequests(job, now, wallMs);
     }
   }
 
+  /** Stops a run that is moved, and records its endpoint as failed for the step, so that the next run starts elsewhere. */
   private handleMove({ book: endpoint, run, reason, gainMs }: MoveCandidate): void {
     const { incarnation } = endpoint.getProfile();
     this.jobs.get(run.job)?.recordFailureOn(run.address.repetition, run.address.step, incarnation);
@@ -570,6 +589,7 @@
     this.runTracker.sendStop(endpoint, run, reason);
   }
 
+  /** Logs a preemption, and stops the preempted run. */
   private handlePreempted(
     endpoint: EndpointState,
     run: PlacedRun,
@@ -589,14 +609,15 @@
     this.runTracker.sendStop(endpoint, run, 'gaveWay');
   }
 
+  /** Adds an unconfirmed run for a task that an earlier leader placed, and the state of its endpoint if there is none. */
   private addRecoveredRun(job: LiveJob, address: TaskAddress, task: TaskProgress, now: number): void {
     const { definition } = job;
     let endpoint = this.endpoints.get(task.endpoint);
     if (endpoint === undefined) {
-      // The endpoint has no record, but may be partitioned and keep the run until its lease expires.
+      // Without a record the endpoint may still be running the task, until its lease expires.
       const profile = createDeregisteredProfile(task.endpoint, definition.queue.service);
       endpoint = new EndpointState(profile, this.options.earlierLeasesEndAt, this.customerUsage);
-      // It may have left as planned or crashed before this leader read the records.
+      // Its record may have been deleted before this leader read the records, by a drain or a crash.
       endpoint.recordDeregistration();
       this.endpoints.set(task.endpoint, endpoint);
     }
@@ -608,6 +629,7 @@
     endpoint.addRun(run);
   }
 
+  /** Removes ended jobs whose last change has been taken to be recorded. */
   private removeEndedJobs(): void {
     for (const [id, job] of this.jobs) {
       if (job.progress.isEnded() && !this.changedJobs.has(id)) {
--- a/packages/dispatch/LeaderController.ts
+++ b/packages/dispatch/LeaderController.ts
@@ -42,6 +42,7 @@
   readonly statesTopic: string;
   /** Topic of the progress of jobs, which only a new leader reads. */
   readonly progressTopic: string;
+  /** Topic of the records of endpoints. */
   readonly endpointsTopic: string;
   readonly maxAppendBytes: number;
   readonly replica: JobReplica;
@@ -51,22 +52,23 @@
   readonly random: Random;
   readonly logger: Logger;
   readonly policies: DispatchPolicies;
-  /** Called with each published load digest; without it no load is published. */
+  /** Called with each load digest that is written to the log; if not given, no load is published. */
   readonly handleLoadDigest?: (digest: string) => void;
-  /** Returns a customer's limit in the current configuration. */
+  /** Returns a customer's limit in the current configuration; if undefined, the limit stored with the job applies. */
   readonly getCustomerLimit: (customer: CustomerName) => TaskDemand | undefined;
-  /** Parses an endpoint's record; fails with what is wrong with it. */
+  /** Parses the record of an endpoint; the error of the result says why the record is invalid. */
   readonly parseEndpoint: (id: string, text: string) => Result<EndpointProfile, string>;
-  /** Creates a client of an endpoint; `getToken` returns the current fencing token. */
+  /** Creates a client that sends polls and commands to an endpoint; `getToken` returns the current fencing token. */
   readonly createEndpointClient: (profile: EndpointProfile, getToken: () => number) => EndpointClient;
-  /** Returns true for a service that the current configuration uses. */
+  /** Returns true if a queue of the current configuration uses the service. */
   readonly isServiceRouted: (service: ServiceName) => boolean;
   /** Longest lease that an endpoint accepts, in milliseconds. */
   readonly longestLeaseMs: number;
   /** Lists the boxes that can send advice requests. */
   readonly listChannels: AdviceBalancerOptions['listChannels'];
+  /** Formats this leader's record in the states topic; with `isResigned` it says that another box may lead. */
   readonly formatLeaderRecord: (isResigned: boolean) => string;
-  /** Called when a newer leader is seen; this one has stopped. */
+  /** Called once, after this leader has stopped since a newer one was seen. */
   readonly handleLeadershipLost: (detail: string) => void;
   /** Called when the log has recovered from an outage, with the monotonic time at which the first successful call was sent. */
   readonly handleLogRecovered: (sentAt: number) => void;
@@ -87,12 +89,15 @@
 }
 
 const TICK_INTERVAL_MS = 100;
-/** Age, since it was sent, of the newest acknowledged write above which the log may be unavailable. */
+/** Time since the newest acknowledged write was sent, above which heartbeats count as late. */
 const MAX_ACK_AGE_MS = leaderTimings.heartbeatMs + TICK_INTERVAL_MS + appendRules.initialTimeoutMs;
-/** Duration of a log outage after which starts are held. Longer than an append with one retry, so that a slow log does not cause it. */
+/** Outage of writes to the progress topic above which starts are held; longer than an append with one retry. */
 const MAX_LOG_OUTAGE_MS = 1000;
 
-/** Runs everything that the leader does: connects the dispatcher with the log, the endpoints and the advice service. */
+/**
+ * Runs a leader: recovers the state of earlier leaders, passes events of the log, the endpoints and the advice service to the
+ * dispatcher, queues scheduling rounds and carries out the dispatcher's effects.
+ */
 export class LeaderController {
   private readonly dispatcher: Dispatcher;
   private readonly journal: LeaderJournal;
@@ -105,7 +110,9 @@
   /** Services of all known jobs, whose endpoints are needed even when the configuration no longer names them. */
   private readonly jobServices = new Set<ServiceName>();
   private hasReadJobs = false;
+  /** True once the jobs of earlier leaders were added to the dispatcher; false again while it stops gracefully. */
   private hasTakenOver = false;
+  /** True while rounds only request advice, since starts cannot be recorded. */
   private isHoldingStarts = false;
   private isStopped = false;
   private readonly roundThrottle: RoundThrottle;
@@ -192,8 +199,8 @@
   }
 
   /**
-   * Starts heartbeats at once, and scheduling once the endpoints' records and all jobs have been read, since the end of a run can be
-   * applied and acknowledged only if its job is known.
+   * Starts to fence earlier leaders, to read the jobs and the endpoints' records, and to write heartbeats. Polls and scheduling
+   * begin once all jobs and records have been read, since the end of a run can be applied only if its job is known.
    */
   start(): void {
     this.endpointSessions.start();
@@ -201,7 +208,7 @@
     this.tickTimer = setInterval(() => this.handleTick(), TICK_INTERVAL_MS);
   }
 
-  /** Stops at once, without further commands. */
+  /** Logs the open waits and stops at once: sends no more commands, and drops queued writes. May be called more than once. */
   stop(): void {
     if (!this.isStopped) {
       this.logOpenWaits();
@@ -214,20 +221,23 @@
     this.adviceBalancer.stop();
   }
 
-  /** Stops commands, flushes the journal, writes that another box may lead, then stops. */
+  /**
+   * Stops scheduling, polls and advice requests, writes queued progress and a record that another box may lead, unless writes to the
+   * log fail, then stops.
+   */
   async stopGracefully(): Promise<void> {
     this.hasTakenOver = false;
     clearInterval(this.tickTimer);
     this.endpointSessions.stop();
     this.adviceBalancer.stop();
-    // While the log is unavailable, the next leader is notified directly or notices that this process has ended.
+    // During an outage the other boxes learn of the resignation by other ways than the log.
     if (this.getLogOutageMs() === 0) {
       await this.journal.writeResignation();
     }
     this.stop();
   }
 
-  /** Adds a job that any box has accepted. */
+  /** Adds a newly accepted job and queues a round. Ignored before the takeover, which adds all known jobs. */
   handleJob(definition: JobDefinition): void {
     if (this.hasTakenOver) {
       const { id, queue, steps } = definition;
@@ -237,22 +247,23 @@
     }
   }
 
+  /** Cancels a job and queues a round. */
   handleCancel(id: JobId): void {
     this.dispatcher.handleCancel(id, this.options.clock.getWallTime());
     this.queueRound();
   }
 
-  /** Returns how long this leader's writes to the log have failed, in milliseconds; 0 while they succeed. */
+  /** Returns how long writes to the progress or the states topic have failed, in milliseconds; 0 while both succeed. */
   getLogOutageMs(): number {
     return this.journal.getLogOutageMs();
   }
 
-  /** Returns true while the log acknowledges heartbeats in time. */
+  /** Returns true while this leader runs, its writes succeed, and the newest acknowledged one was sent within `MAX_ACK_AGE_MS`. */
   isHeartbeatFresh(): boolean {
     return !this.isStopped && this.getLogOutageMs() === 0 && this.journal.hasAckedWriteWithin(MAX_ACK_AGE_MS);
   }
 
-  /** Retries calls to the log that are pending since its outage. `sentAt` is when the call that it has answered was sent. */
+  /** Retries calls to the log that have failed, since the log responded to a call that was sent at the monotonic time `sentAt`. */
   retryPendingLogCalls(sentAt: number): void {
     this.journal.retryPendingAppends();
     this.endpointSessions.retryPending(sentAt);
@@ -262,12 +273,12 @@
     return this.dispatcher;
   }
 
-  /** Returns true once the jobs and endpoints of earlier leaders have been taken over. */
+  /** Returns true from the takeover of earlier leaders' jobs and endpoints until this leader stops. */
   isActive(): boolean {
     return this.hasTakenOver && !this.isStopped;
   }
 
-  /** Logs the open waits, which the next leader does not know. */
+  /** Logs the open waits, which the next leader does not know, and stops the line batcher. */
   private logOpenWaits(): void {
     const now = this.options.clock.getNow();
     for (const fields of this.dispatcher.listOpenWaits(now)) {
@@ -276,6 +287,9 @@
     this.lineBatcher.stop();
   }
 
+  /**
+   * Recovers progress, reads all jobs, retrying until stopped, then takes over if the endpoints' records have been read as well.
+   */
   private async readJobs(): Promise<void> {
     // Jobs are read after earlier leaders were fenced, so that they include every job that one of those has started.
     await this.progressRecovery.run();
@@ -288,7 +302,10 @@
     this.takeOver();
   }
 
-  /** Takes over the jobs of earlier leaders, then starts to poll the endpoints, once all records have been read. */
+  /**
+   * Adds the jobs of earlier leaders, with their cancellations, and starts to poll the endpoints. Does nothing before all jobs and
+   * endpoints' records have been read, after the takeover, or after a stop.
+   */
   private takeOver(): void {
     if (this.hasTakenOver || this.isStopped || !this.endpointSessions.hasReadRecords() || !this.hasReadJobs) {
       return;
@@ -319,13 +336,14 @@
     }
   }
 
-  /** Queues the records that follow from a poll. */
+  /** Counts the newly reported ends of a poll's status, carries out the effects of applying it, and queues a round. */
   private handleStatusApplied(newEndCount: number): void {
     this.options.recordCount('ends', newEndCount);
     this.sendEffects();
     this.queueRound();
   }
 
+  /** Stops this leader and notifies its owner, unless it has stopped already. */
   private handleLeadershipLost(detail: string): void {
     if (!this.isStopped) {
       this.stop();
@@ -345,6 +363,7 @@
     }
   }
 
+  /** Writes a load digest to the log and passes it on, if one is due and `handleLoadDigest` is given. */
   private queueLoadDigest(now: number): void {
     const { clock, handleLoadDigest, recordCount } = this.options;
     if (handleLoadDigest === undefined) {
@@ -361,7 +380,10 @@
     }
   }
 
-  /** Returns true while this leader may grant leases; the next leader waits until the last of them has expired. */
+  /**
+   * Returns true while a write that the log has acknowledged was sent less than `unconfirmedGraceMs` ago. The next leader waits until
+   * leases granted before that limit have expired, so no lease may be granted after it.
+   */
   private canGrantLeases(): boolean {
     return this.journal.hasAckedWriteWithin(leaderTimings.unconfirmedGraceMs);
   }
@@ -372,6 +394,9 @@
     }
   }
 
+  /**
+   * Runs a scheduling round, or only requests advice while starts are held, and carries out the effects. Skipped while inactive.
+   */
   private runRound(): void {
     if (!this.isActive()) {
       return;
@@ -389,7 +414,7 @@
     this.slowRoundLogger.recordRound(clock.getNow() - now, now);
   }
 
-  /** Holds starts while they cannot be recorded, since they would take capacity and be sent with expired tickets. */
+  /** Holds starts and cancels unrecorded ones when progress could not be written for `MAX_LOG_OUTAGE_MS`, until it can be again. */
   private updateStartHold(now: number): void {
     const outageMs = this.journal.getProgressOutageMs();
     const isHolding = outageMs > MAX_LOG_OUTAGE_MS;
@@ -404,7 +429,7 @@
     }
   }
 
-  /** Carries out the dispatcher's pending effects. */
+  /** Takes the dispatcher's pending effects and carries them out. */
   private sendEffects(): void {
     for (const effect of this.dispatcher.takeEffects()) {
       this.sendEffect(effect);
@@ -438,6 +463,7 @@
     }
   }
 
+  /** Queues a write of a known job's progress; `handleWritten` is called once it is durable. */
   private queueProgressRecord(id: JobId, handleWritten?: () => void): void {
     const job = this.dispatcher.getJob(id);
     if (job !== undefined) {
@@ -445,6 +471,7 @@
     }
   }
 
+  /** Counts a start for the load digest, if load is published. */
   private recordStartForLoad(job: JobId): void {
     const queue = this.dispatcher.getJob(job)?.definition.queue.name;
     if (queue !== undefined && this.options.handleLoadDigest !== undefined) {
--- a/packages/dispatch/LeaderJournal.ts
+++ b/packages/dispatch/LeaderJournal.ts
@@ -26,21 +26,25 @@
   readonly replica: JobReplica;
   readonly clock: MachineClock;
   readonly logger: Logger;
+  /** Formats the leader's record; with `isResigned` it says that another box may lead. */
   readonly formatLeaderRecord: (isResigned: boolean) => string;
-  /** Called when the log rejects a write since a newer leader has written. */
+  /** Called when the log rejects a write since a newer leader has fenced this one. */
   readonly handleFenced: (detail: string) => void;
   /** Called when the log has recovered from an outage, with the monotonic time at which the first successful append was sent. */
   readonly handleLogRecovered: (sentAt: number) => void;
 }
 
-/** Time for which changes are gathered into one append. */
+/** Delay of an append after the first change, for which further changes are gathered into it. */
 const APPEND_LINGER_MS = 8;
 const RESIGNATION_FLUSH_TIMEOUT_MS = 600;
 
-/** Writes a leader's records to the log: job progress, then the job states that follow from it, heartbeats and load digests. */
+/**
+ * Writes a leader's records: job progress to the progress topic, and job states, heartbeats and load digests to the states topic.
+ */
 export class LeaderJournal {
-  /** Starts are sent, and ends acknowledged, only once they are durable here. */
+  /** Writer of the progress topic. Starts are sent to endpoints, and ends acknowledged to them, only once recorded there. */
   private readonly progressWriter: ExclusiveWriter;
+  /** Writer of the states topic. */
   private readonly stateWriter: ExclusiveWriter;
   /** Monotonic time at which the newest acknowledged write to the states topic was sent. */
   private acknowledgedSentAt: number;
@@ -54,14 +58,14 @@
   }
 
   /**
-   * Returns true while less than `limitMs` has certainly passed, including time in which the machine was suspended, since the newest
-   * acknowledged write was sent. The next leader computes from that write, which it has read, how long leases may last.
+   * Returns true while certainly less than `limitMs` has passed, including time in which the machine was suspended, since the newest
+   * acknowledged write to the states topic was sent.
    */
   hasAckedWriteWithin(limitMs: number): boolean {
     return this.options.clock.getMaxElapsedSince(this.acknowledgedSentAt) < limitMs;
   }
 
-  /** Returns how long writes have failed, in milliseconds; 0 while they succeed. */
+  /** Returns how long writes to either topic have failed, in milliseconds; 0 while both succeed. */
   getLogOutageMs(): number {
     return Math.max(this.progressWriter.getOutageMs(), this.stateWriter.getOutageMs());
   }
@@ -71,7 +75,9 @@
     return this.progressWriter.getOutageMs();
   }
 
-  /** Queues a write of a job's progress, formatted when the append is sent, then of its state. */
+  /**
+   * Queues a write of a job's progress as it is when the append is sent; once durable, queues its state and calls `handleWritten`.
+   */
   queueJobProgress(definition: JobDefinition, progress: JobProgress, handleWritten?: () => void): void {
     let writtenState: JobState | undefined;
     const formatValue = (): string => {
@@ -79,7 +85,7 @@
       return formatProgress(definition, progress);
     };
     this.progressWriter.queueWrite(jobKeys.toProgressKey(definition.id), formatValue, () => {
-      // Several changes in one append are formatted once, with the last.
+      // Changes of one job that go into one append are formatted only once, by the last of these functions.
       if (writtenState !== undefined) {
         this.queueJobState(definition.id, writtenState);
       }
@@ -87,7 +93,7 @@
     });
   }
 
-  /** Queues a write of the state of a job whose progress is durable, unless it is written already. */
+  /** Queues a write of a job's state, unless the replica has it as written, and sets it in the replica once it is durable. */
   queueJobState(id: JobId, state: JobState): void {
     const { replica } = this.options;
     if (replica.getWrittenState(id) !== state) {
@@ -104,36 +110,41 @@
     return new Promise((resolve) => this.progressWriter.queueBarrier(resolve));
   }
 
-  /** Queues a heartbeat when no other write was acknowledged recently. */
+  /** Queues a heartbeat if `heartbeatMs` have passed since the newest acknowledged write to the states topic was sent. */
   handleTick(now: number): void {
     if (now - this.acknowledgedSentAt >= leaderTimings.heartbeatMs) {
       this.stateWriter.queueWrite(leaderKeys.recordKey, () => this.options.formatLeaderRecord(false));
     }
   }
 
-  /** Queues a write of the load digest. */
+  /** Queues a write of a load digest to the states topic. */
   queueLoadDigest(digest: string): void {
     this.stateWriter.queueWrite(loadKeys.digestKey, () => digest);
   }
 
-  /** Flushes queued progress, then writes that another box may lead. Resolves after a time limit if the log is unavailable. */
+  /** Waits until queued progress is durable, then writes a record that another box may lead; each with a timeout. */
   async writeResignation(): Promise<void> {
     await this.progressWriter.waitForFlush(RESIGNATION_FLUSH_TIMEOUT_MS);
     this.stateWriter.queueWrite(leaderKeys.recordKey, () => this.options.formatLeaderRecord(true));
     await this.stateWriter.waitForFlush(RESIGNATION_FLUSH_TIMEOUT_MS);
   }
 
-  /** Retries appends that are pending since the log's outage. */
+  /** Retries failed appends to both topics at once, without waiting for the end of their retry delays. */
   retryPendingAppends(): void {
     this.progressWriter.retryPending();
     this.stateWriter.retryPending();
   }
 
+  /** Stops both writers, and drops queued writes. */
   stop(): void {
     this.progressWriter.stop();
     this.stateWriter.stop();
   }
 
+  /**
+   * Creates a writer of a topic that logs outages and recoveries; `handleConfirmed` gets the time at which an acknowledged write
+   * was sent.
+   */
   private createWriter(topic: string, handleConfirmed: (sentAt: number) => void): ExclusiveWriter {
     const { client, clock, epoch, logger, maxAppendBytes, handleFenced, handleLogRecovered } = this.options;
     return new ExclusiveWriter({
--- a/packages/dispatch/ProgressRecovery.ts
+++ b/packages/dispatch/ProgressRecovery.ts
@@ -13,13 +13,15 @@
   /** Topic of the progress of jobs. */
   readonly progressTopic: string;
   readonly epoch: number;
-  /** Called when a job's record cannot be parsed; the job is treated as not started. */
+  /** Called when the progress record of a job cannot be parsed; the job is treated as not started. */
   readonly handleUnreadableProgress: (job: JobId) => void;
-  /** Called when a newer leader has fenced this one. */
+  /** Called when the log rejects the fencing append since a newer leader has fenced this one; the recovery has stopped. */
   readonly handleFenced: (detail: string) => void;
 }
 
+/** Time limit of one call to the log. */
 const LOG_CALL_TIMEOUT_MS = 700;
+/** Delay between a failed call and the next. */
 const LOG_RETRY_DELAY_MS = 60;
 
 /**
@@ -27,6 +29,7 @@
  * with the number of boxes.
  */
 export class ProgressRecovery {
+  /** Newest record of each job's progress, until it is taken. */
   private readonly progressTexts = new Map<JobId, string>();
   private readonly progressReader: NewestReader;
   private isStopped = false;
@@ -35,18 +38,19 @@
     this.progressReader = new NewestReader(options.client, options.progressTopic);
   }
 
-  /** Fences earlier leaders, then reads the whole topic, with retries. Resolves once that is done or stopped. */
+  /** Fences earlier leaders, then reads the whole topic, and retries both until they succeed. Resolves once done or stopped. */
   async run(): Promise<void> {
     await this.retryUntilDone(() => this.sendFence());
     await this.retryUntilDone(() => this.readRemainingPages());
   }
 
+  /** Stops the recovery and forgets all records. */
   stop(): void {
     this.isStopped = true;
     this.progressTexts.clear();
   }
 
-  /** Removes and returns the newest progress of a job; that of a new job if none was written. */
+  /** Returns the newest recorded progress of a job and forgets it; that of a new job if there is none or it cannot be parsed. */
   takeProgress(definition: JobDefinition): JobProgress {
     const text = this.progressTexts.get(definition.id);
     this.progressTexts.delete(definition.id);
@@ -63,7 +67,10 @@
     }
   }
 
-  /** Fences earlier leaders by an append without records, which sets the topic's epoch. Returns false on failure. */
+  /**
+   * Fences earlier leaders by an append without records, which sets the topic's epoch. Resolves to false on failure. If a newer
+   * leader has fenced this one, also stops the recovery and calls `handleFenced`.
+   */
   private async sendFence(): Promise<boolean> {
     const { client, progressTopic, epoch, handleFenced } = this.options;
     const writer = { producer: leaderKeys.producer, epoch, sequence: leaderKeys.claimSequence };
@@ -80,7 +87,9 @@
     return response.ok;
   }
 
-  /** Reads pages until one fails; resolves to true once all have been read. */
+  /**
+   * Reads the remaining pages; resolves to true once all have been read, and to false when one fails or the recovery was stopped.
+   */
   private async readRemainingPages(): Promise<boolean> {
     while (!this.isStopped) {
       const page = await this.progressReader.readPage(LOG_CALL_TIMEOUT_MS);
--- a/packages/dispatch/computeLoad.ts
+++ b/packages/dispatch/computeLoad.ts
@@ -23,7 +23,7 @@
 };
 type CustomerLoad = LoadSnapshot['customers'] extends ReadonlyMap<CustomerName, infer Row> ? Row : never;
 
-/** Computes a snapshot of waiting and running work. Iterates over all jobs and runs, so it is too expensive for each round. */
+/** Computes a snapshot of waiting and running work, by queue and by customer with waiting work. Iterates over all jobs and runs. */
 export const computeLoad = ({ endpoints, jobs, usage, capacity, wallMs }: LoadInput): LoadSnapshot => {
   const queues = new Map<string, QueueLoad>();
   const customers = new Map<CustomerName, CustomerLoad>();
--- a/packages/dispatch/defaultPolicies.ts
+++ b/packages/dispatch/defaultPolicies.ts
@@ -1,6 +1,6 @@
 import type { DispatchPolicies } from './DispatchPolicies';
 
-/** Policies that apply unless others are configured. */
+/** Scheduling policies that apply where the options of the `Dispatcher` give none. */
 export const defaultPolicies: DispatchPolicies = {
   placementOrder: 'shares',
   speedChoice: 'endpoints',
--- a/packages/dispatch/runs/GangMonitor.ts
+++ b/packages/dispatch/runs/GangMonitor.ts
@@ -5,16 +5,18 @@
 import type { LiveJob } from '../waiting/LiveJob';
 import type { PlacedRun } from './PlacedRun';
 
-/** Detects gangs that have lost some of their members. */
+/** Detects gangs of which some members wait while others are placed. */
 export class GangMonitor {
   constructor(
     private readonly endpoints: ReadonlyMap<EndpointIncarnation, EndpointState>,
     private readonly jobs: ReadonlyMap<JobId, LiveJob>,
-    /** Called for each member that runs while another is lost. */
+    /** Called for each placed member of a gang of which another member waits. */
     private readonly handleRemainingMember: (endpoint: EndpointState, run: PlacedRun) => void,
   ) {}
 
-  /** Checks all gangs. One that lost members cannot work: its other members have to be stopped, so that it restarts as a whole. */
+  /**
+   * Calls the handler for each placed member of every gang that is incomplete, so that it can be stopped and restart as a whole.
+   */
   checkAllGangs(): void {
     for (const job of this.jobs.values()) {
       for (const [step, shape] of job.definition.steps.entries()) {
--- a/packages/dispatch/runs/PlacedRun.ts
+++ b/packages/dispatch/runs/PlacedRun.ts
@@ -12,60 +12,70 @@
  * - `recording`: placed, but its record is not durable yet and no start command was sent.
  * - `ordered`: the start command is under way.
  * - `unconfirmed`: placed by an earlier leader, or transferred from an earlier incarnation, and not yet listed by a poll.
- * - `running`: confirmed by the endpoint.
- * - `stopping`: to be stopped, until the endpoint shows that it does not run.
+ * - `running`: confirmed by the endpoint, by its response to the start command or by a poll.
+ * - `stopping`: a stop command was sent, and no poll sent after its response has shown yet that the run has ended.
  */
 type RunStage = 'recording' | 'ordered' | 'unconfirmed' | 'running' | 'stopping';
 
-/** A run that takes capacity on an endpoint. Owned by its `EndpointState`, changed by the parts of the dispatcher. */
+/**
+ * State of a run, from its placement until its end is certain, that takes capacity on the endpoint whose `EndpointState` holds it.
+ */
 export interface PlacedRun {
   readonly task: TaskName;
   readonly job: JobId;
   readonly address: TaskAddress;
+  /** Number of the run among the runs of its task. */
   readonly run: number;
-  /** Capacity it takes; fillers take no processor time. */
+  /** Capacity that it takes on its endpoint; fillers take no processor time. */
   readonly demand: TaskDemand;
   /** Owner of the job; undefined for jobs without a customer. */
   readonly customer: CustomerName | undefined;
   /** Demand that counts against the customer's limit, including the processor time that fillers request. */
   readonly charge: TaskDemand;
   readonly isFiller: boolean;
-  /** A long-running task that is no filler. */
+  /** True for a run of a long-running task that is not a filler. */
   readonly isServing: boolean;
   readonly priority: number;
-  /** The task is suspected of having crashed an endpoint. */
+  /** True if its task was suspected of having crashed an endpoint when the run was placed. */
   readonly isCrashSuspect: boolean;
-  /** False when it resumes from a checkpoint. */
+  /** True if this leader placed it without a checkpoint to resume from; false for recovered and orphan runs. */
   readonly isFromStart: boolean;
   stage: RunStage;
-  /** A poll has listed it, so it has certainly started on its current incarnation. */
+  /** True once a poll of its current incarnation has listed it as running, so that it has certainly started there. */
   hasBeenListed: boolean;
-  /** Incarnation that the start was sent to, if the next one may have received it; undefined once a poll has shown which. */
+  /**
+   * Incarnation that the start was sent to, if the run was transferred to the next one; undefined once a poll has listed it there.
+   */
   transferredFrom: EndpointIncarnation | undefined;
-  /** How long its task waited before the placement, by cause; undefined for one that an earlier leader placed. */
+  /** How long its task waited before the placement, by cause; undefined for recovered and orphan runs. */
   waitTimes: WaitTimes | undefined;
-  /** Monotonic time of the placement. */
+  /** Monotonic time of the placement, or at which a recovered or orphan run was added. */
   placedAt: number;
-  /** Monotonic time at which its record became durable; `placedAt` until then. */
+  /** Monotonic time at which the record of its placement became durable; `placedAt` until then. */
   recordedAt: number;
-  /** Monotonic time at which the endpoint confirmed the start. */
+  /** Monotonic time at which a response or the first poll that listed it confirmed the start; `recordedAt` until then. */
   startConfirmedAt: number;
-  /** Monotonic time at which the start command timed out; undefined if it did not. */
+  /** Monotonic time at which the start command timed out; undefined if it did not, and once a poll has listed the run. */
   startTimedOutAt: number | undefined;
-  /** Monotonic time from which the delay of the next stop retry counts; undefined before the first check. */
+  /**
+   * Monotonic time from which the delay of the next stop retry counts: that of the first check after the stop was sent, then of each
+   * retry. Undefined before that check.
+   */
   stopRetryTimedFrom: number | undefined;
   /** Reason for the stop; undefined while it is not being stopped. */
   stopCause: StopCause | undefined;
-  /** The stop command was retried. */
+  /** True once the stop command has been sent again. */
   isStopRepeated: boolean;
   /** Monotonic time of the first response to a stop command; undefined until then. */
   stopRespondedAt: number | undefined;
+  /** Progress that the newest poll listed. */
   percent: number;
   /** Monotonic time of the newest poll that listed it; `placedAt` before the first. */
   lastListedAt: number;
   /** Monotonic time at which `percent` last increased. */
   lastProgressAt: number;
+  /** Newest known checkpoint of the task; empty for none. */
   checkpoint: string;
-  /** Monotonic time at which `checkpoint` last changed; undefined if this run has written none. */
+  /** Monotonic time of the poll that showed a new `checkpoint` of this run; undefined if none did. */
   checkpointedAt: number | undefined;
 }
--- a/packages/dispatch/runs/RunCommands.ts
+++ b/packages/dispatch/runs/RunCommands.ts
@@ -24,13 +24,14 @@
 const REJECTED_END: RunEnd = { outcome: 'interrupted', evidence: 'turnedDown', checkpoint: '' };
 const UNHEALTHY_END: RunEnd = { outcome: 'interrupted', evidence: 'unhealthy', checkpoint: '' };
 
-/** Decides which recorded starts are sent, and applies the results of start and stop commands. */
+/** Decides whether recorded starts are sent, cancels starts, and applies the results of start and stop commands to runs. */
 export class RunCommands {
   constructor(private readonly options: RunCommandsOptions) {}
 
   /**
-   * Returns whether to send a start whose record is durable; if not, its capacity is released. The job, the endpoint and the ticket
-   * are checked again, since they may have changed while the record was written.
+   * Called once a start's record is durable. Returns true, and marks the run as ordered, when the start command is to be sent. The
+   * job, the endpoint and the ticket are checked again, since they may have changed while the record was written: if one does not
+   * permit the start any more, ends the run as not sent and returns false. Returns false too for a run that has ended already.
    */
   handleStartRecorded(effect: StartEffect, now: number): boolean {
     const { jobs, runTracker } = this.options;
@@ -40,7 +41,7 @@
     }
     const { endpoint, run } = found;
     const job = jobs.get(run.job);
-    // The endpoint's capacity may have shrunk since the placement.
+    // The capacity of the endpoint may have shrunk since the placement, so that its runs exceed it.
     const isRunnable =
       job !== undefined && !job.progress.isEnded() && endpoint.isSchedulable() && !endpoint.isOvercommitted();
     if (!isRunnable || !this.isTicketValid(job, run, effect, now)) {
@@ -53,6 +54,7 @@
     return true;
   }
 
+  /** Returns true if the start needs no ticket, or if the job's ticket for the endpoint can still be sent. */
   private isTicketValid(
     job: LiveJob,
     run: PlacedRun,
@@ -63,7 +65,7 @@
     return command.ticket === '' || job.getAdvice(repetition, step).hasSendableTicket(endpoint, now);
   }
 
-  /** Cancels all starts whose records are not durable yet, so that their tasks are placed again. */
+  /** Ends the runs whose start records are not durable yet as not sent, so that their tasks wait again. */
   cancelUnrecordedStarts(now: number): void {
     for (const endpoint of this.options.endpoints.values()) {
       for (const run of [...endpoint.getRuns()]) {
@@ -74,7 +76,7 @@
     }
   }
 
-  /** Releases the capacity of a start that could not be sent. */
+  /** Ends the run of a recorded start that was not sent, so that its capacity is free and its task waits again. */
   handleStartUnsent(effect: StartEffect, now: number): void {
     const found = this.findRun(effect.endpoint, effect.command.task, effect.command.run);
     if (found !== undefined) {
@@ -82,6 +84,7 @@
     }
   }
 
+  /** Applies the result of a start command, unless a status or a stop has changed the run's stage since. */
   handleStartResult(
     incarnation: EndpointIncarnation,
     task: TaskName,
@@ -90,12 +93,13 @@
     now: number,
   ): void {
     const found = this.findRun(incarnation, task, runNumber);
-    // A status or a stop may have been applied before the result, which is then outdated.
+    // Outdated if a status or a stop was applied before it.
     if (found !== undefined && found.run.stage === 'ordered') {
       this.applyStartResult(found.endpoint, found.run, result, now);
     }
   }
 
+  /** Records the time of the first response to a stop command, or ends the incarnation if the result is that it is gone. */
   handleStopResult(
     incarnation: EndpointIncarnation,
     task: TaskName,
--- a/packages/dispatch/runs/RunEnd.ts
+++ b/packages/dispatch/runs/RunEnd.ts
@@ -6,8 +6,8 @@
 export interface RunEnd {
   readonly outcome: RunOutcome;
   readonly evidence: RunEndEvidence;
-  /** Kind of end that the endpoint reported; undefined when it reported none. */
+  /** How the run ended by the endpoint's report; undefined if the endpoint reported no end. */
   readonly reportedEnd?: EndedTaskStatus['how'];
-  /** Checkpoint that the run left; empty when none newer than that of the `PlacedRun` is known. */
+  /** Checkpoint that the endpoint reported with the end; if empty, that of the `PlacedRun` applies. */
   readonly checkpoint: string;
 }
--- a/packages/dispatch/runs/RunMover.ts
+++ b/packages/dispatch/runs/RunMover.ts
@@ -15,34 +15,39 @@
   readonly endpoints: ReadonlyMap<EndpointIncarnation, EndpointState>;
   readonly jobs: ReadonlyMap<JobId, LiveJob>;
   readonly stopPolicy: StopPolicy;
-  /** Estimates the run time of a task of a queue's step. */
+  /** Estimates the run time of a task from learned run times of such steps of the queue, else from the caller's estimate. */
   readonly estimateRunTime: (queue: string, shape: JobStep) => RunTimeEstimate;
+  /** Called with each run to move; has to stop it. */
   readonly handleMove: (candidate: MoveCandidate) => void;
 }
 
-/** A task that was moved this often as a straggler is not moved again. */
+/** A task that was moved this often, for any reason, is not moved as a straggler again. */
 const MAX_TASK_MOVES = 2;
-/** Time from the stop of a run until its successor makes progress, without advice. */
+/** Time from the stop of a run until the task's next run makes progress, without the time for an advice request. */
 const MOVE_OVERHEAD_MS = 300;
-/** Time for which a run must have been observed before its pace counts. */
+/** Time from the confirmed start of a run to the newest poll that listed it, below which the run is not moved as a straggler. */
 const MIN_OBSERVED_RUN_MS = 250;
-/** Factor by which a caller's estimate of the run time may be too low. */
+/** Factor by which a caller's estimate of the run time is multiplied for the baseline, since it may be too low. */
 const MAX_ESTIMATE_ERROR_RATIO = 3;
-/** Pace above which a run counts as slow, as a multiple of the baseline; exceeds the usual spread of endpoints. */
+/** Pace above which a run counts as slow, as a multiple of the baseline pace. */
 const SLOW_PACE_RATIO = 2.5;
-/** Run time above which a run without siblings counts as slow, as a multiple of the 90th percentile. */
+/** Lower bound of the run time above which a run counts as slow by learned run times, as a multiple of their 90th percentile. */
 const SLOW_P90_RATIO = 1.3;
 const ALL_PERCENT = 100;
 
 const isStragglerCause = (cause: StopCause): boolean => cause === 'slow' || cause === 'stalled';
 
-/** Moves stragglers, and runs that would be cut off when their endpoint drains, to other endpoints. */
+/** Finds stragglers, and runs that would be cut off when their draining endpoint leaves, and has them moved to other endpoints. */
 export class RunMover {
+  /** How often each task was moved, for any reason. */
   private readonly moveCountsByTask = new Map<string, number>();
 
   constructor(private readonly options: RunMoverOptions) {}
 
-  /** Moves all runs that would be cut off, and as many stragglers as may be moved at once. */
+  /**
+   * Moves all runs that would be cut off, and stragglers by priority and gain, up to the share of all runs that may be moved at once.
+   * Only runs for which another endpoint has free capacity are moved.
+   */
   handleTick(now: number): void {
     const candidates: MoveCandidate[] = [];
     const counts = { runs: 0, moving: 0 };
@@ -71,6 +76,10 @@
     this.options.handleMove(candidate);
   }
 
+  /**
+   * Returns the run as a candidate for a move, with the reason and the expected gain; undefined if it is not to be moved. On a
+   * draining endpoint, only a run that would be cut off is moved; on any other, only a straggler.
+   */
   private toMoveCandidate(endpoint: EndpointState, run: PlacedRun, now: number): MoveCandidate | undefined {
     const shape = this.getStep(run);
     if (shape === undefined || endpoint.getUnreachableSince() !== undefined) {
@@ -83,9 +92,9 @@
         : undefined;
     }
     const isMoveLimitReached = (this.moveCountsByTask.get(run.task) ?? 0) >= MAX_TASK_MOVES;
-    // Measured up to the newest poll, to which `percent` belongs.
+    // Up to the newest poll, to which `percent` belongs.
     const observedMs = run.lastListedAt - run.startConfirmedAt;
-    // A task that may have crashed an endpoint stays, to show whether it does so again.
+    // A task with crash records is not moved: its run shows whether it crashes an endpoint again.
     const hasCrashed = (this.getJob(run)?.progress.getTask(run.address)?.crashes.length ?? 0) > 0;
     if (
       shape.isGang ||
@@ -100,7 +109,7 @@
     if (baseline.baselinePace === 0) {
       return undefined;
     }
-    // No object spread, which is slow: this is called for each run on each tick.
+    // No object spread, which is slow; this runs for each run on each tick.
     const input: SlowRunInput = {
       baselinePace: baseline.baselinePace,
       slowPace: baseline.slowPace,
@@ -116,7 +125,10 @@
     return reason === undefined ? undefined : { book: endpoint, run, priority, reason, gainMs };
   }
 
-  /** Computes the baseline pace of a step from its other tasks, else from learned run times, else from the caller's estimate. */
+  /**
+   * Computes the baseline pace and the pace above which a run is slow from the median of the step's tasks, else from learned run times
+   * if the policy uses them, else from the caller's estimate. The baseline is 0 if there is no estimate either.
+   */
   private computeBaselinePaces(
     run: PlacedRun,
     shape: JobStep,
@@ -137,7 +149,7 @@
     return { baselinePace, slowPace: SLOW_PACE_RATIO * baselinePace };
   }
 
-  /** Returns true when the endpoint will leave before the run can end there. */
+  /** Returns true if the run has to leave its draining endpoint now. Gangs are evicted only if the policy says so. */
   private isEvictionDue(endpoint: EndpointState, run: PlacedRun, shape: JobStep, now: number): boolean {
     if (shape.isGang && !this.options.stopPolicy.isEvictingGangs) {
       return false;
@@ -152,12 +164,14 @@
     });
   }
 
+  /** Estimates the time until the run ends, from its pace, or from the caller's estimate while it has no progress. */
   private estimateRemainingMs(run: PlacedRun, shape: JobStep): number {
     const observedMs = run.lastListedAt - run.startConfirmedAt;
     const pace = run.percent > 0 ? observedMs / run.percent : shape.estimatedMs / ALL_PERCENT;
     return pace * (ALL_PERCENT - run.percent);
   }
 
+  /** Returns true if another endpoint of the service is schedulable, not degraded, and has free capacity for the run. */
   private hasOtherEndpoint(endpoint: EndpointState, run: PlacedRun, now: number): boolean {
     const { service, id } = endpoint.getProfile();
     for (const other of this.options.endpoints.values()) {
@@ -170,7 +184,10 @@
     return false;
   }
 
-  /** Returns false for runs whose pace cannot be compared, such as fillers, which use spare time, and resumed runs. */
+  /**
+   * Returns true if the run's pace can be compared with a baseline: it began from the start, and is no filler or long-running
+   * task.
+   */
   private isPaceComparable(run: PlacedRun): boolean {
     return !run.isFiller && !run.isServing && run.isFromStart && this.getStep(run)?.isLongRunning === false;
   }
--- a/packages/dispatch/runs/RunTracker.ts
+++ b/packages/dispatch/runs/RunTracker.ts
@@ -16,33 +16,40 @@
 type JobEnding = 'completed' | 'failed' | 'cancelled';
 
 interface RunTrackerCallbacks {
-  /** Called when capacity has been released. */
+  /** Called when the capacity of an ended run was released. */
   readonly handleCapacityReleased: () => void;
-  /** Called when the progress of a job has changed and must be recorded. */
+  /** Called when the progress of a job has changed and has to be recorded. */
   readonly handleProgressChanged: (job: JobId) => void;
+  /** Adds an effect to those that the dispatcher requests. */
   readonly sendEffect: (effect: DispatchEffect) => void;
 }
 
-/** Delay of the first retry of a stop; longer than its usual timeout. */
+/** Delay of the first retry of a stop command; longer than the usual timeout of the command. */
 const FIRST_STOP_RETRY_DELAY_MS = 200;
-/** Smaller losses of work, in core-milliseconds, are counted but not logged. */
+/** Lost work of a run, in core-milliseconds, below which the loss is counted but not logged. */
 const MIN_LOGGED_LOST_CORE_MS = 1000;
-/** A run whose start command timed out is stopped after this time, unless a poll lists it before. */
+/** Time from the timeout of a start command until the run is stopped, unless a poll lists it before. */
 const TIMED_OUT_START_GRACE_MS = 300;
-/** Delay of later retries, whose timeout is longer. */
+/** Delay between later retries of a stop command, whose timeout is longer. */
 const LATER_STOP_RETRY_DELAY_MS = 600;
 
-/** Records the ends of runs and jobs in the endpoints' state and the jobs' progress, and sends stops. */
+/**
+ * Records the ends and transfers of runs and the ends of jobs in the endpoints' states and the jobs' progress, and sends stop
+ * commands.
+ */
 export class RunTracker {
   constructor(
     private readonly endpoints: Map<EndpointIncarnation, EndpointState>,
     private readonly jobs: ReadonlyMap<JobId, LiveJob>,
     private readonly callbacks: RunTrackerCallbacks,
-    /** Gangs resume from the newest checkpoint of any member. */
+    /** True if a checkpoint that an ended member leaves is recorded for its whole gang. */
     private readonly isSharingGangCheckpoints = false,
   ) {}
 
-  /** Releases the capacity of a run and records its end in the job's progress. */
+  /**
+   * Records the end of a run: removes it from its endpoint, counts the work that it lost, and records the end in the job's progress,
+   * unless that already has it. Also removes the state of an endpoint that is no longer needed.
+   */
   recordRunEnd(endpoint: EndpointState, run: PlacedRun, end: RunEnd, now: number): void {
     const { outcome, evidence, checkpoint } = end;
     endpoint.removeRun(run);
@@ -82,7 +89,7 @@
     return this.jobs.get(run.job)?.definition.steps[run.address.step]?.isGang === true;
   }
 
-  /** Counts the work that a run lost, and logs a larger loss. */
+  /** Counts the work that a run lost, if it lost any, and logs losses of at least `MIN_LOGGED_LOST_CORE_MS`. */
   private recordLostWork(endpoint: EndpointState, run: PlacedRun, end: RunEnd, now: number): void {
     const lossCause = getLossCause(run, end);
     if (lossCause === undefined) {
@@ -106,8 +113,9 @@
   }
 
   /**
-   * Transfers a run from an ended incarnation to the next one, which may have received its start. A run that was being stopped is
-   * stopped there too; for any other the next poll shows whether it runs.
+   * Transfers a run from an ended incarnation to the next one, which may have received its start command, and records that in the
+   * job's progress. If it was being stopped, sends the stop command there too; else it becomes unconfirmed, until a poll shows
+   * whether it runs.
    */
   recordTransfer(from: EndpointState, to: EndpointState, run: PlacedRun): void {
     from.removeRun(run);
@@ -132,7 +140,10 @@
     }
   }
 
-  /** Ends the job when the end of this run completes it or uses up its attempts. */
+  /**
+   * Applies an ended run's outcome to its job. A failure marks the endpoint as failed for the step, and fails the job when it was the
+   * task's last attempt, unless the task is long-running. A done member completes its gang. Ends the job when all tasks are done.
+   */
   checkJobEnd(
     job: LiveJob,
     run: PlacedRun,
@@ -157,7 +168,7 @@
     }
   }
 
-  /** Ends a job and stops its runs. Does nothing if it has ended. */
+  /** Records the end of a job, logs it and stops the job's runs. Does nothing if the job has ended. */
   recordJobEnd(job: LiveJob, ending: JobEnding, wallMs: number): void {
     if (job.progress.isEnded()) {
       return;
@@ -175,9 +186,9 @@
     }
   }
 
-  /** Sends a stop, unless the run is being stopped or its start was not sent yet. */
+  /** Sends a stop command and marks the run as stopping. Does nothing if it is stopping or its start was not sent yet. */
   sendStop(endpoint: EndpointState, run: PlacedRun, cause: StopCause): void {
-    // While the record is being written no start command has been sent; `handleStartRecorded` drops it if its job has ended.
+    // A run whose record is still being written is ended by `handleStartRecorded` if its job has ended.
     if (run.stage === 'stopping' || run.stage === 'recording') {
       return;
     }
@@ -189,7 +200,10 @@
     this.sendStopCommand(endpoint, run);
   }
 
-  /** Retries stops without a response, and stops runs whose start timed out and that no poll has listed since. */
+  /**
+   * Sends the stop commands that are due on an endpoint: repeats those that had no response within the retry delay, and stops runs
+   * whose start command timed out and that no poll has listed since.
+   */
   sendDueStops(endpoint: EndpointState, now: number): void {
     for (const run of endpoint.getRuns()) {
       if (run.stage === 'ordered' && now - (run.startTimedOutAt ?? now) >= TIMED_OUT_START_GRACE_MS) {
@@ -209,12 +223,12 @@
     }
   }
 
-  /** Requests a poll at once. */
+  /** Requests an extra poll of the endpoint at once. */
   sendPoll(endpoint: EndpointState): void {
     this.callbacks.sendEffect({ kind: 'look', endpoint: endpoint.getProfile().incarnation });
   }
 
-  /** Logs why a job failed or missed its objective. */
+  /** Logs an account of the job's time if it failed, or completed after its objective. */
   private logLateJob(job: LiveJob, ending: JobEnding, wallMs: number): void {
     const { definition, trace } = job;
     const lateMs = wallMs - job.getObjectiveAtMs(definition.times - 1);
@@ -235,17 +249,19 @@
     });
   }
 
-  /** Removes the state of an endpoint without an address once it has no runs. */
+  /** Removes the state of an endpoint that has no address, since no record of it is known, if it has no runs. */
   removeUnusedEndpoint(endpoint: EndpointState): void {
     if (endpoint.getProfile().address === '' && endpoint.countRuns() === 0) {
       this.endpoints.delete(endpoint.getProfile().incarnation);
     }
   }
 
+  /** Emits an effect that increases a counter of the metrics. */
   sendCount(name: DispatchCounterName, amount = 1): void {
     this.callbacks.sendEffect({ kind: 'count', name, amount });
   }
 
+  /** Emits an effect that writes a log line. */
   sendLogLine(message: string, fields: Readonly<Record<string, unknown>>): void {
     this.callbacks.sendEffect({ kind: 'tell', message, fields });
   }
--- a/packages/dispatch/runs/createPlacedRun.ts
+++ b/packages/dispatch/runs/createPlacedRun.ts
@@ -5,12 +5,13 @@
 import type { PlacedRun } from './PlacedRun';
 
 interface RunHistory {
-  /** The run resumes from no checkpoint. */
+  /** True if there is no checkpoint to resume from. */
   readonly isFromStart?: boolean;
+  /** True if the task is suspected of having crashed an endpoint. */
   readonly isCrashSuspect?: boolean;
 }
 
-/** Creates the state of a run that is about to be placed. */
+/** Creates the state of a run of a known job, in the stage `recording`. */
 export const createPlacedRun = (
   definition: JobDefinition,
   address: TaskAddress,
--- a/packages/dispatch/runs/estimateRemainingMs.ts
+++ b/packages/dispatch/runs/estimateRemainingMs.ts
@@ -1,9 +1,11 @@
 import type { PlacedRun } from './PlacedRun';
 
-/** Below this progress the speed of a run is not known. */
+/** Progress below which the speed of a run is not used. */
 const MIN_PERCENT_FOR_SPEED = 5;
 
-/** Estimates the time until a run ends in milliseconds, from its speed so far, or from `estimatedMs` for the whole run. */
+/**
+ * Estimates the time until a run ends, in milliseconds, from its speed so far; early in the run, from `estimatedMs` for all of it.
+ */
 export const estimateRemainingMs = (run: PlacedRun, estimatedMs: number, now: number): number => {
   const ageMs = now - run.placedAt;
   if (run.percent < MIN_PERCENT_FOR_SPEED) {
--- a/packages/dispatch/runs/findStragglerReason.ts
+++ b/packages/dispatch/runs/findStragglerReason.ts
@@ -1,28 +1,33 @@
 interface StragglerInput {
-  /** Milliseconds for one percent: of this run, and the baseline of its step. */
+  /** Milliseconds that this run takes for one percent. */
   readonly pace: number;
+  /** Milliseconds that a run of the step usually takes for one percent. */
   readonly baselinePace: number;
   readonly percent: number;
   /** Time since `percent` last increased, in milliseconds. */
   readonly stalledMs: number;
-  /** Time that a move takes until the new run makes progress, in milliseconds. */
+  /** Time from the stop of this run until the new one makes progress, in milliseconds. */
   readonly moveMs: number;
-  /** A run is slow only if its pace exceeds this; by default a multiple of `usualPace`. */
+  /** Pace that a slow run exceeds; `SLOW_PACE_RATIO` times `baselinePace` by default. */
   readonly slowPace?: number;
-  /** Percent of the work that the new run has to do; by default all. */
+  /** Percent of the work that the new run has to do; all by default. */
   readonly restartPercent?: number;
 }
 
-/** Default of `slowPace`, as a multiple of `usualPace`. */
+/** Default of `slowPace`, as a multiple of `baselinePace`. */
 const SLOW_PACE_RATIO = 2.5;
-/** Remaining time at which a move pays off, as a multiple of the time that a new run takes. */
+/** Remaining time of a slow run above which it is moved, as a multiple of the time that a move and the new run take. */
 const MIN_REMAINING_RATIO = 1.3;
+/** A run without progress for at most this time is not stalled. */
 const MIN_STALL_MS = 900;
-/** A run is stalled when it makes no progress in the baseline time for this many percent. */
+/** A run is stalled after no progress for the time that the baseline pace gives for this many percent. */
 const STALL_BASELINE_PERCENT = 25;
 const ALL_PERCENT = 100;
 
-/** Returns why a run would end sooner on another endpoint, or undefined when it would not. */
+/**
+ * Returns `stalled` if the run has made no progress for too long, and `slow` if its pace exceeds the limit and a new run is expected to
+ * end clearly sooner; else undefined.
+ */
 export const findStragglerReason = (input: StragglerInput): 'stalled' | 'slow' | undefined => {
   if (input.stalledMs > Math.max(MIN_STALL_MS, STALL_BASELINE_PERCENT * input.baselinePace)) {
     return 'stalled';
