--- a/packages/dispatch/DispatchEffect.ts
+++ b/packages/dispatch/DispatchEffect.ts
@@ -39,8 +39,8 @@
       /** Time from the request to its response that the queue's settings predict, in milliseconds. */
       readonly expectedResponseMs: number;
       /** True when the request takes one of the slots for long requests. */
-      readonly isLong: boolean;
-      readonly cause: AdviceRequestReason;
+      readonly isLongRequest: boolean;
+      readonly adviceReason: AdviceRequestReason;
     }
   /** Increase a counter of the metrics by an amount. */
   | { readonly kind: 'count'; readonly name: DispatchCounterName; readonly amount: number }
--- a/packages/dispatch/Dispatcher.ts
+++ b/packages/dispatch/Dispatcher.ts
@@ -251,11 +251,11 @@
     return this.jobs.size;
   }
 
-  getUsage(): CustomerUsage {
+  getCustomerUsage(): CustomerUsage {
     return this.customerUsage;
   }
 
-  getSpeeds(): EndpointSpeeds {
+  getEndpointSpeeds(): EndpointSpeeds {
     return this.endpointSpeeds;
   }
 
@@ -394,7 +394,7 @@
   }
 
   /** Marks an endpoint as unreachable, since it did not respond to a poll; the first time, the crash tracker is notified too. */
-  handleUnreachable(incarnation: EndpointIncarnation, now: number): void {
+  handleEndpointUnreachable(incarnation: EndpointIncarnation, now: number): void {
     const endpoint = this.endpoints.get(incarnation);
     if (endpoint === undefined) {
       return;
@@ -573,7 +573,7 @@
     }
   }
 
-  /** Stops a run that is moved, and records its endpoint as failed for the step, so that the next run starts elsewhere. */
+  /** Logs and stops a run that is moved, and records a failure there for its step, so that its next run prefers other endpoints. */
   private handleMove({ book: endpoint, run, reason, gainMs }: MoveCandidate): void {
     const { incarnation } = endpoint.getProfile();
     this.jobs.get(run.job)?.recordFailureOn(run.address.repetition, run.address.step, incarnation);
--- a/packages/dispatch/LeaderController.ts
+++ b/packages/dispatch/LeaderController.ts
@@ -186,7 +186,7 @@
       handleResponse: (request, response, tookMs) => {
         options.logger.info('Advice answered.', {
           step: request.step,
-          cause: request.cause,
+          cause: request.adviceReason,
           asked: request.candidates.length,
           allowed: response?.size ?? 'no answer',
           tookMs,
--- a/packages/dispatch/advice/AdviceRequester.ts
+++ b/packages/dispatch/advice/AdviceRequester.ts
@@ -99,8 +99,8 @@
       step: name,
       candidates: endpoints,
       expectedResponseMs,
-      isLong,
-      cause,
+      isLongRequest: isLong,
+      adviceReason: cause,
     });
     return 'answer';
   }
--- a/packages/dispatch/advice/FirstFreeBalancer.ts
+++ b/packages/dispatch/advice/FirstFreeBalancer.ts
@@ -34,7 +34,7 @@
 
   async sendRequest(request: AdviceRequest): Promise<void> {
     const free = this.options.listChannels().filter((channel) => this.isFree(channel));
-    const channel = request.isLong ? free[free.length - 1] : free[0];
+    const channel = request.isLongRequest ? free[free.length - 1] : free[0];
     if (channel === undefined) {
       this.options.handleResponse(request, undefined, 0);
       return;
--- a/packages/dispatch/advice/HedgingBalancer.ts
+++ b/packages/dispatch/advice/HedgingBalancer.ts
@@ -57,7 +57,7 @@
       return;
     }
     const now = this.options.clock.getNow();
-    if (!request.isLong) {
+    if (!request.isLongRequest) {
       this.reserve.recordRequest(now - requestedAt, now);
     }
     this.options.handleResponse(request, tickets, Math.round(now - requestedAt));
@@ -106,7 +106,7 @@
   /** Sends the request over the fastest channel that it may use; returns undefined when none is free. */
   private startAttempt(request: AdviceRequest): Attempt | undefined {
     const free = this.listFree();
-    const index = request.isLong ? Math.min(this.countReserved(), free.length - 1) : 0;
+    const index = request.isLongRequest ? Math.min(this.countReserved(), free.length - 1) : 0;
     const channel = free[index];
     if (channel === undefined) {
       return undefined;
@@ -122,7 +122,7 @@
   ): Promise<Tickets> {
     const { clock } = this.options;
     const requestedAt = clock.getNow();
-    state.recordRequest(request.isLong);
+    state.recordRequest(request.isLongRequest);
     const tickets = await sendAdviceRequest(channel, request, request.expectedResponseMs + TIMEOUT_MARGIN_MS);
     const now = clock.getNow();
     if (tickets === undefined) {
--- a/packages/dispatch/endpoints/EndpointSessions.ts
+++ b/packages/dispatch/endpoints/EndpointSessions.ts
@@ -338,7 +338,7 @@
       logger.info('Endpoint does not answer.', { endpoint: incarnation, detail });
     }
     recordCount('unanswered');
-    dispatcher.handleUnreachable(incarnation, clock.getNow());
+    dispatcher.handleEndpointUnreachable(incarnation, clock.getNow());
     this.removeIfUnneeded(incarnation);
   }
 
--- a/packages/dispatch/endpoints/StatusReconciler.ts
+++ b/packages/dispatch/endpoints/StatusReconciler.ts
@@ -79,7 +79,7 @@
     );
     const job = this.options.jobs.get(run.job);
     if (job !== undefined) {
-      this.options.tracker.checkJobEnd(job, run, outcome, endpoint.getProfile().incarnation, wallMs);
+      this.options.tracker.applyRunOutcome(job, run, outcome, endpoint.getProfile().incarnation, wallMs);
     }
   }
 
--- a/packages/dispatch/runs/PlacedRun.ts
+++ b/packages/dispatch/runs/PlacedRun.ts
@@ -68,13 +68,13 @@
   isStopRepeated: boolean;
   /** Monotonic time of the first response to a stop command; undefined until then. */
   stopRespondedAt: number | undefined;
-  /** Progress that the newest poll listed. */
+  /** Highest progress that a poll has listed. */
   percent: number;
   /** Monotonic time of the newest poll that listed it; `placedAt` before the first. */
   lastListedAt: number;
-  /** Monotonic time at which `percent` last increased. */
+  /** Monotonic time at which `percent` last increased; `placedAt` before. */
   lastProgressAt: number;
-  /** Newest known checkpoint of the task; empty for none. */
+  /** Newest checkpoint that a poll has listed for this run, or that a recovered run has in the record; empty for none. */
   checkpoint: string;
   /** Monotonic time of the poll that showed a new `checkpoint` of this run; undefined if none did. */
   checkpointedAt: number | undefined;
--- a/packages/dispatch/runs/RunTracker.ts
+++ b/packages/dispatch/runs/RunTracker.ts
@@ -13,7 +13,7 @@
 import type { PlacedRun } from './PlacedRun';
 import type { RunEnd } from './RunEnd';
 
-type JobEnding = 'completed' | 'failed' | 'cancelled';
+type JobEndKind = 'completed' | 'failed' | 'cancelled';
 
 interface RunTrackerCallbacks {
   /** Called when the capacity of an ended run was released. */
@@ -144,7 +144,7 @@
    * Applies an ended run's outcome to its job. A failure marks the endpoint as failed for the step, and fails the job when it was the
    * task's last attempt, unless the task is long-running. A done member completes its gang. Ends the job when all tasks are done.
    */
-  checkJobEnd(
+  applyRunOutcome(
     job: LiveJob,
     run: PlacedRun,
     outcome: RunOutcome,
@@ -169,7 +169,7 @@
   }
 
   /** Records the end of a job, logs it and stops the job's runs. Does nothing if the job has ended. */
-  recordJobEnd(job: LiveJob, ending: JobEnding, wallMs: number): void {
+  recordJobEnd(job: LiveJob, ending: JobEndKind, wallMs: number): void {
     if (job.progress.isEnded()) {
       return;
     }
@@ -229,7 +229,7 @@
   }
 
   /** Logs an account of the job's time if it failed, or completed after its objective. */
-  private logLateJob(job: LiveJob, ending: JobEnding, wallMs: number): void {
+  private logLateJob(job: LiveJob, ending: JobEndKind, wallMs: number): void {
     const { definition, trace } = job;
     const lateMs = wallMs - job.getObjectiveAtMs(definition.times - 1);
     if (ending === 'failed' || (ending === 'completed' && lateMs > 0)) {
--- a/packages/serve/ServeProcess.ts
+++ b/packages/serve/ServeProcess.ts
@@ -478,7 +478,7 @@
   }
 
   private formatMetrics(): string {
-    const speeds = this.duty?.getDispatcher().getSpeeds().countByClass();
+    const speeds = this.duty?.getDispatcher().getEndpointSpeeds().countByClass();
     const text = this.metrics.formatText({
       leading: this.duty === undefined ? 0 : 1,
       liveJobs: this.duty?.getDispatcher().countJobs() ?? 0,
--- a/packages/serve/readCustomerFigures.ts
+++ b/packages/serve/readCustomerFigures.ts
@@ -9,7 +9,7 @@
   dispatcher: Dispatcher,
   wallMs: number,
 ): readonly CustomerMetrics[] => {
-  const usage = dispatcher.getUsage().getAll();
+  const usage = dispatcher.getCustomerUsage().getAll();
   const waiting = dispatcher.countWaitingTasks(wallMs);
   return [...customers.listCustomers()].map(({ name, limit }) => ({
     name,
--- a/tests/adviceQuestions.test.ts
+++ b/tests/adviceQuestions.test.ts
@@ -56,11 +56,11 @@
   it('follow the share of endpoints that are allowed for the queue', () => {
     for (let number = 1; number < 40; number += 1) {
       sendJob(number);
-      for (const { step, candidates: endpoints } of takeRequests(number)) {
+      for (const { step, candidates } of takeRequests(number)) {
         dispatcher.handleAdviceResponse(
           step,
-          endpoints,
-          new Map(endpoints.map((id) => [id, 'ticket'])),
+          candidates,
+          new Map(candidates.map((id) => [id, 'ticket'])),
           number,
         );
       }
--- a/tests/crashCharges.test.ts
+++ b/tests/crashCharges.test.ts
@@ -68,7 +68,7 @@
     dispatcher.handleJob(definition, new JobProgress(definition), now);
 
   const stopEndpoint = (id: EndpointIncarnation): void => {
-    dispatcher.handleUnreachable(id, now);
+    dispatcher.handleEndpointUnreachable(id, now);
     now += 3000;
     dispatcher.handleIncarnationEnd(id, now);
   };
@@ -79,7 +79,7 @@
     sendJob(createJob());
     startRuns();
     dispatcher.getEndpointState(id)!.recordLease(4000);
-    dispatcher.handleUnreachable(id, now);
+    dispatcher.handleEndpointUnreachable(id, now);
     now = 4100;
     dispatcher.handleTick(now);
     return id;
--- a/tests/dispatch.test.ts
+++ b/tests/dispatch.test.ts
@@ -177,7 +177,7 @@
       this.dispatcher.handleJob(definition, this.readProgress(definition), this.now);
     }
     if (this.mutation === 'usageNotInherited') {
-      this.listPlacedRuns().forEach((run) => this.dispatcher.getUsage().recordRunEnd(run));
+      this.listPlacedRuns().forEach((run) => this.dispatcher.getCustomerUsage().recordRunEnd(run));
     }
     this.endpoints.forEach((endpoint) => {
       endpoint.lastSeen = 0;
@@ -219,7 +219,7 @@
   private applyStopMutation({ endpoint, task, run }: Extract<DispatchEffect, { kind: 'stop' }>): void {
     const placed = this.dispatcher.getEndpointState(endpoint)?.getRun(task, run);
     if (this.mutation === 'stopCountsAsEnd' && placed !== undefined) {
-      this.dispatcher.getUsage().recordRunEnd(placed);
+      this.dispatcher.getCustomerUsage().recordRunEnd(placed);
     }
   }
 
@@ -230,7 +230,7 @@
     }
     const placed = new CustomerUsage();
     this.listPlacedRuns().forEach((run) => placed.recordRun(run));
-    const [counted, expected] = [this.dispatcher.getUsage(), placed].map((usage) =>
+    const [counted, expected] = [this.dispatcher.getCustomerUsage(), placed].map((usage) =>
       JSON.stringify([...usage.getAll()].sort()),
     );
     if (counted !== expected) {
@@ -359,17 +359,17 @@
     if (endpoint.nextPollAt > this.now) {
       return;
     }
-    const book = this.dispatcher.getEndpointState(id)!;
+    const state = this.dispatcher.getEndpointState(id)!;
     endpoint.nextPollAt = this.now + 50;
     if (endpoint.isPartitioned || (hasFaults && this.random() < 0.05)) {
-      this.dispatcher.handleUnreachable(id, this.now);
+      this.dispatcher.handleEndpointUnreachable(id, this.now);
       return;
     }
     endpoint.token = Math.max(endpoint.token, this.epoch);
     this.removeAcknowledged(endpoint);
-    if (book.isSynced() && book.getUnreachableSince() === undefined) {
+    if (state.isSynced() && state.getUnreachableSince() === undefined) {
       endpoint.leasedUntil = this.now + LEASE_MS;
-      book.recordLease(this.now + LEASE_MS + 100);
+      state.recordLease(this.now + LEASE_MS + 100);
     }
     const running = [...endpoint.runs.values()].map(({ task, run }) => ({
       task,
--- a/tests/endpointSpeeds.test.ts
+++ b/tests/endpointSpeeds.test.ts
@@ -413,7 +413,11 @@
       expect(computeShare(endpoints, 'batch')).toBeGreaterThanOrEqual(0.95);
       expect(computeShare(endpoints, 'gang')).toBeGreaterThan(computeShare(blind, 'gang'));
       expect(computeShare(blind, 'urgent')).toBeLessThan(0.86);
-      expect(endpoints.dispatcher.getSpeeds().countByClass()).toEqual({ slow: 20, usual: 40, fast: 0 });
+      expect(endpoints.dispatcher.getEndpointSpeeds().countByClass()).toEqual({
+        slow: 20,
+        usual: 40,
+        fast: 0,
+      });
     }
   }, 60_000);
 
@@ -430,18 +434,18 @@
   it('has hardly any misclassified endpoints if all are equal, despite long tails and failures', () => {
     for (const seed of [1, 2, 3]) {
       const { dispatcher } = runUniformSimulation('endpoints', seed, {});
-      expect(dispatcher.getSpeeds().countByClass().usual).toBeGreaterThanOrEqual(ENDPOINTS - 3);
+      expect(dispatcher.getEndpointSpeeds().countByClass().usual).toBeGreaterThanOrEqual(ENDPOINTS - 3);
     }
   }, 60_000);
 
   it('lets a new leader learn the speeds within seconds from running tasks', () => {
     const simulation = createSimulation('endpoints', 4);
     simulation.runUntil(12_000);
-    expect(simulation.dispatcher.getSpeeds().countByClass().slow).toBeGreaterThan(15);
+    expect(simulation.dispatcher.getEndpointSpeeds().countByClass().slow).toBeGreaterThan(15);
     simulation.startNextLeader();
-    expect(simulation.dispatcher.getSpeeds().countByClass()).toEqual({ slow: 0, usual: 0, fast: 0 });
+    expect(simulation.dispatcher.getEndpointSpeeds().countByClass()).toEqual({ slow: 0, usual: 0, fast: 0 });
     simulation.runUntil(24_000);
-    const { slow, fast } = simulation.dispatcher.getSpeeds().countByClass();
+    const { slow, fast } = simulation.dispatcher.getEndpointSpeeds().countByClass();
     expect(slow).toBeGreaterThan(15);
     expect(slow + fast).toBeLessThan(25);
     expect(simulation.computeInTimeShare('urgent', 17_000, 22_000)).toBeGreaterThanOrEqual(0.92);
--- a/tests/heldStarts.test.ts
+++ b/tests/heldStarts.test.ts
@@ -41,9 +41,9 @@
   const addJob = (definition: JobDefinition, now: number): void =>
     dispatcher.handleJob(definition, new JobProgress(definition), now);
 
-  const sendResponse = ({ step, candidates: endpoints }: AdviceRequest, now: number): void => {
-    const tickets = new Map(endpoints.map((id) => [id, `ticket ${step} ${now}`]));
-    dispatcher.handleAdviceResponse(step, endpoints, tickets, now);
+  const sendResponse = ({ step, candidates }: AdviceRequest, now: number): void => {
+    const tickets = new Map(candidates.map((id) => [id, `ticket ${step} ${now}`]));
+    dispatcher.handleAdviceResponse(step, candidates, tickets, now);
   };
 
   const takeRequests = (): readonly AdviceRequest[] =>
--- a/tests/helpers/AdviceSimulation.ts
+++ b/tests/helpers/AdviceSimulation.ts
@@ -150,8 +150,8 @@
     return adviceBalancers[this.options.policy]({
       clock: { getNow: () => Date.now(), getWallTime: () => Date.now() },
       listChannels: () => this.channels,
-      handleResponse: ({ step, candidates: endpoints }, tickets) =>
-        dispatcher.handleAdviceResponse(step, endpoints, tickets, Date.now()),
+      handleResponse: ({ step, candidates }, tickets) =>
+        dispatcher.handleAdviceResponse(step, candidates, tickets, Date.now()),
     });
   }
 
--- a/tests/helpers/CrashSimulation.ts
+++ b/tests/helpers/CrashSimulation.ts
@@ -310,7 +310,7 @@
         this.options.isUnresponsive !== true ||
         this.now - this.downSince.get(id)! >= POLL_TIMEOUT_MS
       ) {
-        this.dispatcher.handleUnreachable(id, this.now);
+        this.dispatcher.handleEndpointUnreachable(id, this.now);
         this.removeIfUnneeded(id);
       }
     }
--- a/tests/lostRuns.test.ts
+++ b/tests/lostRuns.test.ts
@@ -38,7 +38,7 @@
       ?.fields;
 
   it('include the end of the incarnation, the age of its last status and its runs', () => {
-    dispatcher.handleUnreachable(ENDPOINT, 100);
+    dispatcher.handleEndpointUnreachable(ENDPOINT, 100);
     dispatcher.handleIncarnationEnd(ENDPOINT, 3100);
     const effects = dispatcher.takeEffects();
     expect(findLogFields(effects, 'Endpoint incarnation has ended.')).toMatchObject({
@@ -54,7 +54,7 @@
 
   it('distinguish an expired lease from the end of the incarnation', () => {
     dispatcher.getEndpointState(ENDPOINT)!.recordLease(4000);
-    dispatcher.handleUnreachable(ENDPOINT, 100);
+    dispatcher.handleEndpointUnreachable(ENDPOINT, 100);
     dispatcher.handleTick(4100);
     const effects = dispatcher.takeEffects();
     expect(findLogFields(effects, 'Run ended.')).toMatchObject({
--- a/tests/preemption.test.ts
+++ b/tests/preemption.test.ts
@@ -92,9 +92,9 @@
   }
 
   /** Responds to an advice request: the accepted endpoints may run the step. */
-  sendAdvice({ step, candidates: endpoints }: AdviceRequest, accepted: readonly string[]): void {
+  sendAdvice({ step, candidates }: AdviceRequest, accepted: readonly string[]): void {
     const tickets = new Map(accepted.map((id) => [toId<EndpointIncarnation>(id), 'ticket']));
-    this.dispatcher.handleAdviceResponse(step, endpoints, tickets, this.now);
+    this.dispatcher.handleAdviceResponse(step, candidates, tickets, this.now);
   }
 
   /** Ends a stopped run and reports it by a poll. */
@@ -235,7 +235,7 @@
     const cluster = new SmallCluster();
     cluster.sendJob(advised);
     const { requests } = cluster.runRound();
-    expect(requests.map(({ candidates: endpoints }) => endpoints.length)).toEqual([2]);
+    expect(requests.map(({ candidates }) => candidates.length)).toEqual([2]);
     cluster.sendAdvice(requests[0]!, ['i-0']);
     expect(cluster.runRound().starts).toHaveLength(1);
   });
@@ -271,7 +271,7 @@
     }
     cluster.dispatcher.handleCancel(other.id, 0);
     cluster.runRound().stops.forEach((stop) => cluster.sendStopped(stop));
-    expect(cluster.runRound().requests.map(({ candidates: endpoints }) => endpoints)).toEqual([['i-0']]);
+    expect(cluster.runRound().requests.map(({ candidates }) => candidates)).toEqual([['i-0']]);
   });
 });
 
--- a/tests/stops.test.ts
+++ b/tests/stops.test.ts
@@ -411,7 +411,7 @@
 
   it('ends with the lease when the endpoint stays unreachable', () => {
     const dispatcher = createUnanswered();
-    dispatcher.handleUnreachable(ENDPOINT, 500);
+    dispatcher.handleEndpointUnreachable(ENDPOINT, 500);
     dispatcher.handleTick(8900);
     expect(isFree(dispatcher)).toBe(false);
     dispatcher.handleTick(9001);
