--- a/packages/dispatch/Dispatcher.ts
+++ b/packages/dispatch/Dispatcher.ts
@@ -108,7 +108,7 @@
   private readonly gangMonitor: GangMonitor;
   private readonly longWaitLogger: LongWaitLogger;
   private readonly crashTracker: CrashTracker;
-  private readonly lossHandler: EndpointLossHandler;
+  private readonly endpointLossHandler: EndpointLossHandler;
   /** True when an event since the last scheduling round may allow a start, so that the next round is not skipped. */
   private isRoundDue = false;
   /** True after a round that requested advice but placed nothing, so that the next `placeWaiting` must not be skipped. */
@@ -136,7 +136,7 @@
       tracker: this.runTracker,
       handleChanged: (job) => this.changedJobs.add(job),
     });
-    this.lossHandler = new EndpointLossHandler({
+    this.endpointLossHandler = new EndpointLossHandler({
       endpoints: this.endpoints,
       tracker: this.runTracker,
       crashes: this.crashTracker,
@@ -149,7 +149,8 @@
       jobs: this.jobs,
       reservations,
       rules: stopPolicy.preemption,
-      handlePreempted: (endpoint, run, step, estimate) => this.handlePreempted(endpoint, run, step, estimate),
+      handleRunPreempted: (endpoint, run, step, estimate) =>
+        this.handlePreempted(endpoint, run, step, estimate),
     });
     const { preemptor } = this;
     const limiter = new StepLimiter(this.customerUsage, options.getCustomerLimit ?? (() => undefined));
@@ -202,7 +203,7 @@
       jobs: this.jobs,
       stopPolicy,
       estimateRunTime: (queue, shape) => runTimes.getEstimate(queue, shape),
-      handleMove: (candidate) => this.handleMove(candidate),
+      handleRunMove: (candidate) => this.handleMove(candidate),
     });
     this.runLearner = new RunLearner({
       endpoints: this.endpoints,
@@ -385,7 +386,7 @@
    * that incarnation that fences earlier commands shows whether it runs. Does nothing for an unknown incarnation.
    */
   handleIncarnationEnd(incarnation: EndpointIncarnation, now: number, next?: EndpointIncarnation): void {
-    this.lossHandler.handleIncarnationEnd(incarnation, now, next);
+    this.endpointLossHandler.handleIncarnationEnd(incarnation, now, next);
   }
 
   /** Returns true while a poll may still show whether an endpoint whose lease expired while it was unreachable has crashed. */
@@ -484,7 +485,7 @@
     this.isRoundDue = true;
     this.isEarlyAdviceDue = true;
     for (const endpoint of [...this.endpoints.values()]) {
-      this.lossHandler.checkLease(endpoint, now);
+      this.endpointLossHandler.checkLease(endpoint, now);
       this.runTracker.sendDueStops(endpoint, now);
     }
     this.reservations.removeExpired(now);
--- a/packages/dispatch/LeaderController.ts
+++ b/packages/dispatch/LeaderController.ts
@@ -92,7 +92,7 @@
 /** Time since the newest acknowledged write was sent, above which heartbeats count as late. */
 const MAX_ACK_AGE_MS = leaderTimings.heartbeatMs + TICK_INTERVAL_MS + appendRules.initialTimeoutMs;
 /** Outage of writes to the progress topic above which starts are held; longer than an append with one retry. */
-const MAX_LOG_OUTAGE_MS = 1000;
+const START_HOLD_OUTAGE_MS = 1000;
 
 /**
  * Runs a leader: recovers the state of earlier leaders, passes events of the log, the endpoints and the advice service to the
@@ -130,7 +130,7 @@
       getDefinition: (id) => replica.getDefinition(id),
       getCustomerLimit: options.getCustomerLimit,
     });
-    this.roundThrottle = new RoundThrottle({ clock, runRound: () => this.runRound() });
+    this.roundThrottle = new RoundThrottle({ clock, runSchedulingRound: () => this.runRound() });
     this.slowRoundLogger = new SlowRoundLogger({
       logger: options.logger,
       countJobs: () => this.dispatcher.countJobs(),
@@ -164,7 +164,7 @@
       recordCount: (name) => options.recordCount(name),
       handleChanged: () => {
         this.takeOver();
-        this.queueRound();
+        this.queueSchedulingRound();
       },
       handleFenced: (detail) => this.handleLeadershipLost(detail),
       handleLogRecovered: options.handleLogRecovered,
@@ -177,7 +177,7 @@
       isStopped: () => this.isStopped,
       isRenewing: () => this.canGrantLeases(),
       handleStarted: (job) => this.recordStartForLoad(job),
-      handleChanged: () => this.queueRound(),
+      handleChanged: () => this.queueSchedulingRound(),
       handleLeadershipLost: (detail) => this.handleLeadershipLost(detail),
     });
     this.adviceBalancer = adviceBalancers[options.policies.turnChoice]({
@@ -193,7 +193,7 @@
           expectedMs: Math.round(request.expectedResponseMs),
         });
         this.dispatcher.handleAdviceResponse(request.step, request.candidates, response, clock.getNow());
-        this.queueRound();
+        this.queueSchedulingRound();
       },
     });
   }
@@ -230,7 +230,7 @@
     clearInterval(this.tickTimer);
     this.endpointSessions.stop();
     this.adviceBalancer.stop();
-    // During an outage the other boxes learn of the resignation by other ways than the log.
+    // While the log is unavailable, the other boxes are notified directly, or notice that this process has ended.
     if (this.getLogOutageMs() === 0) {
       await this.journal.writeResignation();
     }
@@ -243,14 +243,14 @@
       const { id, queue, steps } = definition;
       this.options.logger.info('Job taken in.', { job: id, queue: queue.name, steps: steps.length });
       this.addJob(definition);
-      this.queueRound();
+      this.queueSchedulingRound();
     }
   }
 
   /** Cancels a job and queues a round. */
   handleCancel(id: JobId): void {
     this.dispatcher.handleCancel(id, this.options.clock.getWallTime());
-    this.queueRound();
+    this.queueSchedulingRound();
   }
 
   /** Returns how long writes to the progress or the states topic have failed, in milliseconds; 0 while both succeed. */
@@ -326,7 +326,7 @@
     });
   }
 
-  /** Adds a job with the progress that earlier leaders have written, and writes its state if it differs from the written one. */
+  /** Adds a job with its recovered progress to the dispatcher, and queues a write of its state, unless the job is queued. */
   private addJob(definition: JobDefinition): void {
     const progress = this.progressRecovery.takeProgress(definition);
     this.jobServices.add(definition.queue.service);
@@ -340,7 +340,7 @@
   private handleStatusApplied(newEndCount: number): void {
     this.options.recordCount('ends', newEndCount);
     this.sendEffects();
-    this.queueRound();
+    this.queueSchedulingRound();
   }
 
   /** Stops this leader and notifies its owner, unless it has stopped already. */
@@ -351,6 +351,10 @@
     }
   }
 
+  /**
+   * Queues a due heartbeat and writes due log lines; after the takeover also starts pending sessions, runs the dispatcher's tick, and
+   * queues a due load digest and a round.
+   */
   private handleTick(): void {
     const now = this.options.clock.getNow();
     this.journal.handleTick(now);
@@ -359,7 +363,7 @@
       this.endpointSessions.startPendingSessions();
       this.dispatcher.handleTick(now);
       this.queueLoadDigest(now);
-      this.queueRound();
+      this.queueSchedulingRound();
     }
   }
 
@@ -388,7 +392,7 @@
     return this.journal.hasAckedWriteWithin(leaderTimings.unconfirmedGraceMs);
   }
 
-  private queueRound(): void {
+  private queueSchedulingRound(): void {
     if (!this.isStopped) {
       this.roundThrottle.queueRound();
     }
@@ -414,10 +418,10 @@
     this.slowRoundLogger.recordRound(clock.getNow() - now, now);
   }
 
-  /** Holds starts and cancels unrecorded ones when progress could not be written for `MAX_LOG_OUTAGE_MS`, until it can be again. */
+  /** Holds starts and cancels unrecorded ones when progress could not be written for `START_HOLD_OUTAGE_MS`, until it can be again. */
   private updateStartHold(now: number): void {
     const outageMs = this.journal.getProgressOutageMs();
-    const isHolding = outageMs > MAX_LOG_OUTAGE_MS;
+    const isHolding = outageMs > START_HOLD_OUTAGE_MS;
     if (isHolding === this.isHoldingStarts) {
       return;
     }
--- a/packages/dispatch/LeaderJournal.ts
+++ b/packages/dispatch/LeaderJournal.ts
@@ -46,7 +46,7 @@
   private readonly progressWriter: ExclusiveWriter;
   /** Writer of the states topic. */
   private readonly stateWriter: ExclusiveWriter;
-  /** Monotonic time at which the newest acknowledged write to the states topic was sent. */
+  /** Monotonic time at which the newest acknowledged write to the states topic was sent; at first, the claim. */
   private acknowledgedSentAt: number;
 
   constructor(private readonly options: LeaderJournalOptions) {
--- a/packages/dispatch/endpoints/EndpointLossHandler.ts
+++ b/packages/dispatch/endpoints/EndpointLossHandler.ts
@@ -42,7 +42,7 @@
     crashes.handleIncarnationEnd(endpoint, runs, now);
     for (const run of runs) {
       if (nextEndpoint !== undefined && transferred.includes(run)) {
-        tracker.recordTransfer(endpoint, nextEndpoint, run);
+        tracker.recordRunTransfer(endpoint, nextEndpoint, run);
       } else {
         tracker.recordRunEnd(endpoint, run, INCARNATION_OVER, now);
       }
--- a/packages/dispatch/placing/Preemptor.ts
+++ b/packages/dispatch/placing/Preemptor.ts
@@ -16,7 +16,7 @@
   readonly jobs: ReadonlyMap<JobId, LiveJob>;
   readonly reservations: EndpointReservations;
   readonly rules: PreemptionRules;
-  readonly handlePreempted: (
+  readonly handleRunPreempted: (
     endpoint: EndpointState,
     run: PlacedRun,
     step: WaitingStep,
@@ -75,7 +75,7 @@
 
   /** Starts to preempt runs on the allowed endpoints, unless a preemption for the step is under way or not worthwhile. */
   startPreemption(step: WaitingStep, allowed: readonly EndpointState[], now: number): void {
-    const { reservations, handlePreempted } = this.options;
+    const { reservations, handleRunPreempted: handlePreempted } = this.options;
     if (
       reservations.hasReservation(step) ||
       now < step.job.getPreemptionRetryAt(step.repetition, step.step)
--- a/packages/dispatch/placing/RoundThrottle.ts
+++ b/packages/dispatch/placing/RoundThrottle.ts
@@ -3,7 +3,7 @@
 interface RoundThrottleOptions {
   readonly clock: Clock;
   /** Runs one round of placement. */
-  readonly runRound: () => void;
+  readonly runSchedulingRound: () => void;
 }
 
 /** Idle time after a round, as a multiple of its duration. It leaves the process time for heartbeats and calls. */
@@ -35,7 +35,7 @@
   }
 
   private runRound(): void {
-    const { clock, runRound: handleRound } = this.options;
+    const { clock, runSchedulingRound: handleRound } = this.options;
     this.isQueued = false;
     const startedAt = clock.getNow();
     handleRound();
--- a/packages/dispatch/runs/RunCommands.ts
+++ b/packages/dispatch/runs/RunCommands.ts
@@ -99,7 +99,7 @@
     }
   }
 
-  /** Records the time of the first response to a stop command, or ends the incarnation if the result is that it is gone. */
+  /** Records the time of the first response to a stop command, done or rejected; ends the incarnation if the result is that it is gone. */
   handleStopResult(
     incarnation: EndpointIncarnation,
     task: TaskName,
--- a/packages/dispatch/runs/RunMover.ts
+++ b/packages/dispatch/runs/RunMover.ts
@@ -18,7 +18,7 @@
   /** Estimates the run time of a task from learned run times of such steps of the queue, else from the caller's estimate. */
   readonly estimateRunTime: (queue: string, shape: JobStep) => RunTimeEstimate;
   /** Called with each run to move; has to stop it. */
-  readonly handleMove: (candidate: MoveCandidate) => void;
+  readonly handleRunMove: (candidate: MoveCandidate) => void;
 }
 
 /** A task that was moved this often, for any reason, is not moved as a straggler again. */
@@ -70,10 +70,11 @@
       .forEach((candidate) => this.recordMove(candidate));
   }
 
+  /** Counts the move of a task, and has it carried out. */
   private recordMove(candidate: MoveCandidate): void {
     const { run } = candidate;
     this.moveCountsByTask.set(run.task, (this.moveCountsByTask.get(run.task) ?? 0) + 1);
-    this.options.handleMove(candidate);
+    this.options.handleRunMove(candidate);
   }
 
   /**
@@ -149,7 +150,10 @@
     return { baselinePace, slowPace: SLOW_PACE_RATIO * baselinePace };
   }
 
-  /** Returns true if the run has to leave its draining endpoint now. Gangs are evicted only if the policy says so. */
+  /**
+   * Returns true if the run has to leave its draining endpoint now: that of a long-running task at once, any other when the policy
+   * says so by the deadline and the remaining time. Members of gangs only leave if the policy evicts gangs.
+   */
   private isEvictionDue(endpoint: EndpointState, run: PlacedRun, shape: JobStep, now: number): boolean {
     if (shape.isGang && !this.options.stopPolicy.isEvictingGangs) {
       return false;
--- a/packages/dispatch/runs/RunTracker.ts
+++ b/packages/dispatch/runs/RunTracker.ts
@@ -117,7 +117,7 @@
    * job's progress. If it was being stopped, sends the stop command there too; else it becomes unconfirmed, until a poll shows
    * whether it runs.
    */
-  recordTransfer(from: EndpointState, to: EndpointState, run: PlacedRun): void {
+  recordRunTransfer(from: EndpointState, to: EndpointState, run: PlacedRun): void {
     from.removeRun(run);
     run.transferredFrom = from.getProfile().incarnation;
     to.addRun(run);
--- a/packages/dispatch/runs/findStragglerReason.ts
+++ b/packages/dispatch/runs/findStragglerReason.ts
@@ -17,7 +17,7 @@
 /** Default of `slowPace`, as a multiple of `baselinePace`. */
 const SLOW_PACE_RATIO = 2.5;
 /** Remaining time of a slow run above which it is moved, as a multiple of the time that a move and the new run take. */
-const MIN_REMAINING_RATIO = 1.3;
+const MIN_REMAINING_TO_RESTART_RATIO = 1.3;
 /** A run without progress for at most this time is not stalled. */
 const MIN_STALL_MS = 900;
 /** A run is stalled after no progress for the time that the baseline pace gives for this many percent. */
@@ -36,5 +36,5 @@
   const { baselinePace, slowPace = SLOW_PACE_RATIO * baselinePace, restartPercent = ALL_PERCENT } = input;
   const restartMs = baselinePace * restartPercent + input.moveMs;
   const isSlow = input.pace > slowPace;
-  return isSlow && remainingMs > MIN_REMAINING_RATIO * restartMs ? 'slow' : undefined;
+  return isSlow && remainingMs > MIN_REMAINING_TO_RESTART_RATIO * restartMs ? 'slow' : undefined;
 };
