--- a/packages/dispatch/Dispatcher.ts
+++ b/packages/dispatch/Dispatcher.ts
@@ -394,7 +394,7 @@
     return this.crashTracker.isCrashUnconfirmed(incarnation, now);
   }
 
-  /** Marks an endpoint as unreachable, since it did not respond to a poll; the first time, the crash tracker is notified too. */
+  /** Marks an endpoint as unreachable, since it did not respond to a poll; if it was reachable before, notifies the crash tracker. */
   handleEndpointUnreachable(incarnation: EndpointIncarnation, now: number): void {
     const endpoint = this.endpoints.get(incarnation);
     if (endpoint === undefined) {
