--- a/packages/dispatch/Dispatcher.ts
+++ b/packages/dispatch/Dispatcher.ts
@@ -60,166 +60,173 @@
 import { LongWaitLogger } from './waiting/LongWaitLogger';
 
 interface DispatcherOptions extends Partial<DispatchPolicies> {
-  /** Returns the definition of any job, including ended ones. */
+  /** Returns the definition of any accepted job, including ended ones; undefined for an unknown id. */
   readonly getDefinition: (id: JobId) => JobDefinition | undefined;
   /** Monotonic time at which leases granted by earlier leaders have expired on endpoints that are not yet synced. */
   readonly earlierLeasesEndAt: number;
-  /** Longest lease that an endpoint accepts, in milliseconds. */
+  /** Longest lease that an endpoint accepts, in milliseconds; `DEFAULT_LONGEST_LEASE_MS` if not given. */
   readonly longestLeaseMs?: number;
   /** Returns a customer's limit in the current configuration; if undefined, the limit stored with the job applies. */
-  readonly getLimit?: (customer: CustomerName) => TaskDemand | undefined;
+  readonly getCustomerLimit?: (customer: CustomerName) => TaskDemand | undefined;
 }
 
 type StartEffect = Extract<DispatchEffect, { kind: 'start' }>;
 
-/** For platforms that set no maximum. */
+/** Longest lease that an endpoint accepts, in milliseconds, unless the options give another. */
 const DEFAULT_LONGEST_LEASE_MS = 10_000;
-const UNLIMITED_SLOTS: AdviceSlots = { all: Infinity, long: Infinity };
+const UNLIMITED_ADVICE_SLOTS: AdviceSlots = { all: Infinity, long: Infinity };
 
 /**
  * The leader's scheduler as a state machine without clock or I/O: events come in with the current time, and the side effects to
- * carry out are returned by `takeEffects`. A run takes capacity from its placement until its end is certain.
+ * carry out are returned by `takeEffects`. A run takes capacity of its endpoint from its placement until its end is certain.
  */
 export class Dispatcher {
   private readonly endpoints = new Map<EndpointIncarnation, EndpointState>();
   private readonly jobs = new Map<JobId, LiveJob>();
-  /** Resources in use by customer, updated by each endpoint's state. */
-  private readonly usage = new CustomerUsage();
-  private readonly jobRates = new JobRateMeter();
-  private effects: DispatchEffect[] = [];
+  /** Resources in use by each customer's runs, kept up to date by the `EndpointState`s. */
+  private readonly customerUsage = new CustomerUsage();
+  /** Finds the jobs that are over their customer's share of jobs per second. */
+  private readonly jobRateMeter = new JobRateMeter();
+  private pendingEffects: DispatchEffect[] = [];
+  /** Jobs whose progress has changed since the last `takeEffects` and has to be recorded. */
   private readonly changedJobs = new Set<JobId>();
   private readonly placementOrder: (typeof placementOrders)[PlacementOrder];
-  private readonly placer: StepPlacer;
+  private readonly stepPlacer: StepPlacer;
   private readonly runTracker: RunTracker;
-  private readonly commands: RunCommands;
-  private readonly reconciler: StatusReconciler;
+  private readonly runCommands: RunCommands;
+  private readonly statusReconciler: StatusReconciler;
   private readonly adviceRequester: AdviceRequester;
   private readonly adviceStats = new AdviceStats();
   private readonly adviceMetrics: AdviceMetrics;
-  private readonly adviceSelector: CandidateSelector;
-  private readonly mover: RunMover;
+  private readonly candidateSelector: CandidateSelector;
+  private readonly runMover: RunMover;
   private readonly preemptor: Preemptor;
-  private readonly quarantine: EndpointQuarantine;
-  private readonly speeds = new EndpointSpeeds();
-  private readonly learner: RunLearner;
-  private readonly preference: EndpointPreference;
+  private readonly endpointQuarantine: EndpointQuarantine;
+  private readonly endpointSpeeds = new EndpointSpeeds();
+  private readonly runLearner: RunLearner;
+  private readonly endpointPreference: EndpointPreference;
   private readonly gangMonitor: GangMonitor;
-  private readonly longWaits: LongWaitLogger;
-  private readonly crashes: CrashTracker;
-  private readonly lossHandler: EndpointLossHandler;
-  /** True when an event since the last round may allow a start. */
+  private readonly longWaitLogger: LongWaitLogger;
+  private readonly crashTracker: CrashTracker;
+  private readonly endpointLossHandler: EndpointLossHandler;
+  /** True when an event since the last scheduling round may allow a start, so that the next round is not skipped. */
   private isRoundDue = false;
-  /** True when the last round only requested advice, so that the next one has to run in any case. */
-  private hasRequestedAhead = false;
-  /** True when a tick has passed since the last early advice requests. */
-  private hasTicked = false;
-  private readonly capacity: CapacityView;
+  /** True after a round that requested advice but placed nothing, so that the next `placeWaiting` must not be skipped. */
+  private hasOnlyRequestedAdvice = false;
+  /** True when a tick has passed since `placeWaiting` last sent early advice requests, which it does at most once a tick. */
+  private isEarlyAdviceDue = false;
+  private readonly capacityView: CapacityView;
   private readonly reservations = new EndpointReservations();
 
   constructor(private readonly options: DispatcherOptions) {
-    const sendEffect = (effect: DispatchEffect): void => void this.effects.push(effect);
+    const sendEffect = (effect: DispatchEffect): void => void this.pendingEffects.push(effect);
     const policies: DispatchPolicies = { ...defaultPolicies, ...options };
     this.placementOrder = placementOrders[policies.placementOrder];
-    const stops = stopPolicies[policies.stopChoice];
-    const callbacks = {
-      handleFreed: () => {
+    const stopPolicy = stopPolicies[policies.stopChoice];
+    const runCallbacks = {
+      handleCapacityReleased: () => {
         this.isRoundDue = true;
       },
-      handleChanged: (job: JobId) => this.changedJobs.add(job),
+      handleProgressChanged: (job: JobId) => this.changedJobs.add(job),
       sendEffect,
     };
-    this.runTracker = new RunTracker(this.endpoints, this.jobs, callbacks, stops.isEvictingGangs);
-    this.crashes = new CrashTracker({
+    this.runTracker = new RunTracker(this.endpoints, this.jobs, runCallbacks, stopPolicy.isEvictingGangs);
+    this.crashTracker = new CrashTracker({
       jobs: this.jobs,
       tracker: this.runTracker,
       handleChanged: (job) => this.changedJobs.add(job),
     });
-    this.lossHandler = new EndpointLossHandler({
+    this.endpointLossHandler = new EndpointLossHandler({
       endpoints: this.endpoints,
       tracker: this.runTracker,
-      crashes: this.crashes,
+      crashes: this.crashTracker,
       longestLeaseMs: options.longestLeaseMs ?? DEFAULT_LONGEST_LEASE_MS,
     });
     const { reservations } = this;
-    this.capacity = new CapacityView(this.endpoints, reservations);
-    this.quarantine = new EndpointQuarantine(this.endpoints, stops.isQuarantineEnabled);
+    this.capacityView = new CapacityView(this.endpoints, reservations);
+    this.endpointQuarantine = new EndpointQuarantine(this.endpoints, stopPolicy.isQuarantineEnabled);
     this.preemptor = new Preemptor({
       jobs: this.jobs,
       reservations,
-      preemptionRules: stops.preemptionRules,
+      preemptionRules: stopPolicy.preemptionRules,
       handlePreempted: (endpoint, run, step, estimate) => this.handlePreempted(endpoint, run, step, estimate),
     });
     const { preemptor } = this;
-    const limits = new StepLimiter(this.usage, options.getLimit ?? (() => undefined));
-    const kinds = new KindSpeeds();
-    const { speeds } = this;
-    const times = new RunTimes();
+    const limiter = new StepLimiter(this.customerUsage, options.getCustomerLimit ?? (() => undefined));
+    const kindSpeeds = new KindSpeeds();
+    const { endpointSpeeds } = this;
+    const runTimes = new RunTimes();
     const { speedChoice, hallChoice } = policies;
-    const preference = new EndpointPreference({
-      kindSpeeds: kinds,
-      endpointSpeeds: speeds,
-      runTimes: times,
-      capacityView: this.capacity,
+    const endpointPreference = new EndpointPreference({
+      kindSpeeds,
+      endpointSpeeds,
+      runTimes,
+      capacityView: this.capacityView,
       speedPolicy: speedChoice,
       hallPolicy: hallChoice,
     });
-    this.preference = preference;
-    const { capacity: room, adviceStats: history } = this;
-    const policy = advicePolicies[policies.turnChoice];
-    const selector = policy.createSelector({ capacityView: room, preemptor, stats: history, preference });
-    this.adviceSelector = selector;
+    this.endpointPreference = endpointPreference;
+    const { capacityView, adviceStats } = this;
+    const advicePolicy = advicePolicies[policies.turnChoice];
+    const candidateSelector = advicePolicy.createSelector({
+      capacityView,
+      preemptor,
+      stats: adviceStats,
+      preference: endpointPreference,
+    });
+    this.candidateSelector = candidateSelector;
     this.adviceMetrics = new AdviceMetrics((name, amount) => sendEffect({ kind: 'count', name, amount }));
     this.adviceRequester = new AdviceRequester({
       endpoints: this.endpoints,
-      capacityView: room,
-      limiter: limits,
-      policy,
-      selector,
-      stats: history,
+      capacityView,
+      limiter,
+      policy: advicePolicy,
+      selector: candidateSelector,
+      stats: adviceStats,
       metrics: this.adviceMetrics,
       sendEffect,
     });
-    this.placer = new StepPlacer({
-      capacityView: this.capacity,
-      stepLimiter: limits,
+    this.stepPlacer = new StepPlacer({
+      capacityView: this.capacityView,
+      stepLimiter: limiter,
       adviceRequester: this.adviceRequester,
       preemptor,
       reservations,
-      preference,
-      suspectCosts: new SuspectCosts(this.endpoints, this.crashes),
-      quarantine: this.quarantine,
+      preference: endpointPreference,
+      suspectCosts: new SuspectCosts(this.endpoints, this.crashTracker),
+      quarantine: this.endpointQuarantine,
       sendEffect,
     });
-    this.mover = new RunMover({
+    this.runMover = new RunMover({
       endpoints: this.endpoints,
       jobs: this.jobs,
-      stops,
-      estimateRunTime: (queue, shape) => times.getEstimate(queue, shape),
-      handleMove: (candidate) => this.handleMove(candidate),
+      stopPolicy,
+      estimateRunTime: (queue, shape) => runTimes.getEstimate(queue, shape),
+      handleRunMove: (candidate) => this.handleMove(candidate),
     });
-    this.learner = new RunLearner({
+    this.runLearner = new RunLearner({
       endpoints: this.endpoints,
       jobs: this.jobs,
-      kindSpeeds: kinds,
-      speeds,
-      runTimes: times,
+      kindSpeeds,
+      speeds: endpointSpeeds,
+      runTimes,
       speedPolicy: speedChoice,
       sendLogLine: (message, fields) => this.runTracker.sendLogLine(message, fields),
     });
-    this.commands = new RunCommands({
+    this.runCommands = new RunCommands({
       endpoints: this.endpoints,
       jobs: this.jobs,
       runTracker: this.runTracker,
       handleIncarnationEnd: (incarnation, now) => this.handleIncarnationEnd(incarnation, now),
     });
-    this.reconciler = new StatusReconciler({
+    this.statusReconciler = new StatusReconciler({
       jobs: this.jobs,
       tracker: this.runTracker,
-      learner: this.learner,
-      crashes: this.crashes,
+      learner: this.runLearner,
+      crashes: this.crashTracker,
       getDefinition: options.getDefinition,
     });
-    this.longWaits = new LongWaitLogger(this.jobs, (message, fields) =>
+    this.longWaitLogger = new LongWaitLogger(this.jobs, (message, fields) =>
       this.runTracker.sendLogLine(message, fields),
     );
     this.gangMonitor = new GangMonitor(this.endpoints, this.jobs, (endpoint, run) =>
@@ -227,12 +234,12 @@
     );
   }
 
-  /** Returns and clears the pending effects; records come before the starts that depend on them. */
+  /** Returns the pending effects, with a record for each changed job before all others, and clears them. */
   takeEffects(): readonly DispatchEffect[] {
     const records: DispatchEffect[] = [...this.changedJobs].map((job) => ({ kind: 'record', job }));
-    const effects = [...records, ...this.effects];
+    const effects = [...records, ...this.pendingEffects];
     this.changedJobs.clear();
-    this.effects = [];
+    this.pendingEffects = [];
     return effects;
   }
 
@@ -244,15 +251,15 @@
     return this.jobs.size;
   }
 
-  getUsage(): CustomerUsage {
-    return this.usage;
+  getCustomerUsage(): CustomerUsage {
+    return this.customerUsage;
   }
 
-  getSpeeds(): EndpointSpeeds {
-    return this.speeds;
+  getEndpointSpeeds(): EndpointSpeeds {
+    return this.endpointSpeeds;
   }
 
-  /** Counts the tasks that are ready and not placed, by customer. Iterates over all jobs. */
+  /** Counts the tasks that are ready and not placed, by customer. Leaves out jobs without a customer. Iterates over all jobs. */
   countWaitingTasks(wallMs: number): ReadonlyMap<CustomerName, number> {
     const counts = new Map<CustomerName, number>();
     for (const job of this.jobs.values()) {
@@ -283,7 +290,7 @@
     return computeLoad({
       endpoints: this.endpoints.values(),
       jobs: this.jobs,
-      usage: this.usage,
+      usage: this.customerUsage,
       capacity,
       wallMs,
     });
@@ -294,27 +301,27 @@
   }
 
   /**
-   * Adds a job. Jobs have to come in the order of acceptance, including ended ones, since they count against their customer's
-   * share. Tasks that are placed according to the progress may be running until their endpoint is synced.
+   * Adds a job with its recovered progress, unless it is known. Jobs have to be added in the order of acceptance. An ended one
+   * only counts against its customer's share of jobs per second. Each placed task of the progress becomes an unconfirmed run.
    */
   handleJob(definition: JobDefinition, progress: JobProgress, now: number): void {
     if (this.jobs.has(definition.id)) {
       return;
     }
     const { customer, acceptedAtMs } = definition;
-    const isOverShare = customer !== undefined && this.jobRates.recordJob(customer, acceptedAtMs);
+    const isOverShare = customer !== undefined && this.jobRateMeter.recordJob(customer, acceptedAtMs);
     if (progress.isEnded()) {
       return;
     }
     const job = new LiveJob(definition, progress, now, isOverShare);
     this.jobs.set(definition.id, job);
-    this.capacity.recordQueuePriority(definition.queue);
+    this.capacityView.recordQueuePriority(definition.queue);
     this.isRoundDue = true;
-    for (let time = 0; time < definition.times; time += 1) {
+    for (let repetition = 0; repetition < definition.times; repetition += 1) {
       for (const [step] of definition.steps.entries()) {
-        for (const [index, task] of progress.listTasks(time, step).entries()) {
-          const address = { repetition: time, step, index };
-          this.crashes.applyRecoveredCrashes(job, address, now);
+        for (const [index, task] of progress.listTasks(repetition, step).entries()) {
+          const address = { repetition, step, index };
+          this.crashTracker.applyRecoveredCrashes(job, address, now);
           if (task.phase === 'placed') {
             this.addRecoveredRun(job, address, task, now);
           }
@@ -323,6 +330,7 @@
     }
   }
 
+  /** Ends a job as cancelled and stops its runs. Does nothing if the job is unknown or has ended. */
   handleCancel(id: JobId, wallMs: number): void {
     const job = this.jobs.get(id);
     if (job === undefined || job.progress.isEnded()) {
@@ -332,14 +340,14 @@
     this.runTracker.recordJobEnd(job, 'cancelled', wallMs);
   }
 
-  /** Applies the profile of a new or changed endpoint. */
+  /** Adds an endpoint's incarnation with its profile, or applies a changed profile to a known one; makes a round due. */
   handleEndpointProfile(profile: EndpointProfile): void {
     this.isRoundDue = true;
     const endpoint = this.endpoints.get(profile.incarnation);
     if (endpoint === undefined) {
       this.endpoints.set(
         profile.incarnation,
-        new EndpointState(profile, this.options.earlierLeasesEndAt, this.usage),
+        new EndpointState(profile, this.options.earlierLeasesEndAt, this.customerUsage),
       );
       return;
     }
@@ -347,8 +355,8 @@
   }
 
   /**
-   * Marks an endpoint as deregistered, since its record was deleted. It gets no more starts; its runs go on until it reports their
-   * ends or its lease expires.
+   * Marks an endpoint as deregistered, since its record was deleted, and removes its state if it has no address and no runs. It
+   * gets no more starts; its runs go on until it reports their ends or its lease expires.
    */
   handleEndpointDeregistered(incarnation: EndpointIncarnation): void {
     const endpoint = this.endpoints.get(incarnation);
@@ -358,7 +366,7 @@
     }
   }
 
-  /** Lists the known other incarnations of the same endpoint. Iterates over all endpoints. */
+  /** Lists the other incarnations with the same endpoint id that the dispatcher has a state of. Iterates over all endpoints. */
   listOtherIncarnations(incarnation: EndpointIncarnation): readonly EndpointIncarnation[] {
     const id = endpointIncarnations.toEndpointId(incarnation);
     return [...this.endpoints.keys()].filter(
@@ -366,40 +374,40 @@
     );
   }
 
-  /** Removes the state of an incarnation that no longer matters. */
+  /** Removes the state of an incarnation, without ending its runs. */
   removeEndpointState(incarnation: EndpointIncarnation): void {
     this.endpoints.delete(incarnation);
   }
 
   /**
-   * Ends the runs that the ended incarnation has reported. A run that it never reported may have reached, or may yet reach, the
-   * `next` incarnation: it is transferred there, and the first poll of that incarnation that fences earlier commands shows whether
-   * it runs.
+   * Removes an incarnation that has ended, and ends its runs. A run that was sent to it but that no poll has listed may have
+   * reached, or may yet reach, the `next` incarnation, if that is given and known: it is transferred there, and the first poll of
+   * that incarnation that fences earlier commands shows whether it runs. Does nothing for an unknown incarnation.
    */
   handleIncarnationEnd(incarnation: EndpointIncarnation, now: number, next?: EndpointIncarnation): void {
-    this.lossHandler.handleIncarnationEnd(incarnation, now, next);
+    this.endpointLossHandler.handleIncarnationEnd(incarnation, now, next);
   }
 
-  /** Returns true while a poll may still show whether an endpoint that was unreachable until its lease expired has crashed. */
+  /** Returns true while a poll may still show whether an endpoint whose lease expired while it was unreachable has crashed. */
   isCrashUnconfirmed(incarnation: EndpointIncarnation, now: number): boolean {
-    return this.crashes.isCrashUnconfirmed(incarnation, now);
+    return this.crashTracker.isCrashUnconfirmed(incarnation, now);
   }
 
-  /** Marks an endpoint as unreachable, since it did not respond to a poll. */
-  handleUnreachable(incarnation: EndpointIncarnation, now: number): void {
+  /** Marks an endpoint as unreachable, since it did not respond to a poll; if it was reachable before, notifies the crash tracker. */
+  handleEndpointUnreachable(incarnation: EndpointIncarnation, now: number): void {
     const endpoint = this.endpoints.get(incarnation);
     if (endpoint === undefined) {
       return;
     }
     if (endpoint.getUnreachableSince() === undefined) {
-      this.crashes.handleUnreachable(endpoint, now);
+      this.crashTracker.handleUnreachable(endpoint, now);
     }
     endpoint.recordUnreachable(now);
   }
 
   /**
-   * Applies the status that an endpoint returned to a poll. A run that was confirmed before the poll was sent has ended if the status
-   * does not list it.
+   * Applies the status that an endpoint returned to a poll: the ends and the progress of its runs. A run that was confirmed before
+   * the poll was sent has ended if the status does not list it. Makes a round due if the endpoint was not schedulable.
    */
   handleStatus(status: EndpointStatus, now: number, wallMs: number): void {
     const endpoint = this.endpoints.get(status.endpoint);
@@ -408,9 +416,10 @@
     }
     // Most polls show no change, so a poll alone does not make a round due.
     this.isRoundDue ||= !endpoint.isSchedulable();
-    this.reconciler.applyStatus(endpoint, status, now, wallMs);
+    this.statusReconciler.applyStatus(endpoint, status, now, wallMs);
   }
 
+  /** Applies the result of a start command. Does nothing if the run's stage has changed since the command was sent. */
   handleStartResult(
     incarnation: EndpointIncarnation,
     task: TaskName,
@@ -418,9 +427,10 @@
     result: CommandResult,
     now: number,
   ): void {
-    this.commands.handleStartResult(incarnation, task, runNumber, result, now);
+    this.runCommands.handleStartResult(incarnation, task, runNumber, result, now);
   }
 
+  /** Records a response to a stop command, or ends the incarnation if the result is that it is gone. Ignores other results. */
   handleStopResult(
     incarnation: EndpointIncarnation,
     task: TaskName,
@@ -428,22 +438,22 @@
     result: CommandResult,
     now: number,
   ): void {
-    this.commands.handleStopResult(incarnation, task, runNumber, result, now);
+    this.runCommands.handleStopResult(incarnation, task, runNumber, result, now);
   }
 
-  /** Applies the response to an advice request. Without `tickets` the request has failed. */
+  /** Applies the response to an advice request and makes a round due. `tickets` is undefined when the request has failed. */
   handleAdviceResponse(
     step: string,
     requested: readonly EndpointIncarnation[],
     tickets: ReadonlyMap<EndpointIncarnation, string> | undefined,
     now: number,
   ): void {
-    const [id, time, index] = step.split('.');
+    const [id, repetition, index] = step.split('.');
     const job = this.jobs.get(id as JobId);
     this.adviceStats.recordResponse(job?.definition.queue.name ?? '', requested, tickets?.size);
-    this.adviceSelector.recordResponse(step, requested);
+    this.candidateSelector.recordResponse(step, requested);
     const validityMs = job?.definition.queue.advice?.validityMs ?? 0;
-    const advice = job?.getAdvice(Number(time), Number(index));
+    const advice = job?.getAdvice(Number(repetition), Number(index));
     const tookMs = advice === undefined ? 0 : now - advice.getLastRequestedAt();
     if (tickets === undefined) {
       this.adviceMetrics.recordFailure(tookMs);
@@ -453,83 +463,95 @@
     this.isRoundDue = true;
   }
 
-  /** Returns whether to send a start whose record is durable; if not, its capacity is released. */
+  /**
+   * Called once a start's record is durable. Returns true when the start command is to be sent. Otherwise ends the run as not sent,
+   * unless it has ended already, and returns false.
+   */
   handleStartRecorded(effect: StartEffect, now: number): boolean {
-    return this.commands.handleStartRecorded(effect, now);
+    return this.runCommands.handleStartRecorded(effect, now);
   }
 
-  /** Releases the capacity of a start that could not be sent. */
+  /** Ends the run of a recorded start that was not sent, so that its capacity is free and its task waits again. */
   handleStartUnsent(effect: StartEffect, now: number): void {
-    this.commands.handleStartUnsent(effect, now);
+    this.runCommands.handleStartUnsent(effect, now);
   }
 
-  /** Runs periodic work: expires leases, retries stops, moves runs, removes ended jobs. */
+  /**
+   * Runs the periodic work and makes a round due: ends runs whose lease has expired, sends due stops, removes expired reservations,
+   * updates metrics and learned speeds, moves runs, logs long waits, stops broken gangs and removes ended jobs.
+   */
   handleTick(now: number): void {
     this.isRoundDue = true;
-    this.hasTicked = true;
+    this.isEarlyAdviceDue = true;
     for (const endpoint of [...this.endpoints.values()]) {
-      this.lossHandler.checkLease(endpoint, now);
-      this.runTracker.retryStops(endpoint, now);
+      this.endpointLossHandler.checkLease(endpoint, now);
+      this.runTracker.sendDueStops(endpoint, now);
     }
     this.reservations.removeExpiredReservations(now);
     this.adviceMetrics.handleTick(now);
-    this.learner.handleTick(now);
-    this.mover.handleTick(now);
-    this.longWaits.logLongWaits(now);
-    this.gangMonitor.checkAll();
+    this.runLearner.handleTick(now);
+    this.runMover.handleTick(now);
+    this.longWaitLogger.logLongWaits(now);
+    this.gangMonitor.checkAllGangs();
     this.removeEndedJobs();
   }
 
-  /** Returns the log fields of each step that waits. */
-  listWaits(now: number): ReturnType<LongWaitLogger['listOpenWaits']> {
-    return this.longWaits.listOpenWaits(now);
+  /** Returns the log fields of each step that waits for a start. */
+  listOpenWaits(now: number): ReturnType<LongWaitLogger['listOpenWaits']> {
+    return this.longWaitLogger.listOpenWaits(now);
   }
 
-  /** Runs a scheduling round: places waiting tasks, if an event since the last round may allow a start. */
-  placeWaiting(now: number, wallMs: number, slots = UNLIMITED_SLOTS): void {
-    if (!this.isRoundDue && !this.hasRequestedAhead) {
+  /**
+   * Runs a scheduling round, unless nothing has happened since the last one that may allow a start: places waiting tasks in
+   * placement order and requests missing advice, with the given free slots. Sends early advice requests at most once a tick.
+   */
+  placeWaiting(now: number, wallMs: number, slots = UNLIMITED_ADVICE_SLOTS): void {
+    if (!this.isRoundDue && !this.hasOnlyRequestedAdvice) {
       return;
     }
-    this.hasRequestedAhead = false;
+    this.hasOnlyRequestedAdvice = false;
     for (const step of this.startRound(now, wallMs, slots)) {
-      if (this.placer.placeStep(step, now)) {
+      if (this.stepPlacer.placeStep(step, now)) {
         this.changedJobs.add(step.job.definition.id);
       }
     }
-    if (this.hasTicked) {
-      this.hasTicked = false;
-      this.sendEarlyRequests(now, wallMs);
+    if (this.isEarlyAdviceDue) {
+      this.isEarlyAdviceDue = false;
+      this.sendEarlyAdviceRequests(now, wallMs);
     }
   }
 
   /**
-   * Replaces `placeWaiting` while the log is unavailable and no start can be recorded: requests the tickets that the first steps to
-   * be placed will need, and renews expired ones.
+   * Runs instead of `placeWaiting` while the log is unavailable and no start can be recorded: requests, in placement order and with
+   * the given free slots, the tickets that waiting steps will need, and places nothing. Does nothing if no round is due.
    */
-  requestAdviceAhead(now: number, wallMs: number, slots = UNLIMITED_SLOTS): void {
+  requestAdviceAhead(now: number, wallMs: number, slots = UNLIMITED_ADVICE_SLOTS): void {
     if (!this.isRoundDue) {
       return;
     }
-    this.hasRequestedAhead = true;
+    this.hasOnlyRequestedAdvice = true;
     for (const step of this.startRound(now, wallMs, slots)) {
-      this.placer.requestAdviceAhead(step, now);
+      this.stepPlacer.requestAdviceAhead(step, now);
     }
-    this.placer.releaseTentativePlacements();
+    this.stepPlacer.releaseTentativePlacements();
   }
 
-  /** Cancels the starts whose records are not durable yet, so that their tasks are placed again. */
+  /** Ends the runs whose start records are not durable yet as not sent, so that their tasks wait again. */
   cancelUnrecordedStarts(now: number): void {
-    this.commands.cancelUnrecordedStarts(now);
+    this.runCommands.cancelUnrecordedStarts(now);
   }
 
-  /** Prepares a scheduling round and returns the waiting steps in placement order. */
+  /**
+   * Fails jobs over the crash limit, clears what was cached for the last round, sets the time and the free slots of this one, and
+   * returns the waiting steps of all jobs in placement order.
+   */
   private startRound(now: number, wallMs: number, slots: AdviceSlots): readonly WaitingStep[] {
-    this.crashes.applyCrashLimits(now, wallMs);
+    this.crashTracker.applyCrashLimits(now, wallMs);
     this.isRoundDue = false;
-    this.capacity.clearCache();
+    this.capacityView.clearCache();
     this.preemptor.setRoundTime(now, wallMs);
-    this.quarantine.clearCache();
-    this.preference.setRoundWallTime(wallMs);
+    this.endpointQuarantine.clearCache();
+    this.endpointPreference.setRoundWallTime(wallMs);
     this.adviceRequester.startRound(slots);
     const waiting: WaitingStep[] = [];
     for (const job of this.jobs.values()) {
@@ -539,18 +561,20 @@
     }
     return this.placementOrder.sortSteps(waiting, {
       wallMs,
-      usage: this.usage,
+      usage: this.customerUsage,
       getTotalCapacity: () => this.computeCapacity(),
     });
   }
 
-  private sendEarlyRequests(now: number, wallMs: number): void {
+  /** Requests advice for later steps of all jobs that are about to become ready. */
+  private sendEarlyAdviceRequests(now: number, wallMs: number): void {
     for (const job of this.jobs.values()) {
       this.adviceRequester.sendEarlyRequests(job, now, wallMs);
     }
   }
 
-  private handleMove({ endpoint, run, reason, gainMs }: MoveCandidate): void {
+  /** Logs and stops a run that is moved, and records a failure there for its step, so that its next run prefers other endpoints. */
+  private handleMove({ endpoint: endpoint, run, reason, gainMs }: MoveCandidate): void {
     const { incarnation } = endpoint.getProfile();
     this.jobs.get(run.job)?.recordFailureOn(run.address.repetition, run.address.step, incarnation);
     this.runTracker.sendLogLine('Run is moved.', {
@@ -565,6 +589,7 @@
     this.runTracker.sendStop(endpoint, run, reason);
   }
 
+  /** Logs a preemption, and stops the preempted run. */
   private handlePreempted(
     endpoint: EndpointState,
     run: PlacedRun,
@@ -584,14 +609,15 @@
     this.runTracker.sendStop(endpoint, run, 'gaveWay');
   }
 
+  /** Adds an unconfirmed run for a task that an earlier leader placed, and the state of its endpoint if there is none. */
   private addRecoveredRun(job: LiveJob, address: TaskAddress, task: TaskProgress, now: number): void {
     const { definition } = job;
     let endpoint = this.endpoints.get(task.endpoint);
     if (endpoint === undefined) {
-      // The endpoint has no record, but may be partitioned and keep the run until its lease expires.
+      // Without a record the endpoint may still be running the task, until its lease expires.
       const profile = createDeregisteredProfile(task.endpoint, definition.queue.service);
-      endpoint = new EndpointState(profile, this.options.earlierLeasesEndAt, this.usage);
-      // It may have left as planned or crashed before this leader read the records.
+      endpoint = new EndpointState(profile, this.options.earlierLeasesEndAt, this.customerUsage);
+      // Its record may have been deleted before this leader read the records, by a drain or a crash.
       endpoint.recordDeregistration();
       this.endpoints.set(task.endpoint, endpoint);
     }
@@ -603,6 +629,7 @@
     endpoint.addRun(run);
   }
 
+  /** Removes ended jobs whose last change has been taken to be recorded. */
   private removeEndedJobs(): void {
     for (const [id, job] of this.jobs) {
       if (job.progress.isEnded() && !this.changedJobs.has(id)) {
--- a/packages/dispatch/LeaderController.ts
+++ b/packages/dispatch/LeaderController.ts
@@ -42,6 +42,7 @@
   readonly statesTopic: string;
   /** Topic of the progress of jobs, which only a new leader reads. */
   readonly progressTopic: string;
+  /** Topic of the records of endpoints. */
   readonly endpointsTopic: string;
   readonly maxAppendBytes: number;
   readonly replica: JobReplica;
@@ -51,22 +52,23 @@
   readonly random: Random;
   readonly logger: Logger;
   readonly policies: DispatchPolicies;
-  /** Called with each published load digest; without it no load is published. */
+  /** Called with each load digest that is written to the log; if not given, no load is published. */
   readonly handleLoadDigest?: (digest: string) => void;
-  /** Returns a customer's limit in the current configuration. */
-  readonly getLimit: (customer: CustomerName) => TaskDemand | undefined;
-  /** Parses an endpoint's record; fails with what is wrong with it. */
+  /** Returns a customer's limit in the current configuration; if undefined, the limit stored with the job applies. */
+  readonly getCustomerLimit: (customer: CustomerName) => TaskDemand | undefined;
+  /** Parses the record of an endpoint; the error of the result says why the record is invalid. */
   readonly parseEndpoint: (id: string, text: string) => Result<EndpointProfile, string>;
-  /** Creates a client of an endpoint; `getToken` returns the current fencing token. */
+  /** Creates a client that sends polls and commands to an endpoint; `getToken` returns the current fencing token. */
   readonly createEndpointClient: (profile: EndpointProfile, getToken: () => number) => EndpointClient;
-  /** Returns true for a service that the current configuration uses. */
+  /** Returns true if a queue of the current configuration uses the service. */
   readonly isServiceRouted: (service: ServiceName) => boolean;
   /** Longest lease that an endpoint accepts, in milliseconds. */
   readonly longestLeaseMs: number;
   /** Lists the boxes that can send advice requests. */
   readonly listChannels: AdviceBalancerOptions['listChannels'];
+  /** Formats this leader's record in the states topic; with `isResigned` it says that another box may lead. */
   readonly formatLeaderRecord: (isResigned: boolean) => string;
-  /** Called when a newer leader is seen; this one has stopped. */
+  /** Called once, after this leader has stopped since a newer one was seen. */
   readonly handleLeadershipLost: (detail: string) => void;
   /** Called when the log has recovered from an outage, with the monotonic time at which the first successful call was sent. */
   readonly handleLogRecovered: (sentAt: number) => void;
@@ -86,44 +88,49 @@
   readonly recordTime: (name: LeaderDurationName, valueMs: number) => void;
 }
 
-const TICK_MS = 100;
-/** Age, since it was sent, of the newest acknowledged write above which the log may be unavailable. */
-const MAX_AGE_MS = leaderTimings.heartbeatMs + TICK_MS + appendRules.initialTimeoutMs;
-/** Duration of a log outage after which starts are held. Longer than an append with one retry, so that a slow log does not cause it. */
-const HOLD_STARTS_AFTER_MS = 1000;
+const TICK_INTERVAL_MS = 100;
+/** Time since the newest acknowledged write was sent, above which heartbeats count as late. */
+const MAX_ACK_AGE_MS = leaderTimings.heartbeatMs + TICK_INTERVAL_MS + appendRules.initialTimeoutMs;
+/** Outage of writes to the progress topic above which starts are held; longer than an append with one retry. */
+const START_HOLD_OUTAGE_MS = 1000;
 
-/** Runs everything that the leader does: connects the dispatcher with the log, the endpoints and the advice service. */
+/**
+ * Runs a leader: recovers the state of earlier leaders, passes events of the log, the endpoints and the advice service to the
+ * dispatcher, queues scheduling rounds and carries out the dispatcher's effects.
+ */
 export class LeaderController {
   private readonly dispatcher: Dispatcher;
   private readonly journal: LeaderJournal;
-  private readonly recovery: ProgressRecovery;
-  private readonly endpoints: EndpointSessions;
-  private readonly batcher: LineBatcher;
+  private readonly progressRecovery: ProgressRecovery;
+  private readonly endpointSessions: EndpointSessions;
+  private readonly lineBatcher: LineBatcher;
   private readonly adviceBalancer: AdviceBalancer;
   private readonly loadPublisher: LoadPublisher;
-  private readonly commands: CommandSender;
+  private readonly commandSender: CommandSender;
   /** Services of all known jobs, whose endpoints are needed even when the configuration no longer names them. */
-  private readonly services = new Set<ServiceName>();
+  private readonly jobServices = new Set<ServiceName>();
   private hasReadJobs = false;
+  /** True once the jobs of earlier leaders were added to the dispatcher; false again while it stops gracefully. */
   private hasTakenOver = false;
+  /** True while rounds only request advice, since starts cannot be recorded. */
   private isHoldingStarts = false;
   private isStopped = false;
   private readonly roundThrottle: RoundThrottle;
   private readonly slowRoundLogger: SlowRoundLogger;
-  private timer: NodeJS.Timeout | undefined;
+  private tickTimer: NodeJS.Timeout | undefined;
 
   constructor(private readonly options: LeaderControllerOptions) {
     const { clock, client, epoch, replica } = options;
-    this.batcher = new LineBatcher(options.logger);
+    this.lineBatcher = new LineBatcher(options.logger);
     this.loadPublisher = new LoadPublisher(epoch, clock.getNow());
     this.dispatcher = new Dispatcher({
       ...options.policies,
       earlierLeasesEndAt: options.earlierLeasesEndAt,
       longestLeaseMs: options.longestLeaseMs,
       getDefinition: (id) => replica.getDefinition(id),
-      getLimit: options.getLimit,
+      getCustomerLimit: options.getCustomerLimit,
     });
-    this.roundThrottle = new RoundThrottle({ clock, runRound: () => this.runRound() });
+    this.roundThrottle = new RoundThrottle({ clock, runSchedulingRound: () => this.runRound() });
     this.slowRoundLogger = new SlowRoundLogger({
       logger: options.logger,
       countJobs: () => this.dispatcher.countJobs(),
@@ -133,14 +140,14 @@
       ...options,
       handleFenced: (detail) => this.handleLeadershipLost(`the log rejected a write: ${detail}`),
     });
-    this.recovery = new ProgressRecovery({
+    this.progressRecovery = new ProgressRecovery({
       client,
-      topic: options.progressTopic,
+      progressTopic: options.progressTopic,
       epoch,
-      handleUnreadable: (job) => options.logger.error('Progress of a job cannot be read.', { job }),
+      handleUnreadableProgress: (job) => options.logger.error('Progress of a job cannot be read.', { job }),
       handleFenced: (detail) => this.handleLeadershipLost(`the log rejected a write: ${detail}`),
     });
-    this.endpoints = new EndpointSessions({
+    this.endpointSessions = new EndpointSessions({
       epoch,
       client,
       topic: options.endpointsTopic,
@@ -150,27 +157,27 @@
       dispatcher: this.dispatcher,
       parseEndpoint: options.parseEndpoint,
       createEndpointClient: options.createEndpointClient,
-      isServiceUsed: (service) => options.isServiceRouted(service) || this.services.has(service),
+      isServiceUsed: (service) => options.isServiceRouted(service) || this.jobServices.has(service),
       isRenewing: () => this.canGrantLeases(),
-      handleStatusApplied: (newEndCount) => this.handlePolled(newEndCount),
-      waitForFlush: () => this.journal.waitForFlush(),
+      handleStatusApplied: (newEndCount) => this.handleStatusApplied(newEndCount),
+      waitForFlush: () => this.journal.waitForProgressFlush(),
       recordCount: (name) => options.recordCount(name),
       handleChanged: () => {
         this.takeOver();
-        this.queueRound();
+        this.queueSchedulingRound();
       },
       handleFenced: (detail) => this.handleLeadershipLost(detail),
       handleLogRecovered: options.handleLogRecovered,
     });
-    this.commands = new CommandSender({
+    this.commandSender = new CommandSender({
       ...options,
       dispatcher: this.dispatcher,
-      endpoints: this.endpoints,
-      lines: this.batcher,
+      endpoints: this.endpointSessions,
+      lines: this.lineBatcher,
       isStopped: () => this.isStopped,
       isRenewing: () => this.canGrantLeases(),
-      handleStarted: (job) => this.recordStart(job),
-      handleChanged: () => this.queueRound(),
+      handleStarted: (job) => this.recordStartForLoad(job),
+      handleChanged: () => this.queueSchedulingRound(),
       handleLeadershipLost: (detail) => this.handleLeadershipLost(detail),
     });
     this.adviceBalancer = adviceBalancers[options.policies.turnChoice]({
@@ -179,118 +186,128 @@
       handleResponse: (request, response, tookMs) => {
         options.logger.info('Advice answered.', {
           step: request.step,
-          cause: request.cause,
-          asked: request.endpoints.length,
+          cause: request.adviceReason,
+          asked: request.candidates.length,
           allowed: response?.size ?? 'no answer',
           tookMs,
-          expectedMs: Math.round(request.expectedMs),
+          expectedMs: Math.round(request.expectedResponseMs),
         });
-        this.dispatcher.handleAdviceResponse(request.step, request.endpoints, response, clock.getNow());
-        this.queueRound();
+        this.dispatcher.handleAdviceResponse(request.step, request.candidates, response, clock.getNow());
+        this.queueSchedulingRound();
       },
     });
   }
 
   /**
-   * Starts heartbeats at once, and scheduling once the endpoints' records and all jobs have been read, since the end of a run can be
-   * applied and acknowledged only if its job is known.
+   * Starts to fence earlier leaders, to read the jobs and the endpoints' records, and to write heartbeats. Polls and scheduling
+   * begin once all jobs and records have been read, since the end of a run can be applied only if its job is known.
    */
   start(): void {
-    this.endpoints.start();
+    this.endpointSessions.start();
     void this.readJobs();
-    this.timer = setInterval(() => this.handleTick(), TICK_MS);
+    this.tickTimer = setInterval(() => this.handleTick(), TICK_INTERVAL_MS);
   }
 
-  /** Stops at once, without further commands. */
+  /** Logs the open waits and stops at once: sends no more commands, and drops queued writes. May be called more than once. */
   stop(): void {
     if (!this.isStopped) {
-      this.logWaits();
+      this.logOpenWaits();
     }
     this.isStopped = true;
-    clearInterval(this.timer);
-    this.recovery.stop();
+    clearInterval(this.tickTimer);
+    this.progressRecovery.stop();
     this.journal.stop();
-    this.endpoints.stop();
+    this.endpointSessions.stop();
     this.adviceBalancer.stop();
   }
 
-  /** Stops commands, flushes the journal, writes that another box may lead, then stops. */
+  /**
+   * Stops scheduling, polls and advice requests, writes queued progress and a record that another box may lead, unless writes to the
+   * log fail, then stops.
+   */
   async stopGracefully(): Promise<void> {
     this.hasTakenOver = false;
-    clearInterval(this.timer);
-    this.endpoints.stop();
+    clearInterval(this.tickTimer);
+    this.endpointSessions.stop();
     this.adviceBalancer.stop();
-    // While the log is unavailable, the next leader is notified directly or notices that this process has ended.
+    // While the log is unavailable, the other boxes are notified directly, or notice that this process has ended.
     if (this.getLogOutageMs() === 0) {
       await this.journal.writeResignation();
     }
     this.stop();
   }
 
-  /** Adds a job that any box has accepted. */
+  /** Adds a newly accepted job and queues a round. Ignored before the takeover, which adds all known jobs. */
   handleJob(definition: JobDefinition): void {
     if (this.hasTakenOver) {
       const { id, queue, steps } = definition;
       this.options.logger.info('Job taken in.', { job: id, queue: queue.name, steps: steps.length });
       this.addJob(definition);
-      this.queueRound();
+      this.queueSchedulingRound();
     }
   }
 
+  /** Cancels a job and queues a round. */
   handleCancel(id: JobId): void {
     this.dispatcher.handleCancel(id, this.options.clock.getWallTime());
-    this.queueRound();
+    this.queueSchedulingRound();
   }
 
-  /** Returns how long this leader's writes to the log have failed, in milliseconds; 0 while they succeed. */
+  /** Returns how long writes to the progress or the states topic have failed, in milliseconds; 0 while both succeed. */
   getLogOutageMs(): number {
     return this.journal.getLogOutageMs();
   }
 
-  /** Returns true while the log acknowledges heartbeats in time. */
+  /** Returns true while this leader runs, its writes succeed, and the newest acknowledged one was sent within `MAX_ACK_AGE_MS`. */
   isHeartbeatFresh(): boolean {
-    return !this.isStopped && this.getLogOutageMs() === 0 && this.journal.isAcknowledgedWithin(MAX_AGE_MS);
+    return !this.isStopped && this.getLogOutageMs() === 0 && this.journal.hasAckedWriteWithin(MAX_ACK_AGE_MS);
   }
 
-  /** Retries calls to the log that are pending since its outage. `sentAt` is when the call that it has answered was sent. */
-  retryPending(sentAt: number): void {
-    this.journal.retryPending();
-    this.endpoints.retryPending(sentAt);
+  /** Retries calls to the log that have failed, since the log responded to a call that was sent at the monotonic time `sentAt`. */
+  retryPendingLogCalls(sentAt: number): void {
+    this.journal.retryPendingAppends();
+    this.endpointSessions.retryPending(sentAt);
   }
 
   getDispatcher(): Dispatcher {
     return this.dispatcher;
   }
 
-  /** Returns true once the jobs and endpoints of earlier leaders have been taken over. */
+  /** Returns true from the takeover of earlier leaders' jobs and endpoints until this leader stops. */
   isActive(): boolean {
     return this.hasTakenOver && !this.isStopped;
   }
 
-  /** Logs the open waits, which the next leader does not know. */
-  private logWaits(): void {
+  /** Logs the open waits, which the next leader does not know, and stops the line batcher. */
+  private logOpenWaits(): void {
     const now = this.options.clock.getNow();
-    for (const fields of this.dispatcher.listWaits(now)) {
-      this.batcher.recordLine('Step waits.', fields, now);
+    for (const fields of this.dispatcher.listOpenWaits(now)) {
+      this.lineBatcher.recordLine('Step waits.', fields, now);
     }
-    this.batcher.stop();
+    this.lineBatcher.stop();
   }
 
+  /**
+   * Recovers progress, reads all jobs, retrying until stopped, then takes over if the endpoints' records have been read as well.
+   */
   private async readJobs(): Promise<void> {
     // Jobs are read after earlier leaders were fenced, so that they include every job that one of those has started.
-    await this.recovery.run();
+    await this.progressRecovery.run();
     while (!this.isStopped && !this.hasReadJobs) {
       this.hasReadJobs = await this.options.updateReplica();
       if (!this.hasReadJobs) {
-        await waitForDelay(TICK_MS);
+        await waitForDelay(TICK_INTERVAL_MS);
       }
     }
     this.takeOver();
   }
 
-  /** Takes over the jobs of earlier leaders, then starts to poll the endpoints, once all records have been read. */
+  /**
+   * Adds the jobs of earlier leaders, with their cancellations, and starts to poll the endpoints. Does nothing before all jobs and
+   * endpoints' records have been read, after the takeover, or after a stop.
+   */
   private takeOver(): void {
-    if (this.hasTakenOver || this.isStopped || !this.endpoints.hasReadRecords() || !this.hasReadJobs) {
+    if (this.hasTakenOver || this.isStopped || !this.endpointSessions.hasReadRecords() || !this.hasReadJobs) {
       return;
     }
     const { replica, clock, logger, epoch } = this.options;
@@ -301,31 +318,32 @@
         this.dispatcher.handleCancel(definition.id, clock.getWallTime());
       }
     }
-    this.endpoints.startSessions();
+    this.endpointSessions.startSessions();
     logger.info('Leading.', {
       epoch,
       jobs: this.dispatcher.countJobs(),
-      endpoints: this.endpoints.countEndpoints(),
+      endpoints: this.endpointSessions.countEndpoints(),
     });
   }
 
-  /** Adds a job with the progress that earlier leaders have written, and writes its state if it differs from the written one. */
+  /** Adds a job with its recovered progress to the dispatcher, and queues a write of its state, unless the job is queued. */
   private addJob(definition: JobDefinition): void {
-    const progress = this.recovery.takeProgress(definition);
-    this.services.add(definition.queue.service);
+    const progress = this.progressRecovery.takeProgress(definition);
+    this.jobServices.add(definition.queue.service);
     this.dispatcher.handleJob(definition, progress, this.options.clock.getNow());
     if (progress.getState() !== 'queued') {
-      this.journal.queueState(definition.id, progress.getState());
+      this.journal.queueJobState(definition.id, progress.getState());
     }
   }
 
-  /** Queues the records that follow from a poll. */
-  private handlePolled(newEndCount: number): void {
+  /** Counts the newly reported ends of a poll's status, carries out the effects of applying it, and queues a round. */
+  private handleStatusApplied(newEndCount: number): void {
     this.options.recordCount('ends', newEndCount);
     this.sendEffects();
-    this.queueRound();
+    this.queueSchedulingRound();
   }
 
+  /** Stops this leader and notifies its owner, unless it has stopped already. */
   private handleLeadershipLost(detail: string): void {
     if (!this.isStopped) {
       this.stop();
@@ -333,19 +351,24 @@
     }
   }
 
+  /**
+   * Queues a due heartbeat and writes due log lines; after the takeover also starts pending sessions, runs the dispatcher's tick, and
+   * queues a due load digest and a round.
+   */
   private handleTick(): void {
     const now = this.options.clock.getNow();
     this.journal.handleTick(now);
-    this.batcher.handleTick(now);
+    this.lineBatcher.handleTick(now);
     if (this.hasTakenOver) {
-      this.endpoints.startPendingSessions();
+      this.endpointSessions.startPendingSessions();
       this.dispatcher.handleTick(now);
-      this.queueLoad(now);
-      this.queueRound();
+      this.queueLoadDigest(now);
+      this.queueSchedulingRound();
     }
   }
 
-  private queueLoad(now: number): void {
+  /** Writes a load digest to the log and passes it on, if one is due and `handleLoadDigest` is given. */
+  private queueLoadDigest(now: number): void {
     const { clock, handleLoadDigest, recordCount } = this.options;
     if (handleLoadDigest === undefined) {
       return;
@@ -356,29 +379,35 @@
     );
     if (digest !== undefined) {
       recordCount('digests');
-      this.journal.queueLoad(digest);
+      this.journal.queueLoadDigest(digest);
       handleLoadDigest(digest);
     }
   }
 
-  /** Returns true while this leader may grant leases; the next leader waits until the last of them has expired. */
+  /**
+   * Returns true while a write that the log has acknowledged was sent less than `unconfirmedGraceMs` ago. The next leader waits until
+   * leases granted before that limit have expired, so no lease may be granted after it.
+   */
   private canGrantLeases(): boolean {
-    return this.journal.isAcknowledgedWithin(leaderTimings.unconfirmedGraceMs);
+    return this.journal.hasAckedWriteWithin(leaderTimings.unconfirmedGraceMs);
   }
 
-  private queueRound(): void {
+  private queueSchedulingRound(): void {
     if (!this.isStopped) {
       this.roundThrottle.queueRound();
     }
   }
 
+  /**
+   * Runs a scheduling round, or only requests advice while starts are held, and carries out the effects. Skipped while inactive.
+   */
   private runRound(): void {
     if (!this.isActive()) {
       return;
     }
     const { clock } = this.options;
     const now = clock.getNow();
-    this.checkHold(now);
+    this.updateStartHold(now);
     const slots = this.adviceBalancer.getFreeSlots();
     if (this.isHoldingStarts) {
       this.dispatcher.requestAdviceAhead(now, clock.getWallTime(), slots);
@@ -389,10 +418,10 @@
     this.slowRoundLogger.recordRoundDuration(clock.getNow() - now, now);
   }
 
-  /** Holds starts while they cannot be recorded, since they would take capacity and be sent with expired tickets. */
-  private checkHold(now: number): void {
+  /** Holds starts and cancels unrecorded ones when progress could not be written for `START_HOLD_OUTAGE_MS`, until it can be again. */
+  private updateStartHold(now: number): void {
     const outageMs = this.journal.getProgressOutageMs();
-    const isHolding = outageMs > HOLD_STARTS_AFTER_MS;
+    const isHolding = outageMs > START_HOLD_OUTAGE_MS;
     if (isHolding === this.isHoldingStarts) {
       return;
     }
@@ -404,7 +433,7 @@
     }
   }
 
-  /** Carries out the dispatcher's pending effects. */
+  /** Takes the dispatcher's pending effects and carries them out. */
   private sendEffects(): void {
     for (const effect of this.dispatcher.takeEffects()) {
       this.sendEffect(effect);
@@ -414,16 +443,16 @@
   private sendEffect(effect: DispatchEffect): void {
     switch (effect.kind) {
       case 'record':
-        this.queueProgress(effect.job);
+        this.queueProgressRecord(effect.job);
         return;
       case 'start':
-        this.queueProgress(effect.job, () => void this.commands.sendStart(effect));
+        this.queueProgressRecord(effect.job, () => void this.commandSender.sendStart(effect));
         return;
       case 'stop':
-        void this.commands.sendStop(effect);
+        void this.commandSender.sendStop(effect);
         return;
       case 'look':
-        void this.endpoints.getSession(effect.endpoint)?.sendExtraPoll();
+        void this.endpointSessions.getSession(effect.endpoint)?.sendExtraPoll();
         return;
       case 'advise':
         this.options.recordCount('questions');
@@ -433,19 +462,21 @@
         this.options.recordCount(effect.name, effect.amount);
         return;
       case 'tell':
-        this.batcher.recordLine(effect.message, effect.fields, this.options.clock.getNow());
+        this.lineBatcher.recordLine(effect.message, effect.fields, this.options.clock.getNow());
         return;
     }
   }
 
-  private queueProgress(id: JobId, handleWritten?: () => void): void {
+  /** Queues a write of a known job's progress; `handleWritten` is called once it is durable. */
+  private queueProgressRecord(id: JobId, handleWritten?: () => void): void {
     const job = this.dispatcher.getJob(id);
     if (job !== undefined) {
-      this.journal.queueProgress(job.definition, job.progress, handleWritten);
+      this.journal.queueJobProgress(job.definition, job.progress, handleWritten);
     }
   }
 
-  private recordStart(job: JobId): void {
+  /** Counts a start for the load digest, if load is published. */
+  private recordStartForLoad(job: JobId): void {
     const queue = this.dispatcher.getJob(job)?.definition.queue.name;
     if (queue !== undefined && this.options.handleLoadDigest !== undefined) {
       this.loadPublisher.recordStart(queue, this.options.clock.getNow());
--- a/packages/dispatch/advice/AdviceRequester.ts
+++ b/packages/dispatch/advice/AdviceRequester.ts
@@ -98,8 +98,15 @@
     stepAdvice.recordRequest(now);
     stats.recordRequest(endpoints);
     metrics.recordRequest(cause);
-    const expectedMs = advice.decisionMs + advice.perEndpointMs * candidates.length;
-    sendEffect({ kind: 'advise', step: name, endpoints, expectedMs, isLong, cause });
+    const expectedResponseMs = advice.decisionMs + advice.perEndpointMs * candidates.length;
+    sendEffect({
+      kind: 'advise',
+      step: name,
+      candidates: endpoints,
+      expectedResponseMs,
+      isLongRequest: isLong,
+      adviceReason: cause,
+    });
     return 'answer';
   }
 
--- a/packages/dispatch/advice/FirstFreeBalancer.ts
+++ b/packages/dispatch/advice/FirstFreeBalancer.ts
@@ -37,7 +37,7 @@
 
   async sendRequest(request: AdviceRequest): Promise<void> {
     const free = this.options.listChannels().filter((channel) => this.isFree(channel));
-    const channel = request.isLong ? free[free.length - 1] : free[0];
+    const channel = request.isLongRequest ? free[free.length - 1] : free[0];
     if (channel === undefined) {
       this.options.handleResponse(request, undefined, 0);
       return;
@@ -46,7 +46,7 @@
     this.channelStates.set(channel.box, state);
     state.isBusy = true;
     const requestedAt = this.options.clock.getNow();
-    const timeoutMs = request.expectedMs + TIMEOUT_MARGIN_MS;
+    const timeoutMs = request.expectedResponseMs + TIMEOUT_MARGIN_MS;
     const tickets = await sendAdviceRequest(channel, request, timeoutMs);
     state.isBusy = false;
     if (this.isStopped) {
--- a/packages/dispatch/advice/HedgingBalancer.ts
+++ b/packages/dispatch/advice/HedgingBalancer.ts
@@ -60,7 +60,7 @@
       return;
     }
     const now = this.options.clock.getNow();
-    if (!request.isLong) {
+    if (!request.isLongRequest) {
       this.shortRequestReserve.recordRequest(now - requestedAt, now);
     }
     this.options.handleResponse(request, tickets, Math.round(now - requestedAt));
@@ -78,7 +78,7 @@
   private async waitForResponse(request: AdviceRequest, first: Attempt): Promise<Tickets> {
     const attempts = [first];
     for (let latest = first; ;) {
-      const lateMs = request.expectedMs + this.computeHedgeDelayMs(request, latest);
+      const lateMs = request.expectedResponseMs + this.computeHedgeDelayMs(request, latest);
       const tickets = await Promise.race([this.waitForFirstResponse(attempts), waitForDelay(lateMs)]);
       if (tickets !== undefined || this.isStopped) {
         return tickets ?? undefined;
@@ -94,10 +94,10 @@
   }
 
   /** Returns how far an attempt may exceed its expected response time before it is hedged, in milliseconds; more for long requests. */
-  private computeHedgeDelayMs({ expectedMs }: AdviceRequest, { channelState }: Attempt): number {
+  private computeHedgeDelayMs({ expectedResponseMs }: AdviceRequest, { channelState }: Attempt): number {
     return Math.max(
       channelState.computeHedgeDelayMs(this.overallState.computeHedgeDelayMs()),
-      expectedMs * MIN_HEDGE_DELAY_SHARE,
+      expectedResponseMs * MIN_HEDGE_DELAY_SHARE,
     );
   }
 
@@ -112,7 +112,7 @@
   /** Sends the request over the fastest free channel, if it is long the fastest unreserved one; undefined if no channel is free. */
   private startAttempt(request: AdviceRequest): Attempt | undefined {
     const free = this.listFreeChannels();
-    const index = request.isLong ? Math.min(this.countReservedChannels(), free.length - 1) : 0;
+    const index = request.isLongRequest ? Math.min(this.countReservedChannels(), free.length - 1) : 0;
     const channel = free[index];
     if (channel === undefined) {
       return undefined;
@@ -132,8 +132,8 @@
   ): Promise<Tickets> {
     const { clock } = this.options;
     const requestedAt = clock.getNow();
-    channelState.recordRequest(request.isLong);
-    const tickets = await sendAdviceRequest(channel, request, request.expectedMs + TIMEOUT_MARGIN_MS);
+    channelState.recordRequest(request.isLongRequest);
+    const tickets = await sendAdviceRequest(channel, request, request.expectedResponseMs + TIMEOUT_MARGIN_MS);
     const now = clock.getNow();
     if (tickets === undefined) {
       channelState.recordFailure(now + QUARANTINE_MS);
@@ -143,7 +143,7 @@
       if (this.listHealthyChannels(now).length === 0) {
         this.channelStates.forEach((other) => other.clearQuarantine());
       }
-      const delayMs = Math.max(0, now - requestedAt - request.expectedMs);
+      const delayMs = Math.max(0, now - requestedAt - request.expectedResponseMs);
       channelState.recordResponse(delayMs, now);
       this.overallState.recordResponse(delayMs, now);
     }
--- a/packages/dispatch/placing/Preemptor.ts
+++ b/packages/dispatch/placing/Preemptor.ts
@@ -176,7 +176,7 @@
     const shape = this.options.jobs.get(run.job)?.definition.steps[run.address.step];
     return {
       cpuMillis: run.demand.cpuMillis,
-      sinceCheckpointMs: now - (run.checkpointedAt ?? run.confirmedAt),
+      sinceCheckpointMs: now - (run.checkpointedAt ?? run.startConfirmedAt),
       isSavingOnStop: shape?.isCheckpointing === true,
     };
   }
@@ -285,13 +285,13 @@
     const isExcluded = shape.isGang || shape.isLongRunning || shape.isFiller;
     const preemptions = job.countPreemptions(run.task);
     const hasWorkedEnough =
-      preemptions === 0 || now - run.confirmedAt >= this.options.preemptionRules.minWorkAfterRestartMs;
+      preemptions === 0 || now - run.startConfirmedAt >= this.options.preemptionRules.minWorkAfterRestartMs;
     return !isExcluded && preemptions < MAX_PREEMPTIONS && hasWorkedEnough && !this.isEndingSoon(run, now);
   }
 
   /** Returns whether the run, by its progress so far, ends within `MIN_REMAINING_MS`; false before any progress. */
   private isEndingSoon(run: PlacedRun, now: number): boolean {
-    const workedMs = now - run.confirmedAt;
+    const workedMs = now - run.startConfirmedAt;
     return run.percent > 0 && (workedMs * (MAX_PERCENT - run.percent)) / run.percent < MIN_REMAINING_MS;
   }
 }
--- a/packages/dispatch/placing/RoundThrottle.ts
+++ b/packages/dispatch/placing/RoundThrottle.ts
@@ -3,7 +3,7 @@
 interface RoundThrottleOptions {
   readonly clock: Clock;
   /** Runs one round of placement. */
-  readonly runRound: () => void;
+  readonly runSchedulingRound: () => void;
 }
 
 /** Idle time after a round, as a multiple of the duration of the round. */
@@ -36,10 +36,10 @@
   }
 
   private runRound(): void {
-    const { clock, runRound } = this.options;
+    const { clock, runSchedulingRound } = this.options;
     this.isRoundQueued = false;
     const startedAt = clock.getNow();
-    runRound();
+    runSchedulingRound();
     const endedAt = clock.getNow();
     this.idleUntil = endedAt + (endedAt - startedAt) * IDLE_TIME_RATIO;
   }
--- a/packages/dispatch/runs/RunCommands.ts
+++ b/packages/dispatch/runs/RunCommands.ts
@@ -19,18 +19,19 @@
   readonly handleIncarnationEnd: (incarnation: EndpointIncarnation, now: number) => void;
 }
 
-const NOT_SENT: RunEnd = { outcome: 'interrupted', cause: 'notSent', checkpoint: '' };
-const NOT_DELIVERED: RunEnd = { outcome: 'interrupted', cause: 'notDelivered', checkpoint: '' };
-const REJECTED: RunEnd = { outcome: 'interrupted', cause: 'turnedDown', checkpoint: '' };
-const UNHEALTHY: RunEnd = { outcome: 'interrupted', cause: 'unhealthy', checkpoint: '' };
+const NOT_SENT_END: RunEnd = { outcome: 'interrupted', evidence: 'notSent', checkpoint: '' };
+const NOT_DELIVERED_END: RunEnd = { outcome: 'interrupted', evidence: 'notDelivered', checkpoint: '' };
+const REJECTED_END: RunEnd = { outcome: 'interrupted', evidence: 'turnedDown', checkpoint: '' };
+const UNHEALTHY_END: RunEnd = { outcome: 'interrupted', evidence: 'unhealthy', checkpoint: '' };
 
-/** Decides which recorded starts are sent, and applies the results of start and stop commands. */
+/** Decides whether recorded starts are sent, cancels starts, and applies the results of start and stop commands to runs. */
 export class RunCommands {
   constructor(private readonly options: RunCommandsOptions) {}
 
   /**
-   * Returns whether to send a start whose record is durable; if not, its capacity is released. The job, the endpoint and the ticket
-   * are checked again, since they may have changed while the record was written.
+   * Called once a start's record is durable. Returns true, and marks the run as ordered, when the start command is to be sent. The
+   * job, the endpoint and the ticket are checked again, since they may have changed while the record was written: if one does not
+   * permit the start any more, ends the run as not sent and returns false. Returns false too for a run that has ended already.
    */
   handleStartRecorded(effect: StartEffect, now: number): boolean {
     const { jobs, runTracker } = this.options;
@@ -40,48 +41,50 @@
     }
     const { endpoint, run } = found;
     const job = jobs.get(run.job);
-    // The endpoint's capacity may have shrunk since the placement.
+    // The capacity of the endpoint may have shrunk since the placement, so that its runs exceed it.
     const isRunnable =
       job !== undefined && !job.progress.isEnded() && endpoint.isSchedulable() && !endpoint.isOvercommitted();
     if (!isRunnable || !this.isTicketValid(job, run, effect, now)) {
-      runTracker.recordRunEnd(endpoint, run, NOT_SENT, now);
+      runTracker.recordRunEnd(endpoint, run, NOT_SENT_END, now);
       return false;
     }
     run.stage = 'ordered';
     run.recordedAt = now;
-    run.confirmedAt = now;
+    run.startConfirmedAt = now;
     return true;
   }
 
+  /** Returns true if the start needs no ticket, or if the job's ticket for the endpoint can still be sent. */
   private isTicketValid(
     job: LiveJob,
     run: PlacedRun,
     { endpoint, command }: StartEffect,
     now: number,
   ): boolean {
-    const { repetition: time, step } = run.address;
-    return command.ticket === '' || job.getAdvice(time, step).hasSendableTicket(endpoint, now);
+    const { repetition, step } = run.address;
+    return command.ticket === '' || job.getAdvice(repetition, step).hasSendableTicket(endpoint, now);
   }
 
-  /** Cancels all starts whose records are not durable yet, so that their tasks are placed again. */
+  /** Ends the runs whose start records are not durable yet as not sent, so that their tasks wait again. */
   cancelUnrecordedStarts(now: number): void {
     for (const endpoint of this.options.endpoints.values()) {
       for (const run of [...endpoint.getRuns()]) {
         if (run.stage === 'recording') {
-          this.options.runTracker.recordRunEnd(endpoint, run, NOT_SENT, now);
+          this.options.runTracker.recordRunEnd(endpoint, run, NOT_SENT_END, now);
         }
       }
     }
   }
 
-  /** Releases the capacity of a start that could not be sent. */
+  /** Ends the run of a recorded start that was not sent, so that its capacity is free and its task waits again. */
   handleStartUnsent(effect: StartEffect, now: number): void {
     const found = this.findRun(effect.endpoint, effect.command.task, effect.command.run);
     if (found !== undefined) {
-      this.options.runTracker.recordRunEnd(found.endpoint, found.run, NOT_SENT, now);
+      this.options.runTracker.recordRunEnd(found.endpoint, found.run, NOT_SENT_END, now);
     }
   }
 
+  /** Applies the result of a start command, unless a status or a stop has changed the run's stage since. */
   handleStartResult(
     incarnation: EndpointIncarnation,
     task: TaskName,
@@ -90,12 +93,13 @@
     now: number,
   ): void {
     const found = this.findRun(incarnation, task, runNumber);
-    // A status or a stop may have been applied before the result, which is then outdated.
+    // Outdated if a status or a stop was applied before it.
     if (found !== undefined && found.run.stage === 'ordered') {
       this.applyStartResult(found.endpoint, found.run, result, now);
     }
   }
 
+  /** Records the time of the first response to a stop command, done or rejected; ends the incarnation if the result is that it is gone. */
   handleStopResult(
     incarnation: EndpointIncarnation,
     task: TaskName,
@@ -133,13 +137,13 @@
       case 'done':
         jobs.get(run.job)?.recordStartAccepted(run.address);
         run.stage = 'running';
-        run.confirmedAt = now;
+        run.startConfirmedAt = now;
         return;
       case 'undelivered':
         endpoint.recordOutcome(true, now);
         endpoint.recordUnreachable(now);
         // Nothing was sent, so the task can be placed again at once, and is not blamed for a crash of the endpoint.
-        runTracker.recordRunEnd(endpoint, run, NOT_DELIVERED, now);
+        runTracker.recordRunEnd(endpoint, run, NOT_DELIVERED_END, now);
         return;
       case 'unanswered':
         endpoint.recordOutcome(true, now);
@@ -157,12 +161,12 @@
           jobs.get(run.job)?.getAdvice(run.address.repetition, run.address.step).removeTicket(incarnation);
         }
         jobs.get(run.job)?.recordStartRejected(run.address, now);
-        runTracker.recordRunEnd(endpoint, run, REJECTED, now);
+        runTracker.recordRunEnd(endpoint, run, REJECTED_END, now);
         return;
       case 'unhealthy':
         endpoint.recordOutcome(true, now);
         jobs.get(run.job)?.recordStartRejected(run.address, now);
-        runTracker.recordRunEnd(endpoint, run, UNHEALTHY, now);
+        runTracker.recordRunEnd(endpoint, run, UNHEALTHY_END, now);
         return;
     }
   }
--- a/packages/dispatch/runs/RunEnd.ts
+++ b/packages/dispatch/runs/RunEnd.ts
@@ -5,9 +5,9 @@
 /** The end of a run as the leader records it. */
 export interface RunEnd {
   readonly outcome: RunOutcome;
-  readonly cause: RunEndEvidence;
-  /** Kind of end that the endpoint reported; undefined when it reported none. */
+  readonly evidence: RunEndEvidence;
+  /** How the run ended by the endpoint's report; undefined if the endpoint reported no end. */
   readonly reportedEnd?: EndedTaskStatus['how'];
-  /** Checkpoint that the run left; empty when none newer than that of the `PlacedRun` is known. */
+  /** Checkpoint that the endpoint reported with the end; if empty, that of the `PlacedRun` applies. */
   readonly checkpoint: string;
 }
--- a/packages/dispatch/runs/RunTracker.ts
+++ b/packages/dispatch/runs/RunTracker.ts
@@ -13,40 +13,47 @@
 import type { PlacedRun } from './PlacedRun';
 import type { RunEnd } from './RunEnd';
 
-type JobEnding = 'completed' | 'failed' | 'cancelled';
+type JobEndKind = 'completed' | 'failed' | 'cancelled';
 
 interface RunTrackerCallbacks {
-  /** Called when capacity has been released. */
-  readonly handleFreed: () => void;
-  /** Called when the progress of a job has changed and must be recorded. */
-  readonly handleChanged: (job: JobId) => void;
+  /** Called when the capacity of an ended run was released. */
+  readonly handleCapacityReleased: () => void;
+  /** Called when the progress of a job has changed and has to be recorded. */
+  readonly handleProgressChanged: (job: JobId) => void;
+  /** Adds an effect to those that the dispatcher requests. */
   readonly sendEffect: (effect: DispatchEffect) => void;
 }
 
-/** Delay of the first retry of a stop; longer than its usual timeout. */
-const FIRST_STOP_RETRY_MS = 200;
-/** Smaller losses of work, in core-milliseconds, are counted but not logged. */
-const MIN_LOGGED_CORE_MS = 1000;
-/** A run whose start command timed out is stopped after this time, unless a poll lists it before. */
-const UNANSWERED_STOP_MS = 300;
-/** Delay of later retries, whose timeout is longer. */
-const STOP_RETRY_MS = 600;
+/** Delay of the first retry of a stop command; longer than the usual timeout of the command. */
+const FIRST_STOP_RETRY_DELAY_MS = 200;
+/** Lost work of a run, in core-milliseconds, below which the loss is counted but not logged. */
+const MIN_LOGGED_LOST_CORE_MS = 1000;
+/** Time from the timeout of a start command until the run is stopped, unless a poll lists it before. */
+const TIMED_OUT_START_GRACE_MS = 300;
+/** Delay between later retries of a stop command, whose timeout is longer. */
+const LATER_STOP_RETRY_DELAY_MS = 600;
 
-/** Records the ends of runs and jobs in the endpoints' state and the jobs' progress, and sends stops. */
+/**
+ * Records the ends and transfers of runs and the ends of jobs in the endpoints' states and the jobs' progress, and sends stop
+ * commands.
+ */
 export class RunTracker {
   constructor(
     private readonly endpoints: Map<EndpointIncarnation, EndpointState>,
     private readonly jobs: ReadonlyMap<JobId, LiveJob>,
     private readonly callbacks: RunTrackerCallbacks,
-    /** Gangs resume from the newest checkpoint of any member. */
+    /** True if a checkpoint that an ended member leaves is recorded for its whole gang. */
     private readonly isSharingGangCheckpoints = false,
   ) {}
 
-  /** Releases the capacity of a run and records its end in the job's progress. */
+  /**
+   * Records the end of a run: removes it from its endpoint, counts the work that it lost, and records the end in the job's progress,
+   * unless that already has it. Also removes the state of an endpoint that is no longer needed.
+   */
   recordRunEnd(endpoint: EndpointState, run: PlacedRun, end: RunEnd, now: number): void {
-    const { outcome, cause, checkpoint } = end;
+    const { outcome, evidence, checkpoint } = end;
     endpoint.removeRun(run);
-    this.callbacks.handleFreed();
+    this.callbacks.handleCapacityReleased();
     this.recordLostWork(endpoint, run, end, now);
     const job = this.jobs.get(run.job);
     const newestCheckpoint = checkpoint === '' ? run.checkpoint : checkpoint;
@@ -58,20 +65,20 @@
     if (job?.progress.recordEnd(run.address, run.run, outcome, newestCheckpoint) === true) {
       job.changedAt = now;
       job.trace.recordRun(run, endpoint.getProfile(), end, now);
-      this.callbacks.handleChanged(run.job);
+      this.callbacks.handleProgressChanged(run.job);
       this.sendLogLine('Run ended.', {
         job: run.job,
         task: run.task,
         run: run.run,
         endpoint: endpoint.getProfile().incarnation,
         outcome,
-        cause,
+        cause: evidence,
         how: end.reportedEnd,
         why: run.stopCause,
         stage: run.stage,
         ageMs: Math.round(now - run.placedAt),
         recordMs: Math.round(run.recordedAt - run.placedAt),
-        startMs: Math.round(run.confirmedAt - run.recordedAt),
+        startMs: Math.round(run.startConfirmedAt - run.recordedAt),
         unheardMs: Math.round(now - run.lastListedAt),
       });
     }
@@ -82,7 +89,7 @@
     return this.jobs.get(run.job)?.definition.steps[run.address.step]?.isGang === true;
   }
 
-  /** Counts the work that a run lost, and logs a larger loss. */
+  /** Counts the work that a run lost, if it lost any, and logs losses of at least `MIN_LOGGED_LOST_CORE_MS`. */
   private recordLostWork(endpoint: EndpointState, run: PlacedRun, end: RunEnd, now: number): void {
     const lossCause = getLossCause(run, end);
     if (lossCause === undefined) {
@@ -91,7 +98,7 @@
     const lostCoreMs = computeLostCoreMs(run, end, now);
     this.sendCount(`runsLostBy.${lossCause}`);
     this.sendCount(`coreMsLostBy.${lossCause}`, lostCoreMs);
-    if (lostCoreMs >= MIN_LOGGED_CORE_MS) {
+    if (lostCoreMs >= MIN_LOGGED_LOST_CORE_MS) {
       this.sendLogLine('Work is lost.', {
         job: run.job,
         task: run.task,
@@ -106,16 +113,17 @@
   }
 
   /**
-   * Transfers a run from an ended incarnation to the next one, which may have received its start. A run that was being stopped is
-   * stopped there too; for any other the next poll shows whether it runs.
+   * Transfers a run from an ended incarnation to the next one, which may have received its start command, and records that in the
+   * job's progress. If it was being stopped, sends the stop command there too; else it becomes unconfirmed, until a poll shows
+   * whether it runs.
    */
-  recordTransfer(from: EndpointState, to: EndpointState, run: PlacedRun): void {
+  recordRunTransfer(from: EndpointState, to: EndpointState, run: PlacedRun): void {
     from.removeRun(run);
     run.transferredFrom = from.getProfile().incarnation;
     to.addRun(run);
     const { incarnation } = to.getProfile();
     this.jobs.get(run.job)?.progress.recordTransfer(run.address, run.run, incarnation);
-    this.callbacks.handleChanged(run.job);
+    this.callbacks.handleProgressChanged(run.job);
     this.sendLogLine('Run may have reached the next life.', {
       job: run.job,
       task: run.task,
@@ -132,38 +140,41 @@
     }
   }
 
-  /** Ends the job when the end of this run completes it or uses up its attempts. */
-  checkJobEnd(
+  /**
+   * Applies an ended run's outcome to its job. A failure marks the endpoint as failed for the step, and fails the job when it was the
+   * task's last attempt, unless the task is long-running. A done member completes its gang. Ends the job when all tasks are done.
+   */
+  applyRunOutcome(
     job: LiveJob,
     run: PlacedRun,
     outcome: RunOutcome,
     incarnation: EndpointIncarnation,
     wallMs: number,
   ): void {
-    const { repetition: time, step, index } = run.address;
+    const { repetition, step, index } = run.address;
     const shape = job.definition.steps[step]!;
     if (outcome === 'failed') {
-      job.recordFailureOn(time, step, incarnation);
-      const failures = job.countFailures(time, step, index);
+      job.recordFailureOn(repetition, step, incarnation);
+      const failures = job.countFailures(repetition, step, index);
       if (!shape.isLongRunning && failures >= job.definition.queue.attempts) {
         this.recordJobEnd(job, 'failed', wallMs);
       }
     }
     if (outcome === 'done' && shape.isGang) {
-      job.progress.recordGangDone(time, step);
+      job.progress.recordGangDone(repetition, step);
     }
     if (job.progress.isAllDone()) {
       this.recordJobEnd(job, 'completed', wallMs);
     }
   }
 
-  /** Ends a job and stops its runs. Does nothing if it has ended. */
-  recordJobEnd(job: LiveJob, ending: JobEnding, wallMs: number): void {
+  /** Records the end of a job, logs it and stops the job's runs. Does nothing if the job has ended. */
+  recordJobEnd(job: LiveJob, ending: JobEndKind, wallMs: number): void {
     if (job.progress.isEnded()) {
       return;
     }
     job.progress.recordJobEnd(ending, wallMs);
-    this.callbacks.handleChanged(job.definition.id);
+    this.callbacks.handleProgressChanged(job.definition.id);
     this.sendLogLine('Job ended.', { job: job.definition.id, queue: job.definition.queue.name, ending });
     this.logLateJob(job, ending, wallMs);
     for (const endpoint of this.endpoints.values()) {
@@ -175,47 +186,50 @@
     }
   }
 
-  /** Sends a stop, unless the run is being stopped or its start was not sent yet. */
+  /** Sends a stop command and marks the run as stopping. Does nothing if it is stopping or its start was not sent yet. */
   sendStop(endpoint: EndpointState, run: PlacedRun, cause: StopCause): void {
-    // While the record is being written no start command has been sent; `handleStartRecorded` drops it if its job has ended.
+    // A run whose record is still being written is ended by `handleStartRecorded` if its job has ended.
     if (run.stage === 'stopping' || run.stage === 'recording') {
       return;
     }
     run.stage = 'stopping';
     run.stopCause = cause;
     run.stopRespondedAt = undefined;
-    run.stopSentAt = undefined;
+    run.stopRetryTimedFrom = undefined;
     run.isStopRepeated = false;
     this.sendStopCommand(endpoint, run);
   }
 
-  /** Retries stops without a response, and stops runs whose start timed out and that no poll has listed since. */
-  retryStops(endpoint: EndpointState, now: number): void {
+  /**
+   * Sends the stop commands that are due on an endpoint: repeats those that had no response within the retry delay, and stops runs
+   * whose start command timed out and that no poll has listed since.
+   */
+  sendDueStops(endpoint: EndpointState, now: number): void {
     for (const run of endpoint.getRuns()) {
-      if (run.stage === 'ordered' && now - (run.startTimedOutAt ?? now) >= UNANSWERED_STOP_MS) {
+      if (run.stage === 'ordered' && now - (run.startTimedOutAt ?? now) >= TIMED_OUT_START_GRACE_MS) {
         this.sendStop(endpoint, run, 'unanswered');
         continue;
       }
       if (run.stage !== 'stopping' || run.stopRespondedAt !== undefined) {
         continue;
       }
-      run.stopSentAt ??= now;
-      const retryMs = run.isStopRepeated ? STOP_RETRY_MS : FIRST_STOP_RETRY_MS;
-      if (now - run.stopSentAt >= retryMs) {
-        run.stopSentAt = now;
+      run.stopRetryTimedFrom ??= now;
+      const retryMs = run.isStopRepeated ? LATER_STOP_RETRY_DELAY_MS : FIRST_STOP_RETRY_DELAY_MS;
+      if (now - run.stopRetryTimedFrom >= retryMs) {
+        run.stopRetryTimedFrom = now;
         run.isStopRepeated = true;
         this.sendStopCommand(endpoint, run);
       }
     }
   }
 
-  /** Requests a poll at once. */
+  /** Requests an extra poll of the endpoint at once. */
   sendPoll(endpoint: EndpointState): void {
     this.callbacks.sendEffect({ kind: 'look', endpoint: endpoint.getProfile().incarnation });
   }
 
-  /** Logs why a job failed or missed its objective. */
-  private logLateJob(job: LiveJob, ending: JobEnding, wallMs: number): void {
+  /** Logs an account of the job's time if it failed, or completed after its objective. */
+  private logLateJob(job: LiveJob, ending: JobEndKind, wallMs: number): void {
     const { definition, trace } = job;
     const lateMs = wallMs - job.getObjectiveAtMs(definition.times - 1);
     if (ending === 'failed' || (ending === 'completed' && lateMs > 0)) {
@@ -225,27 +239,29 @@
   }
 
   private sendStopCommand(endpoint: EndpointState, run: PlacedRun): void {
-    const { task, run: number, isStopRepeated: isRepeated } = run;
+    const { task, run: number, isStopRepeated } = run;
     this.callbacks.sendEffect({
       kind: 'stop',
       endpoint: endpoint.getProfile().incarnation,
       task,
       run: number,
-      isRepeated,
+      isRepeated: isStopRepeated,
     });
   }
 
-  /** Removes the state of an endpoint without an address once it has no runs. */
+  /** Removes the state of an endpoint that has no address, since no record of it is known, if it has no runs. */
   removeUnusedEndpoint(endpoint: EndpointState): void {
     if (endpoint.getProfile().address === '' && endpoint.countRuns() === 0) {
       this.endpoints.delete(endpoint.getProfile().incarnation);
     }
   }
 
+  /** Emits an effect that increases a counter of the metrics. */
   sendCount(name: DispatchCounterName, amount = 1): void {
     this.callbacks.sendEffect({ kind: 'count', name, amount });
   }
 
+  /** Emits an effect that writes a log line. */
   sendLogLine(message: string, fields: Readonly<Record<string, unknown>>): void {
     this.callbacks.sendEffect({ kind: 'tell', message, fields });
   }
--- a/packages/dispatch/runs/createOrphanRun.ts
+++ b/packages/dispatch/runs/createOrphanRun.ts
@@ -4,7 +4,7 @@
 import type { PlacedRun } from './PlacedRun';
 import type { RunningTaskStatus } from '../endpoints/RunningTaskStatus';
 
-/** Creates the state of a run whose job is unknown. Its demand is unknown too, and counts as zero until the run is stopped. */
+/** Creates the state of a run that an endpoint lists and whose job is unknown. It has no job, and its demand counts as zero. */
 export const createOrphanRun = (status: RunningTaskStatus, now: number): PlacedRun => ({
   task: status.task,
   job: toId<JobId>(''),
@@ -19,20 +19,20 @@
   isCrashSuspect: false,
   isFromStart: false,
   stage: 'running',
-  isListed: true,
+  hasBeenListed: true,
   transferredFrom: undefined,
-  waits: undefined,
+  waitTimes: undefined,
   placedAt: now,
   recordedAt: now,
-  confirmedAt: now,
+  startConfirmedAt: now,
   startTimedOutAt: undefined,
-  stopSentAt: undefined,
+  stopRetryTimedFrom: undefined,
   stopCause: undefined,
   isStopRepeated: false,
   stopRespondedAt: undefined,
   percent: status.percent,
   lastListedAt: now,
-  progressedAt: now,
+  lastProgressAt: now,
   checkpoint: status.checkpoint,
   checkpointedAt: undefined,
 });
--- a/packages/dispatch/runs/createPlacedRun.ts
+++ b/packages/dispatch/runs/createPlacedRun.ts
@@ -5,48 +5,49 @@
 import type { PlacedRun } from './PlacedRun';
 
 interface RunHistory {
-  /** The run resumes from no checkpoint. */
+  /** True if there is no checkpoint to resume from. */
   readonly isFromStart?: boolean;
+  /** True if the task is suspected of having crashed an endpoint. */
   readonly isCrashSuspect?: boolean;
 }
 
-/** Creates the state of a run that is about to be placed. */
+/** Creates the state of a run of a known job, in the stage `recording`. */
 export const createPlacedRun = (
   definition: JobDefinition,
   address: TaskAddress,
-  run: number,
+  runNumber: number,
   now: number,
-  { isFromStart = false, isCrashSuspect: isSuspect = false }: RunHistory = {},
+  { isFromStart = false, isCrashSuspect = false }: RunHistory = {},
 ): PlacedRun => {
   const shape = definition.steps[address.step]!;
   return {
     task: toTaskName(definition.id, address),
     job: definition.id,
     address,
-    run,
+    run: runNumber,
     demand: toReservedDemand(shape),
     customer: definition.customer?.name,
     charge: shape.demand,
     isFiller: shape.isFiller,
     isServing: shape.isLongRunning && !shape.isFiller,
     priority: definition.queue.priority,
-    isCrashSuspect: isSuspect,
+    isCrashSuspect,
     isFromStart,
     stage: 'recording',
-    isListed: false,
+    hasBeenListed: false,
     transferredFrom: undefined,
-    waits: undefined,
+    waitTimes: undefined,
     placedAt: now,
     recordedAt: now,
-    confirmedAt: now,
+    startConfirmedAt: now,
     startTimedOutAt: undefined,
-    stopSentAt: undefined,
+    stopRetryTimedFrom: undefined,
     stopCause: undefined,
     isStopRepeated: false,
     stopRespondedAt: undefined,
     percent: 0,
     lastListedAt: now,
-    progressedAt: now,
+    lastProgressAt: now,
     checkpoint: '',
     checkpointedAt: undefined,
   };
--- a/packages/dispatch/speeds/RunLearner.ts
+++ b/packages/dispatch/speeds/RunLearner.ts
@@ -66,7 +66,7 @@
    * Ignores young runs and those whose time is not informative.
    */
   recordProgress(endpoint: EndpointState, run: PlacedRun, now: number): void {
-    const ageMs = now - run.confirmedAt;
+    const ageMs = now - run.startConfirmedAt;
     const measurement = ageMs >= MIN_RUN_AGE_MS ? this.createMeasurement(endpoint, run) : undefined;
     if (measurement === undefined) {
       return;
@@ -91,7 +91,7 @@
     if (measurement === undefined) {
       return;
     }
-    const runMs = now - run.confirmedAt;
+    const runMs = now - run.startConfirmedAt;
     this.recordPace(measurement, runMs / FULL_PERCENT, now);
     this.recordKindPace(measurement, runMs / FULL_PERCENT);
     if (!this.measuredRuns.has(run)) {
--- a/packages/dispatch/stops/computeLostCoreMs.ts
+++ b/packages/dispatch/stops/computeLostCoreMs.ts
@@ -16,6 +16,6 @@
   if (run.stage === 'recording' || isAllSaved) {
     return 0;
   }
-  const savedAt = run.checkpointedAt ?? run.confirmedAt;
+  const savedAt = run.checkpointedAt ?? run.startConfirmedAt;
   return Math.round((Math.max(0, now - savedAt) * run.demand.cpuMillis) / CPU_MILLIS_PER_CORE);
 };
--- a/packages/dispatch/stops/getLossCause.ts
+++ b/packages/dispatch/stops/getLossCause.ts
@@ -19,7 +19,7 @@
  */
 export const getLossCause = (
   run: PlacedRun,
-  { outcome, cause, reportedEnd }: RunEnd,
+  { outcome, evidence, reportedEnd }: RunEnd,
 ): LossCause | undefined => {
   if (outcome !== 'interrupted') {
     return undefined;
@@ -30,5 +30,5 @@
   if (reportedEnd !== undefined) {
     return CAUSES_BY_REPORTED_END[reportedEnd];
   }
-  return cause === 'lifeOver' || cause === 'leaseOver' ? 'endpointLost' : undefined;
+  return evidence === 'lifeOver' || evidence === 'leaseOver' ? 'endpointLost' : undefined;
 };
--- a/packages/serve/ServeProcess.ts
+++ b/packages/serve/ServeProcess.ts
@@ -323,7 +323,7 @@
   private handleLogRecovered(sentAt: number): void {
     this.followers.retryPending(sentAt);
     this.writer.retryPending();
-    this.controller?.retryPending(sentAt);
+    this.controller?.retryPendingLogCalls(sentAt);
   }
 
   private handleJobRecords(records: readonly LogRecord[]): void {
@@ -408,7 +408,7 @@
       ...(admissionModes[settings.door].isLoadPublished
         ? { handleLoadDigest: (value) => this.foldLoad([{ key: loadKeys.digestKey, value }]) }
         : {}),
-      getLimit: (customer) => this.router.getCustomers().findByName(customer)?.limit,
+      getCustomerLimit: (customer) => this.router.getCustomers().findByName(customer)?.limit,
       parseEndpoint: (id, text) => adapter.parseEndpoint(id, text),
       createEndpointClient: (profile, getToken) => adapter.createEndpointClient(profile, getToken),
       isServiceRouted: (service) => this.router.hasService(service),
@@ -477,7 +477,7 @@
   }
 
   private formatMetrics(): string {
-    const speeds = this.controller?.getDispatcher().getSpeeds().countByClass();
+    const speeds = this.controller?.getDispatcher().getEndpointSpeeds().countByClass();
     const text = this.metrics.formatText({
       leading: this.controller === undefined ? 0 : 1,
       liveJobs: this.controller?.getDispatcher().countJobs() ?? 0,
