--- a/packages/cli/serveCommand.ts
+++ b/packages/cli/serveCommand.ts
@@ -70,11 +70,11 @@
       box: settings.value.box,
       writeLine: (line) => void process.stdout.write(line),
       getBacklogBytes: () => process.stdout.writableLength,
-      readNow: () => systemClock.getNow(),
-      readWall: () => Date.now(),
+      getNow: () => systemClock.getNow(),
+      getWallMs: () => Date.now(),
       linesPerSecond: LOG_LINES_PER_SECOND,
     });
-    setInterval(() => decisionLog.handleTick(), LOG_TICK_MS).unref();
+    setInterval(() => decisionLog.logSuppressedWhenDue(), LOG_TICK_MS).unref();
     const createPartLogger = (part: string): Logger => decisionLog.createLogger(part);
     const clock = createMachineClock(createPartLogger('clock'));
     const serve = new ServeProcess({
--- a/packages/customers/CustomerDirectory.ts
+++ b/packages/customers/CustomerDirectory.ts
@@ -4,19 +4,19 @@
 
 /** The customers of one version of the configuration, indexed by key and by name. */
 export class CustomerDirectory {
-  private readonly byKey = new Map<string, CustomerPolicy>();
+  private readonly byKeyDigest = new Map<string, CustomerPolicy>();
   private readonly byName = new Map<CustomerName, CustomerPolicy>();
 
   constructor(customers: readonly CustomerPolicy[]) {
     for (const customer of customers) {
       this.byName.set(customer.name, customer);
-      customer.keys.forEach((digest) => this.byKey.set(digest, customer));
+      customer.keys.forEach((digest) => this.byKeyDigest.set(digest, customer));
     }
   }
 
   /** Returns the customer that holds a key; undefined when there is none. */
   findByKey(key: string): CustomerPolicy | undefined {
-    return this.byKey.get(toKeyDigest(key));
+    return this.byKeyDigest.get(toKeyDigest(key));
   }
 
   findByName(name: CustomerName): CustomerPolicy | undefined {
--- a/packages/customers/CustomerMetrics.ts
+++ b/packages/customers/CustomerMetrics.ts
@@ -5,11 +5,11 @@
 export interface CustomerMetrics {
   readonly name: CustomerName;
   /** Resources of runs that may be in progress. */
-  readonly used: TaskDemand;
+  readonly usedResources: TaskDemand;
   /** Number of runs that may be in progress. */
-  readonly runs: number;
+  readonly runCount: number;
   /** Number of tasks that are ready and wait for a start. */
-  readonly waiting: number;
+  readonly waitingTaskCount: number;
   /** 0 in a dimension means no limit. */
   readonly limit: TaskDemand;
 }
--- a/packages/customers/CustomerUsage.ts
+++ b/packages/customers/CustomerUsage.ts
@@ -10,12 +10,12 @@
 }
 
 /**
- * Resources that the runs of each customer take on all endpoints. A run counts from its placement until its end is known. The sums are
- * updated with each run, so that reading them does not depend on the number of runs.
+ * Resources that the runs of each customer take on all endpoints. A run counts from its placement until its end is known.
  */
 export class CustomerUsage {
   private readonly usages = new Map<CustomerName, { readonly taken: TaskDemand; readonly runs: number }>();
 
+  /** Adds the resources of a placed run to its customer. Ignored for a run without a customer. */
   recordRun({ customer, charge }: CountedRun): void {
     if (customer !== undefined) {
       const { taken, runs } = this.getUsage(customer);
@@ -23,6 +23,7 @@
     }
   }
 
+  /** Subtracts the resources of an ended run from its customer, which is removed with its last run. */
   recordRunEnd({ customer, charge }: CountedRun): void {
     if (customer === undefined) {
       return;
@@ -35,11 +36,12 @@
     }
   }
 
-  getUsed(customer: CustomerName): TaskDemand {
+  /** Returns the resources of a customer's runs; zero without any. */
+  getUsedResources(customer: CustomerName): TaskDemand {
     return this.getUsage(customer).taken;
   }
 
-  /** Returns the usage of all customers that have runs. */
+  /** Returns the resources and the number of runs of each customer that has runs. */
   getAll(): ReadonlyMap<CustomerName, { readonly taken: TaskDemand; readonly runs: number }> {
     return this.usages;
   }
--- a/packages/customers/JobCaller.ts
+++ b/packages/customers/JobCaller.ts
@@ -3,7 +3,7 @@
 /** Caller of a request about a job, and the queue that the request came through. */
 export interface JobCaller {
   readonly queue: string;
-  /** True when the queue is open to all. */
+  /** True when the queue admits requests without a key. */
   readonly isOpen: boolean;
   /** Undefined for a request without a known key. */
   readonly customer?: CustomerName | undefined;
--- a/packages/customers/JobRateMeter.ts
+++ b/packages/customers/JobRateMeter.ts
@@ -2,15 +2,15 @@
 import type { JobCustomer } from './JobCustomer';
 
 interface Bucket {
-  /** Jobs that are within the share now. */
+  /** Number of further jobs that are within the share at `filledAt`. */
   tokens: number;
-  /** Wall clock time of the newest job, in Unix milliseconds. */
+  /** Newest acceptance time of the customer's jobs, in Unix milliseconds. */
   filledAt: number;
 }
 
 const MS_PER_S = 1000;
-/** Lets customers with a weight below 1 send single jobs within their share. */
-const MIN_CAPACITY = 1;
+/** Minimum capacity of a bucket in jobs, so that customers with a weight below 1 can send single jobs within their share. */
+const MIN_BUCKET_CAPACITY = 1;
 
 /**
  * Finds the jobs that are over their customer's share of `weight` jobs per second, with a token bucket per customer that holds the
@@ -19,12 +19,15 @@
 export class JobRateMeter {
   private readonly buckets = new Map<CustomerName, Bucket>();
 
-  /** Counts a job that was accepted at a time in Unix milliseconds. Returns true when it is over the share. */
+  /**
+   * Counts a job that was accepted at a time in Unix milliseconds. Returns true, and takes no token, when it is over the
+   * share; false for a customer of weight 0, which has no share.
+   */
   recordJob({ name, weight }: JobCustomer, acceptedAtMs: number): boolean {
     if (weight === 0) {
       return false;
     }
-    const capacity = Math.max(MIN_CAPACITY, weight);
+    const capacity = Math.max(MIN_BUCKET_CAPACITY, weight);
     const bucket = this.buckets.get(name) ?? { tokens: capacity, filledAt: acceptedAtMs };
     // Jobs of several boxes may arrive out of order, which must not fill the bucket twice.
     const elapsedMs = Math.max(0, acceptedAtMs - bucket.filledAt);
--- a/packages/customers/checkCaller.ts
+++ b/packages/customers/checkCaller.ts
@@ -7,8 +7,8 @@
   /** True when the queue is open to all. */
   readonly isOpen: boolean;
   readonly customers: CustomerDirectory;
-  /** False when keys may have been revoked without this box knowing, and the settings require a fresh configuration. */
-  readonly isFresh: boolean;
+  /** False when the settings require a fresh configuration, and that of this box is too old. */
+  readonly isConfigFresh: boolean;
 }
 
 const toRefusal = (key: CallerKey): CallerCheck => ({
@@ -16,13 +16,16 @@
   reason: key.kind === 'none' ? 'no key' : key.kind === 'malformed' ? 'malformed key' : 'unknown key',
 });
 
-/** Decides whether a request may use a queue, and for which customer. */
-export const checkCaller = ({ key, isOpen, customers, isFresh }: CallerCheckInput): CallerCheck => {
+/**
+ * Checks whether a request may use a queue, and for which customer. An open queue admits every request; any other needs a fresh
+ * configuration and a known key.
+ */
+export const checkCaller = ({ key, isOpen, customers, isConfigFresh }: CallerCheckInput): CallerCheck => {
   const customer = key.kind === 'given' ? customers.findByKey(key.key) : undefined;
   if (isOpen) {
     return { kind: 'admitted', customer };
   }
-  if (!isFresh) {
+  if (!isConfigFresh) {
     return { kind: 'stale' };
   }
   return customer === undefined ? toRefusal(key) : { kind: 'admitted', customer };
--- a/packages/customers/customerLimits.ts
+++ b/packages/customers/customerLimits.ts
@@ -4,7 +4,7 @@
 
 const DIMENSIONS = ['cpuMillis', 'memoryMb', 'accelerators'] as const satisfies readonly (keyof TaskDemand)[];
 
-/** Returns how many tasks of one demand fit into subject is left of a limit; Infinity when nothing limits them. */
+/** Returns how many tasks of one demand fit into the unused part of a limit; Infinity when no dimension that they need is limited. */
 const countFittingTasks = (limit: TaskDemand, used: TaskDemand, demand: TaskDemand): number => {
   let count = Infinity;
   for (const dimension of DIMENSIONS) {
@@ -16,7 +16,10 @@
   return count;
 };
 
-/** Returns why steps could never run under a limit, even with nothing else running; undefined when they could. */
+/**
+ * Returns why a step could never run under a limit, even with nothing else running: one of its tasks, or its whole gang, exceeds it.
+ * Returns undefined when all could.
+ */
 const checkSteps = (steps: readonly JobStep[], limit: TaskDemand): string | undefined => {
   for (const [number, step] of steps.entries()) {
     const needed = step.isGang ? step.count : 1;
@@ -28,5 +31,5 @@
   return undefined;
 };
 
-/** Arithmetic on the limits of customers. 0 means no limit in a dimension. */
+/** Checks of demands against the limits of customers. 0 means no limit in a dimension. */
 export const customerLimits = { countFittingTasks, checkSteps } as const;
--- a/packages/dispatch/Dispatcher.ts
+++ b/packages/dispatch/Dispatcher.ts
@@ -595,7 +595,7 @@
       endpoint.recordDeregistration();
       this.endpoints.set(task.endpoint, endpoint);
     }
-    const run = createPlacedRun(definition, address, task.run, now, {
+    const run = createPlacedRun(definition, address, task.runNumber, now, {
       isCrashSuspect: isCrashSuspect(task.crashes),
     });
     run.stage = 'unconfirmed';
--- a/packages/dispatch/LeaderController.ts
+++ b/packages/dispatch/LeaderController.ts
@@ -336,7 +336,7 @@
   private handleTick(): void {
     const now = this.options.clock.getNow();
     this.journal.handleTick(now);
-    this.batcher.handleTick(now);
+    this.batcher.writeDueBatches(now);
     if (this.hasTakenOver) {
       this.endpoints.startPendingSessions();
       this.dispatcher.handleTick(now);
--- a/packages/dispatch/advice/AdviceRequester.ts
+++ b/packages/dispatch/advice/AdviceRequester.ts
@@ -168,7 +168,7 @@
         }
         if (task.phase === 'placed') {
           const name = toTaskName(job.definition.id, { repetition: time, step: earlier, index });
-          const run = this.options.endpoints.get(task.endpoint)?.getRun(name, task.run);
+          const run = this.options.endpoints.get(task.endpoint)?.getRun(name, task.runNumber);
           const estimatedMs = job.definition.steps[earlier]!.estimatedMs;
           readyInMs = Math.max(readyInMs, run === undefined ? 0 : estimateRemainingMs(run, estimatedMs, now));
         }
--- a/packages/dispatch/computeLoad.ts
+++ b/packages/dispatch/computeLoad.ts
@@ -59,8 +59,8 @@
         customers.set(customer.name, {
           weight: customer.weight,
           waitingTasks: (known?.waitingTasks ?? 0) + step.indexes.length,
-          waiting: resourceMath.computeSum(known?.waiting ?? resourceMath.ZERO, demand),
-          held: usage.getUsed(customer.name),
+          waitingDemand: resourceMath.computeSum(known?.waitingDemand ?? resourceMath.ZERO, demand),
+          usedResources: usage.getUsedResources(customer.name),
         });
       }
     }
--- a/packages/dispatch/endpoints/EndpointRecords.ts
+++ b/packages/dispatch/endpoints/EndpointRecords.ts
@@ -126,7 +126,7 @@
 
   /** Removes the endpoints whose records have not come back. While the log is unavailable again, its next recovery decides. */
   private removeExpired(): void {
-    if (!this.follower.isFollowing()) {
+    if (!this.follower.isUpToDate()) {
       return;
     }
     const remainingMs = this.logRecoveredAt + REREGISTRATION_MS - this.options.clock.getNow();
@@ -143,7 +143,7 @@
   /** Returns true until the log has been available long enough for endpoints to register again. */
   private isLogRecovering(): boolean {
     const reachableMs = this.options.clock.getNow() - this.logRecoveredAt;
-    return !this.follower.isFollowing() || reachableMs < REREGISTRATION_MS;
+    return !this.follower.isUpToDate() || reachableMs < REREGISTRATION_MS;
   }
 
   private handleDeletion(id: EndpointId): void {
--- a/packages/dispatch/placing/StepLimiter.ts
+++ b/packages/dispatch/placing/StepLimiter.ts
@@ -19,7 +19,7 @@
    */
   computeStartable(step: WaitingStep): WaitingStep | undefined {
     const { customer } = step.job.definition;
-    return customer === undefined ? step : this.computePart(step, this.usage.getUsed(customer.name));
+    return customer === undefined ? step : this.computePart(step, this.usage.getUsedResources(customer.name));
   }
 
   /** Returns the largest part of a step that may run at once when nothing else of the customer does; undefined for none. */
--- a/packages/dispatch/placing/StepPlacer.ts
+++ b/packages/dispatch/placing/StepPlacer.ts
@@ -194,7 +194,7 @@
         isSuspect,
         crashes: task.crashes.length,
         isGang: step.shape.isGang,
-        failures: task.failures,
+        failures: task.failureCount,
       };
       const endpoint = this.chooseEndpoint(step, allowed, candidate, computePreferenceCost, now);
       if (endpoint === undefined && task.crashes.length > 0) {
@@ -204,7 +204,7 @@
       if (endpoint === undefined) {
         break;
       }
-      const nextRun = step.shape.isGang ? runNumber : task.run + 1;
+      const nextRun = step.shape.isGang ? runNumber : task.runNumber + 1;
       const isFromStart = task.checkpoint === '';
       const run = createPlacedRun(step.job.definition, address, nextRun, now, {
         isFromStart,
@@ -267,7 +267,7 @@
 
   /** Returns the run number for all members of a gang: one above the highest used. */
   private computeNextRun({ job, repetition: time, step }: WaitingStep): number {
-    return 1 + Math.max(0, ...job.progress.listTasks(time, step).map((task) => task.run));
+    return 1 + Math.max(0, ...job.progress.listTasks(time, step).map((task) => task.runNumber));
   }
 
   private getAdvice({ job, repetition: time, step }: WaitingStep): ReturnType<LiveJob['getAdvice']> {
@@ -288,7 +288,7 @@
       const { address, task } = run;
       const endpoint = state.getProfile().incarnation;
       const checkpoint = shape.isGang ? gangCheckpoint : progress.getTask(address)!.checkpoint;
-      progress.recordPlaced(address, run.run, endpoint);
+      progress.recordRunPlaced(address, run.run, endpoint);
       run.waits = waits;
       const command = { task, run: run.run, spec: definition.spec, checkpoint, ticket };
       this.options.advice.recordTicketUse(step, endpoint);
--- a/packages/dispatch/placing/SuspectCosts.ts
+++ b/packages/dispatch/placing/SuspectCosts.ts
@@ -46,7 +46,7 @@
         return false;
       }
       const name = toTaskName(job.definition.id, { repetition: time, step, index });
-      const run = this.endpoints.get(task.endpoint)?.getRun(name, task.run);
+      const run = this.endpoints.get(task.endpoint)?.getRun(name, task.runNumber);
       return run !== undefined && !isPastStartup(run);
     });
   }
--- a/packages/dispatch/runs/GangMonitor.ts
+++ b/packages/dispatch/runs/GangMonitor.ts
@@ -38,7 +38,7 @@
       const endpoint = this.endpoints.get(task.endpoint);
       const run = endpoint?.getRun(
         toTaskName(job.definition.id, { repetition: time, step, index }),
-        task.run,
+        task.runNumber,
       );
       if (task.phase === 'placed' && endpoint !== undefined && run !== undefined) {
         this.handleRemainingMember(endpoint, run);
--- a/packages/dispatch/runs/RunTracker.ts
+++ b/packages/dispatch/runs/RunTracker.ts
@@ -55,7 +55,7 @@
     if (gangCheckpoint !== undefined) {
       job?.recordGangCheckpoint(run.address.repetition, run.address.step, gangCheckpoint);
     }
-    if (job?.progress.recordEnd(run.address, run.run, outcome, newestCheckpoint) === true) {
+    if (job?.progress.recordRunEnd(run.address, run.run, outcome, newestCheckpoint) === true) {
       job.changedAt = now;
       job.trace.recordRun(run, endpoint.getProfile(), end, now);
       this.callbacks.handleChanged(run.job);
@@ -114,7 +114,7 @@
     run.transferredFrom = from.getProfile().incarnation;
     to.addRun(run);
     const { incarnation } = to.getProfile();
-    this.jobs.get(run.job)?.progress.recordTransfer(run.address, run.run, incarnation);
+    this.jobs.get(run.job)?.progress.recordRunTransfer(run.address, run.run, incarnation);
     this.callbacks.handleChanged(run.job);
     this.sendLogLine('Run may have reached the next life.', {
       job: run.job,
@@ -219,7 +219,7 @@
     const { definition, trace } = job;
     const lateMs = wallMs - job.getObjectiveAtMs(definition.times - 1);
     if (ending === 'failed' || (ending === 'completed' && lateMs > 0)) {
-      const account = trace.createAccount(definition, ending, wallMs);
+      const account = trace.createHistory(definition, ending, wallMs);
       this.sendLogLine('Job ended late.', formatLateJob(account, lateMs));
     }
   }
--- a/packages/dispatch/waiting/LiveJob.ts
+++ b/packages/dispatch/waiting/LiveJob.ts
@@ -4,7 +4,7 @@
 import type { TaskAddress } from '../../jobs/TaskAddress';
 import type { TaskName } from '../../jobs/TaskName';
 import { computeCriticalPaths } from '../../jobs/computeCriticalPaths';
-import { computeStepWork } from '../../jobs/computeStepWork';
+import { computeTaskWorkMs } from '../../jobs/computeTaskWorkMs';
 import { toTaskName } from '../../jobs/toTaskName';
 import { JobTrace } from '../../logging/JobTrace';
 import { StepAdvice } from '../advice/StepAdvice';
@@ -95,7 +95,7 @@
   /** Returns the critical path after a step, in milliseconds. */
   getCriticalPathAfterMs(step: number): number {
     const shape = this.definition.steps[step];
-    const ownMs = shape === undefined ? 0 : computeStepWork(shape);
+    const ownMs = shape === undefined ? 0 : computeTaskWorkMs(shape);
     return this.getCriticalPathMs(step) - ownMs;
   }
 
@@ -256,8 +256,8 @@
   countFailures(time: number, step: number, index: number): number {
     const tasks = this.progress.listTasks(time, step);
     if (this.definition.steps[step]?.isGang === true) {
-      return tasks.reduce((sum, task) => sum + task.failures, 0);
+      return tasks.reduce((sum, task) => sum + task.failureCount, 0);
     }
-    return tasks[index]?.failures ?? 0;
+    return tasks[index]?.failureCount ?? 0;
   }
 }
--- a/packages/dispatch/waiting/placementOrders.ts
+++ b/packages/dispatch/waiting/placementOrders.ts
@@ -23,7 +23,7 @@
   const { customer } = job.definition;
   return customer === undefined || customer.weight === 0
     ? 0
-    : usage.getUsed(customer.name).cpuMillis / customer.weight;
+    : usage.getUsedResources(customer.name).cpuMillis / customer.weight;
 };
 
 const compareUsage: Comparator = (left, right, { usage }) =>
--- a/packages/gateway/CallerAuthorizer.ts
+++ b/packages/gateway/CallerAuthorizer.ts
@@ -19,7 +19,7 @@
   checkCall({ queue, isOpen }: QueueRoute, key: CallerKey): CallerCheck {
     const { router, isFresh, handleRejected: handleRefused } = this.options;
     const customers = router.getCustomers();
-    const check = checkCaller({ key, isOpen, customers, isFresh: isFresh() });
+    const check = checkCaller({ key, isOpen, customers, isConfigFresh: isFresh() });
     if (check.kind !== 'admitted') {
       handleRefused(queue.name, check.kind === 'refused' ? check.reason : 'configuration too old');
     }
--- a/packages/jobs/JobDefinition.ts
+++ b/packages/jobs/JobDefinition.ts
@@ -7,7 +7,7 @@
 export interface JobDefinition {
   readonly id: JobId;
   readonly queue: JobQueue;
-  /** Undefined for jobs submitted without a key. */
+  /** Customer of the API key that the job was submitted with; undefined without a known key. */
   readonly customer?: JobCustomer;
   /** Opaque text that is passed to each task. */
   readonly spec: string;
@@ -16,7 +16,8 @@
   readonly times: number;
   /** Due time of the first repetition in Unix milliseconds; 0 for a job that is not repeated. */
   readonly firstRunMs: number;
+  /** Time between the due times of repetitions, in milliseconds; 0 for a job that is not repeated. */
   readonly intervalMs: number;
-  /** Wall clock of the accepting box, in Unix milliseconds. Orders jobs. */
+  /** Wall clock of the accepting box, at acceptance, in Unix milliseconds. */
   readonly acceptedAtMs: number;
 }
--- a/packages/jobs/JobProgress.ts
+++ b/packages/jobs/JobProgress.ts
@@ -10,8 +10,8 @@
 const NO_ENDPOINT = toId<EndpointIncarnation>('');
 const INITIAL_PROGRESS: TaskProgress = {
   phase: 'waiting',
-  run: 0,
-  failures: 0,
+  runNumber: 0,
+  failureCount: 0,
   endpoint: NO_ENDPOINT,
   checkpoint: '',
   crashes: [],
@@ -19,36 +19,38 @@
 };
 
 /**
- * Progress of one job: a table of tasks by [time][step][index], and the outcome of the job.
+ * Progress of one job: a table of tasks by [repetition][step][index], and the outcome of the job.
  * Pure state without clock or I/O. Updates name the run that they concern and are ignored for older runs, so that it is safe to
  * apply one twice or late.
  */
 export class JobProgress {
   private readonly tasks: TaskProgress[][][] = [];
-  /** Number of tasks that are not done, by [time][step]. */
-  private readonly openCounts: number[][] = [];
-  private openTotal = 0;
+  /** Number of tasks that are not done, by [repetition][step]. */
+  private readonly openTaskCounts: number[][] = [];
+  private openTaskTotal = 0;
+  /** True once any task has had a run. */
   private hasStarted = false;
   /** Wall clock of the job's end in Unix milliseconds; 0 until then. */
   private endedAtMs = 0;
-  private ending: 'completed' | 'failed' | 'cancelled' | undefined;
+  /** Outcome of the job; undefined while it has not ended. */
+  private finalState: 'completed' | 'failed' | 'cancelled' | undefined;
   /** Increases with each change of a task. */
   private version = 0;
 
   constructor(private readonly definition: JobDefinition) {
-    for (let time = 0; time < definition.times; time += 1) {
+    for (let repetition = 0; repetition < definition.times; repetition += 1) {
       this.tasks.push(definition.steps.map((step) => Array<TaskProgress>(step.count).fill(INITIAL_PROGRESS)));
-      this.openCounts.push(definition.steps.map((step) => step.count));
+      this.openTaskCounts.push(definition.steps.map((step) => step.count));
     }
-    this.openTotal = definition.times * definition.steps.reduce((sum, step) => sum + step.count, 0);
+    this.openTaskTotal = definition.times * definition.steps.reduce((sum, step) => sum + step.count, 0);
   }
 
   getTask(address: TaskAddress): TaskProgress | undefined {
     return this.tasks[address.repetition]?.[address.step]?.[address.index];
   }
 
-  listTasks(time: number, step: number): readonly TaskProgress[] {
-    return this.tasks[time]?.[step] ?? [];
+  listTasks(repetition: number, step: number): readonly TaskProgress[] {
+    return this.tasks[repetition]?.[step] ?? [];
   }
 
   /** Returns a number that increases with each change of a task. */
@@ -57,7 +59,7 @@
   }
 
   getState(): JobState {
-    return this.ending ?? (this.hasStarted ? 'running' : 'queued');
+    return this.finalState ?? (this.hasStarted ? 'running' : 'queued');
   }
 
   getEndedAtMs(): number {
@@ -65,71 +67,80 @@
   }
 
   isEnded(): boolean {
-    return this.ending !== undefined;
+    return this.finalState !== undefined;
   }
 
-  isStepDone(time: number, step: number): boolean {
-    return this.openCounts[time]?.[step] === 0;
+  isStepDone(repetition: number, step: number): boolean {
+    return this.openTaskCounts[repetition]?.[step] === 0;
   }
 
   /** Returns how many tasks of a step are not done. */
-  countOpenTasks(time: number, step: number): number {
-    return this.openCounts[time]?.[step] ?? 0;
+  countOpenTasks(repetition: number, step: number): number {
+    return this.openTaskCounts[repetition]?.[step] ?? 0;
   }
 
   /** Returns true when all steps that this one depends on are done. */
-  isStepReady(time: number, step: number): boolean {
-    return this.definition.steps[step]?.dependsOn.every((earlier) => this.isStepDone(time, earlier)) ?? false;
+  isStepReady(repetition: number, step: number): boolean {
+    return this.definition.steps[step]?.dependsOn.every((one) => this.isStepDone(repetition, one)) ?? false;
   }
 
   isAllDone(): boolean {
-    return this.openTotal === 0;
+    return this.openTaskTotal === 0;
   }
 
-  /** Records that a run was placed. */
-  recordPlaced(address: TaskAddress, run: number, endpoint: EndpointIncarnation): void {
+  /**
+   * Records that a run was placed on an endpoint, so that the task is `placed`. Ignored when the task is done or has had that run or a
+   * later one.
+   */
+  recordRunPlaced(address: TaskAddress, runNumber: number, endpoint: EndpointIncarnation): void {
     const task = this.getTask(address);
-    if (task === undefined || task.phase === 'done' || run <= task.run) {
+    if (task === undefined || task.phase === 'done' || runNumber <= task.runNumber) {
       return;
     }
     this.hasStarted = true;
-    this.setTask(address, { ...task, phase: 'placed', run, endpoint });
+    this.setTask(address, { ...task, phase: 'placed', runNumber, endpoint });
   }
 
-  /** Records that the newest run may have started on another incarnation than the one it was placed on. Ignored after its end. */
-  recordTransfer(address: TaskAddress, run: number, endpoint: EndpointIncarnation): void {
+  /**
+   * Sets the endpoint of the newest run, which may have started on another incarnation than the one it was placed on. Ignored for an older
+   * run and after its end.
+   */
+  recordRunTransfer(address: TaskAddress, runNumber: number, endpoint: EndpointIncarnation): void {
     const task = this.getTask(address);
-    if (task?.phase === 'placed' && task.run === run) {
+    if (task?.phase === 'placed' && task.runNumber === runNumber) {
       this.setTask(address, { ...task, endpoint });
     }
   }
 
-  /** Records how the newest run ended. Returns false for an older run and for one that has already ended. */
-  recordEnd(address: TaskAddress, run: number, outcome: RunOutcome, checkpoint: string): boolean {
+  /**
+   * Records how the newest run ended: the task is done, or waits again with the checkpoint if one is given. A failed run is counted.
+   * Returns false, without a change, for another run than the newest and for one that has already ended.
+   */
+  recordRunEnd(address: TaskAddress, runNumber: number, outcome: RunOutcome, checkpoint: string): boolean {
     const task = this.getTask(address);
-    if (task === undefined || task.phase !== 'placed' || task.run !== run) {
+    if (task === undefined || task.phase !== 'placed' || task.runNumber !== runNumber) {
       return false;
     }
     const kept = checkpoint === '' ? task.checkpoint : checkpoint;
     if (outcome === 'done') {
-      this.setDone(address, task);
+      this.setTaskDone(address, task);
       return true;
     }
-    const failures = task.failures + (outcome === 'failed' ? 1 : 0);
-    this.setTask(address, { ...task, phase: 'waiting', failures, checkpoint: kept });
+    const failureCount = task.failureCount + (outcome === 'failed' ? 1 : 0);
+    this.setTask(address, { ...task, phase: 'waiting', failureCount, checkpoint: kept });
     return true;
   }
 
   /** Records that all tasks of a gang are done, including those whose own end was not reported. */
-  recordGangDone(time: number, step: number): void {
-    for (const [index, task] of this.listTasks(time, step).entries()) {
+  recordGangDone(repetition: number, step: number): void {
+    for (const [index, task] of this.listTasks(repetition, step).entries()) {
       if (task.phase !== 'done') {
-        this.setDone({ repetition: time, step, index }, task);
+        this.setTaskDone({ repetition, step, index }, task);
       }
     }
   }
 
-  /** Records a newer checkpoint of a task. */
+  /** Sets the checkpoint of a task. Ignored for an empty one and when the task is done. */
   recordCheckpoint(address: TaskAddress, checkpoint: string): void {
     const task = this.getTask(address);
     if (task !== undefined && task.phase !== 'done' && checkpoint !== '') {
@@ -137,15 +148,18 @@
     }
   }
 
-  /** Sets the number of failed runs, as read from the log. */
-  recordFailures(address: TaskAddress, failures: number): void {
+  /** Sets the number of failed runs of a task, as read from the log. */
+  setFailureCount(address: TaskAddress, failureCount: number): void {
     const task = this.getTask(address);
     if (task !== undefined) {
-      this.setTask(address, { ...task, failures });
+      this.setTask(address, { ...task, failureCount });
     }
   }
 
-  /** Records the crash of an endpoint under a task, in place of an earlier record of the same crash. */
+  /**
+   * Records the confirmed crash of an endpoint under a task, in place of an earlier crash of that endpoint, confirmed or not. Ignored when
+   * the task is done.
+   */
   recordCrash(address: TaskAddress, crash: TaskCrash): void {
     const task = this.getTask(address);
     if (task !== undefined && task.phase !== 'done') {
@@ -159,7 +173,10 @@
     }
   }
 
-  /** Records the crash of an endpoint that is not confirmed yet, in place of an earlier record of the same crash. */
+  /**
+   * Records the unconfirmed crash of an endpoint under a task, in place of an earlier unconfirmed one of that endpoint. Ignored when the
+   * task is done.
+   */
   recordUnconfirmedCrash(address: TaskAddress, crash: TaskCrash): void {
     const task = this.getTask(address);
     if (task !== undefined && task.phase !== 'done') {
@@ -168,7 +185,7 @@
     }
   }
 
-  /** Removes the unconfirmed crash of an endpoint, if there is one. */
+  /** Removes the unconfirmed crash of an endpoint from a task, if there is one. */
   removeUnconfirmedCrash(address: TaskAddress, endpoint: EndpointIncarnation): void {
     const task = this.getTask(address);
     if (task?.unconfirmedCrashes.some((crash) => crash.endpoint === endpoint) === true) {
@@ -179,7 +196,7 @@
     }
   }
 
-  /** Removes the crashes, confirmed or not, that match a predicate. Returns false when none did. */
+  /** Removes the crashes of a task, confirmed or not, that match a predicate. Returns false when none did. */
   removeCrashes(address: TaskAddress, isRemoved: (crash: TaskCrash) => boolean): boolean {
     const task = this.getTask(address);
     if (task === undefined || ![...task.crashes, ...task.unconfirmedCrashes].some(isRemoved)) {
@@ -194,19 +211,19 @@
     return true;
   }
 
-  /** Records the outcome of the job. Ignored when it has one. */
+  /** Records the outcome of the job and the wall clock of its end, in Unix milliseconds. Ignored when it has an outcome. */
   recordJobEnd(ending: 'completed' | 'failed' | 'cancelled', atMs: number): void {
-    if (this.ending === undefined) {
-      this.ending = ending;
+    if (this.finalState === undefined) {
+      this.finalState = ending;
       this.endedAtMs = atMs;
     }
   }
 
-  private setDone(address: TaskAddress, task: TaskProgress): void {
+  private setTaskDone(address: TaskAddress, task: TaskProgress): void {
     this.setTask(address, { ...task, phase: 'done', checkpoint: '', crashes: [], unconfirmedCrashes: [] });
-    const steps = this.openCounts[address.repetition]!;
+    const steps = this.openTaskCounts[address.repetition]!;
     steps[address.step] = steps[address.step]! - 1;
-    this.openTotal -= 1;
+    this.openTaskTotal -= 1;
   }
 
   private setTask(address: TaskAddress, task: TaskProgress): void {
--- a/packages/jobs/JobQueue.ts
+++ b/packages/jobs/JobQueue.ts
@@ -6,21 +6,21 @@
   readonly service: ServiceName;
   /** 0 is the highest priority. */
   readonly priority: number;
-  /** Runs of one task that may fail before its job fails. */
+  /** Number of failed runs of one task at which its job fails. */
   readonly attempts: number;
   /** Factor on the critical path of estimated work in the latency objective. */
   readonly stretch: number;
-  /** Constant part of the latency objective. */
+  /** Constant part of the latency objective, in milliseconds. */
   readonly targetLatencyMs: number;
   /** Present when steps may only run on endpoints that the advice service has approved. */
   readonly advice?: AdviceTimings;
 }
 
 interface AdviceTimings {
-  /** Duration of one call. */
+  /** Expected duration of one call to the advice service, in milliseconds. */
   readonly decisionMs: number;
-  /** Additional duration for each endpoint in the call. */
+  /** Additional duration for each endpoint in the call, in milliseconds. */
   readonly perEndpointMs: number;
-  /** Validity of a ticket. */
+  /** Validity of a ticket, in milliseconds. */
   readonly validityMs: number;
 }
--- a/packages/jobs/JobReplica.ts
+++ b/packages/jobs/JobReplica.ts
@@ -17,11 +17,14 @@
 /** All jobs in the log: accepted definitions, cancellations, and the newest state of each. */
 export class JobReplica {
   private readonly definitions = new Map<JobId, JobDefinition>();
-  private readonly cancelled = new Set<JobId>();
+  private readonly cancelledIds = new Set<JobId>();
   /** States written by leaders; a job without one is queued. */
-  private readonly states = new Map<JobId, JobState>();
+  private readonly writtenStates = new Map<JobId, JobState>();
 
-  /** Folds records of the jobs' topic and returns what is new. Idempotent. */
+  /**
+   * Folds records of the jobs' topic, and returns the jobs and cancellations that were not known. An empty definition removes the job and
+   * its cancellation.
+   */
   foldJobRecords(records: readonly LogWrite[]): ReplicaChange {
     const accepted: JobDefinition[] = [];
     const cancelled: JobId[] = [];
@@ -43,7 +46,7 @@
     return { accepted, cancelled, invalid };
   }
 
-  /** Adds a durable job. Returns false when it is known already. */
+  /** Adds a job whose record is in the log. Returns false when its id is known already. */
   recordDefinition(definition: JobDefinition): boolean {
     if (this.definitions.has(definition.id)) {
       return false;
@@ -52,16 +55,16 @@
     return true;
   }
 
-  /** Adds a durable cancellation. Returns false when it is known already. */
+  /** Adds a cancellation whose record is in the log. Returns false when it is known already. */
   recordCancel(id: JobId): boolean {
-    if (this.cancelled.has(id)) {
+    if (this.cancelledIds.has(id)) {
       return false;
     }
-    this.cancelled.add(id);
+    this.cancelledIds.add(id);
     return true;
   }
 
-  /** Folds records of the states' topic, ignoring other keys. */
+  /** Folds the job states among records of the states' topic. An invalid or empty state is removed, so that the job is queued again. */
   foldStateRecords(records: readonly LogRecord[]): void {
     for (const { key, value } of records) {
       const id = jobKeys.parseStateKey(key);
@@ -70,21 +73,21 @@
         continue;
       }
       if (state === undefined) {
-        this.states.delete(id);
+        this.writtenStates.delete(id);
       } else {
-        this.states.set(id, state);
+        this.writtenStates.set(id, state);
       }
     }
   }
 
   /** Sets a newer state that this process has written, before it is read from the log. */
   setState(id: JobId, state: JobState): void {
-    this.states.set(id, state);
+    this.writtenStates.set(id, state);
   }
 
-  /** Returns the newest state written by a leader. */
+  /** Returns the newest state written by a leader; `queued` without one. Cancellations do not count. */
   getWrittenState(id: JobId): JobState {
-    return this.states.get(id) ?? 'queued';
+    return this.writtenStates.get(id) ?? 'queued';
   }
 
   getDefinition(id: JobId): JobDefinition | undefined {
@@ -95,7 +98,7 @@
     return this.definitions.size;
   }
 
-  /** Lists all jobs in order of acceptance. The order is the same in every process. */
+  /** Lists all jobs in order of acceptance time, then of id. The order is the same in every process. */
   listDefinitionsInOrder(): readonly JobDefinition[] {
     return [...this.definitions.values()].sort(
       (left, right) => left.acceptedAtMs - right.acceptedAtMs || (left.id < right.id ? -1 : 1),
@@ -103,24 +106,26 @@
   }
 
   isCancelled(id: JobId): boolean {
-    return this.cancelled.has(id);
+    return this.cancelledIds.has(id);
   }
 
-  /** Returns the state as callers see it; undefined for an unknown job. */
+  /**
+   * Returns the state as callers see it: `cancelled` from the cancellation on, unless completed or failed; undefined for an unknown job.
+   */
   getState(id: JobId): JobState | undefined {
     if (!this.definitions.has(id)) {
       return undefined;
     }
     const state = this.getWrittenState(id);
     const isEnded = state === 'completed' || state === 'failed';
-    return this.cancelled.has(id) && !isEnded ? 'cancelled' : state;
+    return this.cancelledIds.has(id) && !isEnded ? 'cancelled' : state;
   }
 
-  /** Counts the jobs of a queue that have neither started nor been cancelled. */
+  /** Counts the jobs of a queue that have neither a state from a leader nor been cancelled. */
   countPending(queueName: string): number {
     let count = 0;
     for (const definition of this.definitions.values()) {
-      const isPending = !this.states.has(definition.id) && !this.cancelled.has(definition.id);
+      const isPending = !this.writtenStates.has(definition.id) && !this.cancelledIds.has(definition.id);
       if (definition.queue.name === queueName && isPending) {
         count += 1;
       }
@@ -131,7 +136,7 @@
   private foldDefinition(id: JobId, value: string): JobDefinition | 'unreadable' | undefined {
     if (value === '') {
       this.definitions.delete(id);
-      this.cancelled.delete(id);
+      this.cancelledIds.delete(id);
       return undefined;
     }
     if (this.definitions.has(id)) {
--- a/packages/jobs/JobStep.ts
+++ b/packages/jobs/JobStep.ts
@@ -18,11 +18,13 @@
   readonly dataRack: string;
   /** Maximum number of tasks of the step on one endpoint; 0 for no limit. */
   readonly maxPerEndpoint: number;
+  /** The caller allows several runs of a task at the same time. Stored only; scheduling ignores it. */
   readonly allowsDuplicates: boolean;
   /** The tasks run until the job is cancelled, and are restarted whenever they end. */
   readonly isLongRunning: boolean;
+  /** The tasks save checkpoints, from which a later run continues. */
   readonly isCheckpointing: boolean;
-  /** Image that the tasks run, by which run times are learnt; empty when not given. */
+  /** Name of the image that the tasks run, by which run times are learnt; empty when not given. */
   readonly image: string;
   /** Tail latency objective of a long-running task in milliseconds; 0 for none. */
   readonly targetMs: number;
--- a/packages/jobs/TaskName.ts
+++ b/packages/jobs/TaskName.ts
@@ -1,4 +1,4 @@
 import type { Brand } from '../common/Brand';
 
-/** Name of a task: `JOB.TIME.STEP.INDEX`, unique over all jobs. */
+/** Name of a task: `JOB.REPETITION.STEP.INDEX`, unique over all jobs. */
 export type TaskName = Brand<string, 'TaskName'>;
--- a/packages/jobs/TaskProgress.ts
+++ b/packages/jobs/TaskProgress.ts
@@ -6,15 +6,15 @@
 export interface TaskProgress {
   readonly phase: TaskPhase;
   /** Number of the newest run; 0 before the first. Never decreases. */
-  readonly run: number;
+  readonly runNumber: number;
   /** Number of failed runs. */
-  readonly failures: number;
+  readonly failureCount: number;
   /** Endpoint of the newest run; empty before the first. */
   readonly endpoint: EndpointIncarnation;
-  /** Newest checkpoint; empty for none. */
+  /** Newest checkpoint; empty for none and for a done task. */
   readonly checkpoint: string;
-  /** Crashes of endpoints under the task since one of its runs was last past startup. */
+  /** Confirmed crashes of endpoints under the task that are put down to it. */
   readonly crashes: readonly TaskCrash[];
-  /** Unconfirmed crashes: endpoints that became unreachable under the task. They count once the crash is confirmed. */
+  /** Crashes of endpoints that became unreachable under the task and have not been confirmed. */
   readonly unconfirmedCrashes: readonly TaskCrash[];
 }
--- a/packages/jobs/checkDefinition.ts
+++ b/packages/jobs/checkDefinition.ts
@@ -1,9 +1,12 @@
 import type { JobStep } from './JobStep';
 
 /** Maximum number of tasks of a job over all steps and repetitions. Bounds the memory that one job takes on a box. */
-const MAX_TASKS = 100_000;
+const MAX_TASKS_PER_JOB = 100_000;
 
-/** Returns why the steps of a job are invalid; undefined when they are valid. */
+/**
+ * Returns why the steps of a job with a number of repetitions are invalid: none, a dependency that is not an earlier step, or too many
+ * tasks. Returns undefined when they are valid.
+ */
 export const checkDefinition = (steps: readonly JobStep[], times: number): string | undefined => {
   if (steps.length === 0) {
     return 'steps: expected at least one';
@@ -21,5 +24,7 @@
       return `steps[${number}]: waits for step ${later}, which is not an earlier step`;
     }
   }
-  return taskCount > MAX_TASKS ? `steps: ${taskCount} tasks in all; at most ${MAX_TASKS}` : undefined;
+  return taskCount > MAX_TASKS_PER_JOB
+    ? `steps: ${taskCount} tasks in all; at most ${MAX_TASKS_PER_JOB}`
+    : undefined;
 };
--- a/packages/jobs/computeMaxUsefulMs.ts
+++ b/packages/jobs/computeMaxUsefulMs.ts
@@ -1,5 +1,5 @@
 /** A result is useful to its caller up to this multiple of the latency objective. */
-const USEFUL_FACTOR = 3;
+const USEFUL_LATENCY_FACTOR = 3;
 
 /** Computes the latency up to which the result of a job is useful to its caller, from its objective; both in milliseconds. */
-export const computeMaxUsefulMs = (objectiveMs: number): number => USEFUL_FACTOR * objectiveMs;
+export const computeMaxUsefulMs = (objectiveMs: number): number => USEFUL_LATENCY_FACTOR * objectiveMs;
--- a/packages/jobs/definitionSchema.ts
+++ b/packages/jobs/definitionSchema.ts
@@ -5,38 +5,38 @@
 import type { JobId } from './JobId';
 import { queueSchema } from './queueSchema';
 
-const whole = z.number().int().min(0).max(Number.MAX_SAFE_INTEGER);
+const wholeSchema = z.number().int().min(0).max(Number.MAX_SAFE_INTEGER);
 
-const flag = z.boolean().default(false);
-const text = z.string().default('');
+const flagSchema = z.boolean().default(false);
+const textSchema = z.string().default('');
 
-const amount = z.number().min(0);
-const demandSchema = z.object({ cpuMillis: whole, memoryMb: whole, accelerators: whole });
+const amountSchema = z.number().min(0);
+const demandSchema = z.object({ cpuMillis: wholeSchema, memoryMb: wholeSchema, accelerators: wholeSchema });
 
-/** `formatDefinition` omits the default values. */
+/** Schema of a step. `formatDefinition` omits values that equal the defaults. */
 const stepSchema = z.object({
-  count: whole,
+  count: wholeSchema,
   demand: demandSchema,
   estimatedMs: z.number().default(0),
-  dependsOn: z.array(whole).default([]),
-  isGang: flag,
-  isSameRack: flag,
-  requiredLabel: text,
-  dataRack: text,
-  maxPerEndpoint: whole.default(0),
-  allowsDuplicates: flag,
-  isLongRunning: flag,
-  isCheckpointing: flag,
-  image: text,
+  dependsOn: z.array(wholeSchema).default([]),
+  isGang: flagSchema,
+  isSameRack: flagSchema,
+  requiredLabel: textSchema,
+  dataRack: textSchema,
+  maxPerEndpoint: wholeSchema.default(0),
+  allowsDuplicates: flagSchema,
+  isLongRunning: flagSchema,
+  isCheckpointing: flagSchema,
+  image: textSchema,
   targetMs: z.number().default(0),
-  isFiller: flag,
-  missAllowed: whole.default(0),
+  isFiller: flagSchema,
+  missAllowed: wholeSchema.default(0),
 });
 
 const customerSchema = z.object({
   name: z.string().transform((text) => toId<CustomerName>(text)),
-  weight: amount.default(0),
-  limit: z.object({ cpuMillis: amount, memoryMb: amount, accelerators: amount }),
+  weight: amountSchema.default(0),
+  limit: z.object({ cpuMillis: amountSchema, memoryMb: amountSchema, accelerators: amountSchema }),
 });
 
 /** Schema of the log record of an accepted job. */
@@ -46,7 +46,7 @@
   customer: customerSchema.exactOptional(),
   spec: z.string(),
   steps: z.array(stepSchema),
-  times: whole,
+  times: wholeSchema,
   firstRunMs: z.number(),
   intervalMs: z.number(),
   acceptedAtMs: z.number(),
--- a/packages/jobs/formatDefinition.ts
+++ b/packages/jobs/formatDefinition.ts
@@ -1,12 +1,12 @@
 import type { JobDefinition } from './JobDefinition';
 import type { JobStep } from './JobStep';
 
-/** Returns true for the default values of `definitionSchema`. Every box reads every job, so that records are kept short. */
-const isDefault = (value: unknown): boolean =>
+/** Returns true for the default values of `definitionSchema`. */
+const isDefaultValue = (value: unknown): boolean =>
   value === 0 || value === false || value === '' || (Array.isArray(value) && value.length === 0);
 
 const toCompactStep = (step: JobStep): Partial<JobStep> =>
-  Object.fromEntries(Object.entries(step).filter(([, value]) => !isDefault(value)));
+  Object.fromEntries(Object.entries(step).filter(([, value]) => !isDefaultValue(value)));
 
 /** Formats an accepted job as the JSON text of its log record, without the default values in its steps. */
 export const formatDefinition = (definition: JobDefinition): string =>
--- a/packages/jobs/formatProgress.ts
+++ b/packages/jobs/formatProgress.ts
@@ -13,11 +13,11 @@
 /** Lists the tasks that have had a run. */
 const listStartedTasks = (definition: JobDefinition, progress: JobProgress): readonly StartedTask[] => {
   const started: StartedTask[] = [];
-  for (let time = 0; time < definition.times; time += 1) {
+  for (let repetition = 0; repetition < definition.times; repetition += 1) {
     for (const [step] of definition.steps.entries()) {
-      for (const [index, task] of progress.listTasks(time, step).entries()) {
-        if (task.run > 0) {
-          started.push([time, step, index, task]);
+      for (const [index, task] of progress.listTasks(repetition, step).entries()) {
+        if (task.runNumber > 0) {
+          started.push([repetition, step, index, task]);
         }
       }
     }
@@ -31,14 +31,14 @@
 ): readonly TaskCrashRows[] =>
   started
     .filter(([, , , task]) => task[field].length > 0)
-    .map(([time, step, index, task]) => [time, step, index, task[field].map(toCrashRow)]);
+    .map(([repetition, step, index, task]) => [repetition, step, index, task[field].map(toCrashRow)]);
 
 /** Formats the progress of a job as the JSON text of its log record. `parseProgress` reads it back. */
 export const formatProgress = (definition: JobDefinition, progress: JobProgress): string => {
   const started = listStartedTasks(definition, progress);
-  const rows = started.map(([time, step, index, task]) => {
-    const { phase, run, failures, endpoint, checkpoint } = task;
-    return [time, step, index, phase[0]!, run, failures, endpoint, checkpoint];
+  const rows = started.map(([repetition, step, index, task]) => {
+    const { phase, runNumber, failureCount, endpoint, checkpoint } = task;
+    return [repetition, step, index, phase[0]!, runNumber, failureCount, endpoint, checkpoint];
   });
   const crashes = toCrashRows(started, 'crashes');
   const doubts = toCrashRows(started, 'unconfirmedCrashes');
--- a/packages/jobs/jobKeys.ts
+++ b/packages/jobs/jobKeys.ts
@@ -5,7 +5,7 @@
 const PROGRESS_PREFIX = 'p/';
 const STATE_PREFIX = 's/';
 
-const parseKey = (prefix: string, key: string): JobId | undefined =>
+const parseJobKey = (prefix: string, key: string): JobId | undefined =>
   key.startsWith(prefix) ? (key.slice(prefix.length) as JobId) : undefined;
 
 /** Formats and parses the keys of job records in the log. */
@@ -14,8 +14,8 @@
   toCancelKey: (id: JobId): string => `${CANCEL_PREFIX}${id}`,
   toProgressKey: (id: JobId): string => `${PROGRESS_PREFIX}${id}`,
   toStateKey: (id: JobId): string => `${STATE_PREFIX}${id}`,
-  parseDefinitionKey: (key: string) => parseKey(DEFINITION_PREFIX, key),
-  parseCancelKey: (key: string) => parseKey(CANCEL_PREFIX, key),
-  parseProgressKey: (key: string) => parseKey(PROGRESS_PREFIX, key),
-  parseStateKey: (key: string) => parseKey(STATE_PREFIX, key),
+  parseDefinitionKey: (key: string) => parseJobKey(DEFINITION_PREFIX, key),
+  parseCancelKey: (key: string) => parseJobKey(CANCEL_PREFIX, key),
+  parseProgressKey: (key: string) => parseJobKey(PROGRESS_PREFIX, key),
+  parseStateKey: (key: string) => parseJobKey(STATE_PREFIX, key),
 } as const;
--- a/packages/jobs/jobStates.ts
+++ b/packages/jobs/jobStates.ts
@@ -1,6 +1,6 @@
 import type { JobState } from './JobState';
 
-const STATES: ReadonlySet<string> = new Set<JobState>([
+const JOB_STATES: ReadonlySet<string> = new Set<JobState>([
   'queued',
   'running',
   'completed',
@@ -11,5 +11,5 @@
 /** Job states as values of log records. */
 export const jobStates = {
   /** Parses a state; undefined for any other text. */
-  parseState: (text: string): JobState | undefined => (STATES.has(text) ? (text as JobState) : undefined),
+  parseState: (text: string): JobState | undefined => (JOB_STATES.has(text) ? (text as JobState) : undefined),
 } as const;
--- a/packages/jobs/parseProgress.ts
+++ b/packages/jobs/parseProgress.ts
@@ -5,14 +5,14 @@
 import type { JobDefinition } from './JobDefinition';
 import { JobProgress } from './JobProgress';
 
-const whole = z.number().int().nonnegative().max(Number.MAX_SAFE_INTEGER);
+const wholeSchema = z.number().int().nonnegative().max(Number.MAX_SAFE_INTEGER);
 
 const crashRowsSchema = z
   .array(
     z.tuple([
-      whole,
-      whole,
-      whole,
+      wholeSchema,
+      wholeSchema,
+      wholeSchema,
       z.array(
         z.tuple([z.string(), z.enum(['sole', 'shared', 'inherited', 'present', 'unproved']), z.number()]),
       ),
@@ -24,7 +24,16 @@
   ending: z.enum(['completed', 'failed', 'cancelled']).optional(),
   endedAtMs: z.number(),
   tasks: z.array(
-    z.tuple([whole, whole, whole, z.enum(['w', 'p', 'd']), whole, whole, z.string(), z.string()]),
+    z.tuple([
+      wholeSchema,
+      wholeSchema,
+      wholeSchema,
+      z.enum(['w', 'p', 'd']),
+      wholeSchema,
+      wholeSchema,
+      z.string(),
+      z.string(),
+    ]),
   ),
   /** Separate lists for compatibility with versions that neither read nor write them. */
   crashes: crashRowsSchema,
@@ -38,28 +47,29 @@
     return undefined;
   }
   const progress = new JobProgress(definition);
-  for (const [time, step, index, phase, run, failures, endpoint, checkpoint] of parsed.data.tasks) {
-    const address = { repetition: time, step, index };
-    progress.recordPlaced(address, run, toId<EndpointIncarnation>(endpoint));
+  for (const [repetition, step, index, phase, runNumber, failureCount, endpoint, checkpoint] of parsed.data
+    .tasks) {
+    const address = { repetition, step, index };
+    progress.recordRunPlaced(address, runNumber, toId<EndpointIncarnation>(endpoint));
     if (phase !== 'p') {
-      progress.recordEnd(address, run, phase === 'd' ? 'done' : 'interrupted', checkpoint);
+      progress.recordRunEnd(address, runNumber, phase === 'd' ? 'done' : 'interrupted', checkpoint);
     } else {
       progress.recordCheckpoint(address, checkpoint);
     }
-    progress.recordFailures(address, failures);
+    progress.setFailureCount(address, failureCount);
   }
-  for (const [time, step, index, rows] of parsed.data.crashes) {
+  for (const [repetition, step, index, rows] of parsed.data.crashes) {
     for (const [endpoint, blame, ageMs] of rows) {
       progress.recordCrash(
-        { repetition: time, step, index },
+        { repetition, step, index },
         { endpoint: toId<EndpointIncarnation>(endpoint), blame, ageMs },
       );
     }
   }
-  for (const [time, step, index, rows] of parsed.data.doubts) {
+  for (const [repetition, step, index, rows] of parsed.data.doubts) {
     for (const [endpoint, blame, ageMs] of rows) {
       progress.recordUnconfirmedCrash(
-        { repetition: time, step, index },
+        { repetition, step, index },
         { endpoint: toId<EndpointIncarnation>(endpoint), blame, ageMs },
       );
     }
--- a/packages/jobs/parseTaskName.ts
+++ b/packages/jobs/parseTaskName.ts
@@ -11,10 +11,10 @@
 export const parseTaskName = (name: string): ParsedTaskName | undefined => {
   const parts = name.split('.');
   const [job, ...indexes] = parts;
-  const [time, step, index] = indexes.map(Number);
-  const isValid = [time, step, index].every((part) => Number.isInteger(part));
+  const [repetition, step, index] = indexes.map(Number);
+  const isValid = [repetition, step, index].every((part) => Number.isInteger(part));
   if (job === undefined || parts.length !== 4 || !isValid) {
     return undefined;
   }
-  return { job: toId<JobId>(job), address: { repetition: time!, step: step!, index: index! } };
+  return { job: toId<JobId>(job), address: { repetition: repetition!, step: step!, index: index! } };
 };
--- a/packages/jobs/resourceMath.ts
+++ b/packages/jobs/resourceMath.ts
@@ -25,7 +25,7 @@
   demand.memoryMb <= capacity.memoryMb &&
   demand.accelerators <= capacity.accelerators;
 
-/** Arithmetic on resource demands. */
+/** Sums, differences, products and comparisons of resource demands, dimension by dimension. `isWithin` requires every dimension to fit. */
 export const resourceMath = {
   ZERO,
   computeSum,
--- a/packages/leadership/LeaderAnnouncement.ts
+++ b/packages/leadership/LeaderAnnouncement.ts
@@ -1,7 +1,7 @@
 import type { BoxResources } from '../boxes/BoxResources';
 import type { LeaderRecord } from './LeaderRecord';
 
-/** Announcement of a leader, which it sends to the other boxes. */
+/** Message by which a new leader makes itself known to the other boxes. */
 export interface LeaderAnnouncement extends BoxResources {
   /** Its leader record, which it has read back from the log. */
   readonly record: LeaderRecord;
--- a/packages/leadership/LeaderWatch.ts
+++ b/packages/leadership/LeaderWatch.ts
@@ -3,11 +3,11 @@
 import { parseHostPort } from '../common/parseHostPort';
 
 interface LeaderWatchOptions {
-  /** Called when the port of the leader's box refuses connections, so that the process has ended. */
-  readonly handleEnded: (process: string) => void;
+  /** Called with the id of the leader's process when its address refuses a connection. */
+  readonly handleProcessEnded: (process: string) => void;
 }
 
-interface Watched {
+interface WatchedLeader {
   readonly process: string;
   readonly address: string;
 }
@@ -21,17 +21,22 @@
  * a hint to claim early: leadership is decided by the epochs in the log.
  */
 export class LeaderWatch {
-  private watched: Watched | undefined;
+  private watchedLeader: WatchedLeader | undefined;
   private socket: Socket | undefined;
 
   constructor(private readonly options: LeaderWatchOptions) {}
 
-  /** Sets the process to watch; undefined to watch none. */
-  setLeader(watched: Watched | undefined): void {
-    if (watched?.process === this.watched?.process && watched?.address === this.watched?.address) {
+  /**
+   * Sets the process to watch, and connects to it; undefined to watch none. Keeps the connection when process and address are unchanged.
+   */
+  setLeader(watched: WatchedLeader | undefined): void {
+    if (
+      watched?.process === this.watchedLeader?.process &&
+      watched?.address === this.watchedLeader?.address
+    ) {
       return;
     }
-    this.watched = watched;
+    this.watchedLeader = watched;
     this.socket?.destroy();
     this.socket = undefined;
     if (watched !== undefined) {
@@ -39,7 +44,7 @@
     }
   }
 
-  private startConnection(watched: Watched): void {
+  private startConnection(watched: WatchedLeader): void {
     const { host, port } = parseHostPort(watched.address);
     const socket = connect({ host, port });
     const timer = setTimeout(() => socket.destroy(), CONNECT_TIMEOUT_MS);
@@ -50,8 +55,8 @@
       clearTimeout(timer);
     });
     socket.once('error', (error: NodeJS.ErrnoException) => {
-      if (error.code === CONNECTION_REFUSED && this.watched === watched) {
-        this.options.handleEnded(watched.process);
+      if (error.code === CONNECTION_REFUSED && this.watchedLeader === watched) {
+        this.options.handleProcessEnded(watched.process);
       }
     });
     socket.once('close', () => {
@@ -60,11 +65,11 @@
     });
   }
 
-  private async retryConnection(watched: Watched, wasEstablished: boolean): Promise<void> {
+  private async retryConnection(watched: WatchedLeader, wasEstablished: boolean): Promise<void> {
     // An established connection is reopened at once: a refusal shows that the process has ended. The delay keeps connections that are
     // closed right after they open from being reopened in a tight loop.
     await waitForDelay(wasEstablished ? 0 : RECONNECT_DELAY_MS);
-    if (this.watched === watched) {
+    if (this.watchedLeader === watched) {
       this.startConnection(watched);
     }
   }
--- a/packages/leadership/Leadership.ts
+++ b/packages/leadership/Leadership.ts
@@ -37,11 +37,11 @@
 
 const CLAIM_TIMEOUT_MS = 700;
 const FIRST_CLAIM_JITTER_MS = 150;
-const RESIGNED_JITTER_MS = 80;
-const ENDED_JITTER_MS = 250;
-/** Delay of claims by a box that knows stronger ones, which lets these claim first. */
-const OUTRANKED_DELAY_MS = 350;
-/** The same after a missing heartbeat, which a stronger box may notice later by a read cycle. */
+const RESIGNED_CLAIM_JITTER_MS = 80;
+const ENDED_CLAIM_JITTER_MS = 250;
+/** Additional delay of claims by a box that knows stronger boxes, so that these claim first. */
+const OUTRANKED_CLAIM_DELAY_MS = 350;
+/** The same after a heartbeat timeout, which a stronger box may notice later by a read cycle. */
 const OUTRANKED_TIMEOUT_DELAY_MS = 900;
 
 type ClaimReason =
@@ -57,87 +57,94 @@
  * only the first of several claims of an epoch. The process that reads its own claim back leads.
  */
 export class Leadership {
-  private record: LeaderRecord | undefined;
+  private leaderRecord: LeaderRecord | undefined;
   /** Monotonic time of the last activity of the leader. */
-  private activeAt = -Infinity;
+  private leaderActiveAt = -Infinity;
   /** Monotonic time since which the log has been readable; undefined while it is not. */
-  private readableSince: number | undefined;
+  private logReadableSince: number | undefined;
   private isClaiming = false;
   private isLeading = false;
   private isStopped = false;
   /** Epoch of a leader that has handed over or whose process has ended. */
   private endedEpoch: number | undefined;
-  private endedReason: ClaimReason = 'the leader handed over';
-  /** Monotonic time at which this process noticed the end. */
-  private endedAt = -Infinity;
-  private readonly leases = new LeaseHistory();
+  private endedClaimReason: ClaimReason = 'the leader handed over';
+  /** Monotonic time at which this process noticed that the process of the leader had ended. */
+  private endNoticedAt = -Infinity;
+  private readonly leaseHistory = new LeaseHistory();
   /** Monotonic time at which a read first showed the heartbeat timeout of the leader; undefined without a timeout. */
   private timeoutSeenAt: number | undefined;
-  private readonly jitter: number;
+  private readonly claimJitter: number;
 
   constructor(private readonly options: LeadershipOptions) {
-    this.jitter = options.random();
+    this.claimJitter = options.random();
   }
 
-  getRecord(): LeaderRecord | undefined {
-    return this.record;
+  getLeaderRecord(): LeaderRecord | undefined {
+    return this.leaderRecord;
   }
 
-  /** Folds records of the states' topic. Only leaders write to it, so that each record shows activity of the leader. */
+  /**
+   * Folds records of the states' topic. Every record counts as activity of the leader, as only leaders write there. A leader record replaces
+   * the known one unless its epoch is lower.
+   */
   foldRecords(records: readonly LogRecord[]): void {
     const now = this.options.clock.getNow();
-    this.activeAt = now;
+    this.leaderActiveAt = now;
     for (const { key, value } of records) {
       if (key !== leaderKeys.recordKey) {
-        this.leases.recordActivity(now);
+        this.leaseHistory.recordActivity(now);
         continue;
       }
       const parsed = leaderRecordSchema.safeParse(parseJson(value));
-      if (parsed.success && parsed.data.epoch >= (this.record?.epoch ?? 0)) {
-        this.leases.recordLeader(parsed.data, now);
-        this.setRecord(parsed.data);
+      if (parsed.success && parsed.data.epoch >= (this.leaderRecord?.epoch ?? 0)) {
+        this.leaseHistory.recordLeader(parsed.data, now);
+        this.setLeaderRecord(parsed.data);
       }
     }
   }
 
   /**
-   * Handles the announcement of a leader, whose record this process may not have read from the log yet. Returns false when its epoch is
-   * not newer than the known one.
+   * Handles the announcement of a leader, whose record this process may not have read from the log yet. Counts as its activity. Returns
+   * false, without effect, when its epoch is not newer than the known one.
    */
   handleAnnouncement(record: LeaderRecord): boolean {
-    if (record.epoch <= (this.record?.epoch ?? 0)) {
+    if (record.epoch <= (this.leaderRecord?.epoch ?? 0)) {
       return false;
     }
     const now = this.options.clock.getNow();
-    this.activeAt = now;
-    this.leases.recordLeader(record, now);
-    this.setRecord(record);
+    this.leaderActiveAt = now;
+    this.leaseHistory.recordLeader(record, now);
+    this.setLeaderRecord(record);
     return true;
   }
 
-  /** Handles the request to take over from a leader that has stopped. */
+  /**
+   * Handles the request to take over from the leader of an epoch, which has stopped: claims leadership at once if that epoch is the newest
+   * known.
+   */
   handleHandover(epoch: number): void {
-    this.leases.recordStopped(epoch, this.options.clock.getNow());
+    this.leaseHistory.recordLeaderStopped(epoch, this.options.clock.getNow());
     this.endedEpoch = epoch;
-    this.endedReason = 'the leader handed over';
+    this.endedClaimReason = 'the leader handed over';
     this.handleTick();
   }
 
-  /** Handles the probable end of the process of the leader. */
+  /** Handles the probable end of a process. If it is that of the leader, `handleTick` claims leadership after a random delay. */
   handleLeaderEnded(process: string): void {
-    if (this.record?.process === process) {
-      this.endedAt = this.endedEpoch === this.record.epoch ? this.endedAt : this.options.clock.getNow();
-      this.endedEpoch = this.record.epoch;
-      this.endedReason = 'the leader process has ended';
+    if (this.leaderRecord?.process === process) {
+      this.endNoticedAt =
+        this.endedEpoch === this.leaderRecord.epoch ? this.endNoticedAt : this.options.clock.getNow();
+      this.endedEpoch = this.leaderRecord.epoch;
+      this.endedClaimReason = 'the leader process has ended';
     }
   }
 
   /** Handles the loss or recovery of read access to the log. Heartbeat timeouts count only while the log is readable. */
-  handleConnection(isConnected: boolean): void {
-    this.readableSince = isConnected ? this.options.clock.getNow() : undefined;
+  handleLogConnection(isConnected: boolean): void {
+    this.logReadableSince = isConnected ? this.options.clock.getNow() : undefined;
   }
 
-  /** Claims leadership if there is no leader. */
+  /** Starts a claim when there is a reason for one, unless this process leads, is claiming or has stopped. */
   handleTick(): void {
     if (this.isStopped || this.isLeading || this.isClaiming) {
       return;
@@ -151,61 +158,69 @@
     }
   }
 
-  /** Handles that this process no longer leads. */
+  /** Handles that this process no longer leads. Counts as activity of the leader, so that it does not claim again at once. */
   handleLeadershipLost(): void {
     this.isLeading = false;
-    this.activeAt = this.options.clock.getNow();
-    this.leases.recordActivity(this.activeAt);
+    this.leaderActiveAt = this.options.clock.getNow();
+    this.leaseHistory.recordActivity(this.leaderActiveAt);
   }
 
-  /** Stops claiming. */
+  /** Stops the start of further claims, and ignores the result of a pending one. */
   stop(): void {
     this.isStopped = true;
   }
 
   /** Formats the leader record of this process, which serves as heartbeat, and with `isResigned` as the last write of a graceful stop. */
-  formatRecord(epoch: number, isResigned: boolean): string {
+  formatLeaderRecord(epoch: number, isResigned: boolean): string {
     const { box, process } = this.options;
     const record: LeaderRecord = { epoch, box, process, isResigned };
     return JSON.stringify(record);
   }
 
-  private setRecord(record: LeaderRecord): void {
-    const isNew = record.epoch !== this.record?.epoch;
-    this.record = record;
+  private setLeaderRecord(record: LeaderRecord): void {
+    const isNew = record.epoch !== this.leaderRecord?.epoch;
+    this.leaderRecord = record;
     if (isNew) {
       this.options.logger.info('Leader changed.', { epoch: record.epoch, leader: record.process });
     }
   }
 
+  /** Returns why this process should claim leadership now; undefined when it should not, or the log is not read up to date. */
   private findClaimReason(): ClaimReason | undefined {
     const { follower, clock, process, box } = this.options;
-    if (this.readableSince === undefined || !follower.isFollowing()) {
+    if (this.logReadableSince === undefined || !follower.isUpToDate()) {
       return undefined;
     }
     const now = clock.getNow();
-    const rankDelayMs = this.options.isOutranked() ? OUTRANKED_DELAY_MS : 0;
-    const inactiveMs = now - this.activeAt;
-    if (this.record === undefined) {
-      const readableMs = now - this.readableSince;
-      return readableMs > this.jitter * FIRST_CLAIM_JITTER_MS + rankDelayMs ? 'no leader yet' : undefined;
+    const rankDelayMs = this.options.isOutranked() ? OUTRANKED_CLAIM_DELAY_MS : 0;
+    const inactiveMs = now - this.leaderActiveAt;
+    if (this.leaderRecord === undefined) {
+      const readableMs = now - this.logReadableSince;
+      return readableMs > this.claimJitter * FIRST_CLAIM_JITTER_MS + rankDelayMs
+        ? 'no leader yet'
+        : undefined;
     }
-    if (this.endedEpoch === this.record.epoch) {
-      if (this.endedReason === 'the leader handed over') {
-        return this.endedReason;
+    if (this.endedEpoch === this.leaderRecord.epoch) {
+      if (this.endedClaimReason === 'the leader handed over') {
+        return this.endedClaimReason;
       }
       // All boxes notice the end at the same time: a random delay from then on keeps their claims apart, and lets stronger boxes claim
       // first. The last activity may be older and is no base for the delay.
-      const elapsedMs = now - Math.max(this.endedAt, this.activeAt);
-      return elapsedMs > this.jitter * ENDED_JITTER_MS + rankDelayMs ? this.endedReason : undefined;
+      const elapsedMs = now - Math.max(this.endNoticedAt, this.leaderActiveAt);
+      return elapsedMs > this.claimJitter * ENDED_CLAIM_JITTER_MS + rankDelayMs
+        ? this.endedClaimReason
+        : undefined;
     }
-    if (this.record.isResigned) {
-      return inactiveMs > this.jitter * RESIGNED_JITTER_MS + rankDelayMs ? 'leader resigned' : undefined;
+    if (this.leaderRecord.isResigned) {
+      return inactiveMs > this.claimJitter * RESIGNED_CLAIM_JITTER_MS + rankDelayMs
+        ? 'leader resigned'
+        : undefined;
     }
-    if (this.record.box === box && this.record.process !== process) {
+    if (this.leaderRecord.box === box && this.leaderRecord.process !== process) {
       return 'an earlier process of this box led';
     }
-    const confirmedInactiveMs = follower.getLastSuccessAt() - Math.max(this.activeAt, this.readableSince);
+    const confirmedInactiveMs =
+      follower.getLastSuccessAt() - Math.max(this.leaderActiveAt, this.logReadableSince);
     if (confirmedInactiveMs <= leaderTimings.heartbeatTimeoutMs) {
       this.timeoutSeenAt = undefined;
       return undefined;
@@ -215,42 +230,47 @@
     this.timeoutSeenAt ??= now;
     const elapsedMs = now - this.timeoutSeenAt;
     const timeoutRankDelayMs = rankDelayMs === 0 ? 0 : OUTRANKED_TIMEOUT_DELAY_MS;
-    const dueMs = this.jitter * leaderTimings.claimJitterMs + timeoutRankDelayMs;
+    const dueMs = this.claimJitter * leaderTimings.claimJitterMs + timeoutRankDelayMs;
     return elapsedMs >= dueMs ? 'leader is silent' : undefined;
   }
 
-  /** Returns true if the leader was active within a time in milliseconds, and after a monotonic time. */
-  hasActivitySince(after: number, withinMs: number): boolean {
-    return this.activeAt > after && this.options.clock.getNow() - this.activeAt <= withinMs;
+  /** Returns true if the last activity of the leader is later than the monotonic time `after` and at most `withinMs` milliseconds ago. */
+  hasLeaderActivitySince(after: number, withinMs: number): boolean {
+    return this.leaderActiveAt > after && this.options.clock.getNow() - this.leaderActiveAt <= withinMs;
   }
 
+  /** Appends a claim of the next epoch, and leads if its record is read back as the newest. */
   private async sendClaim(reason: ClaimReason): Promise<void> {
     const { client, topic, follower, logger, clock } = this.options;
-    const epoch = (this.record?.epoch ?? 0) + 1;
+    const epoch = (this.leaderRecord?.epoch ?? 0) + 1;
     logger.info('Claiming leadership.', {
       epoch,
       reason,
-      silentMs: Math.round(clock.getNow() - this.activeAt),
+      silentMs: Math.round(clock.getNow() - this.leaderActiveAt),
     });
     const claimedAt = clock.getNow();
     const response = await client.append({
       topic,
-      writes: [{ key: leaderKeys.recordKey, value: this.formatRecord(epoch, false) }],
+      writes: [{ key: leaderKeys.recordKey, value: this.formatLeaderRecord(epoch, false) }],
       writer: { producer: leaderKeys.producer, epoch, sequence: leaderKeys.claimSequence },
       timeoutMs: CLAIM_TIMEOUT_MS,
     });
     // Without a response the claim may still have been written: the next records show it.
     const target = response.ok ? response.value + 1 : (follower.getOffset() ?? 0) + 1;
     await follower.waitForOffset(target, CLAIM_TIMEOUT_MS);
-    if (this.isStopped || this.record?.epoch !== epoch || this.record.process !== this.options.process) {
-      logger.info('Claim lost.', { epoch, leader: this.record?.process ?? '' });
+    if (
+      this.isStopped ||
+      this.leaderRecord?.epoch !== epoch ||
+      this.leaderRecord.process !== this.options.process
+    ) {
+      logger.info('Claim lost.', { epoch, leader: this.leaderRecord?.process ?? '' });
       return;
     }
     this.isLeading = true;
     this.options.handleElected({
       epoch,
       claimedAt,
-      earlierLeasesEndAt: this.leases.getEarlierEndAt(),
+      earlierLeasesEndAt: this.leaseHistory.getEarlierLeasesEndAt(),
     });
   }
 }
--- a/packages/leadership/LeaseHistory.ts
+++ b/packages/leadership/LeaseHistory.ts
@@ -11,42 +11,42 @@
  * activity of a leader that was read, which is later than the write, and not from the next election, which may be much later still.
  */
 export class LeaseHistory {
-  private epoch = 0;
-  /** Monotonic time of the last activity of the leader of that epoch. */
-  private activeAt = -Infinity;
-  private hasStopped = false;
-  /** Monotonic time at which the leases of all leaders before it have expired. */
-  private earlierEndAt = -Infinity;
+  private newestEpoch = 0;
+  /** Monotonic time of the last activity of the leader of `newestEpoch`. */
+  private leaderActiveAt = -Infinity;
+  private hasLeaderStopped = false;
+  /** Monotonic time at which the leases of all leaders before `newestEpoch` have expired. */
+  private earlierLeasesEndAt = -Infinity;
 
-  /** Records that a leader record was read. */
+  /** Records that a leader record was read. With a newer epoch, the leases of the known leader become earlier ones. */
   recordLeader({ epoch, isResigned }: LeaderRecord, now: number): void {
-    if (epoch > this.epoch) {
-      this.earlierEndAt = Math.max(this.earlierEndAt, this.computeEndAt());
-      this.epoch = epoch;
+    if (epoch > this.newestEpoch) {
+      this.earlierLeasesEndAt = Math.max(this.earlierLeasesEndAt, this.computeLeasesEndAt());
+      this.newestEpoch = epoch;
     }
     this.recordActivity(now);
-    this.hasStopped = isResigned;
+    this.hasLeaderStopped = isResigned;
   }
 
-  /** Records that any record of the leader was read. */
+  /** Records activity of the newest leader at a monotonic time. */
   recordActivity(now: number): void {
-    this.activeAt = now;
+    this.leaderActiveAt = now;
   }
 
-  /** Records that the leader of an epoch has stopped renewing leases, by its own message. */
-  recordStopped(epoch: number, now: number): void {
-    if (epoch === this.epoch) {
-      this.activeAt = now;
-      this.hasStopped = true;
+  /** Records the message of the leader of an epoch that it has stopped renewing leases. Ignored for other epochs than the newest. */
+  recordLeaderStopped(epoch: number, now: number): void {
+    if (epoch === this.newestEpoch) {
+      this.leaderActiveAt = now;
+      this.hasLeaderStopped = true;
     }
   }
 
   /** Returns the monotonic time at which all leases of the leaders before the newest one have expired. */
-  getEarlierEndAt(): number {
-    return this.earlierEndAt;
+  getEarlierLeasesEndAt(): number {
+    return this.earlierLeasesEndAt;
   }
 
-  private computeEndAt(): number {
-    return this.activeAt + MAX_LEASE_MS + (this.hasStopped ? 0 : unconfirmedGraceMs);
+  private computeLeasesEndAt(): number {
+    return this.leaderActiveAt + MAX_LEASE_MS + (this.hasLeaderStopped ? 0 : unconfirmedGraceMs);
   }
 }
--- a/packages/ledger/createLedger.ts
+++ b/packages/ledger/createLedger.ts
@@ -1,7 +1,7 @@
 import { CauseSums } from './CauseSums';
 import type { JobHistory } from './JobHistory';
 import type { LedgerSpan } from './LedgerSpan';
-import { computeSamplingLevel } from '../logging/computeSamplingLevel';
+import { computeJobSamplingLevel } from '../logging/computeJobSamplingLevel';
 import { chooseCriticalPath } from './chooseCriticalPath';
 
 interface LedgerOptions {
@@ -106,7 +106,7 @@
   { windowMs, worstCount, samplingLevel = 0 }: LedgerOptions,
 ): Ledger => {
   const startedAt = accounts.reduce((earliest, { acceptedAt }) => Math.min(earliest, acceptedAt), Infinity);
-  const isSampled = ({ job }: JobHistory): boolean => computeSamplingLevel(job) >= samplingLevel;
+  const isSampled = ({ job }: JobHistory): boolean => computeJobSamplingLevel(job) >= samplingLevel;
   const isLate = ({ loggedPath }: JobHistory): boolean => loggedPath !== undefined;
   const ended = accounts.filter(({ endedAt }) => endedAt !== undefined).map(toLedgerJob);
   const sampled = ended.filter(({ account }) => isSampled(account));
--- a/packages/load/AdmissionRequest.ts
+++ b/packages/load/AdmissionRequest.ts
@@ -12,5 +12,5 @@
   /** Milliseconds until its first repetition is due; 0 for a job that is not repeated. */
   readonly dueInMs: number;
   /** Milliseconds until the caller stops waiting. */
-  readonly leftMs: number;
+  readonly callerWaitMs: number;
 }
--- a/packages/load/LoadPublisher.ts
+++ b/packages/load/LoadPublisher.ts
@@ -3,43 +3,49 @@
 import type { LoadSnapshot } from './LoadSnapshot';
 import { StartRates } from './StartRates';
 
-interface Clocks {
+interface ClockReadings {
+  /** Monotonic milliseconds. */
   readonly now: number;
+  /** Unix milliseconds. */
   readonly wallMs: number;
 }
 
-/** Every box reads each digest, which bounds the rate. */
+/** Minimum time between digests. */
 const PUBLISH_INTERVAL_MS = 1000;
 
 /** Creates the load digests of a leader when they are due. One instance for each epoch. */
 export class LoadPublisher {
-  private readonly rates: StartRates;
+  private readonly startRates: StartRates;
   private sequence = 0;
-  private createdAt = -Infinity;
+  /** Monotonic time of the newest snapshot. */
+  private snapshotAt = -Infinity;
   /** True when the newest snapshot had waiting tasks. */
-  private isWaiting = false;
+  private hasWaitingTasks = false;
 
   constructor(
     private readonly epoch: number,
     now: number,
   ) {
-    this.rates = new StartRates(now);
+    this.startRates = new StartRates(now);
   }
 
   recordStart(queue: string, now: number): void {
-    this.rates.recordStart(queue, now);
+    this.startRates.recordStart(queue, now);
   }
 
-  /** Returns the text of a digest; undefined when none is due, or when nothing waits and this has been published. */
-  createDueDigest({ now, wallMs }: Clocks, getSnapshot: () => LoadSnapshot): string | undefined {
-    if (now - this.createdAt < PUBLISH_INTERVAL_MS) {
+  /**
+   * Returns the record of a new digest; undefined before the interval is over, and when no tasks wait now and none did in the snapshot
+   * before.
+   */
+  createDueDigest({ now, wallMs }: ClockReadings, getSnapshot: () => LoadSnapshot): string | undefined {
+    if (now - this.snapshotAt < PUBLISH_INTERVAL_MS) {
       return undefined;
     }
-    this.createdAt = now;
+    this.snapshotAt = now;
     const snapshot = getSnapshot();
-    const wasWaiting = this.isWaiting;
-    this.isWaiting = snapshot.queues.some(({ waitingTasks }) => waitingTasks > 0);
-    if (!this.isWaiting && !wasWaiting) {
+    const wasWaiting = this.hasWaitingTasks;
+    this.hasWaitingTasks = snapshot.queues.some(({ waitingTasks }) => waitingTasks > 0);
+    if (!this.hasWaitingTasks && !wasWaiting) {
       return undefined;
     }
     this.sequence += 1;
@@ -49,7 +55,7 @@
         sequence: this.sequence,
         madeAtMs: Math.round(wallMs),
         snapshot,
-        getStartsPerSecond: (queue) => this.rates.computePerSecond(queue, now),
+        getStartsPerSecond: (queue) => this.startRates.computeStartsPerSecond(queue, now),
       }),
     );
   }
--- a/packages/load/LoadSnapshot.ts
+++ b/packages/load/LoadSnapshot.ts
@@ -2,11 +2,14 @@
 import type { TaskDemand } from '../jobs/TaskDemand';
 import type { QueueLoad } from './QueueLoad';
 
+/** Demand of one customer. */
 interface CustomerSnapshot {
   readonly weight: number;
   readonly waitingTasks: number;
-  readonly waiting: TaskDemand;
-  readonly held: TaskDemand;
+  /** Total demand of its waiting tasks. */
+  readonly waitingDemand: TaskDemand;
+  /** Resources of its runs. */
+  readonly usedResources: TaskDemand;
 }
 
 /** Load of a leader at one moment, from which a digest is created. */
@@ -17,6 +20,6 @@
   readonly queues: readonly Omit<QueueLoad, 'expectedWaitMs'>[];
   /** Customers with waiting tasks. */
   readonly customers: ReadonlyMap<CustomerName, CustomerSnapshot>;
-  /** Sum of the dominant shares of all other customers. */
+  /** Sum of the dominant shares of the customers that are not in `customers`. */
   readonly othersShare: number;
 }
--- a/packages/load/LoadView.ts
+++ b/packages/load/LoadView.ts
@@ -12,8 +12,8 @@
   readonly epoch: number | undefined;
 }
 
-/** Two publish intervals. */
-const STALE_MS = 2000;
+/** Age from which a digest is stale: two publish intervals. */
+const MAX_DIGEST_AGE_MS = 2000;
 
 const isNewer = (digest: LoadDigest, known: LoadDigest | undefined): boolean =>
   known === undefined ||
@@ -22,9 +22,9 @@
 
 /** The newest load digest that this box has received. */
 export class LoadView {
-  private newest: LoadDigest | undefined;
-  /** Monotonic time at which it was received. */
-  private receivedAt = -Infinity;
+  private newestDigest: LoadDigest | undefined;
+  /** Monotonic time at which the newest digest was received. */
+  private digestReceivedAt = -Infinity;
 
   /**
    * Folds records of the states' topic, whose newest epoch so far is `epoch`, and returns how many digests were rejected. A digest of an
@@ -39,28 +39,30 @@
       const digest = parseDigest(value);
       if (digest === undefined || digest.epoch > epoch) {
         rejectedCount += 1;
-      } else if (isNewer(digest, this.newest)) {
-        this.newest = digest;
-        this.receivedAt = now;
+      } else if (isNewer(digest, this.newestDigest)) {
+        this.newestDigest = digest;
+        this.digestReceivedAt = now;
       }
     }
     return rejectedCount;
   }
 
-  /** Returns the age of the newest digest in milliseconds; undefined without one. */
-  getAgeMs({ now, wallMs }: LoadMoment): number | undefined {
-    // The larger of both: clock skew and late reads should rather make a digest stale than fresh.
-    return this.newest && Math.max(now - this.receivedAt, wallMs - this.newest.madeAtMs);
+  /**
+   * Returns the age of the newest digest in milliseconds, since its receipt or its creation, whichever is longer; undefined without one.
+   */
+  getDigestAgeMs({ now, wallMs }: LoadMoment): number | undefined {
+    // The larger of both, so that neither clock skew nor a late read makes a stale digest look fresh.
+    return this.newestDigest && Math.max(now - this.digestReceivedAt, wallMs - this.newestDigest.madeAtMs);
   }
 
   /** Returns the newest digest; undefined when there is none, it is stale, or the current leader has not published one. */
   getLoad(moment: LoadMoment): KnownLoad | undefined {
-    const digest = this.newest;
-    const ageMs = this.getAgeMs(moment);
+    const digest = this.newestDigest;
+    const ageMs = this.getDigestAgeMs(moment);
     if (
       digest === undefined ||
       ageMs === undefined ||
-      ageMs > STALE_MS ||
+      ageMs > MAX_DIGEST_AGE_MS ||
       digest.epoch < (moment.epoch ?? 0)
     ) {
       return undefined;
--- a/packages/load/StartRates.ts
+++ b/packages/load/StartRates.ts
@@ -1,38 +1,35 @@
-/** The rate of a new leader is unknown for this time, since it starts few tasks at first. */
-const WARM_UP_MS = 3000;
+/** Time after the start of counting during which the rates are unknown. */
+const RATE_WARM_UP_MS = 3000;
 const SECOND_MS = 1000;
-/** Longer than the stalls of starts that a fault causes. */
-const WINDOW_SECONDS = 10;
+/** Length of the sliding window. */
+const RATE_WINDOW_SECONDS = 10;
 
-/**
- * Rate at which tasks of each queue can start. The best second of a sliding window counts, so that a stall does not lower the rate and
- * overestimate the waits that follow.
- */
+/** Counts the starts of tasks by queue and second. The rate of a queue is the number in the best second of a sliding window. */
 export class StartRates {
   /** Number of starts by queue and second. */
-  private readonly counts = new Map<string, Map<number, number>>();
+  private readonly startCounts = new Map<string, Map<number, number>>();
 
   /** Starts are counted from the monotonic time `since` on. */
-  constructor(private readonly since: number) {}
+  constructor(private readonly countingSince: number) {}
 
   recordStart(queue: string, now: number): void {
-    const counts = this.getRecentCounts(queue, now);
+    const counts = this.getRecentStartCounts(queue, now);
     const second = Math.floor(now / SECOND_MS);
     counts.set(second, (counts.get(second) ?? 0) + 1);
-    this.counts.set(queue, counts);
+    this.startCounts.set(queue, counts);
   }
 
-  /** Returns the highest number of starts in one second of the window; undefined while too little has been counted. */
-  computePerSecond(queue: string, now: number): number | undefined {
-    return now - this.since < WARM_UP_MS
+  /** Returns the highest number of starts of a queue in one second of the window; undefined during the warm-up. */
+  computeStartsPerSecond(queue: string, now: number): number | undefined {
+    return now - this.countingSince < RATE_WARM_UP_MS
       ? undefined
-      : Math.max(0, ...this.getRecentCounts(queue, now).values());
+      : Math.max(0, ...this.getRecentStartCounts(queue, now).values());
   }
 
-  /** Returns the counts of a queue by second, and drops those before the window. */
-  private getRecentCounts(queue: string, now: number): Map<number, number> {
-    const counts = this.counts.get(queue) ?? new Map<number, number>();
-    const oldest = Math.floor(now / SECOND_MS) - WINDOW_SECONDS;
+  /** Returns the counts of a queue by second, after removing those before the window. */
+  private getRecentStartCounts(queue: string, now: number): Map<number, number> {
+    const counts = this.startCounts.get(queue) ?? new Map<number, number>();
+    const oldest = Math.floor(now / SECOND_MS) - RATE_WINDOW_SECONDS;
     for (const second of counts.keys()) {
       if (second >= oldest) {
         break;
--- a/packages/load/computeFairShares.ts
+++ b/packages/load/computeFairShares.ts
@@ -3,8 +3,8 @@
 import type { ShareDemand } from './ShareDemand';
 
 /**
- * Computes weighted max-min fair shares of a part of the endpoints, 0 to 1. A customer that demands less than its weight allows gets its
- * demand, and the rest is divided among the others by weight.
+ * Computes the weighted max-min fair share of each customer, 0 to 1, by dividing `part` of the endpoints among them. A customer that
+ * demands less than its weight allows gets its demand, and the rest is divided among the others by weight.
  */
 export const computeFairShares = (demands: readonly ShareDemand[], part: number): FairShares => {
   const shares = new Map<CustomerName, number>();
--- a/packages/load/createDigest.ts
+++ b/packages/load/createDigest.ts
@@ -11,34 +11,35 @@
   readonly getStartsPerSecond: (queue: string) => number | undefined;
 }
 
-/** Every box reads each digest, so that its size is bounded. */
-const MAX_QUEUES = 6;
-const MAX_CUSTOMERS = 12;
+/** Maximum number of queues in a digest. */
+const MAX_DIGEST_QUEUES = 6;
+/** Maximum number of customers in a digest. */
+const MAX_DIGEST_CUSTOMERS = 12;
 const MS_PER_S = 1000;
 /** Upper bound of expected waits, and the expected wait of a queue without starts. */
-const MAX_WAIT_MS = 60_000;
+const MAX_EXPECTED_WAIT_MS = 60_000;
 
 const SHARE_DIGITS = 4;
 
-const toRounded = (share: number): number => Number(share.toFixed(SHARE_DIGITS));
+const toRoundedShare = (share: number): number => Number(share.toFixed(SHARE_DIGITS));
 
-const compareWaiting = (left: { waitingTasks: number }, right: { waitingTasks: number }): number =>
+const compareWaitingTasks = (left: { waitingTasks: number }, right: { waitingTasks: number }): number =>
   right.waitingTasks - left.waitingTasks;
 
-/** Returns the expected wait of a new task behind the waiting ones; 0 while the rate is unknown. */
-const computeWaitMs = (waitingTasks: number, startsPerSecond: number | undefined): number =>
+/** Returns the expected wait of a new task behind the waiting ones, in milliseconds; 0 while the rate is unknown or nothing waits. */
+const computeExpectedWaitMs = (waitingTasks: number, startsPerSecond: number | undefined): number =>
   startsPerSecond === undefined || waitingTasks === 0
     ? 0
-    : Math.min(MAX_WAIT_MS, Math.round((waitingTasks * MS_PER_S) / startsPerSecond));
+    : Math.min(MAX_EXPECTED_WAIT_MS, Math.round((waitingTasks * MS_PER_S) / startsPerSecond));
 
 const computeCustomerLoads = ({
   customers,
   capacity,
   othersShare,
 }: LoadSnapshot): readonly CustomerLoad[] => {
-  const rows = [...customers].map(([customer, { weight, waitingTasks, waiting, held }]) => {
-    const dominantShare = computeDominantShare(held, capacity);
-    const demandedShare = dominantShare + computeDominantShare(waiting, capacity);
+  const rows = [...customers].map(([customer, { weight, waitingTasks, waitingDemand, usedResources }]) => {
+    const dominantShare = computeDominantShare(usedResources, capacity);
+    const demandedShare = dominantShare + computeDominantShare(waitingDemand, capacity);
     return { customer, weight, waitingTasks, dominantShare, demandedShare };
   });
   const fairShares = computeFairShares(
@@ -47,20 +48,20 @@
   );
   return rows
     .map(({ customer, waitingTasks, dominantShare }) => {
-      const fairShare = toRounded(fairShares.get(customer) ?? dominantShare);
-      return { customer, waitingTasks, dominantShare: toRounded(dominantShare), fairShare };
+      const fairShare = toRoundedShare(fairShares.get(customer) ?? dominantShare);
+      return { customer, waitingTasks, dominantShare: toRoundedShare(dominantShare), fairShare };
     })
-    .sort(compareWaiting)
-    .slice(0, MAX_CUSTOMERS);
+    .sort(compareWaitingTasks)
+    .slice(0, MAX_DIGEST_CUSTOMERS);
 };
 
-/** Creates the digest of a snapshot, with a bounded number of queues and customers. */
+/** Creates the digest of a snapshot, with the queues and customers that have most waiting tasks, bounded in number. */
 export const createDigest = ({ snapshot, getStartsPerSecond, ...head }: DigestInput): LoadDigest => {
   const queues = [...snapshot.queues]
-    .sort(compareWaiting)
-    .slice(0, MAX_QUEUES)
+    .sort(compareWaitingTasks)
+    .slice(0, MAX_DIGEST_QUEUES)
     .map((load): QueueLoad => {
-      const expectedWaitMs = computeWaitMs(load.waitingTasks, getStartsPerSecond(load.queue));
+      const expectedWaitMs = computeExpectedWaitMs(load.waitingTasks, getStartsPerSecond(load.queue));
       return { ...load, expectedWaitMs };
     });
   return {
--- a/packages/load/formatDigest.ts
+++ b/packages/load/formatDigest.ts
@@ -1,6 +1,6 @@
 import type { LoadDigest } from './LoadDigest';
 
-/** Formats a digest as the JSON text of its log record. */
+/** Formats a digest as the JSON text of its log record, with queues and customers as tuples. */
 export const formatDigest = (digest: LoadDigest): string =>
   JSON.stringify({
     ...digest,
--- a/packages/logging/DecisionLog.ts
+++ b/packages/logging/DecisionLog.ts
@@ -8,7 +8,7 @@
 import { LineRates } from './LineRates';
 import { getLineClass } from './getLineClass';
 import { findLineJob } from './findLineJob';
-import { computeSamplingLevel } from './computeSamplingLevel';
+import { computeJobSamplingLevel } from './computeJobSamplingLevel';
 
 interface DecisionLogOptions {
   readonly box: string;
@@ -17,9 +17,9 @@
   /** Returns the number of bytes that the reader of the log has not consumed. */
   readonly getBacklogBytes: () => number;
   /** Returns monotonic milliseconds. */
-  readonly readNow: () => number;
+  readonly getNow: () => number;
   /** Returns Unix milliseconds. */
-  readonly readWall: () => number;
+  readonly getWallMs: () => number;
   /** Maximum mean rate of lines. */
   readonly linesPerSecond: number;
 }
@@ -39,14 +39,14 @@
  * jobs are sampled by job, so that all lines of a sampled job are kept. Suppressed lines are counted, and the counts are logged.
  */
 export class DecisionLog {
-  private readonly budget: LineBudget;
-  private readonly rates = new LineRates();
-  private readonly suppressed: SuppressedLines;
+  private readonly lineBudget: LineBudget;
+  private readonly lineRates = new LineRates();
+  private readonly suppressedLines: SuppressedLines;
 
   constructor(private readonly options: DecisionLogOptions) {
-    const now = options.readNow();
-    this.budget = new LineBudget(options.linesPerSecond, now);
-    this.suppressed = new SuppressedLines(now);
+    const now = options.getNow();
+    this.lineBudget = new LineBudget(options.linesPerSecond, now);
+    this.suppressedLines = new SuppressedLines(now);
   }
 
   /** Creates the logger of one part of the process. */
@@ -58,68 +58,68 @@
     };
   }
 
-  /** Logs the counts of suppressed lines when due. Called periodically, since further lines may not come. */
-  handleTick(): void {
-    const now = this.options.readNow();
-    if (this.suppressed.isReportDue(now)) {
+  /** Logs the counts of suppressed lines when a report is due. Called with each line, and periodically. */
+  logSuppressedWhenDue(): void {
+    const now = this.options.getNow();
+    if (this.suppressedLines.isReportDue(now)) {
       this.writeSuppressed(now);
     }
   }
 
   /** Logs the remaining counts of suppressed lines at the end of the process. */
   stop(): void {
-    if (this.suppressed.hasSuppressed()) {
-      this.writeSuppressed(this.options.readNow());
+    if (this.suppressedLines.hasSuppressedLines()) {
+      this.writeSuppressed(this.options.getNow());
     }
   }
 
   private handleLine(line: Line): void {
-    this.handleTick();
-    const now = this.options.readNow();
+    this.logSuppressedWhenDue();
+    const now = this.options.getNow();
     const baseClass = getLineClass(line.level, line.message, line.fields);
-    this.rates.recordLine(baseClass === 'story', now);
-    const minLevel = this.getMinSamplingLevel();
+    this.lineRates.recordLine(baseClass === 'story', now);
+    const minLevel = this.computeMinSamplingLevel();
     const lineClass = baseClass === 'story' ? this.chooseJobLineClass(line, minLevel) : baseClass;
     if (this.hasBudget(lineClass, now)) {
       this.writeEntry(line);
     } else {
-      this.suppressed.recordLine(line.message, minLevel);
+      this.suppressedLines.recordLine(line.message, minLevel);
     }
   }
 
   private chooseJobLineClass({ fields }: Line, minLevel: number): LineClass {
-    return computeSamplingLevel(findLineJob(fields) ?? '') >= minLevel ? 'story' : 'rest';
+    return computeJobSamplingLevel(findLineJob(fields) ?? '') >= minLevel ? 'story' : 'rest';
   }
 
-  private getMinSamplingLevel(): number {
-    const { rates } = this;
+  private computeMinSamplingLevel(): number {
+    const { lineRates } = this;
     return chooseMinSamplingLevel(
       this.options.linesPerSecond,
-      rates.getJobLineRate(),
-      rates.computeOtherRate(),
+      lineRates.getJobLineRate(),
+      lineRates.computeOtherLineRate(),
     );
   }
 
   private hasBudget(lineClass: LineClass, now: number): boolean {
     const canWrite = lineClass === 'error' || this.isReaderKeepingUp();
-    return canWrite && this.budget.takeToken(lineClass, now);
+    return canWrite && this.lineBudget.takeToken(lineClass, now);
   }
 
   private isReaderKeepingUp(): boolean {
     return this.options.getBacklogBytes() < MAX_BACKLOG_BYTES;
   }
 
-  /** Logs the counts of suppressed lines, with the priority of an error. */
+  /** Logs and resets the counts of suppressed lines, with the priority of an error. Does nothing while the reader lags behind. */
   private writeSuppressed(now: number): void {
     if (this.isReaderKeepingUp()) {
-      this.budget.takeToken('error', now);
-      const fields = this.suppressed.takeFields(now);
+      this.lineBudget.takeToken('error', now);
+      const fields = this.suppressedLines.takeReportFields(now);
       this.writeEntry({ level: 'info', part: OWN_PART, message: 'Lines left out.', fields });
     }
   }
 
   private writeEntry({ level, part, message, fields }: Line): void {
-    const time = new Date(this.options.readWall()).toISOString();
+    const time = new Date(this.options.getWallMs()).toISOString();
     const entry = { time, level, box: this.options.box, part, message, ...fields };
     this.options.writeLine(`${JSON.stringify(entry)}\n`);
   }
--- a/packages/logging/JobTrace.ts
+++ b/packages/logging/JobTrace.ts
@@ -7,16 +7,17 @@
 import { toRunKey } from '../ledger/toRunKey';
 
 /** Maximum number of runs kept per job, enough for the critical path with retries. */
-const MAX_RUNS = 48;
+const MAX_TRACED_RUNS = 48;
 
 /** Ended runs of a live job, from which a late end can be explained. Time arguments are monotonic. */
 export class JobTrace {
   /** In order of their ends. */
-  private runs: RunHistory[] = [];
-  private newestAt: number;
+  private endedRuns: RunHistory[] = [];
+  /** Monotonic time of the newest end of a run, or of the job's addition. */
+  private newestEndAt: number;
 
-  constructor(private readonly takenInAt: number) {
-    this.newestAt = takenInAt;
+  constructor(private readonly addedAt: number) {
+    this.newestEndAt = addedAt;
   }
 
   recordRun(
@@ -25,8 +26,8 @@
     { outcome, reportedEnd }: RunEnd,
     now: number,
   ): void {
-    this.newestAt = now;
-    this.runs.push({
+    this.newestEndAt = now;
+    this.endedRuns.push({
       task: run.task,
       run: run.run,
       placedAt: run.placedAt,
@@ -43,12 +44,12 @@
     this.removeExcessRun();
   }
 
-  /** Creates the account of the job, which has ended at a wall clock time in Unix milliseconds. */
-  createAccount({ id, queue, ...definition }: JobDefinition, ending: string, wallMs: number): JobHistory {
-    const offsetMs = wallMs - this.newestAt;
+  /** Creates the history of the job, which ended at a wall clock time in Unix milliseconds: that of the last recorded end of a run. */
+  createHistory({ id, queue, ...definition }: JobDefinition, ending: string, wallMs: number): JobHistory {
+    const offsetMs = wallMs - this.newestEndAt;
     const dueAt = definition.firstRunMs + (definition.times - 1) * definition.intervalMs;
     const acceptedAt = Math.max(definition.acceptedAtMs, dueAt);
-    const runs = this.runs.map((run) => ({
+    const runs = this.endedRuns.map((run) => ({
       ...run,
       placedAt: run.placedAt + offsetMs,
       endedAt: run.endedAt! + offsetMs,
@@ -58,7 +59,7 @@
       queue: queue.name,
       acceptedAt,
       acceptMs: 0,
-      addedAt: Math.max(acceptedAt, this.takenInAt + offsetMs),
+      addedAt: Math.max(acceptedAt, this.addedAt + offsetMs),
       endedAt: wallMs,
       ending,
       runs: new Map(runs.map((run) => [toRunKey(run), run])),
@@ -68,11 +69,11 @@
     };
   }
 
-  /** Removes the earliest completed run when there are too many, since later steps wait for later runs. */
+  /** Removes the earliest run that is done, or else the earliest run, when there are more than `MAX_TRACED_RUNS`. */
   private removeExcessRun(): void {
-    if (this.runs.length > MAX_RUNS) {
-      const first = this.runs.findIndex(({ outcome }) => outcome === 'done');
-      this.runs.splice(Math.max(0, first), 1);
+    if (this.endedRuns.length > MAX_TRACED_RUNS) {
+      const first = this.endedRuns.findIndex(({ outcome }) => outcome === 'done');
+      this.endedRuns.splice(Math.max(0, first), 1);
     }
   }
 }
--- a/packages/logging/LineBatcher.ts
+++ b/packages/logging/LineBatcher.ts
@@ -2,22 +2,25 @@
 import { batchedLines } from './batchedLines';
 import type { LineFields } from './LineFields';
 
-/** Lines of a batch are from within this time, which delays the batch. */
-const BATCH_MS = 50;
-/** Bounds the size of a line. */
-const MAX_ROWS = 40;
+/** Time after its first line at which a batch is written. */
+const MAX_BATCH_AGE_MS = 50;
+/** Number of rows at which a batch is written at once. */
+const MAX_BATCH_ROWS = 40;
 
 interface Batch {
   readonly message: string;
   readonly shared: LineFields;
   readonly rows: LineFields[];
-  readonly since: number;
+  readonly startedAt: number;
 }
 
 const toFieldSubset = (fields: LineFields, isIncluded: (name: string) => boolean): LineFields =>
   Object.fromEntries(Object.entries(fields).filter(([name]) => isIncluded(name)));
 
-/** Combines similar lines of one moment into one line with rows. Other lines are written at once. */
+/**
+ * Combines lines with a message of `batchedLines` that agree in their shared fields into one line with rows. Other lines are written at
+ * once.
+ */
 export class LineBatcher {
   private readonly batches = new Map<string, Batch>();
 
@@ -31,18 +34,18 @@
     }
     const shared = toFieldSubset(fields, (name) => !rowFields.includes(name));
     const key = `${message} ${JSON.stringify(shared)}`;
-    const batch = this.batches.get(key) ?? { message, shared, rows: [], since: now };
+    const batch = this.batches.get(key) ?? { message, shared, rows: [], startedAt: now };
     this.batches.set(key, batch);
     batch.rows.push(toFieldSubset(fields, (name) => rowFields.includes(name)));
-    if (batch.rows.length >= MAX_ROWS) {
+    if (batch.rows.length >= MAX_BATCH_ROWS) {
       this.writeBatch(key, batch);
     }
   }
 
   /** Writes the batches that are due. */
-  handleTick(now: number): void {
+  writeDueBatches(now: number): void {
     for (const [key, batch] of this.batches) {
-      if (now - batch.since >= BATCH_MS) {
+      if (now - batch.startedAt >= MAX_BATCH_AGE_MS) {
         this.writeBatch(key, batch);
       }
     }
--- a/packages/logging/LineBudget.ts
+++ b/packages/logging/LineBudget.ts
@@ -2,8 +2,8 @@
 
 /** Capacity of the bucket, in seconds at the mean rate. */
 const BURST_SECONDS = 4;
-/** Part of the capacity that is reserved for lines of higher classes. */
-const RESERVED_PARTS: Readonly<Record<LineClass, number>> = {
+/** Share of the capacity that is reserved for lines of higher classes. */
+const RESERVED_SHARES: Readonly<Record<LineClass, number>> = {
   error: -Infinity,
   vital: 0,
   notable: 0.15,
@@ -24,10 +24,13 @@
     this.tokens = this.capacity;
   }
 
-  /** Takes a token for a line of a class. Returns false when none is available to the class. */
+  /**
+   * Takes a token for a line of a class. Returns false when none is available to the class; never for errors, which may overdraw the
+   * bucket.
+   */
   takeToken(lineClass: LineClass, now: number): boolean {
     this.addTokens(now);
-    if (this.tokens < Math.max(1, this.capacity * RESERVED_PARTS[lineClass]) && lineClass !== 'error') {
+    if (this.tokens < Math.max(1, this.capacity * RESERVED_SHARES[lineClass]) && lineClass !== 'error') {
       return false;
     }
     this.tokens -= 1;
--- a/packages/logging/LineRates.ts
+++ b/packages/logging/LineRates.ts
@@ -1,6 +1,6 @@
 const SLOT_MS = 1000;
 /** Number of past slots in the window. */
-const SLOTS = 4;
+const WINDOW_SLOTS = 4;
 
 interface Slot {
   readonly number: number;
@@ -27,8 +27,8 @@
     return Math.max(0, ...this.slots.map(({ jobLines }) => jobLines));
   }
 
-  /** Computes the mean of all other lines per second. Their peaks are absorbed by the token bucket. */
-  computeOtherRate(): number {
+  /** Returns the mean number of lines not about jobs per second, over the seconds of the window that have any line. */
+  computeOtherLineRate(): number {
     const sum = this.slots.reduce((total, { otherLines }) => total + otherLines, 0);
     return sum / Math.max(1, this.slots.length);
   }
@@ -40,7 +40,7 @@
       return newest;
     }
     const slot = { number, jobLines: 0, otherLines: 0 };
-    this.slots = [...this.slots.filter((one) => one.number >= number - SLOTS), slot];
+    this.slots = [...this.slots.filter((one) => one.number >= number - WINDOW_SLOTS), slot];
     return slot;
   }
 }
--- a/packages/logging/computeSamplingLevel.ts
+++ b/packages/logging/computeJobSamplingLevel.ts
@@ -18,10 +18,10 @@
 };
 
 /**
- * Computes the sampling level of a job: one in 2^n jobs has a level of n or more. It depends on the id only, so that all boxes sample the
- * same jobs, and each sample contains all smaller ones.
+ * Computes the sampling level of a job from its id: one in 2^n jobs has a level of n or more. All boxes thereby sample the same jobs, and each
+ * sample contains all smaller ones.
  */
-export const computeSamplingLevel = (job: string): number => {
+export const computeJobSamplingLevel = (job: string): number => {
   const hash = computeHash(job);
   const lowestBit = hash & -hash;
   return lowestBit === 0 ? HASH_BITS : HASH_BITS - 1 - Math.clz32(lowestBit);
--- a/packages/logging/formatLateJob.ts
+++ b/packages/logging/formatLateJob.ts
@@ -5,19 +5,22 @@
 import { toRunName } from '../ledger/toRunName';
 import type { LineFields } from './LineFields';
 
-/** Bounds the size of a line. */
-const MAX_SPANS = 40;
-const MAX_RUNS = 12;
+/** Bounds the number of spans in a line. */
+const MAX_LOGGED_SPANS = 40;
+/** Bounds the number of runs in a line. */
+const MAX_LOGGED_RUNS = 12;
 
 const toDurationMs = ({ placedAt, endedAt = placedAt }: RunHistory): number => endedAt - placedAt;
 
 /** Chooses the spans of the critical path that are logged: the longest ones, in order. */
 const choosePathRows = (path: readonly LedgerSpan[]): readonly LineFields[] => {
-  const shortest = path.map(({ from, to }) => to - from).sort((left, right) => right - left)[MAX_SPANS - 1];
+  const shortest = path.map(({ from, to }) => to - from).sort((left, right) => right - left)[
+    MAX_LOGGED_SPANS - 1
+  ];
   const isShown = ({ from, to }: LedgerSpan): boolean => to - from >= (shortest ?? 0);
   return path
     .filter(isShown)
-    .slice(0, MAX_SPANS)
+    .slice(0, MAX_LOGGED_SPANS)
     .map(({ cause, from, to, run }) => ({
       cause,
       ms: Math.round(to - from),
@@ -39,7 +42,7 @@
   const runs = [...account.runs.values()].filter((run) => names.has(toRunName(run)));
   const longest = [...runs]
     .sort((left, right) => toDurationMs(right) - toDurationMs(left))
-    .slice(0, MAX_RUNS);
+    .slice(0, MAX_LOGGED_RUNS);
   return runs
     .filter((run) => longest.includes(run))
     .map((run) => ({
--- a/packages/serve/LoadAdmission.ts
+++ b/packages/serve/LoadAdmission.ts
@@ -102,7 +102,7 @@
       customer: job.customer?.name,
       steps: job.steps,
       dueInMs: Math.max(0, job.firstRunMs - clock.getWallTime()),
-      leftMs: deadline - clock.getNow(),
+      callerWaitMs: deadline - clock.getNow(),
     });
   }
 
--- a/packages/serve/ServeProcess.ts
+++ b/packages/serve/ServeProcess.ts
@@ -94,7 +94,7 @@
       process: options.process,
       clock,
       logger: options.createPartLogger('leader'),
-      getLeader: () => this.leadership.getRecord(),
+      getLeader: () => this.leadership.getLeaderRecord(),
       isLeading: () => this.controller !== undefined && !this.isStopping,
       isStopping: () => this.isStopping,
     });
@@ -123,7 +123,7 @@
     this.configuration = this.createConfigurationUpdater();
     this.handover = this.createHandover();
     this.leaderWatch = new LeaderWatch({
-      handleEnded: (process) => this.leadership.handleLeaderEnded(process),
+      handleProcessEnded: (process) => this.leadership.handleLeaderEnded(process),
     });
     this.jobService = this.createJobService();
     this.callerServer = adapter.createCallerServer({
@@ -229,8 +229,8 @@
         clock: this.options.clock,
         logger: this.options.createPartLogger('jobs'),
         getLeader: () => this.otherBoxes.getLeaderContact(),
-        isReadingActivity: () => this.followers.states.isFollowing(),
-        hasActivitySince: (after, withinMs) => this.leadership.hasActivitySince(after, withinMs),
+        isReadingActivity: () => this.followers.states.isUpToDate(),
+        hasActivitySince: (after, withinMs) => this.leadership.hasLeaderActivitySince(after, withinMs),
       }),
       jobsFollower: this.followers.jobs,
       statesFollower: this.followers.states,
@@ -254,7 +254,7 @@
       clock,
       logger: this.options.createPartLogger('jobs'),
       metrics: this.metrics,
-      getEpoch: () => this.leadership.getRecord()?.epoch,
+      getEpoch: () => this.leadership.getLeaderRecord()?.epoch,
       waitForJobsRefresh: (deadline) => this.followers.jobs.waitForRefresh(deadline - clock.getNow()),
       isKnown: (id) => this.replica.getDefinition(id) !== undefined,
     });
@@ -264,7 +264,7 @@
   private handleLeaderAnnouncement(announcement: LeaderAnnouncement): void {
     const { record } = announcement;
     this.otherBoxes.applyLeaderAnnouncement(announcement);
-    const ledEpoch = this.leadership.getRecord()?.epoch ?? 0;
+    const ledEpoch = this.leadership.getLeaderRecord()?.epoch ?? 0;
     if (!this.leadership.handleAnnouncement(record) || this.controller === undefined) {
       return;
     }
@@ -280,7 +280,7 @@
       boxes: this.otherBoxes.clients,
       directory: this.otherBoxes.directory,
       getController: () => this.controller,
-      getEpoch: () => this.leadership.getRecord()?.epoch ?? 0,
+      getEpoch: () => this.leadership.getLeaderRecord()?.epoch ?? 0,
       retryPending: () => this.handleLogRecovered(clock.getNow()),
       waitForLogRead: () => this.followers.jobs.waitForRefresh(LOG_CHECK_TIMEOUT_MS),
       handleResigned: () => {
@@ -305,13 +305,13 @@
         this.foldLoad(records);
       },
       handleOperator: (records) => this.configuration.handleRecords(records),
-      handleStatesConnection: (isConnected) => this.leadership.handleConnection(isConnected),
+      handleStatesConnection: (isConnected) => this.leadership.handleLogConnection(isConnected),
       handleLogRecovered: (sentAt) => this.handleLogRecovered(sentAt),
     });
   }
 
   private foldLoad(records: readonly LogWrite[]): void {
-    const epoch = this.leadership.getRecord()?.epoch ?? 0;
+    const epoch = this.leadership.getLeaderRecord()?.epoch ?? 0;
     const invalidCount = this.loadView.foldRecords(records, this.options.clock.getNow(), epoch);
     if (invalidCount > 0) {
       this.metrics.recordCount('digestsRefused', invalidCount);
@@ -348,7 +348,7 @@
       random,
       logger: createPartLogger('configuration'),
       maxAgeMs: settings.maxConfigurationAgeMs,
-      isFollowing: () => this.followers.operator.isFollowing(),
+      isFollowing: () => this.followers.operator.isUpToDate(),
       getLastReadAt: () => this.followers.operator.getLastSuccessAt(),
       listOthers: () => this.otherBoxes.clients.listOthers(),
     });
@@ -414,7 +414,7 @@
       isServiceRouted: (service) => this.router.hasService(service),
       longestLeaseMs: settings.longestLeaseMs,
       listChannels: () => this.listAdviceChannels(),
-      formatLeaderRecord: (isResigned) => this.leadership.formatRecord(epoch, isResigned),
+      formatLeaderRecord: (isResigned) => this.leadership.formatLeaderRecord(epoch, isResigned),
       handleLeadershipLost: (detail) => this.handleLeadershipLost(epoch, detail),
       handleLogRecovered: (sentAt) => this.handleLogRecovered(sentAt),
       recordCount: (name, amount) => this.metrics.recordCount(name, amount),
@@ -463,7 +463,7 @@
 
   private handleTick(): void {
     this.leadership.handleTick();
-    const record = this.leadership.getRecord();
+    const record = this.leadership.getLeaderRecord();
     const leaderBox = this.otherBoxes.directory.listBoxes().find(({ box }) => box === record?.box);
     const isOther = record !== undefined && record.process !== this.options.process;
     this.leaderWatch.setLeader(
@@ -485,9 +485,9 @@
       fastEndpoints: speeds?.fast ?? 0,
       configurationVersion: this.router.getConfiguration()?.version ?? 0,
       logWriteFailingMs: Math.round(this.writer.getOutageMs()),
-      readingOperatorTopic: Number(this.followers.operator.isFollowing()),
-      readingStatesTopic: Number(this.followers.states.isFollowing()),
-      readingJobsTopic: Number(this.followers.jobs.isFollowing()),
+      readingOperatorTopic: Number(this.followers.operator.isUpToDate()),
+      readingStatesTopic: Number(this.followers.states.isUpToDate()),
+      readingJobsTopic: Number(this.followers.jobs.isUpToDate()),
       knownJobs: this.replica.countJobs(),
       ...this.getLoadGauges(),
     });
@@ -497,8 +497,8 @@
   /** Returns the age of the newest load digest; no gauge before the first one. */
   private getLoadGauges(): Readonly<Record<string, number>> {
     const { clock } = this.options;
-    const epoch = this.leadership.getRecord()?.epoch;
-    const ageMs = this.loadView.getAgeMs({ now: clock.getNow(), wallMs: clock.getWallTime(), epoch });
+    const epoch = this.leadership.getLeaderRecord()?.epoch;
+    const ageMs = this.loadView.getDigestAgeMs({ now: clock.getNow(), wallMs: clock.getWallTime(), epoch });
     return ageMs === undefined ? {} : { loadDigestAgeMs: Math.round(ageMs) };
   }
 
--- a/packages/serve/TopicFollowers.ts
+++ b/packages/serve/TopicFollowers.ts
@@ -79,8 +79,8 @@
    * accept new jobs before that.
    */
   isReadable(isLeading: boolean): boolean {
-    const isFollowingStates = isLeading || this.states.isFollowing();
-    return isFollowingStates && this.jobs.isReachable() && this.operator.isFollowing();
+    const isFollowingStates = isLeading || this.states.isUpToDate();
+    return isFollowingStates && this.jobs.isReachable() && this.operator.isUpToDate();
   }
 
   /** Retries requests sent before a monotonic time, since the log is known to respond to requests sent then. */
--- a/packages/serve/computeCustomerMetrics.ts
+++ b/packages/serve/computeCustomerMetrics.ts
@@ -14,8 +14,8 @@
   return [...customers.listCustomers()].map(({ name, limit }) => ({
     name,
     limit,
-    used: usage.get(name)?.taken ?? resourceMath.ZERO,
-    runs: usage.get(name)?.runs ?? 0,
-    waiting: waiting.get(name) ?? 0,
+    usedResources: usage.get(name)?.taken ?? resourceMath.ZERO,
+    runCount: usage.get(name)?.runs ?? 0,
+    waitingTaskCount: waiting.get(name) ?? 0,
   }));
 };
--- a/packages/store/ExclusiveWriter.ts
+++ b/packages/store/ExclusiveWriter.ts
@@ -16,7 +16,7 @@
   /** Time to wait for more records before an append is sent. */
   readonly lingerMs: number;
   readonly maxBytes: number;
-  /** Called when a newer writer holds the topic, so that no further append of this one succeeds. */
+  /** Called when the log rejects an append since a newer writer holds the topic. This writer has stopped then. */
   readonly handleFenced: (detail: string) => void;
   /** Called when an append has succeeded, with the monotonic time at which it was sent. */
   readonly handleConfirmed: (sentAt: number) => void;
@@ -28,23 +28,23 @@
   readonly handleWritten: () => void;
 }
 
-const RETRY_DELAY_MS = 60;
+const APPEND_RETRY_DELAY_MS = 60;
 
 /**
  * Appends as the only writer of an epoch. Appends are numbered, so that a retry is not written twice.
  * Records are formatted when they are sent, and a key that has changed several times until then is written once.
  */
 export class ExclusiveWriter {
-  private readonly dirty = new Map<string, () => string>();
-  private queued: QueuedHandler[] = [];
-  private sequence: number;
+  private readonly pendingValues = new Map<string, () => string>();
+  private queuedHandlers: QueuedHandler[] = [];
+  private lastSequence: number;
   private isSending = false;
   private isStopped = false;
   private failingSince: number | undefined;
   private readonly interruption = new Interruption();
 
   constructor(private readonly options: ExclusiveWriterOptions) {
-    this.sequence = options.lastSequence;
+    this.lastSequence = options.lastSequence;
   }
 
   /**
@@ -55,9 +55,9 @@
     if (this.isStopped) {
       return;
     }
-    this.dirty.set(key, formatValue);
+    this.pendingValues.set(key, formatValue);
     if (handleWritten !== undefined) {
-      this.queued.push({ handleWritten });
+      this.queuedHandlers.push({ handleWritten });
     }
     if (!this.isSending) {
       this.isSending = true;
@@ -73,7 +73,7 @@
   /** Calls the handler once everything queued so far is durable, which may be at once. */
   queueBarrier(handleWritten: () => void): void {
     if (this.isSending) {
-      this.queued.push({ handleWritten });
+      this.queuedHandlers.push({ handleWritten });
     } else {
       handleWritten();
     }
@@ -86,13 +86,14 @@
     }
   }
 
+  /** Stops sending, and drops the queued values and handlers. An append that was sent may still succeed. */
   stop(): void {
     this.isStopped = true;
-    this.dirty.clear();
-    this.queued = [];
+    this.pendingValues.clear();
+    this.queuedHandlers = [];
   }
 
-  /** Resolves once everything queued is durable, or after the timeout. */
+  /** Resolves once all queued appends have been sent and acknowledged, or the writer has stopped, or after the timeout in milliseconds. */
   async waitForFlush(timeoutMs: number): Promise<void> {
     const until = this.options.clock.getNow() + timeoutMs;
     while (this.isSending && this.options.clock.getNow() < until) {
@@ -102,10 +103,10 @@
 
   private async sendQueued(): Promise<void> {
     await waitForDelay(this.options.lingerMs);
-    while (this.dirty.size > 0 && !this.isStopped) {
+    while (this.pendingValues.size > 0 && !this.isStopped) {
       const writes = this.createBatch();
       // Handlers wait until no change is left for the next append, since theirs may be among those left.
-      const handlers = this.dirty.size === 0 ? this.queued.splice(0) : [];
+      const handlers = this.pendingValues.size === 0 ? this.queuedHandlers.splice(0) : [];
       const isWritten = await this.sendBatch(writes);
       if (!isWritten) {
         break;
@@ -114,20 +115,20 @@
     }
     this.isSending = false;
     if (!this.isStopped) {
-      this.queued.splice(0).forEach(({ handleWritten }) => handleWritten());
+      this.queuedHandlers.splice(0).forEach(({ handleWritten }) => handleWritten());
     }
   }
 
   private createBatch(): readonly LogWrite[] {
     const writes: LogWrite[] = [];
     let bytes = 0;
-    for (const [key, formatValue] of this.dirty) {
+    for (const [key, formatValue] of this.pendingValues) {
       const write = { key, value: formatValue() };
-      bytes += appendRules.computeBytes(write);
+      bytes += appendRules.computeRecordBytes(write);
       if (writes.length > 0 && bytes > this.options.maxBytes) {
         break;
       }
-      this.dirty.delete(key);
+      this.pendingValues.delete(key);
       writes.push(write);
     }
     return writes;
@@ -135,11 +136,11 @@
 
   private async sendBatch(writes: readonly LogWrite[]): Promise<boolean> {
     const { client, topic, clock, producer, epoch } = this.options;
-    this.sequence += 1;
+    this.lastSequence += 1;
     let timeoutMs: number = appendRules.initialTimeoutMs;
     while (!this.isStopped) {
       const sentAt = clock.getNow();
-      const writer = { producer, epoch, sequence: this.sequence };
+      const writer = { producer, epoch, sequence: this.lastSequence };
       const response = await this.interruption.waitFor(client.append({ topic, writes, writer, timeoutMs }));
       if (this.hasStopped()) {
         return false;
@@ -160,7 +161,7 @@
       const detail = response.error.kind === 'forgotten' ? 'forgotten' : response.error.detail;
       this.recordConnection(false, detail, sentAt);
       timeoutMs = Math.min(appendRules.maxTimeoutMs, timeoutMs * 2);
-      await waitForDelay(RETRY_DELAY_MS);
+      await waitForDelay(APPEND_RETRY_DELAY_MS);
     }
     return false;
   }
--- a/packages/store/LogFollower.ts
+++ b/packages/store/LogFollower.ts
@@ -27,46 +27,47 @@
   readonly handleConnection?: (isConnected: boolean, detail: string, sentAt: number) => void;
 }
 
-/** Time limit of a call beyond its long-poll wait; doubles with each call without a response. */
+/** Time limit of a read beyond its long-poll wait; doubles, up to the maximum, with each read without a response. */
 const CALL_TIMEOUT_MS = 500;
 const MAX_CALL_TIMEOUT_MS = 1000;
-const RETRY_DELAY_MS = 20;
-const BACKOFF_BASE_MS = 60;
-const BACKOFF_MAX_MS = 400;
+const REFRESH_RETRY_DELAY_MS = 20;
+const READ_BACKOFF_BASE_MS = 60;
+const READ_BACKOFF_MAX_MS = 400;
 
 /** Follows a topic of the log by long polls, starting with the newest record of each key. */
 export class LogFollower {
-  private offset: number | undefined;
+  private nextOffset: number | undefined;
   private isStopped = true;
   /** Increases with each start, so that the loop of an earlier start ends even when its read returns late. */
   private generation = 0;
   private isConnected = false;
   private isFailing = false;
   private hasResponded = false;
-  private newest: NewestReader;
+  private newestReader: NewestReader;
   private readonly interruption = new Interruption();
   private lastSuccessAt = -Infinity;
   /**
    * Monotonic time by which the pending read has a response. A response that is handled later was delayed in this process, by load or
    * suspension of the machine, and counts as received at this time.
    */
-  private dueAt = -Infinity;
+  private responseDueAt = -Infinity;
   /** Monotonic time at which the pending read was sent. */
-  private sentAt = -Infinity;
+  private readSentAt = -Infinity;
   private pauseAbort: AbortController | undefined;
   private pauseMs: number;
-  private timeoutMs = CALL_TIMEOUT_MS;
-  /** A pending read outside the loop, and the next one, which serves callers that arrive meanwhile. */
-  private refresh: Promise<boolean> | undefined;
+  private callTimeoutMs = CALL_TIMEOUT_MS;
+  /** Pending read outside the loop, resolving to whether it succeeded. */
+  private pendingRefresh: Promise<boolean> | undefined;
+  /** The read after the pending one, which serves callers that arrive meanwhile. */
   private nextRefresh: Promise<boolean> | undefined;
   private readonly backoff: Backoff;
 
   constructor(private readonly options: LogFollowerOptions) {
     this.pauseMs = options.pauseMs;
-    this.newest = new NewestReader(options.client, options.topic);
+    this.newestReader = new NewestReader(options.client, options.topic);
     this.backoff = new Backoff({
-      baseMs: BACKOFF_BASE_MS,
-      maxMs: BACKOFF_MAX_MS,
+      baseMs: READ_BACKOFF_BASE_MS,
+      maxMs: READ_BACKOFF_MAX_MS,
       random: options.random,
     });
   }
@@ -77,8 +78,9 @@
     this.generation += 1;
     const { generation } = this;
     while (this.isCurrent(generation)) {
-      this.sentAt = this.options.clock.getNow();
-      const read = this.offset === undefined ? this.readFirst() : this.readNext(this.offset);
+      this.readSentAt = this.options.clock.getNow();
+      const read =
+        this.nextOffset === undefined ? this.readNewestPages() : this.readNextRecords(this.nextOffset);
       const error = await this.interruption.waitFor(read.then((failure) => failure ?? 'done'));
       if (!this.isCurrent(generation)) {
         break;
@@ -90,8 +92,8 @@
         this.recordSuccess();
         await this.waitPause(this.pauseMs);
       } else if (error.kind === 'forgotten') {
-        this.offset = undefined;
-        this.newest = new NewestReader(this.options.client, this.options.topic);
+        this.nextOffset = undefined;
+        this.newestReader = new NewestReader(this.options.client, this.options.topic);
         // Avoids a tight loop of full reads when the log retains too little.
         await this.waitPause(this.backoff.computeNextDelay());
       } else {
@@ -111,7 +113,7 @@
    * the log has responded, after an outage, to a call sent at the monotonic time `successSentAt`.
    */
   retryPending(successSentAt: number): void {
-    const isOlder = this.offset !== undefined && this.sentAt < successSentAt;
+    const isOlder = this.nextOffset !== undefined && this.readSentAt < successSentAt;
     if (this.isFailing || isOlder) {
       this.interruption.cancel();
     }
@@ -128,16 +130,16 @@
 
   /** Returns the offset of the next record; undefined until the whole topic has been read. */
   getOffset(): number | undefined {
-    return this.offset;
+    return this.nextOffset;
   }
 
-  /** Returns the monotonic time up to which the newest successful read shows the topic. */
+  /** Returns the monotonic time of the last response to a read, but at most the time by which it was due. */
   getLastSuccessAt(): number {
     return this.lastSuccessAt;
   }
 
-  /** Returns true while the whole topic is known and reads succeed. */
-  isFollowing(): boolean {
+  /** Returns true once the whole topic has been read, as long as reads succeed. */
+  isUpToDate(): boolean {
     return this.isConnected;
   }
 
@@ -155,30 +157,30 @@
   }
 
   private queueRefresh(timeoutMs: number): Promise<boolean> {
-    if (this.refresh === undefined) {
-      this.refresh = this.readLatest(timeoutMs).finally(() => {
-        this.refresh = undefined;
+    if (this.pendingRefresh === undefined) {
+      this.pendingRefresh = this.readLatest(timeoutMs).finally(() => {
+        this.pendingRefresh = undefined;
       });
-      return this.refresh;
+      return this.pendingRefresh;
     }
     // The pending read may be older than this call: only the next one certainly shows the present state.
-    this.nextRefresh ??= this.refresh.then(() => {
+    this.nextRefresh ??= this.pendingRefresh.then(() => {
       this.nextRefresh = undefined;
       return this.queueRefresh(timeoutMs);
     });
     return this.nextRefresh;
   }
 
-  /** Reads outside the loop, which may be in a long poll. */
+  /** Reads the records after the known ones at once, beside the loop. Resolves to false when the read fails or the topic is not known. */
   private async readLatest(timeoutMs: number): Promise<boolean> {
     const { client, topic } = this.options;
-    while (this.offset !== undefined) {
-      const { offset } = this;
-      const response = await client.readRecords({ topic, fromOffset: offset, waitMs: 0, timeoutMs });
+    while (this.nextOffset !== undefined) {
+      const { nextOffset } = this;
+      const response = await client.readRecords({ topic, fromOffset: nextOffset, waitMs: 0, timeoutMs });
       if (!response.ok) {
         return false;
       }
-      if (this.offset === offset) {
+      if (this.nextOffset === nextOffset) {
         this.applyRecords(response.value.records);
         return true;
       }
@@ -187,33 +189,33 @@
   }
 
   /** Reads pages of the newest records until the topic is complete or a read fails. The next attempt resumes after the last page. */
-  private async readFirst(): Promise<LogError | undefined> {
-    while (this.offset === undefined && !this.isStopped) {
-      this.dueAt = this.options.clock.getNow() + this.timeoutMs;
-      const page = await this.newest.readPage(this.timeoutMs);
+  private async readNewestPages(): Promise<LogError | undefined> {
+    while (this.nextOffset === undefined && !this.isStopped) {
+      this.responseDueAt = this.options.clock.getNow() + this.callTimeoutMs;
+      const page = await this.newestReader.readPage(this.callTimeoutMs);
       if (!page.ok) {
         return page.error;
       }
       this.recordResponse();
       // Unless a concurrent read has set it.
-      this.offset ??= page.value.endOffset;
+      this.nextOffset ??= page.value.endOffset;
       this.options.handleRecords(page.value.records);
     }
     return undefined;
   }
 
-  private async readNext(offset: number): Promise<LogError | undefined> {
+  private async readNextRecords(offset: number): Promise<LogError | undefined> {
     const { client, topic } = this.options;
     // No long poll after a failure, so that recovery of the log is noticed early.
     const waitMs = this.isConnected ? this.options.pollMs : 0;
-    const timeoutMs = waitMs + this.timeoutMs;
-    this.dueAt = this.options.clock.getNow() + timeoutMs;
+    const timeoutMs = waitMs + this.callTimeoutMs;
+    this.responseDueAt = this.options.clock.getNow() + timeoutMs;
     const response = await client.readRecords({ topic, fromOffset: offset, waitMs, timeoutMs });
     if (!response.ok) {
       return response.error;
     }
     // Unless a refresh or a later start has advanced it.
-    if (this.offset === offset) {
+    if (this.nextOffset === offset) {
       this.applyRecords(response.value.records);
     }
     return undefined;
@@ -222,7 +224,7 @@
   private applyRecords(records: readonly LogRecord[]): void {
     const last = records[records.length - 1];
     if (last !== undefined) {
-      this.offset = last.offset + 1;
+      this.nextOffset = last.offset + 1;
       this.options.handleRecords(records);
     }
   }
@@ -231,13 +233,16 @@
     this.recordResponse();
     if (!this.isConnected) {
       this.isConnected = true;
-      this.options.handleConnection?.(true, '', this.sentAt);
+      this.options.handleConnection?.(true, '', this.readSentAt);
     }
   }
 
   private recordResponse(): void {
-    this.lastSuccessAt = Math.max(this.lastSuccessAt, Math.min(this.options.clock.getNow(), this.dueAt));
-    this.timeoutMs = CALL_TIMEOUT_MS;
+    this.lastSuccessAt = Math.max(
+      this.lastSuccessAt,
+      Math.min(this.options.clock.getNow(), this.responseDueAt),
+    );
+    this.callTimeoutMs = CALL_TIMEOUT_MS;
     this.hasResponded = true;
     this.isFailing = false;
     this.backoff.recordSuccess();
@@ -247,12 +252,12 @@
     const isNew = !this.isFailing;
     this.isFailing = true;
     if (error.kind === 'unknown') {
-      this.timeoutMs = Math.min(MAX_CALL_TIMEOUT_MS, this.timeoutMs * 2);
+      this.callTimeoutMs = Math.min(MAX_CALL_TIMEOUT_MS, this.callTimeoutMs * 2);
     }
     if (isNew) {
       this.isConnected = false;
       const detail = error.kind === 'forgotten' ? 'history gone' : error.detail;
-      this.options.handleConnection?.(false, detail, this.sentAt);
+      this.options.handleConnection?.(false, detail, this.readSentAt);
     }
   }
 
@@ -268,13 +273,13 @@
   /** Reads until all records before `offset` have been handled. Resolves to false after the timeout. */
   async waitForOffset(offset: number, timeoutMs: number): Promise<boolean> {
     const until = this.options.clock.getNow() + timeoutMs;
-    while ((this.offset ?? 0) < offset) {
+    while ((this.nextOffset ?? 0) < offset) {
       const leftMs = until - this.options.clock.getNow();
       if (leftMs <= 0 || this.isStopped) {
         return false;
       }
       if (!(await this.waitForRefresh(leftMs))) {
-        await waitForDelay(RETRY_DELAY_MS);
+        await waitForDelay(REFRESH_RETRY_DELAY_MS);
       }
     }
     return true;
--- a/packages/store/LogWriter.ts
+++ b/packages/store/LogWriter.ts
@@ -28,7 +28,7 @@
   readonly resolve: (outcome: WriteOutcome) => void;
 }
 
-const RETRY_DELAY_MS = 50;
+const APPEND_RETRY_DELAY_MS = 50;
 const PROBE_PAUSE_MS = 300;
 const PROBE_TIMEOUT_MS = 700;
 
@@ -37,19 +37,19 @@
  * An append without a response is retried, so that records must be idempotent.
  */
 export class LogWriter implements RecordWriter {
-  private readonly queued: QueuedWrite[] = [];
+  private readonly queuedWrites: QueuedWrite[] = [];
   private isSending = false;
-  private timeoutMs: number = appendRules.initialTimeoutMs;
+  private appendTimeoutMs: number = appendRules.initialTimeoutMs;
   private failingSince: number | undefined;
   private isProbing = false;
   private readonly interruption = new Interruption();
 
   constructor(private readonly options: LogWriterOptions) {}
 
-  /** Appends a record. Resolves by the deadline, in monotonic milliseconds, at the latest. */
+  /** Queues a record for the next append. Resolves to its outcome by the deadline, in monotonic milliseconds, at the latest. */
   writeRecord(write: LogWrite, deadline: number): Promise<WriteOutcome> {
     return new Promise((resolve) => {
-      this.queued.push({ write, deadline, resolve });
+      this.queuedWrites.push({ write, deadline, resolve });
       if (!this.isSending) {
         this.isSending = true;
         void this.sendQueued();
@@ -71,11 +71,11 @@
 
   private async sendQueued(): Promise<void> {
     await waitForDelay(this.options.lingerMs);
-    while (this.queued.length > 0) {
+    while (this.queuedWrites.length > 0) {
       const isWritten = await this.sendBatch(this.createBatch());
       if (!isWritten) {
         // These have not been sent, so that they certainly have no effect.
-        this.queued.splice(0).forEach(({ resolve }) => resolve('refused'));
+        this.queuedWrites.splice(0).forEach(({ resolve }) => resolve('refused'));
       }
     }
     this.isSending = false;
@@ -98,14 +98,14 @@
   private createBatch(): readonly QueuedWrite[] {
     let bytes = 0;
     let count = 0;
-    for (const { write } of this.queued) {
-      bytes += appendRules.computeBytes(write);
+    for (const { write } of this.queuedWrites) {
+      bytes += appendRules.computeRecordBytes(write);
       if (count > 0 && bytes > this.options.maxBytes) {
         break;
       }
       count += 1;
     }
-    return this.queued.splice(0, count);
+    return this.queuedWrites.splice(0, count);
   }
 
   /**
@@ -116,7 +116,7 @@
     let pending = batch;
     let mayBeWritten = false;
     while (pending.length > 0) {
-      const timeoutMs = Math.min(this.timeoutMs, this.computeMaxRemainingMs(pending));
+      const timeoutMs = Math.min(this.appendTimeoutMs, this.computeMaxRemainingMs(pending));
       const { client, topic } = this.options;
       const writes = pending.map(({ write }) => write);
       const response = await this.interruption.waitFor(client.append({ topic, writes, timeoutMs }));
@@ -131,13 +131,13 @@
       }
       this.recordFailure(response.error);
       mayBeWritten = mayBeWritten || response.error.kind === 'unknown';
-      const now = this.options.clock.getNow() + RETRY_DELAY_MS;
+      const now = this.options.clock.getNow() + APPEND_RETRY_DELAY_MS;
       pending
         .filter(({ deadline }) => deadline <= now)
         .forEach(({ resolve }) => resolve(mayBeWritten ? 'unknown' : 'refused'));
       pending = pending.filter(({ deadline }) => deadline > now);
       if (pending.length > 0) {
-        await waitForDelay(RETRY_DELAY_MS);
+        await waitForDelay(APPEND_RETRY_DELAY_MS);
       }
     }
     return false;
@@ -150,13 +150,13 @@
 
   private recordSuccess(): void {
     this.failingSince = undefined;
-    this.timeoutMs = appendRules.initialTimeoutMs;
+    this.appendTimeoutMs = appendRules.initialTimeoutMs;
   }
 
   private recordFailure(error: LogError): void {
     this.failingSince ??= this.options.clock.getNow();
     if (error.kind === 'unknown') {
-      this.timeoutMs = Math.min(appendRules.maxTimeoutMs, this.timeoutMs * 2);
+      this.appendTimeoutMs = Math.min(appendRules.maxTimeoutMs, this.appendTimeoutMs * 2);
     }
   }
 }
--- a/packages/store/NewestReader.ts
+++ b/packages/store/NewestReader.ts
@@ -14,6 +14,7 @@
  * or unreliable link transfers the whole topic eventually.
  */
 export class NewestReader {
+  /** Last key of the newest page; undefined before the first page. */
   private afterKey: string | undefined;
   /** End of the topic at the first page. Reading continues from there, which repeats records that changed between pages. */
   private endOffset: number | undefined;
@@ -23,7 +24,10 @@
     private readonly topic: string,
   ) {}
 
-  /** Reads the next page. `timeoutMs` bounds the time without data from the log, not the duration of the response. */
+  /**
+   * Reads the next page; without records when a concurrent call has read it. `timeoutMs` bounds the time without data from the log, not the
+   * duration of the response.
+   */
   async readPage(timeoutMs: number): Promise<Result<TopicPage, LogError>> {
     const { topic, afterKey } = this;
     const page = await this.client.readNewestPage({ topic, afterKey, timeoutMs });
--- a/packages/store/appendRules.ts
+++ b/packages/store/appendRules.ts
@@ -4,13 +4,13 @@
 const RECORD_OVERHEAD_BYTES = 5;
 
 /** Returns the size of a record in an append, in bytes. */
-const computeBytes = ({ key, value }: LogWrite): number =>
+const computeRecordBytes = ({ key, value }: LogWrite): number =>
   Buffer.byteLength(key) + Buffer.byteLength(value) + RECORD_OVERHEAD_BYTES;
 
-/** Limits of all appends to the log. */
+/** Time limits and size computation that all writers of the log share. */
 export const appendRules = {
   /** Time limit of the first attempt; doubles with each timeout, up to `maxTimeoutMs`. */
   initialTimeoutMs: 350,
   maxTimeoutMs: 1400,
-  computeBytes,
+  computeRecordBytes,
 } as const;
--- a/tests/admission.test.ts
+++ b/tests/admission.test.ts
@@ -37,7 +37,7 @@
 
 const createRequest = (number = 1, fields: Partial<AdmissionRequest> = {}): AdmissionRequest => {
   const { id, queue, steps } = createJobDefinition(number, [createStep()]);
-  return { id, queue, steps, customer: undefined, dueInMs: 0, leftMs: 3000, ...fields };
+  return { id, queue, steps, customer: undefined, dueInMs: 0, callerWaitMs: 3000, ...fields };
 };
 
 describe('admission control', () => {
@@ -79,7 +79,7 @@
 
   it('spreads retries, with the same retry time for a job on every box', () => {
     const refusedMs = 4000;
-    const computeRetryMs = (number: number, leftMs = 60_000): number => {
+    const computeRetryMs = (number: number, callerWaitMs = 60_000): number => {
       const load = toKnown(createDigest(USEFUL_MS + refusedMs));
       // Ids that end in evenly spread digits.
       const id = toId<JobId>(
@@ -87,7 +87,7 @@
           .toString(16)
           .padStart(6, '0')}`,
       );
-      const decision = chooseAdmission(load, createRequest(1, { id, leftMs }));
+      const decision = chooseAdmission(load, createRequest(1, { id, callerWaitMs }));
       return decision.kind === 'hopeless' ? decision.retryAfterMs : 0;
     };
     const times = Array.from({ length: 200 }, (_, number) => computeRetryMs(number));
@@ -150,7 +150,7 @@
 
 const HOPELESS_MS = 20_000;
 
-describe('a box with the door by load', () => {
+describe('a box that refuses jobs by load', () => {
   it('refuses a hopeless job once the jobs have been read to the end, and logs the reason', async () => {
     const box = new AdmissionFixture();
     box.handleDigest(HOPELESS_MS);
--- a/tests/crashCharges.test.ts
+++ b/tests/crashCharges.test.ts
@@ -221,7 +221,7 @@
   it('is stored with the progress of the job, which older records lack', () => {
     const job = createJob();
     const progress = new JobProgress(job);
-    progress.recordPlaced(FIRST_TASK, 1, toId<EndpointIncarnation>('i-1'));
+    progress.recordRunPlaced(FIRST_TASK, 1, toId<EndpointIncarnation>('i-1'));
     const before = formatProgress(job, progress);
     expect(before).not.toContain('crashes');
     expect(parseProgress(job, before)!.getTask(FIRST_TASK)!.crashes).toEqual([]);
--- a/tests/customerLimits.test.ts
+++ b/tests/customerLimits.test.ts
@@ -156,7 +156,7 @@
     const job = createJob(1, [createStep({ count: 3 })]);
     const progress = new JobProgress(job);
     [0, 1, 2].forEach((index) =>
-      progress.recordPlaced({ repetition: 0, step: 0, index }, 1, PROFILES[2]!.incarnation),
+      progress.recordRunPlaced({ repetition: 0, step: 0, index }, 1, PROFILES[2]!.incarnation),
     );
     startLeader(5000, false);
     dispatcher.handleJob(job, progress, 1);
--- a/tests/customers.test.ts
+++ b/tests/customers.test.ts
@@ -68,7 +68,7 @@
   const checkHeader = (path: string, header: string | undefined, isFresh = true) => {
     const { isOpen } = router.findRoute('jobs.example', path)!;
     const key = parseCallerKey(header);
-    const check = checkCaller({ key, isOpen, customers: router.getCustomers(), isFresh });
+    const check = checkCaller({ key, isOpen, customers: router.getCustomers(), isConfigFresh: isFresh });
     return check.kind === 'admitted' ? (check.customer?.name ?? 'nobody') : check;
   };
 
@@ -231,9 +231,9 @@
   it('are labelled with the escaped name, for a bounded number of customers', () => {
     const metrics = {
       name: toId<CustomerName>('a "b"\\'),
-      used: { cpuMillis: 1500, memoryMb: 0, accelerators: 0 },
-      runs: 2,
-      waiting: 7,
+      usedResources: { cpuMillis: 1500, memoryMb: 0, accelerators: 0 },
+      runCount: 2,
+      waitingTaskCount: 7,
       limit: { cpuMillis: 4000, memoryMb: 0, accelerators: 0 },
     };
     expect(formatCustomerMetrics([metrics]).split('\n')).toEqual([
@@ -243,7 +243,7 @@
       'stairline_customer_limit_cpu_millis{customer="a \\"b\\"\\\\"} 4000',
       '',
     ]);
-    const many = Array.from({ length: 2000 }, (_, runs) => ({ ...metrics, runs }));
+    const many = Array.from({ length: 2000 }, (_, runCount) => ({ ...metrics, runCount }));
     expect(formatCustomerMetrics(many).split('\n').length).toBeLessThan(1100);
     expect(formatCustomerMetrics(many)).toContain('} 1999\n');
   });
@@ -260,7 +260,7 @@
     usage.recordRun(run);
     usage.recordRun(run);
     usage.recordRun({ ...run, customer: undefined });
-    expect(usage.getUsed(run.customer)).toEqual({ cpuMillis: 6, memoryMb: 4, accelerators: 2 });
+    expect(usage.getUsedResources(run.customer)).toEqual({ cpuMillis: 6, memoryMb: 4, accelerators: 2 });
     usage.recordRunEnd(run);
     usage.recordRunEnd(run);
     expect(usage.getAll().size).toBe(0);
--- a/tests/dispatch.test.ts
+++ b/tests/dispatch.test.ts
@@ -496,11 +496,11 @@
     const definition = createJob(1, [createStep({ count: 3 })]);
     const progress = new JobProgress(definition);
     const endpoint = toId<EndpointIncarnation>('i-0');
-    progress.recordPlaced({ repetition: 0, step: 0, index: 0 }, 1, endpoint);
-    progress.recordPlaced({ repetition: 0, step: 0, index: 1 }, 1, endpoint);
-    progress.recordEnd({ repetition: 0, step: 0, index: 1 }, 1, 'failed', 'saved');
-    progress.recordPlaced({ repetition: 0, step: 0, index: 2 }, 1, endpoint);
-    progress.recordEnd({ repetition: 0, step: 0, index: 2 }, 1, 'done', '');
+    progress.recordRunPlaced({ repetition: 0, step: 0, index: 0 }, 1, endpoint);
+    progress.recordRunPlaced({ repetition: 0, step: 0, index: 1 }, 1, endpoint);
+    progress.recordRunEnd({ repetition: 0, step: 0, index: 1 }, 1, 'failed', 'saved');
+    progress.recordRunPlaced({ repetition: 0, step: 0, index: 2 }, 1, endpoint);
+    progress.recordRunEnd({ repetition: 0, step: 0, index: 2 }, 1, 'done', '');
     const text = formatProgress(definition, progress);
     const read = parseProgress(definition, text)!;
     expect(formatProgress(definition, read)).toBe(text);
--- a/tests/foreignRecords.test.ts
+++ b/tests/foreignRecords.test.ts
@@ -152,11 +152,11 @@
 
   it('of progress are parsed completely or not at all', () => {
     const progress = new JobProgress(DEFINITION);
-    progress.recordPlaced({ repetition: 0, step: 0, index: 0 }, 1, toId('i-1@5'));
+    progress.recordRunPlaced({ repetition: 0, step: 0, index: 0 }, 1, toId('i-1@5'));
     const valid: unknown = JSON.parse(formatProgress(DEFINITION, progress));
     checkProperty(createTexts(valid), (text) => {
       const read = parseProgress(DEFINITION, text);
-      const runs = read?.listTasks(0, 0).map(({ run }) => run) ?? [];
+      const runs = read?.listTasks(0, 0).map(({ runNumber }) => runNumber) ?? [];
       expect(runs.every(isUsableNumber)).toBe(true);
     });
   });
--- a/tests/lateJobs.test.ts
+++ b/tests/lateJobs.test.ts
@@ -15,7 +15,7 @@
 import { DecisionLog } from '../packages/logging/DecisionLog';
 import { formatLateJob } from '../packages/logging/formatLateJob';
 import { JobTrace } from '../packages/logging/JobTrace';
-import { computeSamplingLevel } from '../packages/logging/computeSamplingLevel';
+import { computeJobSamplingLevel } from '../packages/logging/computeJobSamplingLevel';
 import { createJobDefinition } from './helpers/createJobDefinition';
 import { createProfile } from './helpers/createProfile';
 import { createStep } from './helpers/createStep';
@@ -76,8 +76,8 @@
     box: 'box-1',
     writeLine: (line) => this.lines.push(line),
     getBacklogBytes: () => 0,
-    readNow: () => this.now,
-    readWall: () => this.now + WALL_MS,
+    getNow: () => this.now,
+    getWallMs: () => this.now + WALL_MS,
     linesPerSecond: BOUND,
   });
   private readonly logger = this.log.createLogger('leader');
@@ -246,7 +246,7 @@
   it('leave capacity for other lines: the log keeps to its bound, and the smallest sample of jobs is complete', () => {
     const seconds = (LOAD_MS + 4000) / 1000;
     expect(simulation.lines.length).toBeLessThan(BOUND * (4 + seconds) + seconds);
-    const chosen = [...simulation.expected.keys()].filter((job) => computeSamplingLevel(job) >= 4);
+    const chosen = [...simulation.expected.keys()].filter((job) => computeJobSamplingLevel(job) >= 4);
     expect(chosen.length).toBeGreaterThan(100);
     const paths = chosen.map((job) => chooseCriticalPath(accounts.get(job)!));
     expect(paths.flat().filter(({ cause }) => cause === 'unknown')).toEqual([]);
@@ -265,7 +265,7 @@
   const definition = createJobDefinition(1, [createStep({ count: 1 })]);
   const progress = new JobProgress(definition);
   const { incarnation: endpoint } = createProfile('i-1');
-  progress.recordPlaced({ repetition: 0, step: 0, index: 0 }, 1, endpoint);
+  progress.recordRunPlaced({ repetition: 0, step: 0, index: 0 }, 1, endpoint);
   const dispatcher = new Dispatcher({ getDefinition: () => definition, earlierLeasesEndAt: leaderAt + 100 });
   dispatcher.handleEndpointProfile(createProfile('i-1'));
   dispatcher.handleJob(definition, progress, leaderAt);
@@ -339,7 +339,7 @@
       const end = { outcome: 'done', cause: 'listed', reportedEnd: 'done', checkpoint: '' } as const;
       trace.recordRun(run, createProfile(`i-${index}`), end, 1000 + index);
     }
-    const account = trace.createAccount(definition, 'completed', 1499);
+    const account = trace.createHistory(definition, 'completed', 1499);
     expect(account.runs.size).toBe(48);
     const line = formatLateJob(account, 1);
     expect(line['runs']).toMatchObject([{ endpoint: 'i-499', outcome: 'done', how: 'done', ms: 1489 }]);
--- a/tests/leaderWatch.test.ts
+++ b/tests/leaderWatch.test.ts
@@ -32,7 +32,7 @@
     const address = await startServer((count) => {
       connections = count;
     });
-    watch = new LeaderWatch({ handleEnded: () => undefined });
+    watch = new LeaderWatch({ handleProcessEnded: () => undefined });
     watch.setLeader({ process: 'box-0#1', address });
     await new Promise((resolve) => setTimeout(resolve, WATCHED_MS));
     expect(connections).toBeGreaterThan(1);
--- a/tests/leadership.test.ts
+++ b/tests/leadership.test.ts
@@ -54,7 +54,7 @@
       isOutranked: () => isOutranked,
       handleElected: () => undefined,
     });
-    leadership.handleConnection(true);
+    leadership.handleLogConnection(true);
     leadership.foldRecords([{ offset: 0, key: leaderKeys.recordKey, value: JSON.stringify(LEADER) }]);
     now += inactiveBeforeMs;
     const endedAt = now;
@@ -87,7 +87,7 @@
     let lastOkAt = now;
     const clock = { getNow: () => now, getWallTime: () => now };
     const claims: number[] = [];
-    const follower = { getLastSuccessAt: () => lastOkAt, isFollowing: () => true, getOffset: () => 0 };
+    const follower = { getLastSuccessAt: () => lastOkAt, isUpToDate: () => true, getOffset: () => 0 };
     const leadership = new Leadership({
       client: createLog(claims, clock.getNow),
       topic: 'keyed.states',
@@ -100,7 +100,7 @@
       isOutranked: () => isOutranked,
       handleElected: () => undefined,
     });
-    leadership.handleConnection(true);
+    leadership.handleLogConnection(true);
     leadership.foldRecords([{ offset: 0, key: leaderKeys.recordKey, value: JSON.stringify(LEADER) }]);
     for (; claims.length === 0 && now < 5000; now += 10) {
       const readCount = Math.floor((now - 1000 + readsEarlierMs) / CYCLE_MS);
@@ -213,7 +213,7 @@
     leases.recordLeader(toRecord(1), 1000);
     leases.recordActivity(2000);
     leases.recordLeader(toRecord(2), 9000);
-    expect(leases.getEarlierEndAt()).toBe(2000 + LEASE_BOUND_MS + UNCONFIRMED_GRACE_MS);
+    expect(leases.getEarlierLeasesEndAt()).toBe(2000 + LEASE_BOUND_MS + UNCONFIRMED_GRACE_MS);
   });
 
   it('expire without the grace period when the leader has stopped gracefully', () => {
@@ -221,12 +221,12 @@
     resigned.recordLeader(toRecord(1), 1000);
     resigned.recordLeader(toRecord(1, true), 5000);
     resigned.recordLeader(toRecord(2), 5500);
-    expect(resigned.getEarlierEndAt()).toBe(5000 + LEASE_BOUND_MS);
+    expect(resigned.getEarlierLeasesEndAt()).toBe(5000 + LEASE_BOUND_MS);
     const notified = new LeaseHistory();
     notified.recordLeader(toRecord(1), 1000);
-    notified.recordStopped(1, 5000);
+    notified.recordLeaderStopped(1, 5000);
     notified.recordLeader(toRecord(2), 5500);
-    expect(notified.getEarlierEndAt()).toBe(5000 + LEASE_BOUND_MS);
+    expect(notified.getEarlierLeasesEndAt()).toBe(5000 + LEASE_BOUND_MS);
   });
 
   it('are still bounded by an earlier leader when the one in between was short', () => {
@@ -235,16 +235,16 @@
     leases.recordLeader(toRecord(2), 3000);
     leases.recordLeader(toRecord(2, true), 3100);
     leases.recordLeader(toRecord(3), 3200);
-    expect(leases.getEarlierEndAt()).toBe(1000 + LEASE_BOUND_MS + UNCONFIRMED_GRACE_MS);
+    expect(leases.getEarlierLeasesEndAt()).toBe(1000 + LEASE_BOUND_MS + UNCONFIRMED_GRACE_MS);
   });
 
   it('count from a heartbeat read after the stop message of its leader, and not from the stop message of another epoch', () => {
     const leases = new LeaseHistory();
     leases.recordLeader(toRecord(1), 1000);
-    leases.recordStopped(1, 1100);
+    leases.recordLeaderStopped(1, 1100);
     leases.recordLeader(toRecord(1), 1200);
-    leases.recordStopped(7, 1300);
+    leases.recordLeaderStopped(7, 1300);
     leases.recordLeader(toRecord(2), 1400);
-    expect(leases.getEarlierEndAt()).toBe(1200 + LEASE_BOUND_MS + UNCONFIRMED_GRACE_MS);
+    expect(leases.getEarlierLeasesEndAt()).toBe(1200 + LEASE_BOUND_MS + UNCONFIRMED_GRACE_MS);
   });
 });
--- a/tests/ledger.test.ts
+++ b/tests/ledger.test.ts
@@ -4,7 +4,7 @@
 import { readJobHistories } from '../packages/ledger/readJobHistories';
 import { computeCriticalPath } from '../packages/ledger/computeCriticalPath';
 import { readSamplingLevel } from '../packages/ledger/readSamplingLevel';
-import { computeSamplingLevel } from '../packages/logging/computeSamplingLevel';
+import { computeJobSamplingLevel } from '../packages/logging/computeJobSamplingLevel';
 
 const START = Date.parse('2026-01-01T00:00:00.000Z');
 
@@ -245,7 +245,7 @@
     expect(lateQueues.map(({ sums }) => sums.countJobs())).toEqual([1]);
     expect(lateQueues[0]!.sums.getMeanMs('room')).toBe(700);
     expect(lateQueues[0]!.sums.getMeanMs('accept')).toBe(15);
-    const sampled = ids.filter((id) => computeSamplingLevel(id) >= 1);
+    const sampled = ids.filter((id) => computeJobSamplingLevel(id) >= 1);
     expect(sampled).toEqual(['b', 'd', 'f']);
     expect(queues[0]!.sums.countJobs()).toBe(sampled.length);
   });
--- a/tests/loadDigest.test.ts
+++ b/tests/loadDigest.test.ts
@@ -37,8 +37,8 @@
       {
         weight: 1,
         waitingTasks: number * 1000,
-        waiting: toCpuDemand(1_234_567),
-        held: toCpuDemand(1_234_567),
+        waitingDemand: toCpuDemand(1_234_567),
+        usedResources: toCpuDemand(1_234_567),
       },
     ]),
   ),
@@ -80,11 +80,15 @@
   });
 
   it('gives the dominant share and the fair share of customers', () => {
-    const half = { waitingTasks: 1, waiting: toCpuDemand(16_000_000), held: toCpuDemand(8_000_000) };
+    const half = {
+      waitingTasks: 1,
+      waitingDemand: toCpuDemand(16_000_000),
+      usedResources: toCpuDemand(8_000_000),
+    };
     const customers = new Map([
       [toCustomerName('large'), { ...half, weight: 3 }],
-      [toCustomerName('small'), { ...half, weight: 1, held: toCpuDemand(0) }],
-      [toCustomerName('none'), { ...half, weight: 0, held: toCpuDemand(1_600_000) }],
+      [toCustomerName('small'), { ...half, weight: 1, usedResources: toCpuDemand(0) }],
+      [toCustomerName('none'), { ...half, weight: 0, usedResources: toCpuDemand(1_600_000) }],
     ]);
     const snapshot = { ...createSnapshot(1), customers, othersShare: 0.2 };
     const rows = createDigest({ ...createLoad(), snapshot, getStartsPerSecond: () => 1 }).customers;
@@ -113,7 +117,7 @@
     expect(load.customers.get(owner.name)).toMatchObject({
       weight: 2,
       waitingTasks: 2,
-      held: { cpuMillis: 4000 },
+      usedResources: { cpuMillis: 4000 },
     });
     expect([load.capacity.cpuMillis, load.freeCpuMillis, load.othersShare]).toEqual([4000, 0, 0]);
   });
@@ -165,12 +169,12 @@
     for (let now = 0; now < 6000; now += 10) {
       rates.recordStart('busy', now);
     }
-    expect(rates.computePerSecond('busy', 2000)).toBeUndefined();
-    expect(rates.computePerSecond('busy', 6000)).toBe(100);
-    expect(rates.computePerSecond('idle', 6000)).toBe(0);
+    expect(rates.computeStartsPerSecond('busy', 2000)).toBeUndefined();
+    expect(rates.computeStartsPerSecond('busy', 6000)).toBe(100);
+    expect(rates.computeStartsPerSecond('idle', 6000)).toBe(0);
     // A stall of the log does not lower the rate.
-    expect(rates.computePerSecond('busy', 9500)).toBe(100);
-    expect(rates.computePerSecond('busy', 20_000)).toBe(0);
+    expect(rates.computeStartsPerSecond('busy', 9500)).toBe(100);
+    expect(rates.computeStartsPerSecond('busy', 20_000)).toBe(0);
   });
 });
 
--- a/tests/logging.test.ts
+++ b/tests/logging.test.ts
@@ -4,7 +4,7 @@
 import { LineBatcher } from '../packages/logging/LineBatcher';
 import { getLineClass } from '../packages/logging/getLineClass';
 import { findLineJob } from '../packages/logging/findLineJob';
-import { computeSamplingLevel } from '../packages/logging/computeSamplingLevel';
+import { computeJobSamplingLevel } from '../packages/logging/computeJobSamplingLevel';
 import { readJobLines } from '../packages/timeline/readJobLines';
 
 const BOUND = 400;
@@ -28,8 +28,8 @@
     box: 'box-1',
     writeLine: (line) => this.written.push(JSON.parse(line) as WrittenLine),
     getBacklogBytes: () => this.backlogBytes,
-    readNow: () => this.now,
-    readWall: () => this.now,
+    getNow: () => this.now,
+    getWallMs: () => this.now,
     linesPerSecond: BOUND,
   });
   readonly logger = this.log.createLogger('leader');
@@ -128,11 +128,11 @@
     const fixture = new LogFixture();
     Array.from({ length: BURST + 7 }).forEach(() => fixture.logger.info('Something.'));
     fixture.now = 999;
-    fixture.log.handleTick();
+    fixture.log.logSuppressedWhenDue();
     expect(fixture.countSuppressed()).toEqual({});
     fixture.now = 1000;
-    fixture.log.handleTick();
-    fixture.log.handleTick();
+    fixture.log.logSuppressedWhenDue();
+    fixture.log.logSuppressedWhenDue();
     expect(fixture.countSuppressed()).toEqual({ 'Something.': 7 });
     Array.from({ length: BOUND + 5 }).forEach(() => fixture.logger.info('Something.'));
     fixture.log.stop();
@@ -146,10 +146,10 @@
     fixture.logger.info('Something.');
     fixture.logger.warn('Something odd.');
     fixture.now = 2000;
-    fixture.log.handleTick();
+    fixture.log.logSuppressedWhenDue();
     expect(fixture.written).toHaveLength(0);
     fixture.backlogBytes = 0;
-    fixture.log.handleTick();
+    fixture.log.logSuppressedWhenDue();
     expect(fixture.countSuppressed()).toEqual({ 'Something.': 1, 'Something odd.': 1 });
   });
 });
@@ -191,9 +191,9 @@
     ['a', 'b', 'c'].forEach((job) => batcher.recordLine('Run gives way.', toFields(job, 'x.0.0'), 0));
     batcher.recordLine('Run gives way.', toFields('d', 'y.0.0'), 0);
     batcher.recordLine('Job ended.', { job: 'a' }, 0);
-    batcher.handleTick(20);
+    batcher.writeDueBatches(20);
     expect(fixture.listMessages()).toEqual(['Job ended.']);
-    batcher.handleTick(100);
+    batcher.writeDueBatches(100);
     const [whole, single] = fixture.listLines('Run gives way.');
     expect(whole).toMatchObject({ for: 'x.0.0', rows: [{ job: 'a' }, { job: 'b' }, { job: 'c' }] });
     expect(single).toMatchObject({ for: 'y.0.0', job: 'd', percent: 5 });
@@ -218,7 +218,7 @@
   it('halves the jobs with each level, by the id alone, even for consecutive ids', () => {
     const counted = Array.from({ length: 8192 }, (_, index) => index.toString(16).padStart(16, '0'));
     for (const ids of [createJobIds(8192), counted]) {
-      const levels = ids.map(computeSamplingLevel);
+      const levels = ids.map(computeJobSamplingLevel);
       for (const level of [1, 2, 3, 4]) {
         const share = levels.filter((one) => one >= level).length / ids.length;
         expect(share * 2 ** level).toBeGreaterThan(0.8);
@@ -238,8 +238,8 @@
     const fixture = new LogFixture();
     const jobs = runLoad(fixture, 300, 20);
     fixture.now += 1000;
-    fixture.log.handleTick();
-    const chosen = jobs.filter((job) => computeSamplingLevel(job) >= 4);
+    fixture.log.logSuppressedWhenDue();
+    const chosen = jobs.filter((job) => computeJobSamplingLevel(job) >= 4);
     expect(chosen.length).toBeGreaterThan(jobs.length / 20);
     expect(listCompleteJobs(fixture, chosen)).toEqual(chosen);
     expect(fixture.listLines('Something is odd.')).toHaveLength(400);
@@ -294,7 +294,7 @@
 
   it('keeps capacity for lines of higher classes, in a flood of job lines and in a flood of notable lines', () => {
     const fixture = new LogFixture();
-    const [job] = createJobIds(64).filter((one) => computeSamplingLevel(one) >= 5);
+    const [job] = createJobIds(64).filter((one) => computeJobSamplingLevel(one) >= 5);
     Array.from({ length: 5000 }).forEach(() => fixture.logger.info('Tasks placed.', { job }));
     fixture.logger.info('Run is moved.', { job });
     fixture.logger.info('Job ended late.', { job });
--- a/tests/serve/door.test.ts
+++ b/tests/serve/door.test.ts
@@ -7,7 +7,7 @@
 const BACKLOG_JOB = { spec: String(RUN_MS), steps: [{ count: 400, cpu: 1000, 'mem-mb': 100 }] };
 const SHORT_JOB = { spec: '10', steps: [{ count: 2, cpu: 1000, 'mem-mb': 100 }] };
 
-describe('a box with the door by load', () => {
+describe('a box that refuses jobs by load', () => {
   let cell: Cell;
 
   beforeEach(async () => {
--- a/tests/shrinkingCapacity.test.ts
+++ b/tests/shrinkingCapacity.test.ts
@@ -137,7 +137,7 @@
     const [before, after] = [createJob(1, CORES), createJob(2, 1)];
     const progress = new JobProgress(before);
     for (let index = 0; index < CORES; index += 1) {
-      progress.recordPlaced({ repetition: 0, step: 0, index }, 1, ENDPOINT);
+      progress.recordRunPlaced({ repetition: 0, step: 0, index }, 1, ENDPOINT);
     }
     dispatcher = new Dispatcher({ getDefinition: () => before, earlierLeasesEndAt: 0 });
     sendCapacity(ENDPOINT, 2);
