--- a/packages/cli/serveCommand.ts
+++ b/packages/cli/serveCommand.ts
@@ -72,7 +72,7 @@
       getBacklogBytes: () => process.stdout.writableLength,
       getNow: () => systemClock.getNow(),
       getWallMs: () => Date.now(),
-      linesPerSecond: LOG_LINES_PER_SECOND,
+      maxLinesPerSecond: LOG_LINES_PER_SECOND,
     });
     setInterval(() => decisionLog.logSuppressedWhenDue(), LOG_TICK_MS).unref();
     const createPartLogger = (part: string): Logger => decisionLog.createLogger(part);
--- a/packages/customers/CustomerUsage.ts
+++ b/packages/customers/CustomerUsage.ts
@@ -42,7 +42,7 @@
   }
 
   /** Returns the resources and the number of runs of each customer that has runs. */
-  getAll(): ReadonlyMap<CustomerName, { readonly taken: TaskDemand; readonly runs: number }> {
+  getAllUsages(): ReadonlyMap<CustomerName, { readonly taken: TaskDemand; readonly runs: number }> {
     return this.usages;
   }
 
--- a/packages/customers/JobRateMeter.ts
+++ b/packages/customers/JobRateMeter.ts
@@ -5,7 +5,7 @@
   /** Number of further jobs that are within the share at `filledAt`. */
   tokens: number;
   /** Newest acceptance time of the customer's jobs, in Unix milliseconds. */
-  filledAt: number;
+  filledAtMs: number;
 }
 
 const MS_PER_S = 1000;
@@ -28,12 +28,15 @@
       return false;
     }
     const capacity = Math.max(MIN_BUCKET_CAPACITY, weight);
-    const bucket = this.buckets.get(name) ?? { tokens: capacity, filledAt: acceptedAtMs };
+    const bucket = this.buckets.get(name) ?? { tokens: capacity, filledAtMs: acceptedAtMs };
     // Jobs of several boxes may arrive out of order, which must not fill the bucket twice.
-    const elapsedMs = Math.max(0, acceptedAtMs - bucket.filledAt);
+    const elapsedMs = Math.max(0, acceptedAtMs - bucket.filledAtMs);
     const tokens = Math.min(capacity, bucket.tokens + (elapsedMs * weight) / MS_PER_S);
     const isOver = tokens < 1;
-    this.buckets.set(name, { tokens: isOver ? tokens : tokens - 1, filledAt: bucket.filledAt + elapsedMs });
+    this.buckets.set(name, {
+      tokens: isOver ? tokens : tokens - 1,
+      filledAtMs: bucket.filledAtMs + elapsedMs,
+    });
     return isOver;
   }
 }
--- a/packages/customers/customerLimits.ts
+++ b/packages/customers/customerLimits.ts
@@ -2,12 +2,12 @@
 import type { JobStep } from '../jobs/JobStep';
 import type { TaskDemand } from '../jobs/TaskDemand';
 
-const DIMENSIONS = ['cpuMillis', 'memoryMb', 'accelerators'] as const satisfies readonly (keyof TaskDemand)[];
+const RESOURCES = ['cpuMillis', 'memoryMb', 'accelerators'] as const satisfies readonly (keyof TaskDemand)[];
 
 /** Returns how many tasks of one demand fit into the unused part of a limit; Infinity when no dimension that they need is limited. */
 const countFittingTasks = (limit: TaskDemand, used: TaskDemand, demand: TaskDemand): number => {
   let count = Infinity;
-  for (const dimension of DIMENSIONS) {
+  for (const dimension of RESOURCES) {
     if (limit[dimension] > 0 && demand[dimension] > 0) {
       const left = limit[dimension] - used[dimension];
       count = Math.min(count, Math.max(0, Math.floor(left / demand[dimension])));
--- a/packages/dispatch/LeaderJournal.ts
+++ b/packages/dispatch/LeaderJournal.ts
@@ -125,8 +125,8 @@
 
   /** Retries appends that are pending since the log's outage. */
   retryPending(): void {
-    this.progressWriter.retryPending();
-    this.stateWriter.retryPending();
+    this.progressWriter.retryPendingAppend();
+    this.stateWriter.retryPendingAppend();
   }
 
   stop(): void {
@@ -144,7 +144,7 @@
       epoch,
       lastSequence: leaderKeys.claimSequence,
       lingerMs: LINGER_MS,
-      maxBytes: maxAppendBytes,
+      maxBatchBytes: maxAppendBytes,
       handleFenced,
       handleConfirmed,
       handleConnection: (isConnected, detail, sentAt) => {
--- a/packages/dispatch/computeLoad.ts
+++ b/packages/dispatch/computeLoad.ts
@@ -65,8 +65,14 @@
       }
     }
   }
-  const othersShare = [...usage.getAll()]
+  const otherCustomersShare = [...usage.getAllUsages()]
     .filter(([name]) => !customers.has(name))
     .reduce((sum, [, { taken }]) => sum + computeDominantShare(taken, capacity), 0);
-  return { capacity, freeCpuMillis, queues: [...queues.values()], customers, othersShare };
+  return {
+    capacity,
+    freeCpuMillis,
+    queues: [...queues.values()],
+    customers,
+    otherCustomersShare,
+  };
 };
--- a/packages/dispatch/endpoints/EndpointRecords.ts
+++ b/packages/dispatch/endpoints/EndpointRecords.ts
@@ -54,7 +54,7 @@
       clock,
       random,
       pauseMs: RETRY_DELAY_MS,
-      pollMs: POLL_MS,
+      pollWaitMs: POLL_MS,
       handleRecords: (records) => this.handleRecords(records),
       handleConnection: (isConnected, detail, sentAt) => this.handleConnection(isConnected, detail, sentAt),
     });
@@ -71,7 +71,7 @@
 
   /** Repeats a pending read that was sent before the log's outage ended. */
   retryPending(answeredSentAt: number): void {
-    this.follower.retryPending(answeredSentAt);
+    this.follower.retryPendingRead(answeredSentAt);
   }
 
   /** Returns true once all records have been read. */
--- a/packages/dispatch/waiting/sortByHeldShares.ts
+++ b/packages/dispatch/waiting/sortByHeldShares.ts
@@ -1,6 +1,6 @@
 import type { CustomerName } from '../../customers/CustomerName';
 import type { TaskDemand } from '../../jobs/TaskDemand';
-import { computeMaxUsefulMs } from '../../jobs/computeMaxUsefulMs';
+import { computeMaxUsefulLatencyMs } from '../../jobs/computeMaxUsefulLatencyMs';
 import type { FairShares } from '../../load/FairShares';
 import { computeDominantShare } from '../../load/computeDominantShare';
 import { computeFairShares } from '../../load/computeFairShares';
@@ -44,7 +44,7 @@
   const { job, repetition: time, objectiveAtMs } = step;
   const remainingMs = (input.estimateMinRemainingMs ?? estimateCertainMs)(step);
   const startedAtMs = Math.max(job.definition.acceptedAtMs, job.getDueAtMs(time));
-  const usefulUntilMs = startedAtMs + computeMaxUsefulMs(objectiveAtMs - startedAtMs);
+  const usefulUntilMs = startedAtMs + computeMaxUsefulLatencyMs(objectiveAtMs - startedAtMs);
   const isInTime = input.wallMs + remainingMs <= objectiveAtMs;
   const isUseful = input.wallMs + remainingMs <= usefulUntilMs;
   return {
@@ -85,7 +85,7 @@
   capacity: TaskDemand,
 ): void => {
   const held = new Map<CustomerName, number>();
-  for (const [name, { taken }] of usage.getAll()) {
+  for (const [name, { taken }] of usage.getAllUsages()) {
     held.set(name, computeDominantShare(taken, capacity));
   }
   const fairShares = computeCustomerShares(ranked, held);
--- a/packages/jobs/computeMaxUsefulMs.ts
+++ b/packages/jobs/computeMaxUsefulLatencyMs.ts
@@ -2,4 +2,4 @@
 const USEFUL_LATENCY_FACTOR = 3;
 
 /** Computes the latency up to which the result of a job is useful to its caller, from its objective; both in milliseconds. */
-export const computeMaxUsefulMs = (objectiveMs: number): number => USEFUL_LATENCY_FACTOR * objectiveMs;
+export const computeMaxUsefulLatencyMs = (objectiveMs: number): number => USEFUL_LATENCY_FACTOR * objectiveMs;
--- a/packages/jobs/jobKeys.ts
+++ b/packages/jobs/jobKeys.ts
@@ -5,6 +5,7 @@
 const PROGRESS_PREFIX = 'p/';
 const STATE_PREFIX = 's/';
 
+/** Returns the job id of a key with a prefix; undefined for any other key. */
 const parseJobKey = (prefix: string, key: string): JobId | undefined =>
   key.startsWith(prefix) ? (key.slice(prefix.length) as JobId) : undefined;
 
--- a/packages/leadership/LeaderWatch.ts
+++ b/packages/leadership/LeaderWatch.ts
@@ -14,7 +14,7 @@
 
 const CONNECT_TIMEOUT_MS = 400;
 const RECONNECT_DELAY_MS = 300;
-const CONNECTION_REFUSED = 'ECONNREFUSED';
+const CONNECTION_REFUSED_CODE = 'ECONNREFUSED';
 
 /**
  * Detects the end of the leader's process by an idle connection to its box, sooner than by missing heartbeats in the log. This is only
@@ -55,7 +55,7 @@
       clearTimeout(timer);
     });
     socket.once('error', (error: NodeJS.ErrnoException) => {
-      if (error.code === CONNECTION_REFUSED && this.watchedLeader === watched) {
+      if (error.code === CONNECTION_REFUSED_CODE && this.watchedLeader === watched) {
         this.options.handleProcessEnded(watched.process);
       }
     });
--- a/packages/leadership/Leadership.ts
+++ b/packages/leadership/Leadership.ts
@@ -66,13 +66,14 @@
   private isLeading = false;
   private isStopped = false;
   /** Epoch of a leader that has handed over or whose process has ended. */
-  private endedEpoch: number | undefined;
+  private endedLeaderEpoch: number | undefined;
   private endedClaimReason: ClaimReason = 'the leader handed over';
   /** Monotonic time at which this process noticed that the process of the leader had ended. */
   private endNoticedAt = -Infinity;
   private readonly leaseHistory = new LeaseHistory();
   /** Monotonic time at which a read first showed the heartbeat timeout of the leader; undefined without a timeout. */
   private timeoutSeenAt: number | undefined;
+  /** Random number from 0 to 1, fixed for this process, that scales the delays of its claims. */
   private readonly claimJitter: number;
 
   constructor(private readonly options: LeadershipOptions) {
@@ -124,7 +125,7 @@
    */
   handleHandover(epoch: number): void {
     this.leaseHistory.recordLeaderStopped(epoch, this.options.clock.getNow());
-    this.endedEpoch = epoch;
+    this.endedLeaderEpoch = epoch;
     this.endedClaimReason = 'the leader handed over';
     this.handleTick();
   }
@@ -133,8 +134,8 @@
   handleLeaderEnded(process: string): void {
     if (this.leaderRecord?.process === process) {
       this.endNoticedAt =
-        this.endedEpoch === this.leaderRecord.epoch ? this.endNoticedAt : this.options.clock.getNow();
-      this.endedEpoch = this.leaderRecord.epoch;
+        this.endedLeaderEpoch === this.leaderRecord.epoch ? this.endNoticedAt : this.options.clock.getNow();
+      this.endedLeaderEpoch = this.leaderRecord.epoch;
       this.endedClaimReason = 'the leader process has ended';
     }
   }
@@ -200,7 +201,7 @@
         ? 'no leader yet'
         : undefined;
     }
-    if (this.endedEpoch === this.leaderRecord.epoch) {
+    if (this.endedLeaderEpoch === this.leaderRecord.epoch) {
       if (this.endedClaimReason === 'the leader handed over') {
         return this.endedClaimReason;
       }
--- a/packages/load/LoadPublisher.ts
+++ b/packages/load/LoadPublisher.ts
@@ -16,7 +16,7 @@
 /** Creates the load digests of a leader when they are due. One instance for each epoch. */
 export class LoadPublisher {
   private readonly startRates: StartRates;
-  private sequence = 0;
+  private lastSequence = 0;
   /** Monotonic time of the newest snapshot. */
   private snapshotAt = -Infinity;
   /** True when the newest snapshot had waiting tasks. */
@@ -48,11 +48,11 @@
     if (!this.hasWaitingTasks && !wasWaiting) {
       return undefined;
     }
-    this.sequence += 1;
+    this.lastSequence += 1;
     return formatDigest(
       createDigest({
         epoch: this.epoch,
-        sequence: this.sequence,
+        sequence: this.lastSequence,
         madeAtMs: Math.round(wallMs),
         snapshot,
         getStartsPerSecond: (queue) => this.startRates.computeStartsPerSecond(queue, now),
--- a/packages/load/LoadSnapshot.ts
+++ b/packages/load/LoadSnapshot.ts
@@ -21,5 +21,5 @@
   /** Customers with waiting tasks. */
   readonly customers: ReadonlyMap<CustomerName, CustomerSnapshot>;
   /** Sum of the dominant shares of the customers that are not in `customers`. */
-  readonly othersShare: number;
+  readonly otherCustomersShare: number;
 }
--- a/packages/load/LoadView.ts
+++ b/packages/load/LoadView.ts
@@ -56,7 +56,7 @@
   }
 
   /** Returns the newest digest; undefined when there is none, it is stale, or the current leader has not published one. */
-  getLoad(moment: LoadMoment): KnownLoad | undefined {
+  getFreshLoad(moment: LoadMoment): KnownLoad | undefined {
     const digest = this.newestDigest;
     const ageMs = this.getDigestAgeMs(moment);
     if (
--- a/packages/load/chooseAdmission.ts
+++ b/packages/load/chooseAdmission.ts
@@ -1,5 +1,5 @@
 import { computeCriticalPaths } from '../jobs/computeCriticalPaths';
-import { computeMaxUsefulMs } from '../jobs/computeMaxUsefulMs';
+import { computeMaxUsefulLatencyMs } from '../jobs/computeMaxUsefulLatencyMs';
 import type { AdmissionDecision } from './AdmissionDecision';
 import type { AdmissionRequest } from './AdmissionRequest';
 import type { KnownLoad } from './KnownLoad';
@@ -24,7 +24,7 @@
  */
 const computeMaxWaitMs = ({ queue, steps, dueInMs }: AdmissionRequest): number => {
   const objectiveMs = queue.targetLatencyMs + queue.stretch * Math.max(0, ...computeCriticalPaths(steps));
-  return dueInMs + computeMaxUsefulMs(objectiveMs);
+  return dueInMs + computeMaxUsefulLatencyMs(objectiveMs);
 };
 
 /**
--- a/packages/load/createDigest.ts
+++ b/packages/load/createDigest.ts
@@ -19,9 +19,9 @@
 /** Upper bound of expected waits, and the expected wait of a queue without starts. */
 const MAX_EXPECTED_WAIT_MS = 60_000;
 
-const SHARE_DIGITS = 4;
+const SHARE_DECIMALS = 4;
 
-const toRoundedShare = (share: number): number => Number(share.toFixed(SHARE_DIGITS));
+const toRoundedShare = (share: number): number => Number(share.toFixed(SHARE_DECIMALS));
 
 const compareWaitingTasks = (left: { waitingTasks: number }, right: { waitingTasks: number }): number =>
   right.waitingTasks - left.waitingTasks;
@@ -35,7 +35,7 @@
 const computeCustomerLoads = ({
   customers,
   capacity,
-  othersShare,
+  otherCustomersShare,
 }: LoadSnapshot): readonly CustomerLoad[] => {
   const rows = [...customers].map(([customer, { weight, waitingTasks, waitingDemand, usedResources }]) => {
     const dominantShare = computeDominantShare(usedResources, capacity);
@@ -44,7 +44,7 @@
   });
   const fairShares = computeFairShares(
     rows.filter(({ weight }) => weight > 0),
-    Math.max(0, 1 - othersShare),
+    Math.max(0, 1 - otherCustomersShare),
   );
   return rows
     .map(({ customer, waitingTasks, dominantShare }) => {
--- a/packages/logging/DecisionLog.ts
+++ b/packages/logging/DecisionLog.ts
@@ -21,7 +21,7 @@
   /** Returns Unix milliseconds. */
   readonly getWallMs: () => number;
   /** Maximum mean rate of lines. */
-  readonly linesPerSecond: number;
+  readonly maxLinesPerSecond: number;
 }
 
 interface Line {
@@ -32,7 +32,7 @@
 }
 
 const MAX_BACKLOG_BYTES = 1_000_000;
-const OWN_PART = 'sight';
+const OWN_LOG_PART = 'sight';
 
 /**
  * Log of one JSON object per line, with a bounded rate of lines and a bounded backlog of its reader. Lines have priority by class. Lines of
@@ -45,7 +45,7 @@
 
   constructor(private readonly options: DecisionLogOptions) {
     const now = options.getNow();
-    this.lineBudget = new LineBudget(options.linesPerSecond, now);
+    this.lineBudget = new LineBudget(options.maxLinesPerSecond, now);
     this.suppressedLines = new SuppressedLines(now);
   }
 
@@ -80,7 +80,7 @@
     this.lineRates.recordLine(baseClass === 'story', now);
     const minLevel = this.computeMinSamplingLevel();
     const lineClass = baseClass === 'story' ? this.chooseJobLineClass(line, minLevel) : baseClass;
-    if (this.hasBudget(lineClass, now)) {
+    if (this.takeLineBudget(lineClass, now)) {
       this.writeEntry(line);
     } else {
       this.suppressedLines.recordLine(line.message, minLevel);
@@ -94,13 +94,14 @@
   private computeMinSamplingLevel(): number {
     const { lineRates } = this;
     return chooseMinSamplingLevel(
-      this.options.linesPerSecond,
+      this.options.maxLinesPerSecond,
       lineRates.getJobLineRate(),
       lineRates.computeOtherLineRate(),
     );
   }
 
-  private hasBudget(lineClass: LineClass, now: number): boolean {
+  /** Takes a token for a line of a class. Returns false when none is available, or the reader lags behind and the line is no error. */
+  private takeLineBudget(lineClass: LineClass, now: number): boolean {
     const canWrite = lineClass === 'error' || this.isReaderKeepingUp();
     return canWrite && this.lineBudget.takeToken(lineClass, now);
   }
@@ -114,7 +115,7 @@
     if (this.isReaderKeepingUp()) {
       this.lineBudget.takeToken('error', now);
       const fields = this.suppressedLines.takeReportFields(now);
-      this.writeEntry({ level: 'info', part: OWN_PART, message: 'Lines left out.', fields });
+      this.writeEntry({ level: 'info', part: OWN_LOG_PART, message: 'Lines left out.', fields });
     }
   }
 
--- a/packages/logging/LineBudget.ts
+++ b/packages/logging/LineBudget.ts
@@ -13,15 +13,15 @@
 
 /** Token bucket for lines, which classes of higher priority may empty further. */
 export class LineBudget {
-  private readonly capacity: number;
+  private readonly tokenCapacity: number;
   private tokens: number;
 
   constructor(
     private readonly linesPerSecond: number,
     private filledAt: number,
   ) {
-    this.capacity = linesPerSecond * BURST_SECONDS;
-    this.tokens = this.capacity;
+    this.tokenCapacity = linesPerSecond * BURST_SECONDS;
+    this.tokens = this.tokenCapacity;
   }
 
   /**
@@ -30,7 +30,7 @@
    */
   takeToken(lineClass: LineClass, now: number): boolean {
     this.addTokens(now);
-    if (this.tokens < Math.max(1, this.capacity * RESERVED_SHARES[lineClass]) && lineClass !== 'error') {
+    if (this.tokens < Math.max(1, this.tokenCapacity * RESERVED_SHARES[lineClass]) && lineClass !== 'error') {
       return false;
     }
     this.tokens -= 1;
@@ -39,7 +39,7 @@
 
   private addTokens(now: number): void {
     const added = ((now - this.filledAt) / 1000) * this.linesPerSecond;
-    this.tokens = Math.min(this.capacity, this.tokens + added);
+    this.tokens = Math.min(this.tokenCapacity, this.tokens + added);
     this.filledAt = now;
   }
 }
--- a/packages/logging/LineRates.ts
+++ b/packages/logging/LineRates.ts
@@ -1,3 +1,4 @@
+/** Length of a slot. */
 const SLOT_MS = 1000;
 /** Number of past slots in the window. */
 const WINDOW_SLOTS = 4;
@@ -11,7 +12,7 @@
 /** Rates of lines in a sliding window, written or not. */
 export class LineRates {
   /** Newest last. */
-  private slots: Slot[] = [];
+  private recentSlots: Slot[] = [];
 
   recordLine(isJobLine: boolean, now: number): void {
     const slot = this.getSlot(now);
@@ -24,23 +25,24 @@
 
   /** Returns the highest number of lines of jobs in one second of the window. */
   getJobLineRate(): number {
-    return Math.max(0, ...this.slots.map(({ jobLines }) => jobLines));
+    return Math.max(0, ...this.recentSlots.map(({ jobLines }) => jobLines));
   }
 
   /** Returns the mean number of lines not about jobs per second, over the seconds of the window that have any line. */
   computeOtherLineRate(): number {
-    const sum = this.slots.reduce((total, { otherLines }) => total + otherLines, 0);
-    return sum / Math.max(1, this.slots.length);
+    const sum = this.recentSlots.reduce((total, { otherLines }) => total + otherLines, 0);
+    return sum / Math.max(1, this.recentSlots.length);
   }
 
+  /** Returns the slot of a time, or the newest if that is later. A new slot is added, and those before the window are removed. */
   private getSlot(now: number): Slot {
     const number = Math.floor(now / SLOT_MS);
-    const newest = this.slots[this.slots.length - 1];
+    const newest = this.recentSlots[this.recentSlots.length - 1];
     if (newest !== undefined && newest.number >= number) {
       return newest;
     }
     const slot = { number, jobLines: 0, otherLines: 0 };
-    this.slots = [...this.slots.filter((one) => one.number >= number - WINDOW_SLOTS), slot];
+    this.recentSlots = [...this.recentSlots.filter((one) => one.number >= number - WINDOW_SLOTS), slot];
     return slot;
   }
 }
--- a/packages/logging/formatLateJob.ts
+++ b/packages/logging/formatLateJob.ts
@@ -10,7 +10,7 @@
 /** Bounds the number of runs in a line. */
 const MAX_LOGGED_RUNS = 12;
 
-const toDurationMs = ({ placedAt, endedAt = placedAt }: RunHistory): number => endedAt - placedAt;
+const toRunDurationMs = ({ placedAt, endedAt = placedAt }: RunHistory): number => endedAt - placedAt;
 
 /** Chooses the spans of the critical path that are logged: the longest ones, in order. */
 const choosePathRows = (path: readonly LedgerSpan[]): readonly LineFields[] => {
@@ -37,11 +37,11 @@
 };
 
 /** Chooses the runs on the critical path that are logged: the longest ones, in order. */
-const chooseRunRows = (account: JobHistory, path: readonly LedgerSpan[]): readonly LineFields[] => {
+const chooseRunRows = (history: JobHistory, path: readonly LedgerSpan[]): readonly LineFields[] => {
   const names = new Set(path.map(({ run }) => run));
-  const runs = [...account.runs.values()].filter((run) => names.has(toRunName(run)));
+  const runs = [...history.runs.values()].filter((run) => names.has(toRunName(run)));
   const longest = [...runs]
-    .sort((left, right) => toDurationMs(right) - toDurationMs(left))
+    .sort((left, right) => toRunDurationMs(right) - toRunDurationMs(left))
     .slice(0, MAX_LOGGED_RUNS);
   return runs
     .filter((run) => longest.includes(run))
@@ -52,14 +52,14 @@
       outcome: run.outcome,
       ...(run.reportedEnd === '' ? {} : { how: run.reportedEnd }),
       ...(run.stopCause === '' ? {} : { why: run.stopCause }),
-      ms: Math.round(toDurationMs(run)),
+      ms: Math.round(toRunDurationMs(run)),
     }));
 };
 
 /** Formats the log fields of a job that failed or ended late: its time by cause, and the runs on its critical path. */
-export const formatLateJob = (account: JobHistory, lateMs: number): LineFields => {
-  const { job, queue, ending, acceptedAt, endedAt = acceptedAt } = account;
-  const path = computeCriticalPath(account);
+export const formatLateJob = (history: JobHistory, lateMs: number): LineFields => {
+  const { job, queue, ending, acceptedAt, endedAt = acceptedAt } = history;
+  const path = computeCriticalPath(history);
   return {
     job,
     queue,
@@ -68,6 +68,6 @@
     totalMs: Math.round(endedAt - acceptedAt),
     causes: computeCauseSums(path),
     path: choosePathRows(path),
-    runs: chooseRunRows(account, path),
+    runs: chooseRunRows(history, path),
   };
 };
--- a/packages/serve/LoadAdmission.ts
+++ b/packages/serve/LoadAdmission.ts
@@ -65,7 +65,7 @@
     const load = this.getLoad();
     const decision = this.chooseDecision(load, job, deadline);
     metrics.recordCount(DECISION_COUNTERS[decision.kind]);
-    if (decision.kind !== 'hopeless' || !admissionModes[door].canRefuse) {
+    if (decision.kind !== 'hopeless' || !admissionModes[door].canRefuseJobs) {
       return { kind: 'taken', load: this.formatLoad(load, decision) };
     }
     if (this.uncertainJobs.has(job.id) || !(await this.options.waitForJobsRefresh(deadline))) {
@@ -87,7 +87,7 @@
 
   private getLoad(): KnownLoad | undefined {
     const { clock, getEpoch: readEpoch, view } = this.options;
-    return view.getLoad({ now: clock.getNow(), wallMs: clock.getWallTime(), epoch: readEpoch() });
+    return view.getFreshLoad({ now: clock.getNow(), wallMs: clock.getWallTime(), epoch: readEpoch() });
   }
 
   private chooseDecision(
--- a/packages/serve/ServeProcess.ts
+++ b/packages/serve/ServeProcess.ts
@@ -103,7 +103,7 @@
       topic: topics.jobs,
       clock,
       lingerMs: WRITE_LINGER_MS,
-      maxBytes: settings.maxAppendBytes,
+      maxBatchBytes: settings.maxAppendBytes,
       random,
       probe: this.otherBoxes.createAnnouncement(),
     });
@@ -322,7 +322,7 @@
   /** Retries pending log requests, since the log has responded to a request sent at a monotonic time. */
   private handleLogRecovered(sentAt: number): void {
     this.followers.retryPending(sentAt);
-    this.writer.retryPending();
+    this.writer.retryPendingAppend();
     this.controller?.retryPending(sentAt);
   }
 
--- a/packages/serve/TopicFollowers.ts
+++ b/packages/serve/TopicFollowers.ts
@@ -25,14 +25,14 @@
   /** Pause between two reads, in milliseconds. */
   readonly pauseMs: number;
   /** Milliseconds for which a read waits for a record. */
-  readonly pollMs: number;
+  readonly pollWaitMs: number;
 }
 
-const STATES_INTERVAL: PollInterval = { pauseMs: 350, pollMs: 500 };
+const STATES_INTERVAL: PollInterval = { pauseMs: 350, pollWaitMs: 500 };
 /** Less frequent, because a request for an unknown job triggers a read. */
-const JOBS_INTERVAL: PollInterval = { pauseMs: 1000, pollMs: 1000 };
+const JOBS_INTERVAL: PollInterval = { pauseMs: 1000, pollWaitMs: 1000 };
 /** An outage is detected within this time plus the timeout of a request. */
-const OPERATOR_INTERVAL: PollInterval = { pauseMs: 0, pollMs: 800 };
+const OPERATOR_INTERVAL: PollInterval = { pauseMs: 0, pollWaitMs: 800 };
 const LEADER_PAUSE_MS = 0;
 
 /** Followers of the log topics. They start one after the other, each once the previous one has read its topic to the end. */
@@ -80,14 +80,14 @@
    */
   isReadable(isLeading: boolean): boolean {
     const isFollowingStates = isLeading || this.states.isUpToDate();
-    return isFollowingStates && this.jobs.isReachable() && this.operator.isUpToDate();
+    return isFollowingStates && this.jobs.isLogReachable() && this.operator.isUpToDate();
   }
 
   /** Retries requests sent before a monotonic time, since the log is known to respond to requests sent then. */
   retryPending(sentAt: number): void {
-    this.jobs.retryPending(sentAt);
-    this.states.retryPending(sentAt);
-    this.operator.retryPending(sentAt);
+    this.jobs.retryPendingRead(sentAt);
+    this.states.retryPendingRead(sentAt);
+    this.operator.retryPendingRead(sentAt);
   }
 
   private createFollower(
--- a/packages/serve/computeCustomerMetrics.ts
+++ b/packages/serve/computeCustomerMetrics.ts
@@ -9,7 +9,7 @@
   dispatcher: Dispatcher,
   wallMs: number,
 ): readonly CustomerMetrics[] => {
-  const usage = dispatcher.getUsage().getAll();
+  const usage = dispatcher.getUsage().getAllUsages();
   const waiting = dispatcher.countWaitingTasks(wallMs);
   return [...customers.listCustomers()].map(({ name, limit }) => ({
     name,
--- a/packages/store/ExclusiveWriter.ts
+++ b/packages/store/ExclusiveWriter.ts
@@ -15,7 +15,7 @@
   readonly lastSequence: number;
   /** Time to wait for more records before an append is sent. */
   readonly lingerMs: number;
-  readonly maxBytes: number;
+  readonly maxBatchBytes: number;
   /** Called when the log rejects an append since a newer writer holds the topic. This writer has stopped then. */
   readonly handleFenced: (detail: string) => void;
   /** Called when an append has succeeded, with the monotonic time at which it was sent. */
@@ -35,12 +35,13 @@
  * Records are formatted when they are sent, and a key that has changed several times until then is written once.
  */
 export class ExclusiveWriter {
+  /** Formatters of the newest values that have not been sent, by key. */
   private readonly pendingValues = new Map<string, () => string>();
   private queuedHandlers: QueuedHandler[] = [];
   private lastSequence: number;
   private isSending = false;
   private isStopped = false;
-  private failingSince: number | undefined;
+  private appendsFailingSince: number | undefined;
   private readonly interruption = new Interruption();
 
   constructor(private readonly options: ExclusiveWriterOptions) {
@@ -67,7 +68,9 @@
 
   /** Returns for how long appends have failed, in milliseconds; 0 after a success. */
   getOutageMs(): number {
-    return this.failingSince === undefined ? 0 : this.options.clock.getNow() - this.failingSince;
+    return this.appendsFailingSince === undefined
+      ? 0
+      : this.options.clock.getNow() - this.appendsFailingSince;
   }
 
   /** Calls the handler once everything queued so far is durable, which may be at once. */
@@ -80,8 +83,8 @@
   }
 
   /** Retries the pending append at once if appends have been failing. Called when the log is known to have recovered. */
-  retryPending(): void {
-    if (this.failingSince !== undefined) {
+  retryPendingAppend(): void {
+    if (this.appendsFailingSince !== undefined) {
       this.interruption.cancel();
     }
   }
@@ -125,7 +128,7 @@
     for (const [key, formatValue] of this.pendingValues) {
       const write = { key, value: formatValue() };
       bytes += appendRules.computeRecordBytes(write);
-      if (writes.length > 0 && bytes > this.options.maxBytes) {
+      if (writes.length > 0 && bytes > this.options.maxBatchBytes) {
         break;
       }
       this.pendingValues.delete(key);
@@ -167,8 +170,8 @@
   }
 
   private recordConnection(isConnected: boolean, detail: string, sentAt: number): void {
-    if ((this.failingSince === undefined) !== isConnected) {
-      this.failingSince = isConnected ? undefined : this.options.clock.getNow();
+    if ((this.appendsFailingSince === undefined) !== isConnected) {
+      this.appendsFailingSince = isConnected ? undefined : this.options.clock.getNow();
       this.options.handleConnection(isConnected, detail, sentAt);
     }
   }
--- a/packages/store/LogFollower.ts
+++ b/packages/store/LogFollower.ts
@@ -17,7 +17,7 @@
   /** Pause between reads, which bounds the number of calls for a busy topic. */
   readonly pauseMs: number;
   /** Time that a read waits for a record. Shorter polls detect an unavailable log sooner. */
-  readonly pollMs: number;
+  readonly pollWaitMs: number;
   /** Handles records in order. Must be idempotent: after a gap the newest record of each key is delivered again. */
   readonly handleRecords: (records: readonly LogRecord[]) => void;
   /**
@@ -41,8 +41,8 @@
   /** Increases with each start, so that the loop of an earlier start ends even when its read returns late. */
   private generation = 0;
   private isConnected = false;
-  private isFailing = false;
-  private hasResponded = false;
+  private isReadFailing = false;
+  private hasLogResponded = false;
   private newestReader: NewestReader;
   private readonly interruption = new Interruption();
   private lastSuccessAt = -Infinity;
@@ -60,12 +60,12 @@
   private pendingRefresh: Promise<boolean> | undefined;
   /** The read after the pending one, which serves callers that arrive meanwhile. */
   private nextRefresh: Promise<boolean> | undefined;
-  private readonly backoff: Backoff;
+  private readonly readBackoff: Backoff;
 
   constructor(private readonly options: LogFollowerOptions) {
     this.pauseMs = options.pauseMs;
     this.newestReader = new NewestReader(options.client, options.topic);
-    this.backoff = new Backoff({
+    this.readBackoff = new Backoff({
       baseMs: READ_BACKOFF_BASE_MS,
       maxMs: READ_BACKOFF_MAX_MS,
       random: options.random,
@@ -77,12 +77,12 @@
     this.isStopped = false;
     this.generation += 1;
     const { generation } = this;
-    while (this.isCurrent(generation)) {
+    while (this.isCurrentGeneration(generation)) {
       this.readSentAt = this.options.clock.getNow();
       const read =
         this.nextOffset === undefined ? this.readNewestPages() : this.readNextRecords(this.nextOffset);
       const error = await this.interruption.waitFor(read.then((failure) => failure ?? 'done'));
-      if (!this.isCurrent(generation)) {
+      if (!this.isCurrentGeneration(generation)) {
         break;
       }
       if (error === undefined) {
@@ -90,15 +90,15 @@
       }
       if (error === 'done') {
         this.recordSuccess();
-        await this.waitPause(this.pauseMs);
+        await this.waitForPause(this.pauseMs);
       } else if (error.kind === 'forgotten') {
         this.nextOffset = undefined;
         this.newestReader = new NewestReader(this.options.client, this.options.topic);
         // Avoids a tight loop of full reads when the log retains too little.
-        await this.waitPause(this.backoff.computeNextDelay());
+        await this.waitForPause(this.readBackoff.computeNextDelay());
       } else {
         this.recordFailure(error);
-        await this.waitPause(this.backoff.computeNextDelay());
+        await this.waitForPause(this.readBackoff.computeNextDelay());
       }
     }
   }
@@ -112,12 +112,12 @@
    * Retries at once if the last read failed, or if the pending one was sent earlier and may have been lost in the outage. Called when
    * the log has responded, after an outage, to a call sent at the monotonic time `successSentAt`.
    */
-  retryPending(successSentAt: number): void {
+  retryPendingRead(successSentAt: number): void {
     const isOlder = this.nextOffset !== undefined && this.readSentAt < successSentAt;
-    if (this.isFailing || isOlder) {
+    if (this.isReadFailing || isOlder) {
       this.interruption.cancel();
     }
-    if (this.isFailing) {
+    if (this.isReadFailing) {
       this.pauseAbort?.abort();
     }
   }
@@ -144,8 +144,8 @@
   }
 
   /** Returns true while reads succeed, even before the whole topic is known. */
-  isReachable(): boolean {
-    return this.hasResponded && !this.isFailing;
+  isLogReachable(): boolean {
+    return this.hasLogResponded && !this.isReadFailing;
   }
 
   /**
@@ -207,7 +207,7 @@
   private async readNextRecords(offset: number): Promise<LogError | undefined> {
     const { client, topic } = this.options;
     // No long poll after a failure, so that recovery of the log is noticed early.
-    const waitMs = this.isConnected ? this.options.pollMs : 0;
+    const waitMs = this.isConnected ? this.options.pollWaitMs : 0;
     const timeoutMs = waitMs + this.callTimeoutMs;
     this.responseDueAt = this.options.clock.getNow() + timeoutMs;
     const response = await client.readRecords({ topic, fromOffset: offset, waitMs, timeoutMs });
@@ -243,14 +243,14 @@
       Math.min(this.options.clock.getNow(), this.responseDueAt),
     );
     this.callTimeoutMs = CALL_TIMEOUT_MS;
-    this.hasResponded = true;
-    this.isFailing = false;
-    this.backoff.recordSuccess();
+    this.hasLogResponded = true;
+    this.isReadFailing = false;
+    this.readBackoff.recordSuccess();
   }
 
   private recordFailure(error: LogError): void {
-    const isNew = !this.isFailing;
-    this.isFailing = true;
+    const isNew = !this.isReadFailing;
+    this.isReadFailing = true;
     if (error.kind === 'unknown') {
       this.callTimeoutMs = Math.min(MAX_CALL_TIMEOUT_MS, this.callTimeoutMs * 2);
     }
@@ -261,7 +261,7 @@
     }
   }
 
-  private async waitPause(ms: number): Promise<void> {
+  private async waitForPause(ms: number): Promise<void> {
     if (ms <= 0) {
       return;
     }
@@ -285,7 +285,7 @@
     return true;
   }
 
-  private isCurrent(generation: number): boolean {
+  private isCurrentGeneration(generation: number): boolean {
     return !this.isStopped && generation === this.generation;
   }
 }
--- a/packages/store/LogWriter.ts
+++ b/packages/store/LogWriter.ts
@@ -16,7 +16,7 @@
   /** Time to wait for more records before an append is sent. */
   readonly lingerMs: number;
   /** Maximum size of an append in bytes. */
-  readonly maxBytes: number;
+  readonly maxBatchBytes: number;
   readonly random: Random;
   /** Record that may be written at any time, to probe whether the log has recovered. */
   readonly probe: LogWrite;
@@ -29,6 +29,7 @@
 }
 
 const APPEND_RETRY_DELAY_MS = 50;
+/** Minimum pause between probes while the log is unavailable; up to twice as long by jitter. */
 const PROBE_PAUSE_MS = 300;
 const PROBE_TIMEOUT_MS = 700;
 
@@ -40,7 +41,7 @@
   private readonly queuedWrites: QueuedWrite[] = [];
   private isSending = false;
   private appendTimeoutMs: number = appendRules.initialTimeoutMs;
-  private failingSince: number | undefined;
+  private appendsFailingSince: number | undefined;
   private isProbing = false;
   private readonly interruption = new Interruption();
 
@@ -59,12 +60,14 @@
 
   /** Returns for how long appends have failed, in milliseconds; 0 after a success. */
   getOutageMs(): number {
-    return this.failingSince === undefined ? 0 : this.options.clock.getNow() - this.failingSince;
+    return this.appendsFailingSince === undefined
+      ? 0
+      : this.options.clock.getNow() - this.appendsFailingSince;
   }
 
   /** Retries the pending append at once if appends have been failing. Called when the log is known to have recovered. */
-  retryPending(): void {
-    if (this.failingSince !== undefined) {
+  retryPendingAppend(): void {
+    if (this.appendsFailingSince !== undefined) {
       this.interruption.cancel();
     }
   }
@@ -79,7 +82,7 @@
       }
     }
     this.isSending = false;
-    if (this.failingSince !== undefined && !this.isProbing) {
+    if (this.appendsFailingSince !== undefined && !this.isProbing) {
       void this.runProbes();
     }
   }
@@ -88,7 +91,7 @@
   private async runProbes(): Promise<void> {
     const { clock, probe } = this.options;
     this.isProbing = true;
-    while (this.failingSince !== undefined) {
+    while (this.appendsFailingSince !== undefined) {
       await waitForDelay(PROBE_PAUSE_MS * (1 + this.options.random()));
       await this.writeRecord(probe, clock.getNow() + PROBE_TIMEOUT_MS);
     }
@@ -100,7 +103,7 @@
     let count = 0;
     for (const { write } of this.queuedWrites) {
       bytes += appendRules.computeRecordBytes(write);
-      if (count > 0 && bytes > this.options.maxBytes) {
+      if (count > 0 && bytes > this.options.maxBatchBytes) {
         break;
       }
       count += 1;
@@ -149,12 +152,12 @@
   }
 
   private recordSuccess(): void {
-    this.failingSince = undefined;
+    this.appendsFailingSince = undefined;
     this.appendTimeoutMs = appendRules.initialTimeoutMs;
   }
 
   private recordFailure(error: LogError): void {
-    this.failingSince ??= this.options.clock.getNow();
+    this.appendsFailingSince ??= this.options.clock.getNow();
     if (error.kind === 'unknown') {
       this.appendTimeoutMs = Math.min(appendRules.maxTimeoutMs, this.appendTimeoutMs * 2);
     }
--- a/tests/customers.test.ts
+++ b/tests/customers.test.ts
@@ -263,6 +263,6 @@
     expect(usage.getUsedResources(run.customer)).toEqual({ cpuMillis: 6, memoryMb: 4, accelerators: 2 });
     usage.recordRunEnd(run);
     usage.recordRunEnd(run);
-    expect(usage.getAll().size).toBe(0);
+    expect(usage.getAllUsages().size).toBe(0);
   });
 });
--- a/tests/dispatch.test.ts
+++ b/tests/dispatch.test.ts
@@ -231,7 +231,7 @@
     const placed = new CustomerUsage();
     this.listPlacedRuns().forEach((run) => placed.recordRun(run));
     const [counted, expected] = [this.dispatcher.getUsage(), placed].map((usage) =>
-      JSON.stringify([...usage.getAll()].sort()),
+      JSON.stringify([...usage.getAllUsages()].sort()),
     );
     if (counted !== expected) {
       this.problems.push(`usage ${counted} for ${expected}`);
--- a/tests/lateJobs.test.ts
+++ b/tests/lateJobs.test.ts
@@ -78,7 +78,7 @@
     getBacklogBytes: () => 0,
     getNow: () => this.now,
     getWallMs: () => this.now + WALL_MS,
-    linesPerSecond: BOUND,
+    maxLinesPerSecond: BOUND,
   });
   private readonly logger = this.log.createLogger('leader');
 
--- a/tests/leadership.test.ts
+++ b/tests/leadership.test.ts
@@ -37,7 +37,7 @@
       clock,
       random: () => 0,
       pauseMs: 0,
-      pollMs: 1000,
+      pollWaitMs: 1000,
       handleRecords: () => undefined,
     });
     void follower.start();
--- a/tests/loadDigest.test.ts
+++ b/tests/loadDigest.test.ts
@@ -42,7 +42,7 @@
       },
     ]),
   ),
-  othersShare: 0,
+  otherCustomersShare: 0,
 });
 
 const createLoad = (fields: Partial<LoadDigest> = {}): LoadDigest => ({
@@ -90,7 +90,7 @@
       [toCustomerName('small'), { ...half, weight: 1, usedResources: toCpuDemand(0) }],
       [toCustomerName('none'), { ...half, weight: 0, usedResources: toCpuDemand(1_600_000) }],
     ]);
-    const snapshot = { ...createSnapshot(1), customers, othersShare: 0.2 };
+    const snapshot = { ...createSnapshot(1), customers, otherCustomersShare: 0.2 };
     const rows = createDigest({ ...createLoad(), snapshot, getStartsPerSecond: () => 1 }).customers;
     expect(
       rows.map(({ customer, dominantShare, fairShare }) => [customer, dominantShare, fairShare]),
@@ -119,7 +119,7 @@
       waitingTasks: 2,
       usedResources: { cpuMillis: 4000 },
     });
-    expect([load.capacity.cpuMillis, load.freeCpuMillis, load.othersShare]).toEqual([4000, 0, 0]);
+    expect([load.capacity.cpuMillis, load.freeCpuMillis, load.otherCustomersShare]).toEqual([4000, 0, 0]);
   });
 
   it('is parsed back as it was formatted, and malformed text is rejected', () => {
@@ -212,33 +212,33 @@
       toRecord,
     );
     expect(view.foldRecords([{ key: 'state/1', value: 'running' }, ...records], 500, 4)).toBe(0);
-    expect(view.getLoad(moment)?.digest).toMatchObject({ epoch: 3, sequence: 2 });
+    expect(view.getFreshLoad(moment)?.digest).toMatchObject({ epoch: 3, sequence: 2 });
     view.foldRecords([toRecord(createLoad({ epoch: 4 }))], 500, 4);
-    expect(view.getLoad(moment)?.digest).toMatchObject({ epoch: 4, sequence: 1 });
+    expect(view.getFreshLoad(moment)?.digest).toMatchObject({ epoch: 4, sequence: 1 });
   });
 
   it('returns no digest that is stale by either clock', () => {
     const view = new LoadView();
-    expect(view.getLoad(moment)).toBeUndefined();
+    expect(view.getFreshLoad(moment)).toBeUndefined();
     view.foldRecords([toRecord(createLoad())], 500, 4);
-    expect(view.getLoad(moment)?.ageMs).toBe(200);
-    expect(view.getLoad({ ...moment, now: 2501 })).toBeUndefined();
+    expect(view.getFreshLoad(moment)?.ageMs).toBe(200);
+    expect(view.getFreshLoad({ ...moment, now: 2501 })).toBeUndefined();
     // Read long after it was written, by a box that has just started.
-    expect(view.getLoad({ ...moment, wallMs: 3001 })).toBeUndefined();
+    expect(view.getFreshLoad({ ...moment, wallMs: 3001 })).toBeUndefined();
     // The leader's clock is ahead: the time since it was received counts.
-    expect(view.getLoad({ ...moment, now: 1500, wallMs: 0 })?.ageMs).toBe(1000);
+    expect(view.getFreshLoad({ ...moment, now: 1500, wallMs: 0 })?.ageMs).toBe(1000);
   });
 
   it('returns no digest of a replaced leader, until the new one publishes its own', () => {
     const view = new LoadView();
     view.foldRecords([toRecord(createLoad())], 500, 4);
-    expect(view.getLoad({ ...moment, epoch: 4 })).toBeUndefined();
+    expect(view.getFreshLoad({ ...moment, epoch: 4 })).toBeUndefined();
     // The replaced leader still publishes.
     view.foldRecords([toRecord(createLoad({ sequence: 2 }))], 500, 4);
-    expect(view.getLoad({ ...moment, epoch: 4 })).toBeUndefined();
+    expect(view.getFreshLoad({ ...moment, epoch: 4 })).toBeUndefined();
     view.foldRecords([toRecord(createLoad({ epoch: 4 }))], 500, 4);
     view.foldRecords([toRecord(createLoad({ sequence: 3 }))], 500, 4);
-    expect(view.getLoad({ ...moment, epoch: 4 })?.digest.epoch).toBe(4);
+    expect(view.getFreshLoad({ ...moment, epoch: 4 })?.digest.epoch).toBe(4);
   });
 
   it('ignores and counts malformed digests and those of unclaimed epochs', () => {
@@ -248,6 +248,6 @@
     expect(view.foldRecords(garbage, 600, 4)).toBe(3);
     const unclaimed = toRecord(createLoad({ epoch: 5 }));
     expect(view.foldRecords([unclaimed], 600, 4)).toBe(1);
-    expect(view.getLoad(moment)?.digest.epoch).toBe(3);
+    expect(view.getFreshLoad(moment)?.digest.epoch).toBe(3);
   });
 });
--- a/tests/logFollower.test.ts
+++ b/tests/logFollower.test.ts
@@ -33,7 +33,7 @@
       clock: systemClock,
       random: () => 0.5,
       pauseMs: 0,
-      pollMs: POLL_MS,
+      pollWaitMs: POLL_MS,
       handleRecords: () => undefined,
     });
     void follower.start();
@@ -56,7 +56,7 @@
       clock: systemClock,
       random: () => 0.5,
       pauseMs: 0,
-      pollMs: POLL_MS,
+      pollWaitMs: POLL_MS,
       handleRecords: () => undefined,
     });
     void follower.start();
@@ -72,7 +72,7 @@
     const started = startFollower(readTimes);
     await waitFor(20);
     expect(readTimes).toHaveLength(1);
-    started.retryPending(systemClock.getNow());
+    started.retryPendingRead(systemClock.getNow());
     await waitFor(IMMEDIATE_MS);
     expect(readTimes).toHaveLength(2);
   });
@@ -82,7 +82,7 @@
     const earlier = systemClock.getNow();
     const started = startFollower(readTimes);
     await waitFor(20);
-    started.retryPending(earlier);
+    started.retryPendingRead(earlier);
     await waitFor(IMMEDIATE_MS);
     expect(readTimes).toHaveLength(1);
   });
--- a/tests/logWriter.test.ts
+++ b/tests/logWriter.test.ts
@@ -26,7 +26,7 @@
       topic: 'keyed.jobs',
       clock: systemClock,
       lingerMs: 2,
-      maxBytes: 1000,
+      maxBatchBytes: 1000,
       random: () => 0.5,
       probe: PROBE,
     });
--- a/tests/logging.test.ts
+++ b/tests/logging.test.ts
@@ -30,7 +30,7 @@
     getBacklogBytes: () => this.backlogBytes,
     getNow: () => this.now,
     getWallMs: () => this.now,
-    linesPerSecond: BOUND,
+    maxLinesPerSecond: BOUND,
   });
   readonly logger = this.log.createLogger('leader');
 
--- a/tests/suspension.test.ts
+++ b/tests/suspension.test.ts
@@ -241,7 +241,7 @@
       clock: machine,
       random: () => 0.5,
       pauseMs: 0,
-      pollMs: 500,
+      pollWaitMs: 500,
       handleRecords: () => undefined,
     });
     void follower.start();
