--- a/packages/customers/CustomerMetrics.ts
+++ b/packages/customers/CustomerMetrics.ts
@@ -10,6 +10,6 @@
   readonly runCount: number;
   /** Number of tasks that are ready and wait for a start. */
   readonly waitingTaskCount: number;
-  /** 0 in a dimension means no limit. */
+  /** Limit of the resources of the customer's runs; 0 in a dimension means no limit. */
   readonly limit: TaskDemand;
 }
--- a/packages/customers/JobCaller.ts
+++ b/packages/customers/JobCaller.ts
@@ -5,6 +5,6 @@
   readonly queue: string;
   /** True when the queue admits requests without a key. */
   readonly isOpen: boolean;
-  /** Undefined for a request without a known key. */
+  /** Customer of the request's API key; undefined without a known key. */
   readonly customer?: CustomerName | undefined;
 }
--- a/packages/customers/JobRateMeter.ts
+++ b/packages/customers/JobRateMeter.ts
@@ -2,7 +2,7 @@
 import type { JobCustomer } from './JobCustomer';
 
 interface Bucket {
-  /** Number of further jobs that are within the share at `filledAt`. */
+  /** Number of further jobs that are within the share at `filledAtMs`. */
   tokens: number;
   /** Newest acceptance time of the customer's jobs, in Unix milliseconds. */
   filledAtMs: number;
--- a/packages/jobs/JobProgress.ts
+++ b/packages/jobs/JobProgress.ts
@@ -20,7 +20,7 @@
 
 /**
  * Progress of one job: a table of tasks by [repetition][step][index], and the outcome of the job.
- * Pure state without clock or I/O. Updates name the run that they concern and are ignored for older runs, so that it is safe to
+ * Pure state without clock or I/O. Placements, transfers and ends name their run and are ignored for older runs, so that it is safe to
  * apply one twice or late.
  */
 export class JobProgress {
@@ -34,7 +34,7 @@
   private endedAtMs = 0;
   /** Outcome of the job; undefined while it has not ended. */
   private finalState: 'completed' | 'failed' | 'cancelled' | undefined;
-  /** Increases with each change of a task. */
+  /** Number that increases with each change of a task. */
   private version = 0;
 
   constructor(private readonly definition: JobDefinition) {
--- a/packages/jobs/JobQueue.ts
+++ b/packages/jobs/JobQueue.ts
@@ -4,7 +4,7 @@
 export interface JobQueue {
   readonly name: string;
   readonly service: ServiceName;
-  /** 0 is the highest priority. */
+  /** Priority of the queue's jobs; 0 is the highest. */
   readonly priority: number;
   /** Number of failed runs of one task at which its job fails. */
   readonly attempts: number;
--- a/packages/jobs/JobReplica.ts
+++ b/packages/jobs/JobReplica.ts
@@ -14,7 +14,7 @@
   readonly invalid: readonly JobId[];
 }
 
-/** All jobs in the log: accepted definitions, cancellations, and the newest state of each. */
+/** All jobs in the log: accepted definitions, cancellations, and the newest state of each job. */
 export class JobReplica {
   private readonly definitions = new Map<JobId, JobDefinition>();
   private readonly cancelledIds = new Set<JobId>();
--- a/packages/jobs/TaskDemand.ts
+++ b/packages/jobs/TaskDemand.ts
@@ -1,6 +1,6 @@
 /** Resources that a task takes on an endpoint. Integers, so that sums are exact. */
 export interface TaskDemand {
-  /** Thousandths of a core. */
+  /** Processor demand in thousandths of a core. */
   readonly cpuMillis: number;
   readonly memoryMb: number;
   readonly accelerators: number;
--- a/packages/jobs/parseProgress.ts
+++ b/packages/jobs/parseProgress.ts
@@ -35,8 +35,9 @@
       z.string(),
     ]),
   ),
-  /** Separate lists for compatibility with versions that neither read nor write them. */
+  /** Confirmed crashes by task. Separate from `tasks` for compatibility with versions that neither read nor write them. */
   crashes: crashRowsSchema,
+  /** Unconfirmed crashes by task. */
   doubts: crashRowsSchema,
 });
 
--- a/packages/leadership/LeaseHistory.ts
+++ b/packages/leadership/LeaseHistory.ts
@@ -2,7 +2,7 @@
 import { leaderTimings } from './leaderTimings';
 
 const { leaseMs, clockDriftShare, marginMs, unconfirmedGraceMs } = leaderTimings;
-/** From the sending of a grant until its lease has expired by any clock within the tolerance. */
+/** Time from the sending of a grant until its lease has expired by any clock within the tolerance. */
 const MAX_LEASE_MS = leaseMs * (1 + clockDriftShare) + marginMs;
 
 /**
@@ -28,12 +28,14 @@
     this.hasLeaderStopped = isResigned;
   }
 
-  /** Records activity of the newest leader at a monotonic time. */
+  /**
+   * Records activity of the newest leader at a monotonic time.
+   */
   recordActivity(now: number): void {
     this.leaderActiveAt = now;
   }
 
-  /** Records the message of the leader of an epoch that it has stopped renewing leases. Ignored for other epochs than the newest. */
+  /** Records the message of the leader of an epoch that it has stopped renewing leases. Counts as activity. Ignored for other epochs than the newest. */
   recordLeaderStopped(epoch: number, now: number): void {
     if (epoch === this.newestEpoch) {
       this.leaderActiveAt = now;
--- a/packages/load/StartRates.ts
+++ b/packages/load/StartRates.ts
@@ -1,7 +1,7 @@
 /** Time after the start of counting during which the rates are unknown. */
 const RATE_WARM_UP_MS = 3000;
 const SECOND_MS = 1000;
-/** Length of the sliding window. */
+/** Length of the sliding window over which rates are computed. */
 const RATE_WINDOW_SECONDS = 10;
 
 /** Counts the starts of tasks by queue and second. The rate of a queue is the number in the best second of a sliding window. */
@@ -9,7 +9,7 @@
   /** Number of starts by queue and second. */
   private readonly startCounts = new Map<string, Map<number, number>>();
 
-  /** Starts are counted from the monotonic time `since` on. */
+  /** Starts are counted from the monotonic time `countingSince` on. */
   constructor(private readonly countingSince: number) {}
 
   recordStart(queue: string, now: number): void {
--- a/packages/load/computeFairShares.ts
+++ b/packages/load/computeFairShares.ts
@@ -3,7 +3,7 @@
 import type { ShareDemand } from './ShareDemand';
 
 /**
- * Computes the weighted max-min fair share of each customer, 0 to 1, by dividing `part` of the endpoints among them. A customer that
+ * Computes the weighted max-min fair share of each customer, 0 to 1, by dividing `availableShare` of the endpoints among them. A customer that
  * demands less than its weight allows gets its demand, and the rest is divided among the others by weight.
  */
 export const computeFairShares = (demands: readonly ShareDemand[], availableShare: number): FairShares => {
--- a/packages/logging/DecisionLog.ts
+++ b/packages/logging/DecisionLog.ts
@@ -49,7 +49,7 @@
     this.suppressedLines = new SuppressedLines(now);
   }
 
-  /** Creates the logger of one part of the process. */
+  /** Creates a logger whose lines name a part of the process. */
   createLogger(part: string): Logger {
     return {
       info: (message, fields) => this.handleLine({ level: 'info', part, message, fields }),
--- a/packages/logging/JobTrace.ts
+++ b/packages/logging/JobTrace.ts
@@ -11,7 +11,7 @@
 
 /** Ended runs of a live job, from which a late end can be explained. Time arguments are monotonic. */
 export class JobTrace {
-  /** In order of their ends. */
+  /** Ended runs in order of their ends, with monotonic times. */
   private endedRuns: RunHistory[] = [];
   /** Monotonic time of the newest end of a run, or of the job's addition. */
   private newestEndAt: number;
--- a/packages/logging/LineRates.ts
+++ b/packages/logging/LineRates.ts
@@ -1,4 +1,4 @@
-/** Length of a slot. */
+/** Length of a slot, in which lines are counted together. */
 const SLOT_MS = 1000;
 /** Number of past slots in the window. */
 const WINDOW_SLOTS = 4;
@@ -11,7 +11,7 @@
 
 /** Rates of lines in a sliding window, written or not. */
 export class LineRates {
-  /** Newest last. */
+  /** The slots of the window that have any line, newest last. */
   private recentSlots: Slot[] = [];
 
   recordLine(isJobLine: boolean, now: number): void {
--- a/packages/logging/SuppressedLines.ts
+++ b/packages/logging/SuppressedLines.ts
@@ -1,6 +1,6 @@
 import type { LineFields } from './LineFields';
 
-/** Minimum interval between reports. */
+/** Minimum interval between reports of suppressed lines. */
 const REPORT_INTERVAL_MS = 1000;
 
 /** Counts of suppressed lines by message since the last report. */
--- a/packages/logging/chooseMinSamplingLevel.ts
+++ b/packages/logging/chooseMinSamplingLevel.ts
@@ -2,7 +2,7 @@
 const USABLE_BOUND_SHARE = 0.75;
 /** Share of the bound that lines of sampled jobs have in any case. */
 const MIN_JOB_LINE_SHARE = 0.1;
-/** One in 65,536 jobs. Beyond it the token bucket alone bounds the rate. */
+/** Maximum sampling level: one in 65,536 jobs. Beyond it the token bucket alone bounds the rate. */
 const MAX_SAMPLING_LEVEL = 16;
 
 /**
--- a/packages/logging/getLineClass.ts
+++ b/packages/logging/getLineClass.ts
@@ -4,7 +4,7 @@
 import type { LineLevel } from './LineLevel';
 import { findLineJob } from './findLineJob';
 
-/** Returns the class of a line before sampling. */
+/** Returns the class of a line before sampling, by its level, its message and whether it names a job. */
 export const getLineClass = (
   level: LineLevel,
   message: string,
--- a/packages/store/LogRecord.ts
+++ b/packages/store/LogRecord.ts
@@ -2,6 +2,6 @@
 export interface LogRecord {
   readonly offset: number;
   readonly key: string;
-  /** Empty for a deleted key. */
+  /** Value of the key; empty for a deleted key. */
   readonly value: string;
 }
