--- a/packages/leadership/LeaseHistory.ts
+++ b/packages/leadership/LeaseHistory.ts
@@ -35,7 +35,10 @@
     this.leaderActiveAt = now;
   }
 
-  /** Records the message of the leader of an epoch that it has stopped renewing leases. Counts as activity. Ignored for other epochs than the newest. */
+  /**
+   * Records the message of the leader of an epoch that it has stopped renewing leases. Counts as activity. Ignored for other epochs than
+   * the newest.
+   */
   recordLeaderStopped(epoch: number, now: number): void {
     if (epoch === this.newestEpoch) {
       this.leaderActiveAt = now;
--- a/packages/load/computeFairShares.ts
+++ b/packages/load/computeFairShares.ts
@@ -3,8 +3,8 @@
 import type { ShareDemand } from './ShareDemand';
 
 /**
- * Computes the weighted max-min fair share of each customer, 0 to 1, by dividing `availableShare` of the endpoints among them. A customer that
- * demands less than its weight allows gets its demand, and the rest is divided among the others by weight.
+ * Computes the weighted max-min fair share of each customer, 0 to 1, by dividing `availableShare` of the endpoints among them. A customer
+ * that demands less than its weight allows gets its demand, and the rest is divided among the others by weight.
  */
 export const computeFairShares = (demands: readonly ShareDemand[], availableShare: number): FairShares => {
   const shares = new Map<CustomerName, number>();
--- a/packages/logging/computeJobSamplingLevel.ts
+++ b/packages/logging/computeJobSamplingLevel.ts
@@ -18,8 +18,8 @@
 };
 
 /**
- * Computes the sampling level of a job from its id: one in 2^n jobs has a level of n or more. All boxes thereby sample the same jobs, and each
- * sample contains all smaller ones.
+ * Computes the sampling level of a job from its id: one in 2^n jobs has a level of n or more. All boxes thereby sample the same jobs, and
+ * each sample contains all smaller ones.
  */
 export const computeJobSamplingLevel = (job: string): number => {
   const hash = computeHash(job);
