--- a/packages/dispatch/LeaderController.ts
+++ b/packages/dispatch/LeaderController.ts
@@ -358,7 +358,7 @@
   private handleTick(): void {
     const now = this.options.clock.getNow();
     this.journal.handleTick(now);
-    this.lineBatcher.handleTick(now);
+    this.lineBatcher.writeDueBatches(now);
     if (this.hasTakenOver) {
       this.endpointSessions.startPendingSessions();
       this.dispatcher.handleTick(now);
--- a/packages/dispatch/LeaderJournal.ts
+++ b/packages/dispatch/LeaderJournal.ts
@@ -131,8 +131,8 @@
 
   /** Retries failed appends to both topics at once, without waiting for the end of their retry delays. */
   retryPendingAppends(): void {
-    this.progressWriter.retryPending();
-    this.stateWriter.retryPending();
+    this.progressWriter.retryPendingAppend();
+    this.stateWriter.retryPendingAppend();
   }
 
   /** Stops both writers, and drops queued writes. */
@@ -155,7 +155,7 @@
       epoch,
       lastSequence: leaderKeys.claimSequence,
       lingerMs: APPEND_LINGER_MS,
-      maxBytes: maxAppendBytes,
+      maxBatchBytes: maxAppendBytes,
       handleFenced,
       handleConfirmed,
       handleConnection: (isConnected, detail, sentAt) => {
--- a/packages/dispatch/computeLoad.ts
+++ b/packages/dispatch/computeLoad.ts
@@ -59,14 +59,20 @@
         customers.set(customer.name, {
           weight: customer.weight,
           waitingTasks: (earlier?.waitingTasks ?? 0) + step.indexes.length,
-          waiting: resourceMath.computeSum(earlier?.waiting ?? resourceMath.ZERO, demand),
-          held: usage.getUsed(customer.name),
+          waitingDemand: resourceMath.computeSum(earlier?.waitingDemand ?? resourceMath.ZERO, demand),
+          usedResources: usage.getUsedResources(customer.name),
         });
       }
     }
   }
-  const othersShare = [...usage.getAll()]
+  const otherCustomersShare = [...usage.getAllUsages()]
     .filter(([name]) => !customers.has(name))
     .reduce((sum, [, { taken }]) => sum + computeDominantShare(taken, capacity), 0);
-  return { capacity, freeCpuMillis, queues: [...queues.values()], customers, othersShare };
+  return {
+    capacity,
+    freeCpuMillis,
+    queues: [...queues.values()],
+    customers,
+    otherCustomersShare,
+  };
 };
--- a/packages/dispatch/placing/StepLimiter.ts
+++ b/packages/dispatch/placing/StepLimiter.ts
@@ -21,7 +21,7 @@
     const { customer } = step.job.definition;
     return customer === undefined
       ? step
-      : this.computePartWithinLimit(step, this.customerUsage.getUsed(customer.name));
+      : this.computePartWithinLimit(step, this.customerUsage.getUsedResources(customer.name));
   }
 
   /** Returns the same as `computeStartablePart`, but as if the customer had no other usage. */
--- a/packages/dispatch/placing/StepPlacer.ts
+++ b/packages/dispatch/placing/StepPlacer.ts
@@ -213,7 +213,7 @@
         isSuspect,
         crashCount: task.crashes.length,
         isInGang: step.shape.isGang,
-        failureCount: task.failures,
+        failureCount: task.failureCount,
       };
       const endpoint = this.chooseEndpoint(step, allowed, candidate, computePreferenceCost, now);
       if (endpoint === undefined && task.crashes.length > 0) {
@@ -223,7 +223,7 @@
       if (endpoint === undefined) {
         break;
       }
-      const nextRun = step.shape.isGang ? runNumber : task.run + 1;
+      const nextRun = step.shape.isGang ? runNumber : task.runNumber + 1;
       const isFromStart = task.checkpoint === '';
       const run = createPlacedRun(step.job.definition, address, nextRun, now, {
         isFromStart,
@@ -291,7 +291,7 @@
 
   /** Returns the run number that all members of a gang start with: one more than the highest of any member. */
   private computeNextGangRun({ job, repetition, step }: WaitingStep): number {
-    return 1 + Math.max(0, ...job.progress.listTasks(repetition, step).map((task) => task.run));
+    return 1 + Math.max(0, ...job.progress.listTasks(repetition, step).map((task) => task.runNumber));
   }
 
   private getAdvice({ job, repetition, step }: WaitingStep): ReturnType<LiveJob['getAdvice']> {
@@ -316,7 +316,7 @@
       const { address, task } = run;
       const endpoint = state.getProfile().incarnation;
       const checkpoint = shape.isGang ? gangCheckpoint : progress.getTask(address)!.checkpoint;
-      progress.recordPlaced(address, run.run, endpoint);
+      progress.recordRunPlaced(address, run.run, endpoint);
       run.waitTimes = waits;
       const command = { task, run: run.run, spec: definition.spec, checkpoint, ticket };
       this.options.adviceRequester.recordTicketUse(step, endpoint);
--- a/packages/dispatch/runs/GangMonitor.ts
+++ b/packages/dispatch/runs/GangMonitor.ts
@@ -38,7 +38,10 @@
     }
     for (const [index, task] of tasks.entries()) {
       const endpoint = this.endpoints.get(task.endpoint);
-      const run = endpoint?.getRun(toTaskName(job.definition.id, { repetition, step, index }), task.run);
+      const run = endpoint?.getRun(
+        toTaskName(job.definition.id, { repetition, step, index }),
+        task.runNumber,
+      );
       if (task.phase === 'placed' && endpoint !== undefined && run !== undefined) {
         this.handleRemainingMember(endpoint, run);
       }
--- a/packages/dispatch/waiting/sortByHeldShares.ts
+++ b/packages/dispatch/waiting/sortByHeldShares.ts
@@ -1,6 +1,6 @@
 import type { CustomerName } from '../../customers/CustomerName';
 import type { TaskDemand } from '../../jobs/TaskDemand';
-import { computeMaxUsefulMs } from '../../jobs/computeMaxUsefulMs';
+import { computeMaxUsefulLatencyMs } from '../../jobs/computeMaxUsefulLatencyMs';
 import type { FairShares } from '../../load/FairShares';
 import { computeDominantShare } from '../../load/computeDominantShare';
 import { computeFairShares } from '../../load/computeFairShares';
@@ -49,7 +49,7 @@
   const { job, repetition, objectiveAtMs } = step;
   const remainingMs = (input.estimateMinRemainingMs ?? estimateCertainRemainingMs)(step);
   const startedAtMs = Math.max(job.definition.acceptedAtMs, job.getDueAtMs(repetition));
-  const usefulUntilMs = startedAtMs + computeMaxUsefulMs(objectiveAtMs - startedAtMs);
+  const usefulUntilMs = startedAtMs + computeMaxUsefulLatencyMs(objectiveAtMs - startedAtMs);
   const isInTime = input.wallMs + remainingMs <= objectiveAtMs;
   const isUseful = input.wallMs + remainingMs <= usefulUntilMs;
   return {
@@ -97,7 +97,7 @@
   capacity: TaskDemand,
 ): void => {
   const usedShares = new Map<CustomerName, number>();
-  for (const [name, { taken }] of usage.getAll()) {
+  for (const [name, { taken }] of usage.getAllUsages()) {
     usedShares.set(name, computeDominantShare(taken, capacity));
   }
   const fairShares = computeCustomerShares(ranked, usedShares);
--- a/packages/logging/LineBudget.ts
+++ b/packages/logging/LineBudget.ts
@@ -2,8 +2,8 @@
 
 /** Capacity of the bucket, in seconds at the mean rate. */
 const BURST_SECONDS = 4;
-/** Part of the capacity that is reserved for lines of higher classes. */
-const RESERVED_PARTS: Readonly<Record<LineClass, number>> = {
+/** Share of the capacity that is reserved for lines of higher classes. */
+const RESERVED_SHARES: Readonly<Record<LineClass, number>> = {
   error: -Infinity,
   vital: 0,
   notable: 0.15,
@@ -13,21 +13,24 @@
 
 /** Token bucket for lines, which classes of higher priority may empty further. */
 export class LineBudget {
-  private readonly capacity: number;
+  private readonly tokenCapacity: number;
   private tokens: number;
 
   constructor(
     private readonly linesPerSecond: number,
     private filledAt: number,
   ) {
-    this.capacity = linesPerSecond * BURST_SECONDS;
-    this.tokens = this.capacity;
+    this.tokenCapacity = linesPerSecond * BURST_SECONDS;
+    this.tokens = this.tokenCapacity;
   }
 
-  /** Takes a token for a line of a class. Returns false when none is available to the class. */
+  /**
+   * Takes a token for a line of a class. Returns false when none is available to the class; never for errors, which may overdraw the
+   * bucket.
+   */
   takeToken(lineClass: LineClass, now: number): boolean {
     this.addTokens(now);
-    if (this.tokens < Math.max(1, this.capacity * RESERVED_PARTS[lineClass]) && lineClass !== 'error') {
+    if (this.tokens < Math.max(1, this.tokenCapacity * RESERVED_SHARES[lineClass]) && lineClass !== 'error') {
       return false;
     }
     this.tokens -= 1;
@@ -36,7 +39,7 @@
 
   private addTokens(now: number): void {
     const added = ((now - this.filledAt) / 1000) * this.linesPerSecond;
-    this.tokens = Math.min(this.capacity, this.tokens + added);
+    this.tokens = Math.min(this.tokenCapacity, this.tokens + added);
     this.filledAt = now;
   }
 }
--- a/packages/serve/computeCustomerMetrics.ts
+++ b/packages/serve/computeCustomerMetrics.ts
@@ -9,13 +9,13 @@
   dispatcher: Dispatcher,
   wallMs: number,
 ): readonly CustomerMetrics[] => {
-  const usage = dispatcher.getCustomerUsage().getAll();
+  const usage = dispatcher.getCustomerUsage().getAllUsages();
   const waiting = dispatcher.countWaitingTasks(wallMs);
   return [...customers.listCustomers()].map(({ name, limit }) => ({
     name,
     limit,
-    used: usage.get(name)?.taken ?? resourceMath.ZERO,
-    runs: usage.get(name)?.runs ?? 0,
-    waiting: waiting.get(name) ?? 0,
+    usedResources: usage.get(name)?.taken ?? resourceMath.ZERO,
+    runCount: usage.get(name)?.runs ?? 0,
+    waitingTaskCount: waiting.get(name) ?? 0,
   }));
 };
--- a/packages/store/LogWriter.ts
+++ b/packages/store/LogWriter.ts
@@ -16,7 +16,7 @@
   /** Time to wait for more records before an append is sent. */
   readonly lingerMs: number;
   /** Maximum size of an append in bytes. */
-  readonly maxBytes: number;
+  readonly maxBatchBytes: number;
   readonly random: Random;
   /** Record that may be written at any time, to probe whether the log has recovered. */
   readonly probe: LogWrite;
@@ -28,7 +28,8 @@
   readonly resolve: (outcome: WriteOutcome) => void;
 }
 
-const RETRY_DELAY_MS = 50;
+const APPEND_RETRY_DELAY_MS = 50;
+/** Minimum pause between probes while the log is unavailable; up to twice as long by jitter. */
 const PROBE_PAUSE_MS = 300;
 const PROBE_TIMEOUT_MS = 700;
 
@@ -37,19 +38,19 @@
  * An append without a response is retried, so that records must be idempotent.
  */
 export class LogWriter implements RecordWriter {
-  private readonly queued: QueuedWrite[] = [];
+  private readonly queuedWrites: QueuedWrite[] = [];
   private isSending = false;
-  private timeoutMs: number = appendRules.initialTimeoutMs;
-  private failingSince: number | undefined;
+  private appendTimeoutMs: number = appendRules.initialTimeoutMs;
+  private appendsFailingSince: number | undefined;
   private isProbing = false;
   private readonly interruption = new Interruption();
 
   constructor(private readonly options: LogWriterOptions) {}
 
-  /** Appends a record. Resolves by the deadline, in monotonic milliseconds, at the latest. */
+  /** Queues a record for the next append. Resolves to its outcome by the deadline, in monotonic milliseconds, at the latest. */
   writeRecord(write: LogWrite, deadline: number): Promise<WriteOutcome> {
     return new Promise((resolve) => {
-      this.queued.push({ write, deadline, resolve });
+      this.queuedWrites.push({ write, deadline, resolve });
       if (!this.isSending) {
         this.isSending = true;
         void this.sendQueued();
@@ -59,27 +60,29 @@
 
   /** Returns for how long appends have failed, in milliseconds; 0 after a success. */
   getOutageMs(): number {
-    return this.failingSince === undefined ? 0 : this.options.clock.getNow() - this.failingSince;
+    return this.appendsFailingSince === undefined
+      ? 0
+      : this.options.clock.getNow() - this.appendsFailingSince;
   }
 
   /** Retries the pending append at once if appends have been failing. Called when the log is known to have recovered. */
-  retryPending(): void {
-    if (this.failingSince !== undefined) {
+  retryPendingAppend(): void {
+    if (this.appendsFailingSince !== undefined) {
       this.interruption.cancel();
     }
   }
 
   private async sendQueued(): Promise<void> {
     await waitForDelay(this.options.lingerMs);
-    while (this.queued.length > 0) {
+    while (this.queuedWrites.length > 0) {
       const isWritten = await this.sendBatch(this.createBatch());
       if (!isWritten) {
         // These have not been sent, so that they certainly have no effect.
-        this.queued.splice(0).forEach(({ resolve }) => resolve('refused'));
+        this.queuedWrites.splice(0).forEach(({ resolve }) => resolve('refused'));
       }
     }
     this.isSending = false;
-    if (this.failingSince !== undefined && !this.isProbing) {
+    if (this.appendsFailingSince !== undefined && !this.isProbing) {
       void this.runProbes();
     }
   }
@@ -88,7 +91,7 @@
   private async runProbes(): Promise<void> {
     const { clock, probe } = this.options;
     this.isProbing = true;
-    while (this.failingSince !== undefined) {
+    while (this.appendsFailingSince !== undefined) {
       await waitForDelay(PROBE_PAUSE_MS * (1 + this.options.random()));
       await this.writeRecord(probe, clock.getNow() + PROBE_TIMEOUT_MS);
     }
@@ -98,14 +101,14 @@
   private createBatch(): readonly QueuedWrite[] {
     let bytes = 0;
     let count = 0;
-    for (const { write } of this.queued) {
-      bytes += appendRules.computeBytes(write);
-      if (count > 0 && bytes > this.options.maxBytes) {
+    for (const { write } of this.queuedWrites) {
+      bytes += appendRules.computeRecordBytes(write);
+      if (count > 0 && bytes > this.options.maxBatchBytes) {
         break;
       }
       count += 1;
     }
-    return this.queued.splice(0, count);
+    return this.queuedWrites.splice(0, count);
   }
 
   /**
@@ -116,7 +119,7 @@
     let pending = batch;
     let mayBeWritten = false;
     while (pending.length > 0) {
-      const timeoutMs = Math.min(this.timeoutMs, this.computeMaxRemainingMs(pending));
+      const timeoutMs = Math.min(this.appendTimeoutMs, this.computeMaxRemainingMs(pending));
       const { client, topic } = this.options;
       const writes = pending.map(({ write }) => write);
       const response = await this.interruption.waitFor(client.append({ topic, writes, timeoutMs }));
@@ -131,13 +134,13 @@
       }
       this.recordFailure(response.error);
       mayBeWritten = mayBeWritten || response.error.kind === 'unknown';
-      const now = this.options.clock.getNow() + RETRY_DELAY_MS;
+      const now = this.options.clock.getNow() + APPEND_RETRY_DELAY_MS;
       pending
         .filter(({ deadline }) => deadline <= now)
         .forEach(({ resolve }) => resolve(mayBeWritten ? 'unknown' : 'refused'));
       pending = pending.filter(({ deadline }) => deadline > now);
       if (pending.length > 0) {
-        await waitForDelay(RETRY_DELAY_MS);
+        await waitForDelay(APPEND_RETRY_DELAY_MS);
       }
     }
     return false;
@@ -149,14 +152,14 @@
   }
 
   private recordSuccess(): void {
-    this.failingSince = undefined;
-    this.timeoutMs = appendRules.initialTimeoutMs;
+    this.appendsFailingSince = undefined;
+    this.appendTimeoutMs = appendRules.initialTimeoutMs;
   }
 
   private recordFailure(error: LogError): void {
-    this.failingSince ??= this.options.clock.getNow();
+    this.appendsFailingSince ??= this.options.clock.getNow();
     if (error.kind === 'unknown') {
-      this.timeoutMs = Math.min(appendRules.maxTimeoutMs, this.timeoutMs * 2);
+      this.appendTimeoutMs = Math.min(appendRules.maxTimeoutMs, this.appendTimeoutMs * 2);
     }
   }
 }
