--- a/tests/failures/entryBoxes.test.ts
+++ b/tests/failures/entryBoxes.test.ts
@@ -87,7 +87,7 @@
     await waitForDelay(300);
     process.sendSignal('SIGTERM');
     expect(await process.exit).toBe(1);
-    expect(process.readOutput()).toMatch(/Cut: [1-9]\d* calls and tasks/);
+    expect(process.readOutput()).toMatch(/Interrupted: [1-9]\d* calls and tasks/);
     expect((await call).outcome).toBe('cut');
   });
 
