--- a/packages/dispatch/Dispatcher.ts
+++ b/packages/dispatch/Dispatcher.ts
@@ -132,7 +132,7 @@
     this.crashes = new CrashTracker({
       jobs: this.jobs,
       tracker: this.runTracker,
-      handleChanged: (job) => this.changedJobs.add(job),
+      handleProgressChange: (job) => this.changedJobs.add(job),
     });
     this.lossHandler = new EndpointLossHandler({
       endpoints: this.endpoints,
@@ -468,7 +468,7 @@
     this.isRoundDue = true;
     this.hasTicked = true;
     for (const endpoint of [...this.endpoints.values()]) {
-      this.lossHandler.checkLease(endpoint, now);
+      this.lossHandler.handleLeaseExpiry(endpoint, now);
       this.runTracker.retryStops(endpoint, now);
     }
     this.reservations.removeExpired(now);
--- a/packages/dispatch/LeaderController.ts
+++ b/packages/dispatch/LeaderController.ts
@@ -151,26 +151,26 @@
       parseEndpoint: options.parseEndpoint,
       createEndpointClient: options.createEndpointClient,
       isServiceUsed: (service) => options.isServiceRouted(service) || this.services.has(service),
-      isRenewing: () => this.canGrantLeases(),
+      canGrantLeases: () => this.canGrantLeases(),
       handleStatusApplied: (newEndCount) => this.handlePolled(newEndCount),
       waitForFlush: () => this.journal.waitForFlush(),
       recordCount: (name) => options.recordCount(name),
-      handleChanged: () => {
+      handleSchedulingChange: () => {
         this.takeOver();
         this.queueRound();
       },
-      handleFenced: (detail) => this.handleLeadershipLost(detail),
+      handleNewerLeader: (detail) => this.handleLeadershipLost(detail),
       handleLogRecovered: options.handleLogRecovered,
     });
     this.commands = new CommandSender({
       ...options,
       dispatcher: this.dispatcher,
       endpoints: this.endpoints,
-      lines: this.batcher,
+      lineBatcher: this.batcher,
       isStopped: () => this.isStopped,
-      isRenewing: () => this.canGrantLeases(),
-      handleStarted: (job) => this.recordStart(job),
-      handleChanged: () => this.queueRound(),
+      canGrantLeases: () => this.canGrantLeases(),
+      handleJobStart: (job) => this.recordStart(job),
+      handleSchedulingChange: () => this.queueRound(),
       handleLeadershipLost: (detail) => this.handleLeadershipLost(detail),
     });
     this.adviceBalancer = adviceBalancers[options.policies.turnChoice]({
@@ -255,7 +255,7 @@
   /** Retries calls to the log that are pending since its outage. `sentAt` is when the call that it has answered was sent. */
   retryPending(sentAt: number): void {
     this.journal.retryPending();
-    this.endpoints.retryPending(sentAt);
+    this.endpoints.retryPendingRead(sentAt);
   }
 
   getDispatcher(): Dispatcher {
--- a/packages/dispatch/crashes/CrashHistory.ts
+++ b/packages/dispatch/crashes/CrashHistory.ts
@@ -4,11 +4,11 @@
 import { crashLimits } from './crashLimits';
 
 /** Longer than a task that crashes its endpoints takes to reach the crash limit. */
-const RETENTION_MS = 120_000;
+const CRASH_RETENTION_MS = 120_000;
 
-const removeOutdated = <Key>(times: Map<Key, number>, keptMs: number, now: number): void => {
+const removeOutdatedTimes = <Key>(times: Map<Key, number>, retentionMs: number, now: number): void => {
   for (const [key, at] of times) {
-    if (now - at >= keptMs) {
+    if (now - at >= retentionMs) {
       times.delete(key);
     }
   }
@@ -16,23 +16,23 @@
 
 /** Recent crashes of endpoints with their implicated tasks. Separates crashes with an external cause from those that tasks cause. */
 export class CrashHistory {
-  private readonly implicated = new Map<EndpointIncarnation, readonly ImplicatedTask[]>();
+  private readonly implicatedTasks = new Map<EndpointIncarnation, readonly ImplicatedTask[]>();
   /** Monotonic time of the newest crash of each machine, by address. */
   private readonly machineCrashedAt = new Map<string, number>();
   /** Jobs with a task over the crash limit, with the monotonic time of that: their other tasks may still crash endpoints. */
   private readonly jobsOverLimit = new Map<JobId, number>();
   /** Incarnations whose crash is explained by a task over the crash limit. */
-  private readonly explained = new Set<EndpointIncarnation>();
+  private readonly explainedCrashes = new Set<EndpointIncarnation>();
   /** Monotonic time of the newest crash that no task is to blame for. */
-  private unexplainedAt = -Infinity;
+  private unexplainedCrashAt = -Infinity;
 
-  recordImplicated(endpoint: EndpointIncarnation, task: ImplicatedTask): void {
-    this.implicated.set(endpoint, [...this.listImplicated(endpoint), task]);
+  recordImplicatedTask(endpoint: EndpointIncarnation, task: ImplicatedTask): void {
+    this.implicatedTasks.set(endpoint, [...this.listImplicatedTasks(endpoint), task]);
   }
 
   /** Returns the tasks that the crash of an endpoint was put down to. */
-  listImplicated(endpoint: EndpointIncarnation): readonly ImplicatedTask[] {
-    return this.implicated.get(endpoint) ?? [];
+  listImplicatedTasks(endpoint: EndpointIncarnation): readonly ImplicatedTask[] {
+    return this.implicatedTasks.get(endpoint) ?? [];
   }
 
   recordMachineCrash(address: string, now: number): void {
@@ -41,59 +41,60 @@
 
   /** Returns true when the machine has crashed so recently that another crash there is weak evidence against a task. */
   hasCrashedRecently(address: string, now: number): boolean {
-    return now - (this.machineCrashedAt.get(address) ?? -Infinity) < crashLimits.recentCrashMs;
+    return now - (this.machineCrashedAt.get(address) ?? -Infinity) < crashLimits.recentMachineCrashMs;
   }
 
   /** Records whether a crash has no job to blame, or is explained by a job that is already over the crash limit. */
-  recordLoss(endpoint: EndpointIncarnation, blamed: readonly JobId[], now: number): void {
-    if (blamed.length === 0) {
-      this.unexplainedAt = now;
+  recordCrashCause(endpoint: EndpointIncarnation, blamedJobs: readonly JobId[], now: number): void {
+    if (blamedJobs.length === 0) {
+      this.unexplainedCrashAt = now;
     }
-    if (blamed.some((job) => this.jobsOverLimit.has(job))) {
-      this.explained.add(endpoint);
+    if (blamedJobs.some((job) => this.jobsOverLimit.has(job))) {
+      this.explainedCrashes.add(endpoint);
     }
   }
 
   /** Records that a job is over the crash limit. This explains all crashes that any of its tasks is to blame for, since they are alike. */
-  recordOverLimit(jobOverLimit: JobId, now: number): void {
+  recordJobOverLimit(jobOverLimit: JobId, now: number): void {
     this.jobsOverLimit.set(jobOverLimit, now);
-    for (const [endpoint, tasks] of this.implicated) {
+    for (const [endpoint, tasks] of this.implicatedTasks) {
       if (tasks.some(({ job, isBlamed }) => job === jobOverLimit && isBlamed)) {
-        this.explained.add(endpoint);
+        this.explainedCrashes.add(endpoint);
       }
     }
   }
 
   /** Returns true while there are recent crashes for which no task is, or still is, to blame. */
-  hasUnexplainedLosses(
+  hasUnexplainedCrashes(
     now: number,
-    hasCrash: (task: ImplicatedTask, endpoint: EndpointIncarnation) => boolean,
+    hasCrashRecord: (task: ImplicatedTask, endpoint: EndpointIncarnation) => boolean,
   ): boolean {
-    const { unexplainedLossMs } = crashLimits;
-    const isLoss = (endpoint: EndpointIncarnation, tasks: readonly ImplicatedTask[]): boolean =>
-      !this.explained.has(endpoint) &&
+    const { unexplainedCrashMs } = crashLimits;
+    const isUnexplained = (endpoint: EndpointIncarnation, tasks: readonly ImplicatedTask[]): boolean =>
+      !this.explainedCrashes.has(endpoint) &&
       tasks.every(
-        (task) => now - task.since < unexplainedLossMs && !(task.isBlamed && hasCrash(task, endpoint)),
+        (task) =>
+          now - task.recordedAt < unexplainedCrashMs && !(task.isBlamed && hasCrashRecord(task, endpoint)),
       );
     return (
-      now - this.unexplainedAt < unexplainedLossMs ||
-      [...this.implicated].some(([endpoint, tasks]) => isLoss(endpoint, tasks))
+      now - this.unexplainedCrashAt < unexplainedCrashMs ||
+      [...this.implicatedTasks].some(([endpoint, tasks]) => isUnexplained(endpoint, tasks))
     );
   }
 
   /** Removes outdated crashes. */
-  removeOutdated(now: number): void {
-    for (const [endpoint, tasks] of this.implicated) {
-      if (tasks.every(({ since }) => now - since >= RETENTION_MS)) {
-        this.implicated.delete(endpoint);
+  removeOutdatedCrashes(now: number): void {
+    for (const [endpoint, tasks] of this.implicatedTasks) {
+      if (tasks.every(({ recordedAt }) => now - recordedAt >= CRASH_RETENTION_MS)) {
+        this.implicatedTasks.delete(endpoint);
       }
     }
-    for (const endpoint of this.explained) {
-      if (!this.implicated.has(endpoint)) {
-        this.explained.delete(endpoint);
+    for (const endpoint of this.explainedCrashes) {
+      if (!this.implicatedTasks.has(endpoint)) {
+        this.explainedCrashes.delete(endpoint);
       }
     }
-    removeOutdated(this.jobsOverLimit, RETENTION_MS, now);
-    removeOutdated(this.machineCrashedAt, crashLimits.recentCrashMs, now);
+    removeOutdatedTimes(this.jobsOverLimit, CRASH_RETENTION_MS, now);
+    removeOutdatedTimes(this.machineCrashedAt, crashLimits.recentMachineCrashMs, now);
   }
 }
--- a/packages/dispatch/crashes/CrashTracker.ts
+++ b/packages/dispatch/crashes/CrashTracker.ts
@@ -7,7 +7,7 @@
 import type { PlacedRun } from '../runs/PlacedRun';
 import type { RunTracker } from '../runs/RunTracker';
 import type { LiveJob } from '../waiting/LiveJob';
-import { chooseBlames } from './chooseBlames';
+import { computeRunBlames } from './computeRunBlames';
 import { crashLimits } from './crashLimits';
 import { isPastStartup } from './isPastStartup';
 import { isOverCrashLimit } from './isOverCrashLimit';
@@ -23,23 +23,23 @@
   readonly jobs: ReadonlyMap<JobId, LiveJob>;
   readonly tracker: RunTracker;
   /** Called when the progress of a job has changed and must be recorded. */
-  readonly handleChanged: (job: JobId) => void;
+  readonly handleProgressChange: (job: JobId) => void;
 }
 
-type RemovalReason =
+type CrashRemovalReason =
   'left by plan' | 'heard again' | 'explained by a task that was given up' | 'its run began on the next life';
 
 /** Highest number of tasks named in one log line; `count` counts all. */
-const MAX_NAMED_TASKS = 20;
+const MAX_LOGGED_TASKS = 20;
 
 /**
  * Puts crashes of endpoints down to the tasks that may have caused them, so that a task that crashes its endpoints is not retried without limit.
  * An incarnation that ends without a planned removal counts as crashed. Crash records are part of a job's progress, and survive a change of leader.
  */
 export class CrashTracker {
-  private readonly unconfirmed = new UnconfirmedCrashes();
-  private readonly history = new CrashHistory();
-  private readonly outages = new OutageDetector();
+  private readonly unconfirmedCrashes = new UnconfirmedCrashes();
+  private readonly crashHistory = new CrashHistory();
+  private readonly outageDetector = new OutageDetector();
   /** Tasks that may be over the crash limit, by job, until the next check of the limits. */
   private readonly tasksOverLimit = new Map<JobId, TaskAddress>();
 
@@ -53,18 +53,18 @@
       return;
     }
     for (const { endpoint, blame, ageMs } of crashes) {
-      this.history.recordImplicated(endpoint, {
+      this.crashHistory.recordImplicatedTask(endpoint, {
         job: job.definition.id,
         address,
         isBlamed: blame !== 'present',
-        since: now,
+        recordedAt: now,
       });
       if (blame === 'unproved') {
         const crash = { endpoint, blame: 'inherited', ageMs } as const;
-        this.unconfirmed.addCrash({ job: job.definition.id, address, since: now, crash });
+        this.unconfirmedCrashes.addCrash({ job: job.definition.id, address, since: now, crash });
       }
     }
-    this.applyCrashes(job, address, now);
+    this.applyCrashRecords(job, address, now);
   }
 
   /**
@@ -74,28 +74,28 @@
   private applyRecoveredUnconfirmed(job: LiveJob, address: TaskAddress): void {
     for (const crash of job.progress.getTask(address)?.unconfirmedCrashes ?? []) {
       job.progress.recordCrash(address, { ...crash, blame: 'unproved' });
-      this.options.handleChanged(job.definition.id);
+      this.options.handleProgressChange(job.definition.id);
     }
   }
 
   /** Puts the end of an incarnation down to `runs`, which were there or may have been, unless its removal was planned. */
   handleIncarnationEnd(endpoint: EndpointState, runs: readonly PlacedRun[], now: number): void {
-    const { incarnation: id, address } = endpoint.getProfile();
-    const unconfirmed = this.unconfirmed.takeAll(id);
+    const { incarnation, address } = endpoint.getProfile();
+    const unconfirmedRecords = this.unconfirmedCrashes.takeCrashesOf(incarnation);
     if (endpoint.isRemovalPlanned()) {
-      this.removeCrashes(id, unconfirmed, 'left by plan', now);
+      this.removeCrashRecords(incarnation, unconfirmedRecords, 'left by plan', now);
       return;
     }
-    this.history.recordMachineCrash(address, now);
-    const records = this.listBlames(endpoint, runs).map(({ run, blame }) => ({
+    this.crashHistory.recordMachineCrash(address, now);
+    const records = this.listRunBlames(endpoint, runs).map(({ run, blame }) => ({
       job: run.job,
       address: run.address,
-      crash: { endpoint: id, blame, ageMs: this.getAgeMs(run) },
+      crash: { endpoint: incarnation, blame, ageMs: this.getListedAgeMs(run) },
     }));
-    const all = [...unconfirmed, ...records];
-    const blamed = all.filter(({ crash }) => crash.blame !== 'present').map(({ job }) => job);
-    this.history.recordLoss(id, blamed, now);
-    this.recordCrashes(id, all, now);
+    const allRecords = [...unconfirmedRecords, ...records];
+    const blamedJobs = allRecords.filter(({ crash }) => crash.blame !== 'present').map(({ job }) => job);
+    this.crashHistory.recordCrashCause(incarnation, blamedJobs, now);
+    this.recordCrashes(incarnation, allRecords, now);
   }
 
   /** Handles the expiry of an unreachable endpoint's lease, which has ended `runs`: the endpoint has crashed, or is cut off. */
@@ -103,20 +103,20 @@
     if (endpoint.isRemovalPlanned()) {
       return;
     }
-    const { incarnation: id } = endpoint.getProfile();
-    const unproved: CrashRecord[] = [];
-    for (const { run, blame } of this.listBlames(endpoint, runs)) {
+    const { incarnation } = endpoint.getProfile();
+    const unprovedRecords: CrashRecord[] = [];
+    for (const { run, blame } of this.listRunBlames(endpoint, runs)) {
       const { job, address } = run;
-      const crash = { endpoint: id, blame, ageMs: this.getAgeMs(run) };
-      this.unconfirmed.addCrash({ job, address, since: now, crash });
+      const crash = { endpoint: incarnation, blame, ageMs: this.getListedAgeMs(run) };
+      this.unconfirmedCrashes.addCrash({ job, address, since: now, crash });
       if (blame !== 'present' || this.isOneCrashBelowLimit(run)) {
-        unproved.push({ job, address, crash: { ...crash, blame: 'unproved' } });
+        unprovedRecords.push({ job, address, crash: { ...crash, blame: 'unproved' } });
       } else if (!isPastStartup(run)) {
         this.options.jobs.get(job)?.progress.recordUnconfirmedCrash(address, crash);
-        this.options.handleChanged(job);
+        this.options.handleProgressChange(job);
       }
     }
-    this.recordCrashes(id, unproved, now);
+    this.recordCrashes(incarnation, unprovedRecords, now);
   }
 
   /**
@@ -124,39 +124,39 @@
    * is confirmed or refuted. Recording every such run would delay healthy tasks.
    */
   private isOneCrashBelowLimit(run: PlacedRun): boolean {
-    return !isPastStartup(run) && this.listCrashes(run).length >= crashLimits.maxAll - 1;
+    return !isPastStartup(run) && this.listCrashRecords(run).length >= crashLimits.maxCrashes - 1;
   }
 
   /** Handles the first poll of an endpoint without a response. */
   handleUnreachable(endpoint: EndpointState, now: number): void {
-    this.outages.handleUnreachable(endpoint, now);
+    this.outageDetector.handleUnreachable(endpoint, now);
   }
 
   /** Removes the unconfirmed crashes of an endpoint that responds. */
   handleReachable(id: EndpointIncarnation, now: number): void {
-    this.outages.handleReachable(id);
-    this.removeCrashes(id, this.unconfirmed.takeAll(id), 'heard again', now);
+    this.outageDetector.handleReachable(id);
+    this.removeCrashRecords(id, this.unconfirmedCrashes.takeCrashesOf(id), 'heard again', now);
   }
 
   /** Clears the task of a run that was sent to an earlier incarnation, but began on the next one, of the crash of the earlier. */
   handleTransferConfirmed({ job, address }: PlacedRun, before: EndpointIncarnation, now: number): void {
-    this.removeCrashes(before, [{ job, address }], 'its run began on the next life', now);
+    this.removeCrashRecords(before, [{ job, address }], 'its run began on the next life', now);
   }
 
   /** Clears the task of a listed run of the crashes in which its runs were much younger. */
   handleRunListed(run: PlacedRun): void {
     const { progress } = this.options.jobs.get(run.job) ?? {};
-    const { crashes = [], unconfirmedCrashes: doubts = [] } = progress?.getTask(run.address) ?? {};
-    if (crashes.length === 0 && doubts.length === 0) {
+    const { crashes = [], unconfirmedCrashes = [] } = progress?.getTask(run.address) ?? {};
+    if (crashes.length === 0 && unconfirmedCrashes.length === 0) {
       return;
     }
-    const { clearedAgeFactor, clearedAgeMs, maxClearedAgeMs: longestClearedAgeMs } = crashLimits;
+    const { clearedAgeFactor, clearedAgeOffsetMs, maxClearedAgeMs } = crashLimits;
     const listedMs = run.lastListedAt - run.confirmedAt;
     const isCleared = ({ ageMs }: TaskCrash): boolean =>
-      listedMs >= Math.min(longestClearedAgeMs, clearedAgeFactor * ageMs + clearedAgeMs);
+      listedMs >= Math.min(maxClearedAgeMs, clearedAgeFactor * ageMs + clearedAgeOffsetMs);
     if (progress?.removeCrashes(run.address, isCleared) === true) {
       const { job, task } = run;
-      this.options.handleChanged(job);
+      this.options.handleProgressChange(job);
       this.options.tracker.sendLogLine('Task is cleared of crashes.', {
         job,
         task,
@@ -167,25 +167,27 @@
 
   /** Returns true while a poll of the endpoint's address may still confirm that it has crashed. */
   isCrashUnconfirmed(id: EndpointIncarnation, now: number): boolean {
-    return this.unconfirmed.isCrashUnconfirmed(id, now);
+    return this.unconfirmedCrashes.isCrashUnconfirmed(id, now);
   }
 
   /** Returns true when the machine has crashed so recently that another crash there is weak evidence against a task. */
   hasCrashedRecently(address: string, now: number): boolean {
-    return this.history.hasCrashedRecently(address, now);
+    return this.crashHistory.hasCrashedRecently(address, now);
   }
 
   /** Returns true while there are recent crashes for which no task is, or still is, to blame. */
-  private hasUnexplainedLosses(now: number): boolean {
-    return this.history.hasUnexplainedLosses(now, (task, endpoint) => this.hasCrash(task, endpoint));
+  private hasUnexplainedCrashes(now: number): boolean {
+    return this.crashHistory.hasUnexplainedCrashes(now, (task, endpoint) =>
+      this.hasCrashRecord(task, endpoint),
+    );
   }
 
-  private hasCrash(task: TaskRef, crashed: EndpointIncarnation): boolean {
-    return this.listCrashes(task).some(({ endpoint }) => endpoint === crashed);
+  private hasCrashRecord(task: TaskRef, crashed: EndpointIncarnation): boolean {
+    return this.listCrashRecords(task).some(({ endpoint }) => endpoint === crashed);
   }
 
   /** Returns the crash records of a task; none once its job has ended. */
-  private listCrashes({ job, address }: TaskRef): readonly TaskCrash[] {
+  private listCrashRecords({ job, address }: TaskRef): readonly TaskCrash[] {
     return this.options.jobs.get(job)?.progress.getTask(address)?.crashes ?? [];
   }
 
@@ -198,7 +200,7 @@
       if (
         job !== undefined &&
         !job.progress.isEnded() &&
-        isOverCrashLimit(crashes, this.hasUnexplainedLosses(now))
+        isOverCrashLimit(crashes, this.hasUnexplainedCrashes(now))
       ) {
         const task = toTaskName(id, address);
         this.options.tracker.sendLogLine('Task is given up: endpoints ended under it.', {
@@ -207,15 +209,15 @@
           crashes,
         });
         this.options.tracker.sendCount('tasksGivenUp');
-        this.history.recordOverLimit(id, now);
-        this.removeExplained({ job: id, address }, crashes, now);
+        this.crashHistory.recordJobOverLimit(id, now);
+        this.removeExplainedCrashes({ job: id, address }, crashes, now);
         this.options.tracker.recordJobEnd(job, 'failed', wallMs);
       }
     }
     this.tasksOverLimit.clear();
-    this.history.removeOutdated(now);
+    this.crashHistory.removeOutdatedCrashes(now);
     // This becomes durable with the job's next change. Until then a new leader would count these crashes, which is safe.
-    for (const { job, address, crash } of this.unconfirmed.takeOutdated(now)) {
+    for (const { job, address, crash } of this.unconfirmedCrashes.takeOutdatedCrashes(now)) {
       this.options.jobs.get(job)?.progress.removeUnconfirmedCrash(address, crash.endpoint);
     }
   }
@@ -224,22 +226,27 @@
    * Clears other tasks of the crashes that a task over the limit explains, so that healthy jobs don't fail with it. Tasks whose runs were in their
    * startup still count as present: several tasks that crash the same endpoints would otherwise clear each other.
    */
-  private removeExplained(taskOverLimit: TaskRef, crashes: readonly TaskCrash[], now: number): void {
+  private removeExplainedCrashes(taskOverLimit: TaskRef, crashes: readonly TaskCrash[], now: number): void {
     for (const { endpoint, blame } of crashes) {
-      const implicated = blame === 'sole' || blame === 'shared' ? this.history.listImplicated(endpoint) : [];
+      const implicated =
+        blame === 'sole' || blame === 'shared' ? this.crashHistory.listImplicatedTasks(endpoint) : [];
       const others = implicated.filter(
         ({ job, address }) =>
           (job !== taskOverLimit.job || address !== taskOverLimit.address) &&
           !this.hasSoleBlame({ job, address }),
       );
-      const present = others.filter((other) => this.setPresent(other, endpoint, now));
+      const present = others.filter((other) => this.setBlamePresent(other, endpoint, now));
       const cleared = others.filter((other) => !present.includes(other));
-      this.removeCrashes(endpoint, cleared, 'explained by a task that was given up', now);
+      this.removeCrashRecords(endpoint, cleared, 'explained by a task that was given up', now);
     }
   }
 
   /** Reduces the blame of a task whose run was in its startup to `present`. Returns false when it has no such crash record. */
-  private setPresent({ job: id, address }: TaskRef, endpoint: EndpointIncarnation, now: number): boolean {
+  private setBlamePresent(
+    { job: id, address }: TaskRef,
+    endpoint: EndpointIncarnation,
+    now: number,
+  ): boolean {
     const job = this.options.jobs.get(id);
     const known = job?.progress.getTask(address)?.crashes.find((crash) => crash.endpoint === endpoint);
     if (job === undefined || known === undefined || known.ageMs >= crashLimits.startupMs) {
@@ -247,25 +254,28 @@
     }
     if (known.blame !== 'present') {
       job.progress.recordCrash(address, { ...known, blame: 'present' });
-      this.options.handleChanged(id);
-      this.applyCrashes(job, address, now);
+      this.options.handleProgressChange(id);
+      this.applyCrashRecords(job, address, now);
     }
     return true;
   }
 
   /** Returns true when a task has the sole blame for some crash, and so may have caused others. */
   private hasSoleBlame(task: TaskRef): boolean {
-    return this.listCrashes(task).some(({ blame }) => blame === 'sole');
+    return this.listCrashRecords(task).some(({ blame }) => blame === 'sole');
   }
 
   /** Chooses the blame of each run for a crash. Runs whose start command isn't sent yet are left out. */
-  private listBlames(endpoint: EndpointState, runs: readonly PlacedRun[]): ReturnType<typeof chooseBlames> {
+  private listRunBlames(
+    endpoint: EndpointState,
+    runs: readonly PlacedRun[],
+  ): ReturnType<typeof computeRunBlames> {
     const { jobs } = this.options;
-    return chooseBlames({
+    return computeRunBlames({
       runs: runs.filter(({ stage }) => stage !== 'recording'),
-      isOutage: this.outages.isPartOfOutage(endpoint),
+      isOutage: this.outageDetector.isPartOfOutage(endpoint),
       isSuspect: (run) => isCrashSuspect(jobs.get(run.job)?.progress.getTask(run.address)?.crashes ?? []),
-      getGroup: ({ job, address, task }) => {
+      getGangKey: ({ job, address, task }) => {
         const isGang = jobs.get(job)?.definition.steps[address.step]?.isGang === true;
         return isGang ? `${job}.${address.repetition}.${address.step}` : task;
       },
@@ -273,35 +283,39 @@
   }
 
   /** Returns how long a run had certainly run when a poll last listed it, in milliseconds; assumed for one that an earlier leader placed. */
-  private getAgeMs(run: PlacedRun): number {
+  private getListedAgeMs(run: PlacedRun): number {
     return run.stage === 'unconfirmed'
       ? crashLimits.unknownAgeMs
       : Math.round(run.lastListedAt - run.confirmedAt);
   }
 
-  private removeCrashes(
+  private removeCrashRecords(
     crashed: EndpointIncarnation,
     tasks: readonly TaskRef[],
-    reason: RemovalReason,
+    reason: CrashRemovalReason,
     now: number,
   ): void {
-    const cleared = tasks.filter((task) => this.removeCrash(task, crashed, now));
+    const cleared = tasks.filter((task) => this.removeCrashRecord(task, crashed, now));
     if (cleared.length > 0) {
-      const names = cleared.slice(0, MAX_NAMED_TASKS).map(({ job, address }) => toTaskName(job, address));
+      const names = cleared.slice(0, MAX_LOGGED_TASKS).map(({ job, address }) => toTaskName(job, address));
       const fields = { endpoint: crashed, reason, count: cleared.length, tasks: names };
       this.options.tracker.sendLogLine('Charges of a crash are taken back.', fields);
     }
   }
 
   /** Removes a task's record of a crash. Returns false when there is none. */
-  private removeCrash({ job: id, address }: TaskRef, crashed: EndpointIncarnation, now: number): boolean {
+  private removeCrashRecord(
+    { job: id, address }: TaskRef,
+    crashed: EndpointIncarnation,
+    now: number,
+  ): boolean {
     const job = this.options.jobs.get(id);
     const isRemoved = ({ endpoint }: TaskCrash): boolean => endpoint === crashed;
     if (job?.progress.removeCrashes(address, isRemoved) !== true) {
       return false;
     }
-    this.options.handleChanged(id);
-    this.applyCrashes(job, address, now);
+    this.options.handleProgressChange(id);
+    this.applyCrashRecords(job, address, now);
     return true;
   }
 
@@ -314,7 +328,7 @@
     this.options.tracker.sendLogLine('Crash is charged.', {
       endpoint,
       count: recorded.length,
-      tasks: recorded.slice(0, MAX_NAMED_TASKS).map(({ job, address, crash }) => ({
+      tasks: recorded.slice(0, MAX_LOGGED_TASKS).map(({ job, address, crash }) => ({
         task: toTaskName(job, address),
         blame: crash.blame,
         ageMs: crash.ageMs,
@@ -331,25 +345,25 @@
       return false;
     }
     job.progress.recordCrash(address, crash);
-    this.history.recordImplicated(crash.endpoint, {
+    this.crashHistory.recordImplicatedTask(crash.endpoint, {
       job: id,
       address,
       isBlamed: crash.blame !== 'present',
-      since: now,
+      recordedAt: now,
     });
-    this.options.handleChanged(id);
-    this.applyCrashes(job, address, now);
+    this.options.handleProgressChange(id);
+    this.applyCrashRecords(job, address, now);
     return true;
   }
 
   /** Applies a task's crash records: sets the backoff before its next start, and notes when it is over the crash limit. */
-  private applyCrashes(job: LiveJob, address: TaskAddress, now: number): void {
+  private applyCrashRecords(job: LiveJob, address: TaskAddress, now: number): void {
     const { crashes } = job.progress.getTask(address)!;
     const backoffMs = computeBackoffMs(crashes);
     if (backoffMs > 0) {
       job.recordBackoff(address, now + backoffMs);
     }
-    if (isOverCrashLimit(crashes, this.hasUnexplainedLosses(now))) {
+    if (isOverCrashLimit(crashes, this.hasUnexplainedCrashes(now))) {
       this.tasksOverLimit.set(job.definition.id, address);
     }
   }
--- a/packages/dispatch/crashes/ImplicatedTask.ts
+++ b/packages/dispatch/crashes/ImplicatedTask.ts
@@ -5,5 +5,5 @@
   /** True when the task may have crashed the endpoint, false when it only ran there. */
   readonly isBlamed: boolean;
   /** Monotonic time at which the crash was recorded. */
-  readonly since: number;
+  readonly recordedAt: number;
 }
--- a/packages/dispatch/crashes/OutageDetector.ts
+++ b/packages/dispatch/crashes/OutageDetector.ts
@@ -5,15 +5,15 @@
 /** An endpoint that became unreachable. */
 interface UnreachableEvent {
   /** Monotonic time of the first poll without a response. */
-  readonly at: number;
+  readonly unreachableAt: number;
   /** True when a run was in its startup there, and may be the cause. */
   readonly hasStartingRun: boolean;
 }
 
 /** Longest difference between the first unanswered polls of endpoints that fail together. */
-const COINCIDENCE_MS = 300;
+const MAX_COINCIDENCE_MS = 300;
 /** Longer than it takes to know that an endpoint has ended: its machine is back, or its lease has expired. */
-const RETENTION_MS = 60_000;
+const EVENT_RETENTION_MS = 60_000;
 
 /**
  * Detects outages that hit several endpoints. If another endpoint became unreachable at the same time without a starting run, the cause is external,
@@ -21,27 +21,27 @@
  */
 export class OutageDetector {
   /** Newest event of each endpoint that has not responded since. */
-  private readonly events = new Map<EndpointIncarnation, UnreachableEvent>();
+  private readonly unreachableEvents = new Map<EndpointIncarnation, UnreachableEvent>();
 
   /** Records that an endpoint became unreachable. Ignores one that has never responded to this leader, as the time is unknown. */
   handleUnreachable(endpoint: EndpointState, now: number): void {
     if (endpoint.getRespondedAt() === undefined) {
       return;
     }
-    for (const [incarnation, { at }] of this.events) {
-      if (now - at >= RETENTION_MS) {
-        this.events.delete(incarnation);
+    for (const [incarnation, { unreachableAt }] of this.unreachableEvents) {
+      if (now - unreachableAt >= EVENT_RETENTION_MS) {
+        this.unreachableEvents.delete(incarnation);
       }
     }
     const hasStartingRun = [...endpoint.getRuns()].some(
       (run) => run.stage !== 'recording' && !isPastStartup(run),
     );
-    this.events.set(endpoint.getProfile().incarnation, { at: now, hasStartingRun });
+    this.unreachableEvents.set(endpoint.getProfile().incarnation, { unreachableAt: now, hasStartingRun });
   }
 
   /** Removes the event of an endpoint that responds again, and has not crashed. */
   handleReachable(incarnation: EndpointIncarnation): void {
-    this.events.delete(incarnation);
+    this.unreachableEvents.delete(incarnation);
   }
 
   /** Returns true when the endpoint became unreachable in an outage. */
@@ -51,9 +51,11 @@
     if (unreachableSince === undefined || endpoint.getRespondedAt() === undefined) {
       return false;
     }
-    return [...this.events].some(
-      ([other, { at, hasStartingRun }]) =>
-        other !== incarnation && !hasStartingRun && Math.abs(at - unreachableSince) <= COINCIDENCE_MS,
+    return [...this.unreachableEvents].some(
+      ([other, { unreachableAt, hasStartingRun }]) =>
+        other !== incarnation &&
+        !hasStartingRun &&
+        Math.abs(unreachableAt - unreachableSince) <= MAX_COINCIDENCE_MS,
     );
   }
 }
--- a/packages/dispatch/crashes/UnconfirmedCrashes.ts
+++ b/packages/dispatch/crashes/UnconfirmedCrashes.ts
@@ -12,7 +12,7 @@
   }
 
   /** Removes and returns the unconfirmed crashes of an endpoint. */
-  takeAll(endpoint: EndpointIncarnation): readonly UnconfirmedCrash[] {
+  takeCrashesOf(endpoint: EndpointIncarnation): readonly UnconfirmedCrash[] {
     const crashes = this.crashes.get(endpoint) ?? [];
     this.crashes.delete(endpoint);
     return crashes;
@@ -24,8 +24,8 @@
   }
 
   /** Removes and returns the crashes that can't be confirmed any more. */
-  takeOutdated(now: number): readonly UnconfirmedCrash[] {
+  takeOutdatedCrashes(now: number): readonly UnconfirmedCrash[] {
     const outdated = [...this.crashes.keys()].filter((endpoint) => !this.isCrashUnconfirmed(endpoint, now));
-    return outdated.flatMap((endpoint) => this.takeAll(endpoint));
+    return outdated.flatMap((endpoint) => this.takeCrashesOf(endpoint));
   }
 }
--- a/packages/dispatch/crashes/chooseBlames.ts
+++ b/packages/dispatch/crashes/computeRunBlames.ts
@@ -7,7 +7,7 @@
   readonly blame: CrashBlame;
 }
 
-interface BlamesInput {
+interface RunBlamesInput {
   /** Runs that may have been on the endpoint when it crashed. */
   readonly runs: readonly PlacedRun[];
   /** True when the endpoint became unreachable in an outage. */
@@ -15,7 +15,7 @@
   /** Returns true when the run's task is a crash suspect. */
   readonly isSuspect: (run: PlacedRun) => boolean;
   /** Returns a key that the members of a gang share: they start together, and count as one. */
-  readonly getGroup: (run: PlacedRun) => string;
+  readonly getGangKey: (run: PlacedRun) => string;
 }
 
 /**
@@ -23,11 +23,16 @@
  * crash suspects among the starting runs are to blame, or all starting runs when there is no suspect among them. All others, and in an
  * outage all runs, only count as present.
  */
-export const chooseBlames = ({ runs, isOutage, isSuspect, getGroup }: BlamesInput): readonly RunBlame[] => {
+export const computeRunBlames = ({
+  runs,
+  isOutage,
+  isSuspect,
+  getGangKey,
+}: RunBlamesInput): readonly RunBlame[] => {
   const starting = isOutage ? [] : runs.filter((run) => !isPastStartup(run));
   const suspects = starting.filter(isSuspect);
   const likely = suspects.length > 0 ? suspects : starting;
-  const blame = new Set(likely.map(getGroup)).size === 1 ? 'sole' : 'shared';
+  const blame = new Set(likely.map(getGangKey)).size === 1 ? 'sole' : 'shared';
   const blamed = likely.map((run): RunBlame => ({
     run,
     blame: run.stage === 'unconfirmed' ? 'inherited' : blame,
--- a/packages/dispatch/crashes/crashLimits.ts
+++ b/packages/dispatch/crashes/crashLimits.ts
@@ -1,17 +1,17 @@
 /** Limits on the crashes of endpoints that are put down to one task, and on starts of such a task. */
 export const crashLimits = {
   /** Number of crashes with sole blame at which a task is over the crash limit. */
-  maxSole: 2,
+  maxSoleCrashes: 2,
   /** The same while there are unexplained losses, which may coincide with starts of a healthy task. */
-  maxSoleDuringLosses: 3,
+  maxSoleDuringUnexplained: 3,
   /** Time after a crash that no task is to blame for during which losses count as unexplained, in milliseconds. */
-  unexplainedLossMs: 30_000,
+  unexplainedCrashMs: 30_000,
   /** Number of crashes with sole or shared blame at which a task is over the crash limit. */
-  maxLikely: 4,
+  maxLikelyCrashes: 4,
   /** Number of crashes with any degree of blame at which a task is over the crash limit. */
-  maxAll: 5,
+  maxCrashes: 5,
   /** Number of crashes with any degree of blame from which a task is a crash suspect. */
-  isolatedAfterCrashes: 3,
+  suspectAfterCrashes: 3,
   /** Number of crashes from which a task waits rather than start beside a crash suspect in its startup. */
   protectedAfterCrashes: 2,
   /** Age of a run, as listed by a poll, from which it is past its startup, in milliseconds. */
@@ -22,7 +22,7 @@
    */
   clearedAgeFactor: 2,
   /** In milliseconds. */
-  clearedAgeMs: 1000,
+  clearedAgeOffsetMs: 1000,
   /** Age at which a run clears its task of all crashes, in milliseconds: a long run may see many crashes of other causes. */
   maxClearedAgeMs: 60_000,
   /** Assumed age of a run that an earlier leader placed, in milliseconds. */
@@ -37,5 +37,5 @@
    */
   confirmationMs: 15_000,
   /** Time after a crash during which crash suspects avoid the machine, in milliseconds. */
-  recentCrashMs: 30_000,
+  recentMachineCrashMs: 30_000,
 } as const;
--- a/packages/dispatch/endpoints/CommandSender.ts
+++ b/packages/dispatch/endpoints/CommandSender.ts
@@ -18,17 +18,17 @@
   readonly clock: Clock;
   readonly dispatcher: Dispatcher;
   readonly endpoints: EndpointSessions;
-  readonly lines: LineBatcher;
+  readonly lineBatcher: LineBatcher;
   /** Returns true once this leader sends no more commands. */
   readonly isStopped: () => boolean;
   /** Returns true while this leader may grant leases. */
-  readonly isRenewing: () => boolean;
+  readonly canGrantLeases: () => boolean;
   readonly recordCount: (name: 'starts' | 'stops') => void;
   readonly recordTime: (name: LeaderDurationName, valueMs: number) => void;
   /** Called before a start command of a job is sent. */
-  readonly handleStarted: (job: JobId) => void;
+  readonly handleJobStart: (job: JobId) => void;
   /** Called when a command or its result has changed what can be placed. */
-  readonly handleChanged: () => void;
+  readonly handleSchedulingChange: () => void;
   readonly handleLeadershipLost: (detail: string) => void;
 }
 
@@ -38,27 +38,27 @@
 
 /** Sends the leader's commands to endpoints and hands the results to the dispatcher. */
 export class CommandSender {
-  private readonly timeout = new ResponseTimeout();
+  private readonly responseTimeout = new ResponseTimeout();
 
   constructor(private readonly options: CommandSenderOptions) {}
 
   /** Sends a start command whose record is durable, unless the run isn't wanted any more. */
   async sendStart(effect: StartEffect): Promise<void> {
-    const { clock, dispatcher, endpoints, isStopped, isRenewing, handleChanged } = this.options;
+    const { clock, dispatcher, endpoints, isStopped, canGrantLeases, handleSchedulingChange } = this.options;
     const session = endpoints.getSession(effect.endpoint);
     const isWanted = !isStopped() && dispatcher.handleStartRecorded(effect, clock.getNow());
     // A start command grants a lease too.
-    if (session === undefined || !isWanted || !isRenewing()) {
+    if (session === undefined || !isWanted || !canGrantLeases()) {
       if (isWanted) {
         dispatcher.handleStartUnsent(effect, clock.getNow());
       }
-      handleChanged();
+      handleSchedulingChange();
       return;
     }
-    this.recordStart(effect);
+    this.recordStartMetrics(effect);
     const sentAt = clock.getNow();
     session.recordLease(sentAt);
-    const timeoutMs = this.timeout.computeTimeoutMs();
+    const timeoutMs = this.responseTimeout.computeTimeoutMs();
     const result = await session.getClient().sendStart(effect.command, leaderTimings.leaseMs, timeoutMs);
     if (endpoints.getSession(effect.endpoint) !== session) {
       // The incarnation has ended: polls of the next one show whether it got the command. A rejection from there is no proof of a newer leader.
@@ -69,13 +69,17 @@
 
   /** Sends a stop command, with a longer time limit when it is repeated. */
   async sendStop(effect: StopEffect): Promise<void> {
-    const { clock, dispatcher, endpoints, recordCount, handleChanged } = this.options;
+    const { clock, dispatcher, endpoints, recordCount, handleSchedulingChange } = this.options;
     const { endpoint, task, run, isRepeated } = effect;
-    const timeoutMs = isRepeated ? REPEATED_STOP_TIMEOUT_MS : this.timeout.computeTimeoutMs();
+    const timeoutMs = isRepeated ? REPEATED_STOP_TIMEOUT_MS : this.responseTimeout.computeTimeoutMs();
     recordCount('stops');
     const session = endpoints.getSession(endpoint);
     const result = await session?.getClient().sendStop(task, run, timeoutMs);
-    if (result === undefined || endpoints.getSession(endpoint) !== session || this.isLeadershipOver(result)) {
+    if (
+      result === undefined ||
+      endpoints.getSession(endpoint) !== session ||
+      this.checkLeadershipOver(result)
+    ) {
       return;
     }
     dispatcher.handleStopResult(endpoint, task, run, result, clock.getNow());
@@ -83,43 +87,43 @@
       // Only a poll that is sent after this response can prove that the run has ended.
       void session?.sendExtraPoll();
     }
-    handleChanged();
+    handleSchedulingChange();
   }
 
-  private recordStart({ job, waits }: StartEffect): void {
-    const { recordCount, recordTime, handleStarted } = this.options;
+  private recordStartMetrics({ job, waits }: StartEffect): void {
+    const { recordCount, recordTime, handleJobStart } = this.options;
     recordCount('starts');
-    handleStarted(job);
+    handleJobStart(job);
     WAIT_CAUSES.forEach((cause) => recordTime(waitMetricNames[cause], waits[cause]));
   }
 
   private handleStartResult(effect: StartEffect, result: CommandResult, sentAt: number): void {
-    const { clock, dispatcher, lines, recordTime, handleChanged } = this.options;
+    const { clock, dispatcher, lineBatcher, recordTime, handleSchedulingChange } = this.options;
     const { job, endpoint, command } = effect;
     const { task, run } = command;
     const now = clock.getNow();
     this.recordResponseTime(result, now - sentAt);
     recordTime('startMs', now - sentAt);
     if (result.kind !== 'done') {
-      lines.recordLine('Start not confirmed.', { job, task, run, endpoint, ...result }, now);
+      lineBatcher.recordLine('Start not confirmed.', { job, task, run, endpoint, ...result }, now);
     }
-    if (this.isLeadershipOver(result)) {
+    if (this.checkLeadershipOver(result)) {
       return;
     }
     dispatcher.handleStartResult(endpoint, task, run, result, now);
-    handleChanged();
+    handleSchedulingChange();
   }
 
   private recordResponseTime(result: CommandResult, tookMs: number): void {
     if (result.kind === 'unanswered') {
-      this.timeout.recordTimeout(tookMs);
+      this.responseTimeout.recordUnansweredTime(tookMs);
     } else {
-      this.timeout.recordResponse(tookMs);
+      this.responseTimeout.recordResponseTime(tookMs);
     }
   }
 
   /** Returns true when this leader sends no more commands. An endpoint that has seen the token of a newer leader proves that. */
-  private isLeadershipOver(result: CommandResult): boolean {
+  private checkLeadershipOver(result: CommandResult): boolean {
     const isFenced = result.kind === 'rejected' && result.reason === 'fence';
     if (isFenced) {
       this.options.handleLeadershipLost('an endpoint has accepted a newer leader');
--- a/packages/dispatch/endpoints/EndpointLossHandler.ts
+++ b/packages/dispatch/endpoints/EndpointLossHandler.ts
@@ -4,7 +4,7 @@
 import type { RunEnd } from '../runs/RunEnd';
 import type { RunTracker } from '../runs/RunTracker';
 import type { EndpointState } from './EndpointState';
-import { formatIncarnationEnd } from './formatIncarnationEnd';
+import { createIncarnationEndFields } from './createIncarnationEndFields';
 
 interface EndpointLossHandlerOptions {
   readonly endpoints: Map<EndpointIncarnation, EndpointState>;
@@ -14,7 +14,7 @@
   readonly longestLeaseMs: number;
 }
 
-const INCARNATION_OVER: RunEnd = { outcome: 'interrupted', cause: 'lifeOver', checkpoint: '' };
+const INCARNATION_ENDED: RunEnd = { outcome: 'interrupted', cause: 'lifeOver', checkpoint: '' };
 const LEASE_EXPIRED: RunEnd = { outcome: 'interrupted', cause: 'leaseOver', checkpoint: '' };
 
 /** Ends the runs of endpoints whose incarnation has ended or whose lease has expired. */
@@ -35,7 +35,10 @@
     const nextEndpoint = next === undefined ? undefined : endpoints.get(next);
     const transferred =
       nextEndpoint === undefined ? [] : runs.filter((run) => run.stage !== 'recording' && !run.isListed);
-    const fields = formatIncarnationEnd(endpoint, runs, now, { next, carriedCount: transferred.length });
+    const fields = createIncarnationEndFields(endpoint, runs, now, {
+      next,
+      carriedCount: transferred.length,
+    });
     tracker.sendLogLine('Endpoint incarnation has ended.', fields);
     tracker.sendCount('lifeEnds');
     tracker.sendCount('runsLost', runs.length - transferred.length);
@@ -44,7 +47,7 @@
       if (nextEndpoint !== undefined && transferred.includes(run)) {
         tracker.recordTransfer(endpoint, nextEndpoint, run);
       } else {
-        tracker.recordRunEnd(endpoint, run, INCARNATION_OVER, now);
+        tracker.recordRunEnd(endpoint, run, INCARNATION_ENDED, now);
       }
     }
     // A poll of the previous incarnation may have given the next one a lease by another clock, limited by the longest that is granted.
@@ -54,7 +57,7 @@
   }
 
   /** Ends the runs of an endpoint that is unreachable, or not yet synced, once its lease has expired. */
-  checkLease(endpoint: EndpointState, now: number): void {
+  handleLeaseExpiry(endpoint: EndpointState, now: number): void {
     const isUnreachable = endpoint.getUnreachableSince() !== undefined || !endpoint.isSynced();
     if (!isUnreachable || now <= endpoint.getLeasedUntil()) {
       return;
--- a/packages/dispatch/endpoints/EndpointRecords.ts
+++ b/packages/dispatch/endpoints/EndpointRecords.ts
@@ -21,27 +21,27 @@
   /** Called with the newest record of a new or changed endpoint. */
   readonly handleRecord: (profile: EndpointProfile) => void;
   /** Called when the endpoint has no valid record any more. */
-  readonly handleRemoval: (id: EndpointId) => void;
+  readonly handleRecordRemoval: (id: EndpointId) => void;
   /** Called when an invalid record was ignored. */
   readonly handleInvalidRecord: () => void;
   /** Called when all records of a read have been handled. */
-  readonly handleRead: () => void;
+  readonly handleRecordsRead: () => void;
   /** Called when the log has recovered, with the monotonic time at which the call that it responded to was sent. */
   readonly handleLogRecovered: (answeredSentAt: number) => void;
 }
 
-const RETRY_DELAY_MS = 300;
-const POLL_MS = 1000;
+const READ_RETRY_DELAY_MS = 300;
+const LOG_POLL_MS = 1000;
 /** Endpoints whose records expired while the log was unavailable register again within this time of its recovery. */
-const REREGISTRATION_MS = 2000;
+const REREGISTRATION_WAIT_MS = 2000;
 
 /** Follows the topic in which endpoints register. Invalid records, such as those of other writers, are ignored. */
 export class EndpointRecords {
   /** Endpoints with a valid record. */
-  private readonly registered = new Set<EndpointId>();
+  private readonly registeredEndpoints = new Set<EndpointId>();
   private readonly follower: LogFollower;
   /** Endpoints whose records were removed while the log was unavailable, and may come back. */
-  private readonly expired = new Set<EndpointId>();
+  private readonly expiredEndpoints = new Set<EndpointId>();
   /** Monotonic time of the log's newest recovery. */
   private logRecoveredAt = -Infinity;
   private removalTimer: NodeJS.Timeout | undefined;
@@ -53,8 +53,8 @@
       topic,
       clock,
       random,
-      pauseMs: RETRY_DELAY_MS,
-      pollMs: POLL_MS,
+      pauseMs: READ_RETRY_DELAY_MS,
+      pollMs: LOG_POLL_MS,
       handleRecords: (records) => this.handleRecords(records),
       handleConnection: (isConnected, detail, sentAt) => this.handleConnection(isConnected, detail, sentAt),
     });
@@ -70,18 +70,18 @@
   }
 
   /** Repeats a pending read that was sent before the log's outage ended. */
-  retryPending(answeredSentAt: number): void {
+  retryPendingRead(answeredSentAt: number): void {
     this.follower.retryPending(answeredSentAt);
   }
 
   /** Returns true once all records have been read. */
-  hasReadAll(): boolean {
+  hasReadAllRecords(): boolean {
     return this.follower.getOffset() !== undefined;
   }
 
   /** Returns the number of endpoints with a valid record. */
   countEndpoints(): number {
-    return this.registered.size;
+    return this.registeredEndpoints.size;
   }
 
   private handleRecords(records: readonly LogRecord[]): void {
@@ -93,7 +93,7 @@
         this.applyRecord(id, value);
       }
     }
-    this.options.handleRead();
+    this.options.handleRecordsRead();
   }
 
   private applyRecord(id: EndpointId, value: string): void {
@@ -104,8 +104,8 @@
       this.removeEndpoint(id);
       return;
     }
-    this.registered.add(id);
-    this.expired.delete(id);
+    this.registeredEndpoints.add(id);
+    this.expiredEndpoints.delete(id);
     this.options.handleRecord(parsed.value);
   }
 
@@ -114,52 +114,52 @@
     logger.info(isConnected ? 'Topic can be read.' : 'Topic cannot be read.', { topic, detail });
     if (isConnected) {
       this.logRecoveredAt = this.options.clock.getNow();
-      this.scheduleRemoval(REREGISTRATION_MS);
+      this.scheduleRemoval(REREGISTRATION_WAIT_MS);
       this.options.handleLogRecovered(sentAt);
     }
   }
 
   private scheduleRemoval(waitMs: number): void {
     clearTimeout(this.removalTimer);
-    this.removalTimer = setTimeout(() => this.removeExpired(), waitMs);
+    this.removalTimer = setTimeout(() => this.removeExpiredEndpoints(), waitMs);
   }
 
   /** Removes the endpoints whose records have not come back. While the log is unavailable again, its next recovery decides. */
-  private removeExpired(): void {
+  private removeExpiredEndpoints(): void {
     if (!this.follower.isFollowing()) {
       return;
     }
-    const remainingMs = this.logRecoveredAt + REREGISTRATION_MS - this.options.clock.getNow();
+    const remainingMs = this.logRecoveredAt + REREGISTRATION_WAIT_MS - this.options.clock.getNow();
     if (remainingMs > 0) {
       // The timer may fire early by the clock.
       this.scheduleRemoval(remainingMs);
       return;
     }
-    for (const id of [...this.expired]) {
+    for (const id of [...this.expiredEndpoints]) {
       this.removeEndpoint(id);
     }
   }
 
   /** Returns true until the log has been available long enough for endpoints to register again. */
-  private isLogRecovering(): boolean {
-    const reachableMs = this.options.clock.getNow() - this.logRecoveredAt;
-    return !this.follower.isFollowing() || reachableMs < REREGISTRATION_MS;
+  private isReregistrationPending(): boolean {
+    const availableMs = this.options.clock.getNow() - this.logRecoveredAt;
+    return !this.follower.isFollowing() || availableMs < REREGISTRATION_WAIT_MS;
   }
 
   private handleDeletion(id: EndpointId): void {
-    if (this.registered.has(id) && this.isLogRecovering()) {
+    if (this.registeredEndpoints.has(id) && this.isReregistrationPending()) {
       this.options.logger.info('Endpoint record expired while the log was unavailable.', { endpoint: id });
-      this.expired.add(id);
+      this.expiredEndpoints.add(id);
     } else {
       this.removeEndpoint(id);
     }
   }
 
   private removeEndpoint(id: EndpointId): void {
-    this.expired.delete(id);
-    if (this.registered.delete(id)) {
+    this.expiredEndpoints.delete(id);
+    if (this.registeredEndpoints.delete(id)) {
       this.options.logger.info('Endpoint deregistered.', { endpoint: id });
-      this.options.handleRemoval(id);
+      this.options.handleRecordRemoval(id);
     }
   }
 }
--- a/packages/dispatch/endpoints/EndpointSession.ts
+++ b/packages/dispatch/endpoints/EndpointSession.ts
@@ -7,14 +7,14 @@
 import type { EndpointClient } from './EndpointClient';
 import type { PollResult } from './PollResult';
 
-type HeldResult = Extract<PollResult, { kind: 'held' }>;
+type StatusResult = Extract<PollResult, { kind: 'held' }>;
 
 interface EndpointSessionOptions {
   readonly endpoint: EndpointState;
   readonly client: EndpointClient;
   readonly clock: Clock;
   /** Returns true while this leader may grant leases. */
-  readonly isRenewing: () => boolean;
+  readonly canGrantLeases: () => boolean;
   /** Called when the incarnation has responded to a poll. Returns false when the status must be ignored. */
   readonly handleResponse: (sentAt: number) => boolean;
   /** Called when another incarnation of the endpoint has responded to a poll. */
@@ -23,10 +23,10 @@
    * Applies a status; resolves once its ends are durable. Rejects when this leader has lost its leadership. A status repeats an end until it is
    * acknowledged; `newEndCount` of its ends are new.
    */
-  readonly handleStatus: (result: HeldResult, sentAt: number, newEndCount: number) => Promise<void>;
+  readonly handleStatus: (result: StatusResult, sentAt: number, newEndCount: number) => Promise<void>;
   readonly handleUnreachable: (detail: string) => void;
-  readonly handleGone: () => void;
-  readonly handleFenced: () => void;
+  readonly handleIncarnationGone: () => void;
+  readonly handleNewerLeader: () => void;
 }
 
 /** Longest delay of a response. A lost response delays the ends in it by as much. */
@@ -43,7 +43,7 @@
  * Longest wait for ends to be durable before the next poll. Polls continue while the log is unavailable, so that the lease doesn't expire. Each
  * response then comes at once, with the same ends, so that the wait has to space the polls.
  */
-const DURABLE_WAIT_MS = POLL_WAIT_MS;
+const MAX_DURABLE_WAIT_MS = POLL_WAIT_MS;
 
 /**
  * Renews the lease of one incarnation of an endpoint and follows its status, by one long poll at a time that returns when a run ends. Ends are
@@ -51,12 +51,12 @@
  */
 export class EndpointSession {
   /** Ends up to this sequence number are durable, and acknowledged by the next poll. */
-  private lastAcknowledged = 0;
+  private lastDurableEnd = 0;
   /** Ends up to this sequence number have been received. */
-  private lastReceived = 0;
+  private lastReceivedEnd = 0;
   private isStopped = false;
   private isExtraPollPending = false;
-  private failures = 0;
+  private failedPollCount = 0;
   /** True when the incarnation responded to the newest poll of the loop, so that the connection leads to it. */
   private isConnected = false;
 
@@ -88,9 +88,9 @@
   }
 
   /** Polls until `stop` is called, or until the incarnation has ended. */
-  async run(): Promise<void> {
+  async runPollLoop(): Promise<void> {
     while (!this.isStopped) {
-      await this.sendPoll();
+      await this.runPoll();
     }
   }
 
@@ -100,19 +100,19 @@
   }
 
   /** Returns the sequence number up to which ends are durable, and acknowledged by the next poll. */
-  getLastAcknowledged(): number {
-    return this.lastAcknowledged;
+  getLastDurableEnd(): number {
+    return this.lastDurableEnd;
   }
 
   getClient(): EndpointClient {
     return this.options.client;
   }
 
-  private async sendPoll(): Promise<void> {
-    const { client, clock, endpoint, isRenewing } = this.options;
+  private async runPoll(): Promise<void> {
+    const { client, clock, endpoint, canGrantLeases } = this.options;
     const isUnreachable = endpoint.getUnreachableSince() !== undefined;
     const isResponding = endpoint.isSynced() && !isUnreachable;
-    const leaseMs = isResponding && isRenewing() ? leaderTimings.leaseMs : undefined;
+    const leaseMs = isResponding && canGrantLeases() ? leaderTimings.leaseMs : undefined;
     const usualWaitMs = endpoint.countRuns() === 0 ? IDLE_POLL_WAIT_MS : POLL_WAIT_MS;
     const waitMs = isResponding ? usualWaitMs : 0;
     const sentAt = clock.getNow();
@@ -121,16 +121,16 @@
     }
     // Another incarnation may respond on a new connection. It must not forget ends that it hasn't listed, or tasks that are done
     // would run again.
-    const lastSeen = isUnreachable || !this.isConnected ? 0 : this.lastAcknowledged;
+    const lastSeen = isUnreachable || !this.isConnected ? 0 : this.lastDurableEnd;
     const result = await client.sendPoll({
       lastSeen,
       isContinued: lastSeen > 0,
       leaseMs,
       waitMs,
-      timeoutMs: waitMs + Math.min(MAX_RESPONSE_TIMEOUT_MS, RESPONSE_TIMEOUT_MS * 2 ** this.failures),
+      timeoutMs: waitMs + Math.min(MAX_RESPONSE_TIMEOUT_MS, RESPONSE_TIMEOUT_MS * 2 ** this.failedPollCount),
     });
     if (!this.isStopped) {
-      await this.handleResult(result, sentAt);
+      await this.handlePollResult(result, sentAt);
     }
   }
 
@@ -140,7 +140,7 @@
     this.options.endpoint.recordLease(sentAt + leaseMs * (1 + clockDriftShare) + marginMs);
   }
 
-  private async handleResult(result: PollResult, sentAt: number): Promise<void> {
+  private async handlePollResult(result: PollResult, sentAt: number): Promise<void> {
     this.isConnected = result.kind === 'held';
     switch (result.kind) {
       case 'held':
@@ -148,11 +148,11 @@
         return;
       case 'fenced':
         this.isStopped = true;
-        this.options.handleFenced();
+        this.options.handleNewerLeader();
         return;
       case 'gone':
         this.stop();
-        this.options.handleGone();
+        this.options.handleIncarnationGone();
         return;
       case 'otherLife':
         this.options.handleOtherIncarnation(result.incarnation, sentAt);
@@ -168,37 +168,37 @@
   }
 
   private async waitForRetry(): Promise<void> {
-    this.failures += 1;
-    await waitForDelay(Math.min(MAX_RETRY_DELAY_MS, RETRY_DELAY_MS * (this.failures - 1)));
+    this.failedPollCount += 1;
+    await waitForDelay(Math.min(MAX_RETRY_DELAY_MS, RETRY_DELAY_MS * (this.failedPollCount - 1)));
   }
 
-  private async handleStatus(result: HeldResult, sentAt: number): Promise<void> {
-    this.failures = 0;
+  private async handleStatus(result: StatusResult, sentAt: number): Promise<void> {
+    this.failedPollCount = 0;
     if (!this.options.handleResponse(sentAt)) {
       return;
     }
     const acknowledged = this.applyAndAcknowledge(result, sentAt);
-    await waitWithTimeout(acknowledged, DURABLE_WAIT_MS, undefined);
+    await waitWithTimeout(acknowledged, MAX_DURABLE_WAIT_MS, undefined);
   }
 
   /** Applies a status, and acknowledges its ends once they are durable. */
-  private async applyAndAcknowledge(result: HeldResult, sentAt: number): Promise<void> {
+  private async applyAndAcknowledge(result: StatusResult, sentAt: number): Promise<void> {
     try {
       await this.applyStatus(result, sentAt);
     } catch {
       this.isStopped = true;
       return;
     }
-    this.lastAcknowledged = this.getNewestEnd(result, this.lastAcknowledged);
+    this.lastDurableEnd = this.getNewestEndNumber(result, this.lastDurableEnd);
   }
 
-  private applyStatus(result: HeldResult, sentAt: number): Promise<void> {
-    const newEndCount = result.ended.filter(({ number }) => number > this.lastReceived).length;
-    this.lastReceived = this.getNewestEnd(result, this.lastReceived);
+  private applyStatus(result: StatusResult, sentAt: number): Promise<void> {
+    const newEndCount = result.ended.filter(({ number }) => number > this.lastReceivedEnd).length;
+    this.lastReceivedEnd = this.getNewestEndNumber(result, this.lastReceivedEnd);
     return this.options.handleStatus(result, sentAt, newEndCount);
   }
 
-  private getNewestEnd({ ended }: HeldResult, atLeast: number): number {
+  private getNewestEndNumber({ ended }: StatusResult, atLeast: number): number {
     return ended.reduce((newest, { number }) => Math.max(newest, number), atLeast);
   }
 }
--- a/packages/dispatch/endpoints/EndpointSessions.ts
+++ b/packages/dispatch/endpoints/EndpointSessions.ts
@@ -18,7 +18,7 @@
 import type { PollResult } from './PollResult';
 import type { KnownEndpoint } from './KnownEndpoint';
 
-type HeldResult = Extract<PollResult, { kind: 'held' }>;
+type StatusResult = Extract<PollResult, { kind: 'held' }>;
 
 interface EndpointSessionsOptions {
   readonly epoch: number;
@@ -30,19 +30,19 @@
   readonly logger: Logger;
   readonly dispatcher: Dispatcher;
   readonly parseEndpoint: (id: string, text: string) => Result<EndpointProfile, string>;
-  readonly createEndpointClient: (profile: EndpointProfile, readToken: () => number) => EndpointClient;
+  readonly createEndpointClient: (profile: EndpointProfile, getToken: () => number) => EndpointClient;
   /** Returns true for a service that some queue uses. Endpoints of other services are not polled. */
   readonly isServiceUsed: (service: ServiceName) => boolean;
   /** Returns true while this leader may grant leases. */
-  readonly isRenewing: () => boolean;
+  readonly canGrantLeases: () => boolean;
   /** Called when the dispatcher has applied a status, with the number of ends that are new. */
   readonly handleStatusApplied: (newEndCount: number) => void;
   /** Resolves once all ends applied so far are durable. */
   readonly waitForFlush: () => Promise<void>;
   readonly recordCount: (name: 'unanswered' | 'livesBegun' | 'recordsRefused') => void;
   /** Called when a change may let tasks start. */
-  readonly handleChanged: () => void;
-  readonly handleFenced: (detail: string) => void;
+  readonly handleSchedulingChange: () => void;
+  readonly handleNewerLeader: (detail: string) => void;
   /** Called when the log has recovered, with the monotonic time at which the call that it responded to was sent. */
   readonly handleLogRecovered: (answeredSentAt: number) => void;
 }
@@ -56,48 +56,48 @@
  * acknowledged, and tasks that are done would run again.
  */
 export class EndpointSessions {
-  private readonly endpoints = new Map<EndpointId, KnownEndpoint>();
+  private readonly knownEndpoints = new Map<EndpointId, KnownEndpoint>();
   private readonly sessions = new Map<EndpointIncarnation, EndpointSession>();
-  private readonly records: EndpointRecords;
+  private readonly endpointRecords: EndpointRecords;
   /** Endpoints of services that no queue uses. */
   private readonly unusedEndpoints = new Set<EndpointId>();
   /** True once sessions may be started. */
-  private isPolling = false;
+  private isPollingEnabled = false;
 
   constructor(private readonly options: EndpointSessionsOptions) {
-    this.records = new EndpointRecords({
+    this.endpointRecords = new EndpointRecords({
       ...options,
       handleRecord: (profile) => this.handleRecord(profile),
-      handleRemoval: (id) => this.handleRemoval(id),
+      handleRecordRemoval: (id) => this.handleRemoval(id),
       handleInvalidRecord: () => options.recordCount('recordsRefused'),
-      handleRead: () => options.handleChanged(),
+      handleRecordsRead: () => options.handleSchedulingChange(),
     });
   }
 
   /** Starts to read the endpoints' records. */
   start(): void {
-    this.records.start();
+    this.endpointRecords.start();
   }
 
   /** Starts to poll the known endpoints, and each new one from then on. */
   startSessions(): void {
-    this.isPolling = true;
-    for (const id of this.endpoints.keys()) {
+    this.isPollingEnabled = true;
+    for (const id of this.knownEndpoints.keys()) {
       this.startSessionsFor(id);
     }
   }
 
   stop(): void {
-    this.isPolling = false;
-    this.records.stop();
+    this.isPollingEnabled = false;
+    this.endpointRecords.stop();
     for (const session of this.sessions.values()) {
       session.stop();
     }
   }
 
   /** Repeats a pending read of the records that was sent before the log's outage ended. */
-  retryPending(answeredSentAt: number): void {
-    this.records.retryPending(answeredSentAt);
+  retryPendingRead(answeredSentAt: number): void {
+    this.endpointRecords.retryPendingRead(answeredSentAt);
   }
 
   /** Starts sessions with endpoints whose service a queue uses now. */
@@ -109,12 +109,12 @@
 
   /** Returns true once all records have been read. */
   hasReadRecords(): boolean {
-    return this.records.hasReadAll();
+    return this.endpointRecords.hasReadAllRecords();
   }
 
   /** Returns the number of endpoints with a valid record. */
   countEndpoints(): number {
-    return this.records.countEndpoints();
+    return this.endpointRecords.countEndpoints();
   }
 
   /** Returns the session with an incarnation; undefined before its start, and once the incarnation has ended. */
@@ -122,104 +122,108 @@
     return this.sessions.get(incarnation);
   }
 
-  private getKnown(id: EndpointId): KnownEndpoint {
-    const known = this.endpoints.get(id) ?? {
+  private getKnownEndpoint(id: EndpointId): KnownEndpoint {
+    const known = this.knownEndpoints.get(id) ?? {
       fence: new EndpointFence(this.options.epoch),
-      record: undefined,
-      current: undefined,
+      newestProfile: undefined,
+      currentIncarnation: undefined,
       fencedFrom: -Infinity,
     };
-    this.endpoints.set(id, known);
+    this.knownEndpoints.set(id, known);
     return known;
   }
 
   /** Applies the newest record of an endpoint. If it names a new incarnation, that one is polled, but only a response proves that it runs. */
   private handleRecord(profile: EndpointProfile): void {
     const { dispatcher } = this.options;
-    const known = this.getKnown(profile.id);
-    const before = known.record;
-    known.record = profile;
+    const known = this.getKnownEndpoint(profile.id);
+    const before = known.newestProfile;
+    known.newestProfile = profile;
     if (before !== undefined && before.incarnation !== profile.incarnation) {
       dispatcher.handleEndpointDeregistered(before.incarnation);
     }
     dispatcher.handleEndpointProfile(profile);
-    this.logProfile(before, profile);
+    this.logProfileChange(before, profile);
     this.startSessionsFor(profile.id);
     if (before !== undefined && before.incarnation !== profile.incarnation) {
-      this.removeIfUnneeded(before.incarnation);
+      this.removeUnneededIncarnation(before.incarnation);
     }
   }
 
-  private logProfile(before: EndpointProfile | undefined, profile: EndpointProfile): void {
+  private logProfileChange(before: EndpointProfile | undefined, profile: EndpointProfile): void {
     const { logger } = this.options;
-    const { incarnation, service, isDraining, remainingMs, capacity: room, hall, labels } = profile;
+    const { incarnation, service, isDraining, remainingMs, capacity, hall, labels } = profile;
     if (before === undefined || before.incarnation !== incarnation || before.isDraining !== isDraining) {
       logger.info('Endpoint seen.', {
         endpoint: incarnation,
         service,
         hall,
         labels,
-        room,
+        room: capacity,
         isDraining,
         remainingMs,
       });
-    } else if (!isSameCapacity(before.capacity, room)) {
-      logger.info('Endpoint capacity changed.', { endpoint: incarnation, room, before: before.capacity });
+    } else if (!isSameCapacity(before.capacity, capacity)) {
+      logger.info('Endpoint capacity changed.', {
+        endpoint: incarnation,
+        room: capacity,
+        before: before.capacity,
+      });
     }
   }
 
   private handleRemoval(id: EndpointId): void {
-    const known = this.getKnown(id);
-    const { record } = known;
-    known.record = undefined;
+    const known = this.getKnownEndpoint(id);
+    const { newestProfile } = known;
+    known.newestProfile = undefined;
     this.unusedEndpoints.delete(id);
-    if (record !== undefined) {
-      this.options.dispatcher.handleEndpointDeregistered(record.incarnation);
-      this.removeIfUnneeded(record.incarnation);
+    if (newestProfile !== undefined) {
+      this.options.dispatcher.handleEndpointDeregistered(newestProfile.incarnation);
+      this.removeUnneededIncarnation(newestProfile.incarnation);
     }
   }
 
   /** Starts the missing sessions with the current incarnation and with the one that the newest record names. */
   private startSessionsFor(id: EndpointId): void {
-    const { record, current } = this.getKnown(id);
-    if (!this.isPolling || record === undefined) {
+    const { newestProfile, currentIncarnation } = this.getKnownEndpoint(id);
+    if (!this.isPollingEnabled || newestProfile === undefined) {
       return;
     }
-    const isUsed = current !== undefined || this.options.isServiceUsed(record.service);
+    const isUsed = currentIncarnation !== undefined || this.options.isServiceUsed(newestProfile.service);
     if (!isUsed) {
       this.unusedEndpoints.add(id);
       return;
     }
     this.unusedEndpoints.delete(id);
-    this.startSession(record);
-    if (current !== undefined && current !== record.incarnation) {
-      this.startSession({ ...record, incarnation: current });
+    this.startSession(newestProfile);
+    if (currentIncarnation !== undefined && currentIncarnation !== newestProfile.incarnation) {
+      this.startSession({ ...newestProfile, incarnation: currentIncarnation });
     }
   }
 
   private startSession(profile: EndpointProfile): void {
-    const { clock, dispatcher, isRenewing, createEndpointClient, handleFenced } = this.options;
+    const { clock, dispatcher, canGrantLeases, createEndpointClient, handleNewerLeader } = this.options;
     const { id, incarnation } = profile;
     const endpoint = dispatcher.getEndpointState(incarnation);
-    if (!this.isPolling || this.sessions.has(incarnation) || endpoint === undefined) {
+    if (!this.isPollingEnabled || this.sessions.has(incarnation) || endpoint === undefined) {
       return;
     }
-    const { fence } = this.getKnown(id);
+    const { fence } = this.getKnownEndpoint(id);
     const session = new EndpointSession({
       endpoint,
       client: createEndpointClient(profile, () => fence.getToken()),
       clock,
-      isRenewing,
+      canGrantLeases,
       handleResponse: (sentAt) => this.handleResponse(profile, incarnation, sentAt),
       handleStatus: (result, sentAt, newEndCount) =>
         this.handleStatus(incarnation, result, sentAt, newEndCount),
       handleOtherIncarnation: (other, sentAt) => this.handleOtherIncarnation(profile, other, sentAt),
       handleUnreachable: (detail) => this.handleUnreachable(incarnation, detail),
-      handleGone: () => this.handleGone(incarnation),
-      handleFenced: () => handleFenced(`endpoint ${incarnation} has accepted a newer leader`),
+      handleIncarnationGone: () => this.handleIncarnationGone(incarnation),
+      handleNewerLeader: () => handleNewerLeader(`endpoint ${incarnation} has accepted a newer leader`),
     });
     this.sessions.set(incarnation, session);
-    void session.run();
+    void session.runPollLoop();
   }
 
   private stopSession(incarnation: EndpointIncarnation): void {
@@ -236,8 +240,8 @@
     incarnation: EndpointIncarnation,
     sentAt: number,
   ): boolean {
-    const known = this.getKnown(profile.id);
-    const before = known.current;
+    const known = this.getKnownEndpoint(profile.id);
+    const before = known.currentIncarnation;
     if (before === incarnation) {
       return sentAt >= known.fencedFrom;
     }
@@ -247,19 +251,19 @@
       // The previous incarnation has responded since the poll was sent. The next polls show which one runs.
       return false;
     }
-    this.applyNextIncarnation(known, profile, incarnation);
+    this.applyNewIncarnation(known, profile, incarnation);
     return before === undefined;
   }
 
   /** Makes an incarnation the current one of its endpoint, and ends all others that are known. */
-  private applyNextIncarnation(
+  private applyNewIncarnation(
     known: KnownEndpoint,
     profile: EndpointProfile,
     incarnation: EndpointIncarnation,
   ): void {
-    const { dispatcher, clock, logger, recordCount, handleChanged } = this.options;
-    const { current: before, record } = known;
-    known.current = incarnation;
+    const { dispatcher, clock, logger, recordCount, handleSchedulingChange } = this.options;
+    const { currentIncarnation: before, newestProfile } = known;
+    known.currentIncarnation = incarnation;
     if (before !== undefined) {
       known.fence.recordNextIncarnation();
       known.fencedFrom = clock.getNow();
@@ -267,7 +271,7 @@
     if (dispatcher.getEndpointState(incarnation) === undefined) {
       dispatcher.handleEndpointProfile({ ...profile, incarnation });
     }
-    if (record?.incarnation !== incarnation) {
+    if (newestProfile?.incarnation !== incarnation) {
       // Its capacity and kind are unknown until its record has come, and nothing is placed there before.
       dispatcher.handleEndpointDeregistered(incarnation);
     }
@@ -275,21 +279,23 @@
       logger.info('Endpoint has started again under its id.', {
         endpoint: incarnation,
         before: earlier,
-        acknowledged: this.sessions.get(earlier)?.getLastAcknowledged() ?? 0,
-        hasRecord: record?.incarnation === incarnation,
+        acknowledged: this.sessions.get(earlier)?.getLastDurableEnd() ?? 0,
+        hasRecord: newestProfile?.incarnation === incarnation,
         token: known.fence.getToken(),
       });
       this.stopSession(earlier);
       dispatcher.handleIncarnationEnd(earlier, clock.getNow(), incarnation);
       recordCount('livesBegun');
     }
-    this.startSession(record?.incarnation === incarnation ? record : { ...profile, incarnation });
-    if (record !== undefined && record.incarnation !== incarnation) {
+    this.startSession(
+      newestProfile?.incarnation === incarnation ? newestProfile : { ...profile, incarnation },
+    );
+    if (newestProfile !== undefined && newestProfile.incarnation !== incarnation) {
       // The record may name a later incarnation.
-      dispatcher.handleEndpointProfile(record);
-      this.startSession(record);
+      dispatcher.handleEndpointProfile(newestProfile);
+      this.startSession(newestProfile);
     }
-    handleChanged();
+    handleSchedulingChange();
   }
 
   /** Handles a response of another incarnation than the polled one. */
@@ -302,17 +308,11 @@
 
   private handleStatus(
     incarnation: EndpointIncarnation,
-    result: HeldResult,
+    result: StatusResult,
     sentAt: number,
     newEndCount: number,
   ): Promise<void> {
-    const {
-      clock,
-      dispatcher,
-      logger,
-      handleStatusApplied: handleLooked,
-      waitForFlush: startFlush,
-    } = this.options;
+    const { clock, dispatcher, logger, handleStatusApplied, waitForFlush } = this.options;
     const endpoint = dispatcher.getEndpointState(incarnation);
     if (endpoint !== undefined && (endpoint.getUnreachableSince() !== undefined || !endpoint.isSynced())) {
       const { hall, labels } = endpoint.getProfile();
@@ -326,9 +326,9 @@
     }
     const status = { endpoint: incarnation, running: result.running, ended: result.ended, sentAt };
     dispatcher.handleStatus(status, clock.getNow(), clock.getWallTime());
-    handleLooked(newEndCount);
+    handleStatusApplied(newEndCount);
     // An earlier status may have brought the same ends, whose records may not be durable yet.
-    return result.ended.length === 0 ? Promise.resolve() : startFlush();
+    return result.ended.length === 0 ? Promise.resolve() : waitForFlush();
   }
 
   private handleUnreachable(incarnation: EndpointIncarnation, detail: string): void {
@@ -339,19 +339,19 @@
     }
     recordCount('unanswered');
     dispatcher.handleUnreachable(incarnation, clock.getNow());
-    this.removeIfUnneeded(incarnation);
+    this.removeUnneededIncarnation(incarnation);
   }
 
   /** Removes an incarnation that has no record, no runs and no response, unless a poll may still confirm that it has crashed. */
-  private removeIfUnneeded(incarnation: EndpointIncarnation): void {
+  private removeUnneededIncarnation(incarnation: EndpointIncarnation): void {
     const { clock, dispatcher } = this.options;
     const id = endpointIncarnations.toEndpointId(incarnation);
-    const { record, current, fence } = this.getKnown(id);
+    const { newestProfile, currentIncarnation, fence } = this.getKnownEndpoint(id);
     const endpoint = dispatcher.getEndpointState(incarnation);
-    const isResponding = incarnation === current && endpoint?.getUnreachableSince() === undefined;
+    const isResponding = incarnation === currentIncarnation && endpoint?.getUnreachableSince() === undefined;
     const hasRuns = (endpoint?.countRuns() ?? 0) > 0;
     if (
-      record?.incarnation === incarnation ||
+      newestProfile?.incarnation === incarnation ||
       isResponding ||
       hasRuns ||
       dispatcher.isCrashUnconfirmed(incarnation, clock.getNow())
@@ -361,18 +361,22 @@
     this.stopSession(incarnation);
     dispatcher.removeEndpointState(incarnation);
     // A fencing token that has risen is kept: an incarnation that becomes reachable again would reject a lower one.
-    if (record === undefined && !fence.hasRisen() && (current === undefined || current === incarnation)) {
-      this.endpoints.delete(id);
+    if (
+      newestProfile === undefined &&
+      !fence.hasTokenRisen() &&
+      (currentIncarnation === undefined || currentIncarnation === incarnation)
+    ) {
+      this.knownEndpoints.delete(id);
     }
   }
 
-  private handleGone(incarnation: EndpointIncarnation): void {
-    const known = this.getKnown(endpointIncarnations.toEndpointId(incarnation));
+  private handleIncarnationGone(incarnation: EndpointIncarnation): void {
+    const known = this.getKnownEndpoint(endpointIncarnations.toEndpointId(incarnation));
     this.stopSession(incarnation);
-    if (known.current === incarnation) {
-      known.current = undefined;
+    if (known.currentIncarnation === incarnation) {
+      known.currentIncarnation = undefined;
     }
     this.options.dispatcher.handleIncarnationEnd(incarnation, this.options.clock.getNow());
-    this.options.handleChanged();
+    this.options.handleSchedulingChange();
   }
 }
--- a/packages/dispatch/endpoints/EndpointState.ts
+++ b/packages/dispatch/endpoints/EndpointState.ts
@@ -11,22 +11,22 @@
 /** Half-life of the failure rate while no run ends, so that the endpoint is tried again. */
 const FAILURE_HALF_LIFE_MS = 6000;
 /** Failure rate from which an endpoint counts as failing. */
-const FAILING_RATE = 0.4;
+const MIN_FAILING_RATE = 0.4;
 /** Weight of the newest value in the moving average of the slowdown. */
 const SLOWDOWN_WEIGHT = 0.3;
 /** Half-life of the slowdown's distance from 1 while no value is recorded. */
 const SLOWDOWN_HALF_LIFE_MS = 4000;
 /** Slowdown above which an endpoint counts as degraded. */
-const DEGRADED_SLOWDOWN = 1.8;
+const MAX_HEALTHY_SLOWDOWN = 1.8;
 /** Limit on a single recorded value. */
-const MAX_SLOWDOWN = 8;
+const MAX_RECORDED_SLOWDOWN = 8;
 
 /** The leader's view of one incarnation of an endpoint: capacity, runs, leases, reachability and health. */
 export class EndpointState {
   private readonly runs = new Map<string, PlacedRun>();
-  private used: TaskDemand = resourceMath.ZERO;
-  private failureRate = 0;
-  private failureRateAt = 0;
+  private usedCapacity: TaskDemand = resourceMath.ZERO;
+  private runFailureRate = 0;
+  private runFailureRateAt = 0;
   /** How many times longer runs take there than the same step's runs elsewhere; 1 is normal. */
   private slowdown = 1;
   private slowdownAt = 0;
@@ -50,7 +50,7 @@
     private profile: EndpointProfile,
     leasedUntil: number,
     /** Updated with each run that is added or removed. */
-    private readonly usage: CustomerUsage,
+    private readonly customerUsage: CustomerUsage,
   ) {
     this.leasedUntil = leasedUntil;
   }
@@ -85,8 +85,8 @@
   /** Adds a run, and reserves its demand here and in its customer's usage. */
   addRun(run: PlacedRun): void {
     this.runs.set(`${run.task}#${run.run}`, run);
-    this.used = resourceMath.computeSum(this.used, run.demand);
-    this.usage.recordRun(run);
+    this.usedCapacity = resourceMath.computeSum(this.usedCapacity, run.demand);
+    this.customerUsage.recordRun(run);
     if (run.isCrashSuspect) {
       this.startingSuspects.add(run);
     }
@@ -96,8 +96,8 @@
   removeRun(run: PlacedRun): void {
     this.startingSuspects.delete(run);
     if (this.runs.delete(`${run.task}#${run.run}`)) {
-      this.used = resourceMath.computeDifference(this.used, run.demand);
-      this.usage.recordRunEnd(run);
+      this.usedCapacity = resourceMath.computeDifference(this.usedCapacity, run.demand);
+      this.customerUsage.recordRunEnd(run);
     }
   }
 
@@ -112,25 +112,25 @@
   }
 
   getFreeCapacity(): TaskDemand {
-    return resourceMath.computeDifference(this.profile.capacity, this.used);
+    return resourceMath.computeDifference(this.profile.capacity, this.usedCapacity);
   }
 
   getFreeCpuMillis(): number {
-    return this.profile.capacity.cpuMillis - this.used.cpuMillis;
+    return this.profile.capacity.cpuMillis - this.usedCapacity.cpuMillis;
   }
 
   hasCapacityFor(demand: TaskDemand): boolean {
     const { capacity } = this.profile;
     return (
-      demand.cpuMillis <= capacity.cpuMillis - this.used.cpuMillis &&
-      demand.memoryMb <= capacity.memoryMb - this.used.memoryMb &&
-      demand.accelerators <= capacity.accelerators - this.used.accelerators
+      demand.cpuMillis <= capacity.cpuMillis - this.usedCapacity.cpuMillis &&
+      demand.memoryMb <= capacity.memoryMb - this.usedCapacity.memoryMb &&
+      demand.accelerators <= capacity.accelerators - this.usedCapacity.accelerators
     );
   }
 
   /** Returns true when the runs take more than the capacity, which has shrunk since they were placed. */
   isOvercommitted(): boolean {
-    return !resourceMath.isWithin(this.used, this.profile.capacity);
+    return !resourceMath.isWithin(this.usedCapacity, this.profile.capacity);
   }
 
   /** Returns true when new runs may be placed on the endpoint. */
@@ -190,10 +190,10 @@
   }
 
   /** Records whether a run that has ended had failed. */
-  recordOutcome(isFailure: boolean, now: number): void {
-    const rate = this.computeFailureRate(now);
-    this.failureRate = rate + FAILURE_WEIGHT * ((isFailure ? 1 : 0) - rate);
-    this.failureRateAt = now;
+  recordRunOutcome(isFailure: boolean, now: number): void {
+    const rate = this.computeRunFailureRate(now);
+    this.runFailureRate = rate + FAILURE_WEIGHT * ((isFailure ? 1 : 0) - rate);
+    this.runFailureRateAt = now;
   }
 
   getFailureStreak(): FailureStreak {
@@ -201,14 +201,14 @@
   }
 
   /** Computes the moving average of failed runs, 0 to 1, which decays with time. */
-  computeFailureRate(now: number): number {
-    return this.failureRate * 0.5 ** ((now - this.failureRateAt) / FAILURE_HALF_LIFE_MS);
+  computeRunFailureRate(now: number): number {
+    return this.runFailureRate * 0.5 ** ((now - this.runFailureRateAt) / FAILURE_HALF_LIFE_MS);
   }
 
   /** Records how many times longer a run takes than the same step's runs elsewhere. */
   recordSlowdown(ratio: number, now: number): void {
     const current = this.computeSlowdown(now);
-    this.slowdown = current + SLOWDOWN_WEIGHT * (Math.min(MAX_SLOWDOWN, ratio) - current);
+    this.slowdown = current + SLOWDOWN_WEIGHT * (Math.min(MAX_RECORDED_SLOWDOWN, ratio) - current);
     this.slowdownAt = now;
   }
 
@@ -219,7 +219,7 @@
 
   /** Returns true when runs there have recently failed or been slow. */
   isDegraded(now: number): boolean {
-    return this.isFailing(now) || this.computeSlowdown(now) > DEGRADED_SLOWDOWN;
+    return this.isFailing(now) || this.computeSlowdown(now) > MAX_HEALTHY_SLOWDOWN;
   }
 
   /** Returns the monotonic time until which a draining endpoint stays. Its first call fixes the begin of the drain. */
@@ -229,6 +229,6 @@
   }
 
   isFailing(now: number): boolean {
-    return this.computeFailureRate(now) >= FAILING_RATE;
+    return this.computeRunFailureRate(now) >= MIN_FAILING_RATE;
   }
 }
--- a/packages/dispatch/endpoints/KnownEndpoint.ts
+++ b/packages/dispatch/endpoints/KnownEndpoint.ts
@@ -9,9 +9,9 @@
 export interface KnownEndpoint {
   readonly fence: EndpointFence;
   /** Newest record; undefined while there is none. */
-  record: EndpointProfile | undefined;
+  newestProfile: EndpointProfile | undefined;
   /** Incarnation of the last response; undefined before the first. */
-  current: EndpointIncarnation | undefined;
+  currentIncarnation: EndpointIncarnation | undefined;
   /** Monotonic time from which polls carry the current incarnation's token, so that it rejects commands to earlier ones. */
   fencedFrom: number;
 }
--- a/packages/dispatch/endpoints/StatusReconciler.ts
+++ b/packages/dispatch/endpoints/StatusReconciler.ts
@@ -26,7 +26,7 @@
 }
 
 /** Outcome of a run for its job's progress, by the end that the endpoint reported. */
-const OUTCOMES: Readonly<Record<EndedTaskStatus['how'], RunOutcome>> = {
+const RUN_OUTCOMES: Readonly<Record<EndedTaskStatus['how'], RunOutcome>> = {
   done: 'done',
   failed: 'failed',
   stopped: 'interrupted',
@@ -48,25 +48,25 @@
     endpoint.recordResponse(now);
     this.options.crashes.handleReachable(status.endpoint, now);
     for (const row of status.ended) {
-      this.applyEnd(endpoint, row, now, wallMs);
+      this.applyEndedTask(endpoint, row, now, wallMs);
     }
     const listed = new Set<PlacedRun>();
     for (const row of status.running) {
-      listed.add(this.applyRunning(endpoint, row, now));
+      listed.add(this.applyRunningTask(endpoint, row, now));
     }
     if (status.ended.length < MAX_LISTED_ENDS) {
-      this.checkMissing(endpoint, listed, status.sentAt, now);
+      this.checkUnlistedRuns(endpoint, listed, status.sentAt, now);
     }
   }
 
-  private applyEnd(endpoint: EndpointState, row: EndedTaskStatus, now: number, wallMs: number): void {
+  private applyEndedTask(endpoint: EndpointState, row: EndedTaskStatus, now: number, wallMs: number): void {
     const run = endpoint.getRun(row.task, row.run);
     if (run === undefined) {
       return;
     }
-    this.checkTransferred(run, now);
-    const outcome = OUTCOMES[row.how];
-    endpoint.recordOutcome(outcome === 'failed', now);
+    this.applyTransferConfirmed(run, now);
+    const outcome = RUN_OUTCOMES[row.how];
+    endpoint.recordRunOutcome(outcome === 'failed', now);
     this.updateFailureStreak(endpoint, outcome, now);
     if (outcome === 'done') {
       this.options.learner.recordCompletion(endpoint, run, now);
@@ -83,7 +83,7 @@
     }
   }
 
-  private applyRunning(endpoint: EndpointState, row: RunningTaskStatus, now: number): PlacedRun {
+  private applyRunningTask(endpoint: EndpointState, row: RunningTaskStatus, now: number): PlacedRun {
     const run = endpoint.getRun(row.task, row.run) ?? this.stopOrphan(endpoint, row, now);
     if (run.stage === 'ordered' || run.stage === 'unconfirmed') {
       run.stage = 'running';
@@ -99,7 +99,7 @@
         run.startTimedOutAt = undefined;
       }
     }
-    this.checkTransferred(run, now);
+    this.applyTransferConfirmed(run, now);
     run.isListed = true;
     run.lastListedAt = now;
     if (isPastStartup(run)) {
@@ -140,7 +140,7 @@
   }
 
   /** Clears the task of a transferred run of the crash of the previous incarnation, since the run began on this one. */
-  private checkTransferred(run: PlacedRun, now: number): void {
+  private applyTransferConfirmed(run: PlacedRun, now: number): void {
     if (run.transferredFrom !== undefined) {
       this.options.crashes.handleTransferConfirmed(run, run.transferredFrom, now);
       run.transferredFrom = undefined;
@@ -167,7 +167,7 @@
     return run;
   }
 
-  private checkMissing(
+  private checkUnlistedRuns(
     endpoint: EndpointState,
     listed: ReadonlySet<PlacedRun>,
     sentAt: number,
@@ -178,7 +178,7 @@
         continue;
       }
       if (this.isCertainlyMissing(run, sentAt)) {
-        this.recordMissing(endpoint, run, now);
+        this.recordMissingRun(endpoint, run, now);
       } else if (run.stage === 'ordered' && sentAt >= (run.startTimedOutAt ?? Infinity)) {
         // The start command may still arrive, unless a stop precedes it.
         this.options.tracker.sendStop(endpoint, run, 'unanswered');
@@ -187,7 +187,7 @@
   }
 
   /** Ends a run that the endpoint doesn't run. A transferred one ended with the incarnation that it was sent to. */
-  private recordMissing(endpoint: EndpointState, run: PlacedRun, now: number): void {
+  private recordMissingRun(endpoint: EndpointState, run: PlacedRun, now: number): void {
     const { tracker } = this.options;
     if (run.transferredFrom !== undefined) {
       tracker.sendCount('runsLost');
--- a/packages/dispatch/endpoints/formatIncarnationEnd.ts
+++ b/packages/dispatch/endpoints/createIncarnationEndFields.ts
@@ -3,10 +3,10 @@
 import type { EndpointState } from './EndpointState';
 
 /** Highest number of runs listed in one log line; `runCount` counts all. */
-const MAX_NAMED_RUNS = 20;
+const MAX_LOGGED_RUNS = 20;
 
 /** Formats the log fields of an incarnation that has ended: its last known state, its runs, and how many of these the next one may have got. */
-export const formatIncarnationEnd = (
+export const createIncarnationEndFields = (
   state: EndpointState,
   runs: readonly PlacedRun[],
   now: number,
@@ -24,7 +24,7 @@
     next: next ?? 'not known',
     runCount: runs.length,
     carriedCount,
-    runs: runs.slice(0, MAX_NAMED_RUNS).map((run) => ({
+    runs: runs.slice(0, MAX_LOGGED_RUNS).map((run) => ({
       task: run.task,
       run: run.run,
       stage: run.stage,
--- a/packages/dispatch/placing/StepPlacer.ts
+++ b/packages/dispatch/placing/StepPlacer.ts
@@ -298,7 +298,7 @@
         run: run.run,
         endpoint,
         freeCpuMillis: state.getFreeCapacity().cpuMillis,
-        failureRate: Number(state.computeFailureRate(now).toFixed(2)),
+        failureRate: Number(state.computeRunFailureRate(now).toFixed(2)),
       };
     });
     this.options.sendEffect({
--- a/packages/dispatch/runs/RunCommands.ts
+++ b/packages/dispatch/runs/RunCommands.ts
@@ -136,13 +136,13 @@
         run.confirmedAt = now;
         return;
       case 'undelivered':
-        endpoint.recordOutcome(true, now);
+        endpoint.recordRunOutcome(true, now);
         endpoint.recordUnreachable(now);
         // Nothing was sent, so the task can be placed again at once, and is not blamed for a crash of the endpoint.
         runTracker.recordRunEnd(endpoint, run, NOT_DELIVERED, now);
         return;
       case 'unanswered':
-        endpoint.recordOutcome(true, now);
+        endpoint.recordRunOutcome(true, now);
         // No more starts until a poll succeeds: on a partitioned endpoint each one would wait for its lease to expire.
         endpoint.recordUnreachable(now);
         // The run may have started with only the response late. A poll shows that, while a stop would lose its work.
@@ -160,7 +160,7 @@
         runTracker.recordRunEnd(endpoint, run, REJECTED, now);
         return;
       case 'unhealthy':
-        endpoint.recordOutcome(true, now);
+        endpoint.recordRunOutcome(true, now);
         jobs.get(run.job)?.recordStartRejected(run.address, now);
         runTracker.recordRunEnd(endpoint, run, UNHEALTHY, now);
         return;
--- a/tests/acknowledgedEnds.test.ts
+++ b/tests/acknowledgedEnds.test.ts
@@ -80,7 +80,7 @@
       endpoint,
       client,
       clock: systemClock,
-      isRenewing: () => true,
+      canGrantLeases: () => true,
       handleResponse: () => {
         endpoint.recordResponse(systemClock.getNow());
         return true;
@@ -88,8 +88,8 @@
       handleOtherIncarnation: () => undefined,
       handleStatus: handleHeld,
       handleUnreachable: () => endpoint.recordUnreachable(systemClock.getNow()),
-      handleGone: () => undefined,
-      handleFenced: () => undefined,
+      handleIncarnationGone: () => undefined,
+      handleNewerLeader: () => undefined,
     });
     sessions.push(session);
     return session;
@@ -130,7 +130,7 @@
         await new Promise<void>((resolve) => (resume = resolve));
       }
     });
-    void session.run();
+    void session.runPollLoop();
     while (polls.length < 2) {
       await waitForDelay(5);
     }
@@ -151,7 +151,7 @@
         await new Promise<void>(() => undefined);
       }
     });
-    void session.run();
+    void session.runPollLoop();
     while (count < 2) {
       await waitForDelay(5);
     }
--- a/tests/endpointSession.test.ts
+++ b/tests/endpointSession.test.ts
@@ -35,13 +35,13 @@
       stop: () => Promise.resolve(),
     },
     clock: systemClock,
-    isRenewing: () => true,
+    canGrantLeases: () => true,
     handleResponse: () => true,
     handleStatus,
     handleOtherIncarnation: () => undefined,
     handleUnreachable: () => undefined,
-    handleGone: () => undefined,
-    handleFenced: () => undefined,
+    handleIncarnationGone: () => undefined,
+    handleNewerLeader: () => undefined,
   });
 
 describe('a session with a slow endpoint', () => {
@@ -64,7 +64,7 @@
           return Promise.resolve();
         },
       );
-      void session.run();
+      void session.runPollLoop();
     });
     expect(limits).toEqual([300, 600, 1200]);
   });
@@ -95,7 +95,7 @@
         return result.ended.length === 0 ? new Promise(() => undefined) : durable;
       },
     );
-    void session.run();
+    void session.runPollLoop();
     await new Promise((resolve) => setTimeout(resolve, OUTAGE_MS));
     const during = [...polls];
     setDurable();
--- a/tests/expiredRecords.test.ts
+++ b/tests/expiredRecords.test.ts
@@ -59,12 +59,12 @@
       parseEndpoint: (id) => ({ ok: true, value: createProfile(id) }),
       createEndpointClient: () => unhealthyEndpoint,
       isServiceUsed: () => true,
-      isRenewing: () => true,
+      canGrantLeases: () => true,
       handleStatusApplied: () => undefined,
       waitForFlush: () => Promise.resolve(),
       recordCount: () => undefined,
-      handleChanged: () => undefined,
-      handleFenced: () => undefined,
+      handleSchedulingChange: () => undefined,
+      handleNewerLeader: () => undefined,
       handleLogRecovered: () => undefined,
     });
     sessions.start();
--- a/tests/helpers/CrashSimulation.ts
+++ b/tests/helpers/CrashSimulation.ts
@@ -412,9 +412,9 @@
       ...this.pendingTimeouts.filter(({ at }) => at > this.now),
     );
     for (const { effect } of due) {
-      const { endpoint, command: order } = effect;
-      const answer = { kind: 'unanswered', detail: 'lost' } as const;
-      this.dispatcher.handleStartResult(endpoint, order.task, order.run, answer, this.now);
+      const { endpoint, command } = effect;
+      const result = { kind: 'unanswered', detail: 'lost' } as const;
+      this.dispatcher.handleStartResult(endpoint, command.task, command.run, result, this.now);
     }
   }
 
--- a/tests/helpers/SimulatedIncarnation.ts
+++ b/tests/helpers/SimulatedIncarnation.ts
@@ -85,10 +85,10 @@
 
   /** Forgets the ends up to a sequence number, and renews the lease. */
   handlePoll(lastSeen: number, expiresMs: number | undefined): void {
-    const { incarnation: life, runChecker } = this.options;
+    const { incarnation, runChecker } = this.options;
     for (const { number, task, run, how } of this.ends) {
       if (number <= lastSeen && number > this.listedUpTo) {
-        runChecker.recordEarlyAcknowledgement(life, task, run);
+        runChecker.recordEarlyAcknowledgement(incarnation, task, run);
       }
       if (number <= lastSeen && number > this.expiredUpTo && how === 'done') {
         runChecker.recordAcknowledged(task, run);
--- a/tests/preemption.test.ts
+++ b/tests/preemption.test.ts
@@ -214,11 +214,11 @@
     const timeout = new ResponseTimeout();
     expect(timeout.computeTimeoutMs()).toBe(500);
     for (let count = 0; count < 50; count += 1) {
-      timeout.recordResponse(3);
+      timeout.recordResponseTime(3);
     }
     expect(timeout.computeTimeoutMs()).toBe(120);
     for (let count = 0; count < 50; count += 1) {
-      timeout.recordResponse(count % 2 === 0 ? 100 : 140);
+      timeout.recordResponseTime(count % 2 === 0 ? 100 : 140);
     }
     expect(timeout.computeTimeoutMs()).toBeGreaterThan(150);
     expect(timeout.computeTimeoutMs()).toBeLessThan(300);
--- a/tests/timedOutStarts.test.ts
+++ b/tests/timedOutStarts.test.ts
@@ -93,19 +93,19 @@
 describe('the timeout of commands', () => {
   it('grows with each timeout, and falls with responses in time', () => {
     const timeout = new ResponseTimeout();
-    Array.from({ length: 50 }).forEach(() => timeout.recordResponse(5));
+    Array.from({ length: 50 }).forEach(() => timeout.recordResponseTime(5));
     const baselineMs = timeout.computeTimeoutMs();
-    Array.from({ length: 8 }).forEach(() => timeout.recordTimeout(timeout.computeTimeoutMs()));
+    Array.from({ length: 8 }).forEach(() => timeout.recordUnansweredTime(timeout.computeTimeoutMs()));
     expect(timeout.computeTimeoutMs()).toBeGreaterThan(3 * baselineMs);
-    Array.from({ length: 50 }).forEach(() => timeout.recordResponse(5));
+    Array.from({ length: 50 }).forEach(() => timeout.recordResponseTime(5));
     expect(timeout.computeTimeoutMs()).toBe(baselineMs);
   });
 
   it('does not fall when connections are reset at once', () => {
     const timeout = new ResponseTimeout();
-    Array.from({ length: 50 }).forEach((_, index) => timeout.recordResponse(index % 2 === 0 ? 100 : 140));
+    Array.from({ length: 50 }).forEach((_, index) => timeout.recordResponseTime(index % 2 === 0 ? 100 : 140));
     const baselineMs = timeout.computeTimeoutMs();
-    Array.from({ length: 50 }).forEach(() => timeout.recordTimeout(1));
+    Array.from({ length: 50 }).forEach(() => timeout.recordUnansweredTime(1));
     expect(timeout.computeTimeoutMs()).toBe(baselineMs);
   });
 });
