--- a/packages/dispatch/crashes/CrashHistory.ts
+++ b/packages/dispatch/crashes/CrashHistory.ts
@@ -3,9 +3,10 @@
 import type { ImplicatedTask } from './ImplicatedTask';
 import { crashLimits } from './crashLimits';
 
-/** Longer than a task that crashes its endpoints takes to reach the crash limit. */
+/** Time for which crashes are kept: longer than a task that crashes its endpoints takes to reach the crash limit. */
 const CRASH_RETENTION_MS = 120_000;
 
+/** Removes the entries whose monotonic time is at least `retentionMs` ago. */
 const removeOutdatedTimes = <Key>(times: Map<Key, number>, retentionMs: number, now: number): void => {
   for (const [key, at] of times) {
     if (now - at >= retentionMs) {
@@ -16,16 +17,18 @@
 
 /** Recent crashes of endpoints with their implicated tasks. Separates crashes with an external cause from those that tasks cause. */
 export class CrashHistory {
+  /** Tasks with a record of the crash, by crashed incarnation. */
   private readonly implicatedTasks = new Map<EndpointIncarnation, readonly ImplicatedTask[]>();
-  /** Monotonic time of the newest crash of each machine, by address. */
+  /** Monotonic time of the newest endpoint crash on each machine, by address. */
   private readonly machineCrashedAt = new Map<string, number>();
-  /** Jobs with a task over the crash limit, with the monotonic time of that: their other tasks may still crash endpoints. */
+  /** Jobs with a task over the crash limit, with the monotonic time at which it was found to be. */
   private readonly jobsOverLimit = new Map<JobId, number>();
-  /** Incarnations whose crash is explained by a task over the crash limit. */
+  /** Incarnations whose crash is explained by a job with a task over the crash limit. */
   private readonly explainedCrashes = new Set<EndpointIncarnation>();
-  /** Monotonic time of the newest crash that no task is to blame for. */
+  /** Monotonic time of the newest crash that no task was to blame for; -Infinity before the first. */
   private unexplainedCrashAt = -Infinity;
 
+  /** Records a task that the crash of an endpoint is put down to. */
   recordImplicatedTask(endpoint: EndpointIncarnation, task: ImplicatedTask): void {
     this.implicatedTasks.set(endpoint, [...this.listImplicatedTasks(endpoint), task]);
   }
@@ -35,16 +38,17 @@
     return this.implicatedTasks.get(endpoint) ?? [];
   }
 
+  /** Records that an endpoint has crashed on the machine with this address. */
   recordMachineCrash(address: string, now: number): void {
     this.machineCrashedAt.set(address, now);
   }
 
-  /** Returns true when the machine has crashed so recently that another crash there is weak evidence against a task. */
+  /** Returns true when an endpoint on the machine has crashed recently, so that another crash there is weak evidence against a task. */
   hasCrashedRecently(address: string, now: number): boolean {
     return now - (this.machineCrashedAt.get(address) ?? -Infinity) < crashLimits.recentMachineCrashMs;
   }
 
-  /** Records whether a crash has no job to blame, or is explained by a job that is already over the crash limit. */
+  /** Records a crash as unexplained when there is no job to blame, or as explained when a blamed job has a task over the crash limit. */
   recordCrashCause(endpoint: EndpointIncarnation, blamedJobs: readonly JobId[], now: number): void {
     if (blamedJobs.length === 0) {
       this.unexplainedCrashAt = now;
@@ -54,7 +58,7 @@
     }
   }
 
-  /** Records that a job is over the crash limit. This explains all crashes that any of its tasks is to blame for, since they are alike. */
+  /** Records that a job has a task over the crash limit. This explains all crashes that any of its tasks is to blame for, since they are alike. */
   recordJobOverLimit(jobOverLimit: JobId, now: number): void {
     this.jobsOverLimit.set(jobOverLimit, now);
     for (const [endpoint, tasks] of this.implicatedTasks) {
@@ -64,7 +68,10 @@
     }
   }
 
-  /** Returns true while there are recent crashes for which no task is, or still is, to blame. */
+  /**
+   * Returns true while there are recent crashes that no task over the crash limit explains, and for which no task is, or still is, to blame.
+   * `hasCrashRecord` tells whether a task still has its record of a crash.
+   */
   hasUnexplainedCrashes(
     now: number,
     hasCrashRecord: (task: ImplicatedTask, endpoint: EndpointIncarnation) => boolean,
@@ -82,7 +89,7 @@
     );
   }
 
-  /** Removes outdated crashes. */
+  /** Removes crashes, jobs over the crash limit and machine crashes whose retention time is over. */
   removeOutdatedCrashes(now: number): void {
     for (const [endpoint, tasks] of this.implicatedTasks) {
       if (tasks.every(({ recordedAt }) => now - recordedAt >= CRASH_RETENTION_MS)) {
--- a/packages/dispatch/crashes/CrashRecord.ts
+++ b/packages/dispatch/crashes/CrashRecord.ts
@@ -1,7 +1,7 @@
 import type { TaskCrash } from '../../jobs/TaskCrash';
 import type { TaskRef } from './TaskRef';
 
-/** The crash of an endpoint, put down to one task. */
+/** Crash of an endpoint, put down to one task with a degree of blame. */
 export interface CrashRecord extends TaskRef {
   readonly crash: TaskCrash;
 }
--- a/packages/dispatch/endpoints/CommandResult.ts
+++ b/packages/dispatch/endpoints/CommandResult.ts
@@ -6,9 +6,9 @@
  * - `done`: the endpoint has executed it.
  * - `rejected`: the endpoint has rejected it, for the reason given.
  * - `unhealthy`: the endpoint has rejected it, being unhealthy.
- * - `gone`: the incarnation has ended; its address belongs to another.
- * - `undelivered`: nothing was sent, since no connection could be made.
- * - `unanswered`: no response came; the endpoint may have executed it, or may yet.
+ * - `gone`: the command didn't reach the incarnation, which has ended: its address belongs to another endpoint or incarnation.
+ * - `undelivered`: no connection could be made, so that the endpoint has not got it.
+ * - `unanswered`: no valid response came within the time limit; the endpoint may have executed it, or may do so later.
  */
 export type CommandResult =
   | { readonly kind: 'done' | 'unhealthy' | 'gone' }
--- a/packages/dispatch/endpoints/CommandSender.ts
+++ b/packages/dispatch/endpoints/CommandSender.ts
@@ -19,21 +19,22 @@
   readonly dispatcher: Dispatcher;
   readonly endpoints: EndpointSessions;
   readonly lineBatcher: LineBatcher;
-  /** Returns true once this leader sends no more commands. */
+  /** Returns true once this leader has stopped, and sends no more commands. */
   readonly isStopped: () => boolean;
   /** Returns true while this leader may grant leases. */
   readonly canGrantLeases: () => boolean;
   readonly recordCount: (name: 'starts' | 'stops') => void;
   readonly recordTime: (name: LeaderDurationName, valueMs: number) => void;
-  /** Called before a start command of a job is sent. */
+  /** Called right before a start command for a task of the job is sent. */
   readonly handleJobStart: (job: JobId) => void;
-  /** Called when a command or its result has changed what can be placed. */
+  /** Called after a result, or a start command that was not sent, has changed which tasks can be placed. */
   readonly handleSchedulingChange: () => void;
+  /** Called when an endpoint rejects a command because it has seen the token of a newer leader. */
   readonly handleLeadershipLost: (detail: string) => void;
 }
 
 const WAIT_CAUSES = Object.keys(waitMetricNames) as WaitCause[];
-/** Time limit for a repeated stop command: the endpoint may be slow, and the task can't start elsewhere before a response. */
+/** Time limit for the response to a repeated stop command. The first one has the adaptive limit, which may be too short for a slow endpoint. */
 const REPEATED_STOP_TIMEOUT_MS = 500;
 
 /** Sends the leader's commands to endpoints and hands the results to the dispatcher. */
@@ -42,12 +43,15 @@
 
   constructor(private readonly options: CommandSenderOptions) {}
 
-  /** Sends a start command whose record is durable, unless the run isn't wanted any more. */
+  /**
+   * Sends a start command, once the record of the run is durable, and applies its result. Sends nothing when the run isn't wanted any more or this
+   * leader has stopped. Ends the run as not sent when the endpoint has no session or no lease may be granted.
+   */
   async sendStart(effect: StartEffect): Promise<void> {
     const { clock, dispatcher, endpoints, isStopped, canGrantLeases, handleSchedulingChange } = this.options;
     const session = endpoints.getSession(effect.endpoint);
     const isWanted = !isStopped() && dispatcher.handleStartRecorded(effect, clock.getNow());
-    // A start command grants a lease too.
+    // Needs the right to grant leases, since a start command grants one.
     if (session === undefined || !isWanted || !canGrantLeases()) {
       if (isWanted) {
         dispatcher.handleStartUnsent(effect, clock.getNow());
@@ -67,7 +71,10 @@
     this.handleStartResult(effect, result, sentAt);
   }
 
-  /** Sends a stop command, with a longer time limit when it is repeated. */
+  /**
+   * Sends a stop command and applies its result; a repeated one has a longer time limit. After a response, polls the endpoint at once. The result is
+   * ignored when the incarnation has ended meanwhile, or the leadership is lost.
+   */
   async sendStop(effect: StopEffect): Promise<void> {
     const { clock, dispatcher, endpoints, recordCount, handleSchedulingChange } = this.options;
     const { endpoint, task, run, isRepeated } = effect;
@@ -90,6 +97,7 @@
     handleSchedulingChange();
   }
 
+  /** Counts a start, and records how long its task has waited for each cause. */
   private recordStartMetrics({ job, waits }: StartEffect): void {
     const { recordCount, recordTime, handleJobStart } = this.options;
     recordCount('starts');
@@ -97,6 +105,7 @@
     WAIT_CAUSES.forEach((cause) => recordTime(waitMetricNames[cause], waits[cause]));
   }
 
+  /** Records the response time, logs a start that failed, and hands the result to the dispatcher unless the leadership is lost. */
   private handleStartResult(effect: StartEffect, result: CommandResult, sentAt: number): void {
     const { clock, dispatcher, lineBatcher, recordTime, handleSchedulingChange } = this.options;
     const { job, endpoint, command } = effect;
@@ -122,7 +131,10 @@
     }
   }
 
-  /** Returns true when this leader sends no more commands. An endpoint that has seen the token of a newer leader proves that. */
+  /**
+   * Returns true when this leader sends no more commands: it has stopped, or the endpoint has seen the token of a newer leader. Calls
+   * `handleLeadershipLost` in the latter case.
+   */
   private checkLeadershipOver(result: CommandResult): boolean {
     const isFenced = result.kind === 'rejected' && result.reason === 'fence';
     if (isFenced) {
--- a/packages/dispatch/endpoints/EndedTaskStatus.ts
+++ b/packages/dispatch/endpoints/EndedTaskStatus.ts
@@ -1,19 +1,20 @@
 import type { TaskName } from '../../jobs/TaskName';
 
-/** An ended run in the status of an endpoint, which lists it until it is acknowledged. */
+/** Ended run of a task in the status of an endpoint. Each status lists it until a poll has acknowledged it. */
 export interface EndedTaskStatus {
   /** Sequence number of the end, unique and rising within one incarnation of the endpoint. */
   readonly number: number;
   readonly task: TaskName;
   readonly run: number;
   readonly how: EndKind;
+  /** Last checkpoint of the run; empty when there is none. */
   readonly checkpoint: string;
 }
 
 /**
  * How a run ended.
  * - `lapsed`: its lease expired.
- * - `broken`: another member of its gang ended.
- * - `alone`: its gang was never complete.
+ * - `broken`: it was ended because another member of its gang had ended.
+ * - `alone`: it was ended because its gang was not complete in time.
  */
 type EndKind = 'done' | 'failed' | 'stopped' | 'lapsed' | 'broken' | 'alone';
--- a/packages/dispatch/endpoints/EndpointClient.ts
+++ b/packages/dispatch/endpoints/EndpointClient.ts
@@ -10,10 +10,14 @@
   readonly leaseMs: number | undefined;
   /** Longest time that the endpoint may delay its response until a run ends, in milliseconds. */
   readonly waitMs: number;
+  /** Time limit for the response, in milliseconds, `waitMs` included. */
   readonly timeoutMs: number;
-  /** Sends the poll only over the connection of the last response: it acknowledges what that process listed. */
+  /**
+   * True when the poll may only be sent over the connection of the last response, since it acknowledges ends that only the process at its other end
+   * has listed. The result is `disconnected` when that connection is closed.
+   */
   readonly isContinued?: boolean;
-  /** The poll is sent beside the poll loop, and acknowledges nothing. */
+  /** True for a poll that is sent beside the poll loop, and acknowledges nothing. */
   readonly isExtra?: boolean;
 }
 
@@ -21,7 +25,7 @@
 export interface EndpointClient {
   sendStart(command: StartCommand, leaseMs: number, timeoutMs: number): Promise<CommandResult>;
   sendStop(task: TaskName, run: number, timeoutMs: number): Promise<CommandResult>;
-  /** Renews the lease, acknowledges ends and requests the status. */
+  /** Requests the status; renews the lease and acknowledges ends as far as the request says so. */
   sendPoll(request: PollRequest): Promise<PollResult>;
   stop(): Promise<void>;
 }
--- a/packages/dispatch/endpoints/EndpointFence.ts
+++ b/packages/dispatch/endpoints/EndpointFence.ts
@@ -1,4 +1,4 @@
-/** Number of tokens of one leader; those of the next leader are higher. */
+/** Number of tokens that each leader has for one endpoint, one for each incarnation. Those of the next leader are all higher. */
 const TOKENS_PER_EPOCH = 1_000_000;
 
 /**
@@ -10,11 +10,12 @@
 
   constructor(private readonly epoch: number) {}
 
+  /** Returns the token for the newest incarnation; incarnations beyond the leader's range of tokens share the highest. */
   getToken(): number {
     return this.epoch * TOKENS_PER_EPOCH + Math.min(this.nextIncarnationCount, TOKENS_PER_EPOCH - 1);
   }
 
-  /** Returns true once the leader has seen more than one incarnation. */
+  /** Returns true once the token has been raised, as the leader has seen more than one incarnation of the endpoint. */
   hasTokenRisen(): boolean {
     return this.nextIncarnationCount > 0;
   }
--- a/packages/dispatch/endpoints/EndpointLossHandler.ts
+++ b/packages/dispatch/endpoints/EndpointLossHandler.ts
@@ -10,7 +10,7 @@
   readonly endpoints: Map<EndpointIncarnation, EndpointState>;
   readonly tracker: RunTracker;
   readonly crashes: CrashTracker;
-  /** Longest lease that an endpoint grants, in milliseconds. */
+  /** Longest lease that an endpoint accepts, in milliseconds. */
   readonly longestLeaseMs: number;
 }
 
@@ -22,8 +22,9 @@
   constructor(private readonly options: EndpointLossHandlerOptions) {}
 
   /**
-   * Ends the runs of an incarnation that has ended. Runs that were sent to it but never listed may have reached the `next` incarnation, or may still
-   * reach it: these are transferred there, until a poll with the new fencing token shows whether they run.
+   * Handles the end of an incarnation: records its crash, ends its runs and removes its state. When `next` is known, runs that no status has listed
+   * are transferred to it instead: their start commands may have reached it, or may still do, until a poll with the new fencing token shows whether
+   * they run. Does nothing for an unknown incarnation.
    */
   handleIncarnationEnd(incarnation: EndpointIncarnation, now: number, next?: EndpointIncarnation): void {
     const { endpoints, tracker, crashes } = this.options;
@@ -50,13 +51,17 @@
         tracker.recordRunEnd(endpoint, run, INCARNATION_ENDED, now);
       }
     }
-    // A poll of the previous incarnation may have given the next one a lease by another clock, limited by the longest that is granted.
+    // A poll meant for this incarnation may have given the next one a lease, counted by its own clock: assume the longest lease that an
+    // endpoint accepts.
     const { clockDriftShare, marginMs } = leaderTimings;
     nextEndpoint?.recordLease(now + this.options.longestLeaseMs * (1 + clockDriftShare) + marginMs);
     endpoints.delete(incarnation);
   }
 
-  /** Ends the runs of an endpoint that is unreachable, or not yet synced, once its lease has expired. */
+  /**
+   * Ends the runs of an endpoint that is unreachable, or not yet synced, once its lease has expired, and records that it may have crashed. Runs whose
+   * start command was not sent go on. Does nothing while the endpoint responds or its lease is valid.
+   */
   handleLeaseExpiry(endpoint: EndpointState, now: number): void {
     const isUnreachable = endpoint.getUnreachableSince() !== undefined || !endpoint.isSynced();
     if (!isUnreachable || now <= endpoint.getLeasedUntil()) {
--- a/packages/dispatch/endpoints/EndpointProfile.ts
+++ b/packages/dispatch/endpoints/EndpointProfile.ts
@@ -13,8 +13,9 @@
   readonly address: string;
   readonly hall: string;
   readonly capacity: TaskDemand;
-  /** Kind and rack of the machine. */
+  /** Labels of the machine, such as its kind and rack. */
   readonly labels: readonly string[];
+  /** True when the endpoint is about to stop, and takes no new tasks. */
   readonly isDraining: boolean;
   /** Least time until a draining endpoint stops, in milliseconds from its record on. */
   readonly remainingMs: number;
--- a/packages/dispatch/endpoints/EndpointRecords.ts
+++ b/packages/dispatch/endpoints/EndpointRecords.ts
@@ -18,15 +18,15 @@
   readonly logger: Logger;
   /** Parses the record of an endpoint; the error names the problem. */
   readonly parseEndpoint: (id: string, text: string) => Result<EndpointProfile, string>;
-  /** Called with the newest record of a new or changed endpoint. */
+  /** Called with each valid record that is read. */
   readonly handleRecord: (profile: EndpointProfile) => void;
-  /** Called when the endpoint has no valid record any more. */
+  /** Called when an endpoint that had a valid record has none any more. While the log is unavailable, and shortly after, this is delayed. */
   readonly handleRecordRemoval: (id: EndpointId) => void;
   /** Called when an invalid record was ignored. */
   readonly handleInvalidRecord: () => void;
-  /** Called when all records of a read have been handled. */
+  /** Called after the records of one read of the topic have been handled. */
   readonly handleRecordsRead: () => void;
-  /** Called when the log has recovered, with the monotonic time at which the call that it responded to was sent. */
+  /** Called when the topic can be read, at first or again, with the monotonic time at which the successful read was sent. */
   readonly handleLogRecovered: (answeredSentAt: number) => void;
 }
 
@@ -35,14 +35,14 @@
 /** Endpoints whose records expired while the log was unavailable register again within this time of its recovery. */
 const REREGISTRATION_WAIT_MS = 2000;
 
-/** Follows the topic in which endpoints register. Invalid records, such as those of other writers, are ignored. */
+/** Follows the topic in which endpoints register. An invalid record counts as none, and is logged. */
 export class EndpointRecords {
   /** Endpoints with a valid record. */
   private readonly registeredEndpoints = new Set<EndpointId>();
   private readonly follower: LogFollower;
-  /** Endpoints whose records were removed while the log was unavailable, and may come back. */
+  /** Endpoints whose records were removed while reregistration was pending, and which may register again. */
   private readonly expiredEndpoints = new Set<EndpointId>();
-  /** Monotonic time of the log's newest recovery. */
+  /** Monotonic time at which the topic last became readable; -Infinity before. */
   private logRecoveredAt = -Infinity;
   private removalTimer: NodeJS.Timeout | undefined;
 
@@ -56,10 +56,12 @@
       pauseMs: READ_RETRY_DELAY_MS,
       pollMs: LOG_POLL_MS,
       handleRecords: (records) => this.handleRecords(records),
-      handleConnection: (isConnected, detail, sentAt) => this.handleConnection(isConnected, detail, sentAt),
+      handleConnection: (isConnected, detail, sentAt) =>
+        this.handleLogConnection(isConnected, detail, sentAt),
     });
   }
 
+  /** Starts to follow the topic. */
   start(): void {
     void this.follower.start();
   }
@@ -69,12 +71,15 @@
     this.follower.stop();
   }
 
-  /** Repeats a pending read that was sent before the log's outage ended. */
+  /**
+   * Repeats the read of the topic at once if the last one failed, or if the pending one was sent before `answeredSentAt`, the time of a call that the
+   * log has responded to since.
+   */
   retryPendingRead(answeredSentAt: number): void {
     this.follower.retryPending(answeredSentAt);
   }
 
-  /** Returns true once all records have been read. */
+  /** Returns true once the endpoints' topic has been read to its end. */
   hasReadAllRecords(): boolean {
     return this.follower.getOffset() !== undefined;
   }
@@ -109,7 +114,8 @@
     this.options.handleRecord(parsed.value);
   }
 
-  private handleConnection(isConnected: boolean, detail: string, sentAt: number): void {
+  /** Logs whether the topic can be read. If so, schedules the removal of expired endpoints and reports the recovery. */
+  private handleLogConnection(isConnected: boolean, detail: string, sentAt: number): void {
     const { logger, topic } = this.options;
     logger.info(isConnected ? 'Topic can be read.' : 'Topic cannot be read.', { topic, detail });
     if (isConnected) {
@@ -124,7 +130,7 @@
     this.removalTimer = setTimeout(() => this.removeExpiredEndpoints(), waitMs);
   }
 
-  /** Removes the endpoints whose records have not come back. While the log is unavailable again, its next recovery decides. */
+  /** Removes the endpoints that have not registered again. Does nothing while the log is unavailable: its next recovery schedules the removal again. */
   private removeExpiredEndpoints(): void {
     if (!this.follower.isFollowing()) {
       return;
@@ -140,12 +146,13 @@
     }
   }
 
-  /** Returns true until the log has been available long enough for endpoints to register again. */
+  /** Returns true while the log is unavailable, and until endpoints have had time to register again after its recovery. */
   private isReregistrationPending(): boolean {
     const availableMs = this.options.clock.getNow() - this.logRecoveredAt;
     return !this.follower.isFollowing() || availableMs < REREGISTRATION_WAIT_MS;
   }
 
+  /** Removes an endpoint whose record was deleted, or keeps it until `removeExpiredEndpoints` while reregistration is pending. */
   private handleDeletion(id: EndpointId): void {
     if (this.registeredEndpoints.has(id) && this.isReregistrationPending()) {
       this.options.logger.info('Endpoint record expired while the log was unavailable.', { endpoint: id });
--- a/packages/dispatch/endpoints/EndpointSession.ts
+++ b/packages/dispatch/endpoints/EndpointSession.ts
@@ -15,27 +15,30 @@
   readonly clock: Clock;
   /** Returns true while this leader may grant leases. */
   readonly canGrantLeases: () => boolean;
-  /** Called when the incarnation has responded to a poll. Returns false when the status must be ignored. */
+  /** Called when the incarnation has responded to a poll that was sent at `sentAt`. Returns false when its status must be ignored. */
   readonly handleResponse: (sentAt: number) => boolean;
-  /** Called when another incarnation of the endpoint has responded to a poll. */
+  /** Called when another incarnation of the endpoint than the polled one has responded. */
   readonly handleOtherIncarnation: (incarnation: EndpointIncarnation, sentAt: number) => void;
   /**
    * Applies a status; resolves once its ends are durable. Rejects when this leader has lost its leadership. A status repeats an end until it is
    * acknowledged; `newEndCount` of its ends are new.
    */
   readonly handleStatus: (result: StatusResult, sentAt: number, newEndCount: number) => Promise<void>;
+  /** Called for each poll of the loop without a response. */
   readonly handleUnreachable: (detail: string) => void;
+  /** Called when the incarnation has ended, as its address belongs to another endpoint. The session has stopped. */
   readonly handleIncarnationGone: () => void;
+  /** Called when the endpoint has seen the token of a newer leader. The session has stopped. */
   readonly handleNewerLeader: () => void;
 }
 
-/** Longest delay of a response. A lost response delays the ends in it by as much. */
+/** Longest time that an endpoint may delay its response to a poll until a run ends. */
 const POLL_WAIT_MS = 400;
 /** The same while no task runs on the endpoint. */
 const IDLE_POLL_WAIT_MS = 1000;
-/** Time limit for a response, beyond the wait of the poll. */
+/** Time limit for a response, in addition to the time that the endpoint may delay it. */
 const RESPONSE_TIMEOUT_MS = 300;
-/** The time limit doubles with each poll without a response, up to this value. */
+/** Upper bound of that limit, which doubles with each failed poll in sequence. */
 const MAX_RESPONSE_TIMEOUT_MS = 1200;
 const RETRY_DELAY_MS = 100;
 const MAX_RETRY_DELAY_MS = 500;
@@ -50,19 +53,23 @@
  * acknowledged only once they are durable. An unreachable endpoint gets no new lease, so that the time by which its runs have ended stays known.
  */
 export class EndpointSession {
-  /** Ends up to this sequence number are durable, and acknowledged by the next poll. */
+  /** Sequence number up to which all ends are durable, so that the next poll may acknowledge them. */
   private lastDurableEnd = 0;
-  /** Ends up to this sequence number have been received. */
+  /** Highest sequence number of an end that a status has listed. */
   private lastReceivedEnd = 0;
   private isStopped = false;
   private isExtraPollPending = false;
+  /** Polls in sequence with no response, or one from another incarnation. */
   private failedPollCount = 0;
-  /** True when the incarnation responded to the newest poll of the loop, so that the connection leads to it. */
+  /** True when this incarnation responded to the newest poll of the loop: the connection leads to it. */
   private isConnected = false;
 
   constructor(private readonly options: EndpointSessionOptions) {}
 
-  /** Polls once beside the loop, without a lease, for a change that the response to the pending poll may not show. */
+  /**
+   * Sends one poll beside the loop, which renews no lease and acknowledges nothing, and applies the status: the response to the pending poll of the
+   * loop may not show the newest changes. Does nothing while another such poll is pending, or once the session has stopped.
+   */
   async sendExtraPoll(): Promise<void> {
     if (this.isStopped || this.isExtraPollPending) {
       return;
@@ -87,19 +94,20 @@
     }
   }
 
-  /** Polls until `stop` is called, or until the incarnation has ended. */
+  /** Polls until `stop` is called, the incarnation has ended, or the leadership is lost. */
   async runPollLoop(): Promise<void> {
     while (!this.isStopped) {
       await this.runPoll();
     }
   }
 
+  /** Stops the polls, and the client. */
   stop(): void {
     this.isStopped = true;
     void this.options.client.stop();
   }
 
-  /** Returns the sequence number up to which ends are durable, and acknowledged by the next poll. */
+  /** Returns the sequence number up to which all ends are durable, so that the next poll may acknowledge them; 0 when none are. */
   getLastDurableEnd(): number {
     return this.lastDurableEnd;
   }
@@ -108,6 +116,10 @@
     return this.options.client;
   }
 
+  /**
+   * Sends one poll of the loop and handles its result. It renews the lease only while the endpoint responds and this leader may grant leases, and
+   * may be delayed by the endpoint only while it responds.
+   */
   private async runPoll(): Promise<void> {
     const { client, clock, endpoint, canGrantLeases } = this.options;
     const isUnreachable = endpoint.getUnreachableSince() !== undefined;
@@ -134,7 +146,7 @@
     }
   }
 
-  /** Records a lease that is sent at a time, whether or not it arrives. */
+  /** Records a lease that is sent to the endpoint at `sentAt`: it is assumed to arrive, and its end allows for clock drift. */
   recordLease(sentAt: number): void {
     const { leaseMs, clockDriftShare, marginMs } = leaderTimings;
     this.options.endpoint.recordLease(sentAt + leaseMs * (1 + clockDriftShare) + marginMs);
@@ -167,11 +179,13 @@
     }
   }
 
+  /** Counts a failed poll, and waits before the next one, longer after each failure. */
   private async waitForRetry(): Promise<void> {
     this.failedPollCount += 1;
     await waitForDelay(Math.min(MAX_RETRY_DELAY_MS, RETRY_DELAY_MS * (this.failedPollCount - 1)));
   }
 
+  /** Applies the status unless it must be ignored, and waits for its ends to be durable, for a limited time. */
   private async handleStatus(result: StatusResult, sentAt: number): Promise<void> {
     this.failedPollCount = 0;
     if (!this.options.handleResponse(sentAt)) {
@@ -181,7 +195,7 @@
     await waitWithTimeout(acknowledged, MAX_DURABLE_WAIT_MS, undefined);
   }
 
-  /** Applies a status, and acknowledges its ends once they are durable. */
+  /** Applies a status, and lets the next poll acknowledge its ends once they are durable. Stops polling when the leadership is lost. */
   private async applyAndAcknowledge(result: StatusResult, sentAt: number): Promise<void> {
     try {
       await this.applyStatus(result, sentAt);
@@ -192,12 +206,14 @@
     this.lastDurableEnd = this.getNewestEndNumber(result, this.lastDurableEnd);
   }
 
+  /** Passes a status on with the number of its ends that no earlier status has listed. Resolves once its ends are durable. */
   private applyStatus(result: StatusResult, sentAt: number): Promise<void> {
     const newEndCount = result.ended.filter(({ number }) => number > this.lastReceivedEnd).length;
     this.lastReceivedEnd = this.getNewestEndNumber(result, this.lastReceivedEnd);
     return this.options.handleStatus(result, sentAt, newEndCount);
   }
 
+  /** Returns the highest sequence number among the ends of a status, and at least `atLeast`. */
   private getNewestEndNumber({ ended }: StatusResult, atLeast: number): number {
     return ended.reduce((newest, { number }) => Math.max(newest, number), atLeast);
   }
--- a/packages/dispatch/endpoints/EndpointSessions.ts
+++ b/packages/dispatch/endpoints/EndpointSessions.ts
@@ -37,13 +37,14 @@
   readonly canGrantLeases: () => boolean;
   /** Called when the dispatcher has applied a status, with the number of ends that are new. */
   readonly handleStatusApplied: (newEndCount: number) => void;
-  /** Resolves once all ends applied so far are durable. */
+  /** Resolves once all ends that have been applied are durable. */
   readonly waitForFlush: () => Promise<void>;
   readonly recordCount: (name: 'unanswered' | 'livesBegun' | 'recordsRefused') => void;
-  /** Called when a change may let tasks start. */
+  /** Called after a change of endpoints that may let waiting tasks start. */
   readonly handleSchedulingChange: () => void;
+  /** Called when an endpoint has seen the token of a newer leader. */
   readonly handleNewerLeader: (detail: string) => void;
-  /** Called when the log has recovered, with the monotonic time at which the call that it responded to was sent. */
+  /** Called when the topic can be read, at first or again, with the monotonic time at which the successful read was sent. */
   readonly handleLogRecovered: (answeredSentAt: number) => void;
 }
 
@@ -61,14 +62,14 @@
   private readonly endpointRecords: EndpointRecords;
   /** Endpoints of services that no queue uses. */
   private readonly unusedEndpoints = new Set<EndpointId>();
-  /** True once sessions may be started. */
+  /** True from `startSessions` to `stop`, while sessions may be started. */
   private isPollingEnabled = false;
 
   constructor(private readonly options: EndpointSessionsOptions) {
     this.endpointRecords = new EndpointRecords({
       ...options,
       handleRecord: (profile) => this.handleRecord(profile),
-      handleRecordRemoval: (id) => this.handleRemoval(id),
+      handleRecordRemoval: (id) => this.handleRecordRemoval(id),
       handleInvalidRecord: () => options.recordCount('recordsRefused'),
       handleRecordsRead: () => options.handleSchedulingChange(),
     });
@@ -79,7 +80,7 @@
     this.endpointRecords.start();
   }
 
-  /** Starts to poll the known endpoints, and each new one from then on. */
+  /** Starts sessions with the known endpoints whose service is used, and with each such endpoint that registers from then on. */
   startSessions(): void {
     this.isPollingEnabled = true;
     for (const id of this.knownEndpoints.keys()) {
@@ -87,6 +88,7 @@
     }
   }
 
+  /** Stops reading records, and all sessions. */
   stop(): void {
     this.isPollingEnabled = false;
     this.endpointRecords.stop();
@@ -95,7 +97,10 @@
     }
   }
 
-  /** Repeats a pending read of the records that was sent before the log's outage ended. */
+  /**
+   * Repeats the read of the records at once if the last one failed, or if the pending one was sent before `answeredSentAt`, the time of a call that
+   * the log has responded to since.
+   */
   retryPendingRead(answeredSentAt: number): void {
     this.endpointRecords.retryPendingRead(answeredSentAt);
   }
@@ -107,7 +112,7 @@
     }
   }
 
-  /** Returns true once all records have been read. */
+  /** Returns true once the endpoints' topic has been read to its end. */
   hasReadRecords(): boolean {
     return this.endpointRecords.hasReadAllRecords();
   }
@@ -122,6 +127,7 @@
     return this.sessions.get(incarnation);
   }
 
+  /** Returns what is known of an endpoint, and adds an entry for a new one. */
   private getKnownEndpoint(id: EndpointId): KnownEndpoint {
     const known = this.knownEndpoints.get(id) ?? {
       fence: new EndpointFence(this.options.epoch),
@@ -133,7 +139,10 @@
     return known;
   }
 
-  /** Applies the newest record of an endpoint. If it names a new incarnation, that one is polled, but only a response proves that it runs. */
+  /**
+   * Applies the newest record of an endpoint. If it names another incarnation than the record before, the earlier one is deregistered and the new
+   * one polled, but only a response proves that it runs.
+   */
   private handleRecord(profile: EndpointProfile): void {
     const { dispatcher } = this.options;
     const known = this.getKnownEndpoint(profile.id);
@@ -150,6 +159,7 @@
     }
   }
 
+  /** Logs a record that is new, or differs from the previous one in incarnation, draining or capacity. */
   private logProfileChange(before: EndpointProfile | undefined, profile: EndpointProfile): void {
     const { logger } = this.options;
     const { incarnation, service, isDraining, remainingMs, capacity, hall, labels } = profile;
@@ -172,7 +182,8 @@
     }
   }
 
-  private handleRemoval(id: EndpointId): void {
+  /** Deregisters the incarnation that the removed record named. Its session and runs go on while it responds. */
+  private handleRecordRemoval(id: EndpointId): void {
     const known = this.getKnownEndpoint(id);
     const { newestProfile } = known;
     known.newestProfile = undefined;
@@ -183,7 +194,10 @@
     }
   }
 
-  /** Starts the missing sessions with the current incarnation and with the one that the newest record names. */
+  /**
+   * Starts sessions, unless there are any, with the current incarnation of an endpoint and with the one that its newest record names. Does nothing
+   * without a record, and only notes the endpoint when no queue uses its service.
+   */
   private startSessionsFor(id: EndpointId): void {
     const { newestProfile, currentIncarnation } = this.getKnownEndpoint(id);
     if (!this.isPollingEnabled || newestProfile === undefined) {
@@ -201,6 +215,7 @@
     }
   }
 
+  /** Starts a session with an incarnation that has none and is known to the dispatcher. */
   private startSession(profile: EndpointProfile): void {
     const { clock, dispatcher, canGrantLeases, createEndpointClient, handleNewerLeader } = this.options;
     const { id, incarnation } = profile;
@@ -232,8 +247,9 @@
   }
 
   /**
-   * Handles the response of an incarnation to a poll that was sent at a time. Returns false when its status must be ignored: a new incarnation
-   * rejects commands to the previous one only from its next poll on, which carries the new fencing token.
+   * Handles the response of an incarnation to a poll that was sent at `sentAt`. Makes it the current one, unless the previous one has responded
+   * since. Returns false when its status must be ignored: an incarnation that replaces another rejects commands to that one only from its next
+   * poll on, which carries the new fencing token.
    */
   private handleResponse(
     profile: EndpointProfile,
@@ -255,7 +271,7 @@
     return before === undefined;
   }
 
-  /** Makes an incarnation the current one of its endpoint, and ends all others that are known. */
+  /** Makes an incarnation the current one of its endpoint, raises the fencing token, and ends the other incarnations that the dispatcher knows. */
   private applyNewIncarnation(
     known: KnownEndpoint,
     profile: EndpointProfile,
@@ -298,7 +314,7 @@
     handleSchedulingChange();
   }
 
-  /** Handles a response of another incarnation than the polled one. */
+  /** Handles a response of another incarnation than the polled one, which is unreachable if it is not replaced by that. */
   private handleOtherIncarnation(profile: EndpointProfile, other: EndpointIncarnation, sentAt: number): void {
     this.handleResponse(profile, other, sentAt);
     if (this.sessions.has(profile.incarnation)) {
@@ -342,7 +358,10 @@
     this.removeUnneededIncarnation(incarnation);
   }
 
-  /** Removes an incarnation that has no record, no runs and no response, unless a poll may still confirm that it has crashed. */
+  /**
+   * Stops the session with an incarnation and removes its state when it has no record and no runs, doesn't respond, and no poll may still confirm
+   * that it has crashed.
+   */
   private removeUnneededIncarnation(incarnation: EndpointIncarnation): void {
     const { clock, dispatcher } = this.options;
     const id = endpointIncarnations.toEndpointId(incarnation);
@@ -370,6 +389,7 @@
     }
   }
 
+  /** Ends an incarnation whose address belongs to another endpoint; no next incarnation is known. */
   private handleIncarnationGone(incarnation: EndpointIncarnation): void {
     const known = this.getKnownEndpoint(endpointIncarnations.toEndpointId(incarnation));
     this.stopSession(incarnation);
--- a/packages/dispatch/endpoints/EndpointState.ts
+++ b/packages/dispatch/endpoints/EndpointState.ts
@@ -6,35 +6,37 @@
 import type { PlacedRun } from '../runs/PlacedRun';
 import { FailureStreak } from '../stops/FailureStreak';
 
-/** Weight of the newest run in the moving average of failures. */
+/** Weight of the newest run in the moving average of failed runs. */
 const FAILURE_WEIGHT = 0.25;
-/** Half-life of the failure rate while no run ends, so that the endpoint is tried again. */
+/** Half-life of the run failure rate while no run ends, so that runs are placed on the endpoint again. */
 const FAILURE_HALF_LIFE_MS = 6000;
-/** Failure rate from which an endpoint counts as failing. */
+/** Run failure rate from which an endpoint counts as failing. */
 const MIN_FAILING_RATE = 0.4;
-/** Weight of the newest value in the moving average of the slowdown. */
+/** Weight of the newest recorded ratio in the moving average of the slowdown. */
 const SLOWDOWN_WEIGHT = 0.3;
-/** Half-life of the slowdown's distance from 1 while no value is recorded. */
+/** Half-life of the slowdown's distance from 1 while no ratio is recorded. */
 const SLOWDOWN_HALF_LIFE_MS = 4000;
 /** Slowdown above which an endpoint counts as degraded. */
 const MAX_HEALTHY_SLOWDOWN = 1.8;
-/** Limit on a single recorded value. */
+/** Upper bound of a single recorded ratio. */
 const MAX_RECORDED_SLOWDOWN = 8;
 
 /** The leader's view of one incarnation of an endpoint: capacity, runs, leases, reachability and health. */
 export class EndpointState {
   private readonly runs = new Map<string, PlacedRun>();
   private usedCapacity: TaskDemand = resourceMath.ZERO;
+  /** Moving average of failed runs, 0 to 1, at `runFailureRateAt`. */
   private runFailureRate = 0;
   private runFailureRateAt = 0;
-  /** How many times longer runs take there than the same step's runs elsewhere; 1 is normal. */
+  /** Moving average, at `slowdownAt`, of how many times longer runs take there than the same step's runs elsewhere; 1 is normal. */
   private slowdown = 1;
   private slowdownAt = 0;
+  /** Monotonic time at which the drain was noticed; undefined before. */
   private drainingSince: number | undefined;
   /** True once the endpoint has responded to this leader, so that it rejects commands of earlier leaders. */
   private synced = false;
   private registered = true;
-  /** True when the endpoint has responded to a poll after its record was removed. */
+  /** True when the endpoint has responded to a poll after its record was removed, and before another came. */
   private hasRespondedDeregistered = false;
   /** Runs of crash suspects that are not past their startup. */
   private readonly startingSuspects = new Set<PlacedRun>();
@@ -49,7 +51,7 @@
   constructor(
     private profile: EndpointProfile,
     leasedUntil: number,
-    /** Updated with each run that is added or removed. */
+    /** Usage of the customers, updated with each run that is added or removed. */
     private readonly customerUsage: CustomerUsage,
   ) {
     this.leasedUntil = leasedUntil;
@@ -59,17 +61,19 @@
     return this.profile;
   }
 
+  /** Replaces the profile by the one of a new record; the endpoint counts as registered again. */
   applyProfile(profile: EndpointProfile): void {
     this.profile = profile;
     this.registered = true;
     this.hasRespondedDeregistered = false;
   }
 
-  /** Records that the endpoint's record was removed. Its runs go on: the endpoint may still be alive. */
+  /** Records that the endpoint's record was removed: no new runs are placed there. Its runs go on, as the endpoint may still be alive. */
   recordDeregistration(): void {
     this.registered = false;
   }
 
+  /** Returns a run of a task by its number; undefined when the endpoint has none such. */
   getRun(task: TaskName, run: number): PlacedRun | undefined {
     return this.runs.get(`${task}#${run}`);
   }
@@ -92,7 +96,7 @@
     }
   }
 
-  /** Removes a run that has certainly ended, and releases its demand. */
+  /** Removes a run that has ended or moved, and releases its demand here and in its customer's usage. Does nothing for an unknown run. */
   removeRun(run: PlacedRun): void {
     this.startingSuspects.delete(run);
     if (this.runs.delete(`${run.task}#${run.run}`)) {
@@ -106,7 +110,7 @@
     return this.startingSuspects;
   }
 
-  /** Records that a run is past its startup. */
+  /** Records that a run is past its startup, and so no starting suspect any more. */
   recordStartupPassed(run: PlacedRun): void {
     this.startingSuspects.delete(run);
   }
@@ -119,6 +123,7 @@
     return this.profile.capacity.cpuMillis - this.usedCapacity.cpuMillis;
   }
 
+  /** Returns true when the free capacity covers a demand. */
   hasCapacityFor(demand: TaskDemand): boolean {
     const { capacity } = this.profile;
     return (
@@ -133,12 +138,12 @@
     return !resourceMath.isWithin(this.usedCapacity, this.profile.capacity);
   }
 
-  /** Returns true when new runs may be placed on the endpoint. */
+  /** Returns true when new runs may be placed there: the endpoint is registered, synced, reachable and not draining. */
   isSchedulable(): boolean {
     return this.registered && this.synced && this.unreachableSince === undefined && !this.profile.isDraining;
   }
 
-  /** Returns false once the endpoint's record was removed. */
+  /** Returns true while the endpoint has a record. */
   isRegistered(): boolean {
     return this.registered;
   }
@@ -166,7 +171,7 @@
     return this.unreachableSince;
   }
 
-  /** Records a response to a poll. */
+  /** Records a response to a poll: the endpoint is reachable and synced. If its record was removed, its removal counts as planned. */
   recordResponse(now: number): void {
     this.respondedAt = now;
     this.hasRespondedDeregistered ||= !this.registered;
@@ -174,12 +179,12 @@
     this.unreachableSince = undefined;
   }
 
-  /** Records that a poll had no response. */
+  /** Records a poll or command without a response. The first one in sequence sets the time since which the endpoint is unreachable. */
   recordUnreachable(now: number): void {
     this.unreachableSince ??= now;
   }
 
-  /** Records a lease that was sent, whether or not it arrived; it expires by the monotonic time `until`. */
+  /** Records a lease that expires by the monotonic time `until`. Never shortens the time by which all leases have expired. */
   recordLease(until: number): void {
     this.leasedUntil = Math.max(this.leasedUntil, until);
   }
@@ -189,13 +194,14 @@
     return this.leasedUntil;
   }
 
-  /** Records whether a run that has ended had failed. */
+  /** Updates the run failure rate with the outcome of a run or of its start. */
   recordRunOutcome(isFailure: boolean, now: number): void {
     const rate = this.computeRunFailureRate(now);
     this.runFailureRate = rate + FAILURE_WEIGHT * ((isFailure ? 1 : 0) - rate);
     this.runFailureRateAt = now;
   }
 
+  /** Returns the recent sequence of failed runs there. */
   getFailureStreak(): FailureStreak {
     return this.failureStreak;
   }
@@ -205,7 +211,7 @@
     return this.runFailureRate * 0.5 ** ((now - this.runFailureRateAt) / FAILURE_HALF_LIFE_MS);
   }
 
-  /** Records how many times longer a run takes than the same step's runs elsewhere. */
+  /** Updates the slowdown with the ratio of a run's time to that of the same step's runs elsewhere. */
   recordSlowdown(ratio: number, now: number): void {
     const current = this.computeSlowdown(now);
     this.slowdown = current + SLOWDOWN_WEIGHT * (Math.min(MAX_RECORDED_SLOWDOWN, ratio) - current);
@@ -217,17 +223,18 @@
     return 1 + (this.slowdown - 1) * 0.5 ** ((now - this.slowdownAt) / SLOWDOWN_HALF_LIFE_MS);
   }
 
-  /** Returns true when runs there have recently failed or been slow. */
+  /** Returns true when the run failure rate or the slowdown exceeds its limit for a healthy endpoint. */
   isDegraded(now: number): boolean {
     return this.isFailing(now) || this.computeSlowdown(now) > MAX_HEALTHY_SLOWDOWN;
   }
 
-  /** Returns the monotonic time until which a draining endpoint stays. Its first call fixes the begin of the drain. */
+  /** Returns the monotonic time until which a draining endpoint certainly runs. The first call counts as the begin of the drain. */
   getDrainDeadline(now: number): number {
     this.drainingSince ??= now;
     return this.drainingSince + this.profile.remainingMs;
   }
 
+  /** Returns true when the run failure rate has reached its limit. */
   isFailing(now: number): boolean {
     return this.computeRunFailureRate(now) >= MIN_FAILING_RATE;
   }
--- a/packages/dispatch/endpoints/EndpointStatus.ts
+++ b/packages/dispatch/endpoints/EndpointStatus.ts
@@ -2,7 +2,7 @@
 import type { EndedTaskStatus } from './EndedTaskStatus';
 import type { RunningTaskStatus } from './RunningTaskStatus';
 
-/** Running and ended tasks that an endpoint has reported in response to a poll. */
+/** Status of an incarnation, as reported in response to a poll: its running tasks, and the ended ones that are not acknowledged. */
 export interface EndpointStatus {
   readonly endpoint: EndpointIncarnation;
   readonly running: readonly RunningTaskStatus[];
--- a/packages/dispatch/endpoints/KnownEndpoint.ts
+++ b/packages/dispatch/endpoints/KnownEndpoint.ts
@@ -8,10 +8,10 @@
  */
 export interface KnownEndpoint {
   readonly fence: EndpointFence;
-  /** Newest record; undefined while there is none. */
+  /** Contents of the newest record in the log; undefined while there is none. */
   newestProfile: EndpointProfile | undefined;
-  /** Incarnation of the last response; undefined before the first. */
+  /** Incarnation that responded last; undefined before the first response, and after its address was found to belong to another endpoint. */
   currentIncarnation: EndpointIncarnation | undefined;
-  /** Monotonic time from which polls carry the current incarnation's token, so that it rejects commands to earlier ones. */
+  /** Monotonic time from which polls carry the current incarnation's token, so that it rejects commands to earlier ones; statuses of earlier polls are ignored. */
   fencedFrom: number;
 }
--- a/packages/dispatch/endpoints/ResponseTimeout.ts
+++ b/packages/dispatch/endpoints/ResponseTimeout.ts
@@ -1,9 +1,10 @@
 import { SmoothedTime } from '../../common/SmoothedTime';
 
-/** A command without a response counts as one whose response took this many times the time limit. */
+/** A command without a response counts as one whose response took this many times the time waited. */
 const UNANSWERED_TIME_FACTOR = 2;
-/** Bounds of the time limit. The upper one also applies until a response time is known. */
+/** Lower bound of the time limit. */
 const MIN_TIMEOUT_MS = 120;
+/** Upper bound of the time limit, which also applies until a response time is known. */
 const MAX_TIMEOUT_MS = 500;
 
 /** Adaptive time limit for responses to commands, estimated from earlier response times as TCP's retransmission timeout is. */
@@ -16,8 +17,8 @@
   }
 
   /**
-   * Records that no response came within a time, in milliseconds, so that the limit doesn't adapt to fast responses alone. Shorter waits than
-   * the lower bound are ignored: such a connection was reset, and shows nothing of response times.
+   * Records that no response came within a time, in milliseconds, as a longer response time: the limit rises. Ignores waits that are shorter than
+   * the lower bound, since these connections were reset.
    */
   recordUnansweredTime(waitedMs: number): void {
     if (waitedMs >= MIN_TIMEOUT_MS) {
--- a/packages/dispatch/endpoints/RunningTaskStatus.ts
+++ b/packages/dispatch/endpoints/RunningTaskStatus.ts
@@ -1,9 +1,10 @@
 import type { TaskName } from '../../jobs/TaskName';
 
-/** A running task in the status of an endpoint. */
+/** Running task in the status of an endpoint, with its progress. */
 export interface RunningTaskStatus {
   readonly task: TaskName;
   readonly run: number;
+  /** Newest checkpoint of the run; empty when there is none. */
   readonly checkpoint: string;
   /** Completed share of the work, 0 to 100. */
   readonly percent: number;
--- a/packages/dispatch/endpoints/StartCommand.ts
+++ b/packages/dispatch/endpoints/StartCommand.ts
@@ -4,6 +4,7 @@
 export interface StartCommand {
   readonly task: TaskName;
   readonly run: number;
+  /** Work to do, as the job's definition has it. */
   readonly spec: string;
   /** Checkpoint to continue from; empty to start from the beginning. */
   readonly checkpoint: string;
--- a/packages/dispatch/endpoints/StatusReconciler.ts
+++ b/packages/dispatch/endpoints/StatusReconciler.ts
@@ -21,11 +21,11 @@
   readonly tracker: RunTracker;
   readonly learner: RunLearner;
   readonly crashes: CrashTracker;
-  /** Definition of any job, also of one that has ended. */
+  /** Returns the definition of any job, also of one that has ended; undefined when it is unknown. */
   readonly getDefinition: (id: JobId) => JobDefinition | undefined;
 }
 
-/** Outcome of a run for its job's progress, by the end that the endpoint reported. */
+/** Outcome of a run for its job's progress, by the kind of end that the endpoint reported. */
 const RUN_OUTCOMES: Readonly<Record<EndedTaskStatus['how'], RunOutcome>> = {
   done: 'done',
   failed: 'failed',
@@ -39,11 +39,14 @@
 /** Highest number of ends in one status; a list of this length may be incomplete. */
 const MAX_LISTED_ENDS = 500;
 
-/** Compares the status of an endpoint with the runs that the leader expects there, and updates these. */
+/** Updates the runs that the leader knows on an endpoint, and their jobs' progress, from the status of the endpoint. */
 export class StatusReconciler {
   constructor(private readonly options: StatusReconcilerOptions) {}
 
-  /** Applies a status: first its ended tasks, then the running ones, then the expected runs that it doesn't list. */
+  /**
+   * Applies a status, and records that the endpoint is reachable: first come its ended tasks, then the running ones, then the known runs that it
+   * doesn't list, unless its list of ends may be incomplete.
+   */
   applyStatus(endpoint: EndpointState, status: EndpointStatus, now: number, wallMs: number): void {
     endpoint.recordResponse(now);
     this.options.crashes.handleReachable(status.endpoint, now);
@@ -59,6 +62,7 @@
     }
   }
 
+  /** Ends a run as the status says, and with it its job if nothing is left to do. Ignores an unknown run, which has been handled before. */
   private applyEndedTask(endpoint: EndpointState, row: EndedTaskStatus, now: number, wallMs: number): void {
     const run = endpoint.getRun(row.task, row.run);
     if (run === undefined) {
@@ -83,6 +87,7 @@
     }
   }
 
+  /** Updates the run of a running task from the status, and returns it. A run that this leader doesn't know there is added, and stopped. */
   private applyRunningTask(endpoint: EndpointState, row: RunningTaskStatus, now: number): PlacedRun {
     const run = endpoint.getRun(row.task, row.run) ?? this.stopOrphan(endpoint, row, now);
     if (run.stage === 'ordered' || run.stage === 'unconfirmed') {
@@ -119,6 +124,7 @@
     return run;
   }
 
+  /** Logs that a run whose start command had no response is confirmed, with the time since that. */
   private logLateConfirmation(message: string, endpoint: EndpointState, run: PlacedRun, now: number): void {
     this.options.tracker.sendLogLine(message, {
       job: run.job,
@@ -129,6 +135,7 @@
     });
   }
 
+  /** Records the end of a run in the endpoint's failure streak, and logs when that begins or ends. */
   private updateFailureStreak(endpoint: EndpointState, outcome: RunOutcome, now: number): void {
     const streak = endpoint.getFailureStreak();
     const wasFailing = streak.isFailing();
@@ -139,7 +146,7 @@
     }
   }
 
-  /** Clears the task of a transferred run of the crash of the previous incarnation, since the run began on this one. */
+  /** Clears the task of a transferred run of the crash of the previous incarnation, since the run began on this one. Does nothing for other runs. */
   private applyTransferConfirmed(run: PlacedRun, now: number): void {
     if (run.transferredFrom !== undefined) {
       this.options.crashes.handleTransferConfirmed(run, run.transferredFrom, now);
@@ -147,7 +154,7 @@
     }
   }
 
-  /** Adds a run that this leader has not placed, and stops it. */
+  /** Adds a run that this leader doesn't know on the endpoint, sends a stop command for it, and returns it. */
   private stopOrphan(endpoint: EndpointState, row: RunningTaskStatus, now: number): PlacedRun {
     const parsed = parseTaskName(row.task);
     const definition = parsed === undefined ? undefined : this.options.getDefinition(parsed.job);
@@ -167,6 +174,7 @@
     return run;
   }
 
+  /** Ends the runs that a status doesn't list and that have certainly ended. Stops those whose start command had no response before the poll. */
   private checkUnlistedRuns(
     endpoint: EndpointState,
     listed: ReadonlySet<PlacedRun>,
@@ -186,7 +194,7 @@
     }
   }
 
-  /** Ends a run that the endpoint doesn't run. A transferred one ended with the incarnation that it was sent to. */
+  /** Ends a run that has certainly ended. A transferred one ended with the incarnation that it was sent to, and counts as lost. */
   private recordMissingRun(endpoint: EndpointState, run: PlacedRun, now: number): void {
     const { tracker } = this.options;
     if (run.transferredFrom !== undefined) {
@@ -200,7 +208,7 @@
     );
   }
 
-  /** Returns true when a run that a status doesn't list has ended, or never began, by the time its poll was sent. */
+  /** Returns true when a run that a status doesn't list has certainly ended, or will never begin. The status is of a poll sent at `sentAt`. */
   private isCertainlyMissing(run: PlacedRun, sentAt: number): boolean {
     switch (run.stage) {
       case 'recording':
--- a/packages/dispatch/endpoints/createDeregisteredProfile.ts
+++ b/packages/dispatch/endpoints/createDeregisteredProfile.ts
@@ -4,7 +4,7 @@
 import { endpointIncarnations } from '../../jobs/endpointIncarnations';
 import type { EndpointProfile } from './EndpointProfile';
 
-/** Creates the profile of an incarnation without a record: it has no address and no capacity, but its runs may go on. */
+/** Creates a profile, without address, hall or capacity, for an incarnation that has no record, but whose runs may go on. */
 export const createDeregisteredProfile = (
   incarnation: EndpointIncarnation,
   service: ServiceName,
--- a/packages/dispatch/endpoints/createIncarnationEndFields.ts
+++ b/packages/dispatch/endpoints/createIncarnationEndFields.ts
@@ -5,7 +5,7 @@
 /** Highest number of runs listed in one log line; `runCount` counts all. */
 const MAX_LOGGED_RUNS = 20;
 
-/** Formats the log fields of an incarnation that has ended: its last known state, its runs, and how many of these the next one may have got. */
+/** Creates the log fields for the end of an incarnation: its last known state, its runs, and how many of these were transferred to the next one. */
 export const createIncarnationEndFields = (
   state: EndpointState,
   runs: readonly PlacedRun[],
