--- a/packages/dispatch/crashes/CrashTracker.ts
+++ b/packages/dispatch/crashes/CrashTracker.ts
@@ -22,30 +22,34 @@
 interface CrashTrackerOptions {
   readonly jobs: ReadonlyMap<JobId, LiveJob>;
   readonly tracker: RunTracker;
-  /** Called when the progress of a job has changed and must be recorded. */
+  /** Called when the crash records in the progress of a job have changed, and must be written to the log. */
   readonly handleProgressChange: (job: JobId) => void;
 }
 
+/** Reason for removing crash records, as logged. */
 type CrashRemovalReason =
   'left by plan' | 'heard again' | 'explained by a task that was given up' | 'its run began on the next life';
 
-/** Highest number of tasks named in one log line; `count` counts all. */
+/** Highest number of tasks listed in one log line; its field `count` counts all. */
 const MAX_LOGGED_TASKS = 20;
 
 /**
  * Puts crashes of endpoints down to the tasks that may have caused them, so that a task that crashes its endpoints is not retried without limit.
- * An incarnation that ends without a planned removal counts as crashed. Crash records are part of a job's progress, and survive a change of leader.
+ * An incarnation whose end was not planned counts as crashed. Crash records are part of a job's progress, and survive a change of leader.
  */
 export class CrashTracker {
   private readonly unconfirmedCrashes = new UnconfirmedCrashes();
   private readonly crashHistory = new CrashHistory();
   private readonly outageDetector = new OutageDetector();
-  /** Tasks that may be over the crash limit, by job, until the next check of the limits. */
+  /** One task that may be over the crash limit, by job, until the next call of `applyCrashLimits`. */
   private readonly tasksOverLimit = new Map<JobId, TaskAddress>();
 
   constructor(private readonly options: CrashTrackerOptions) {}
 
-  /** Applies the crash records of a task that earlier leaders left: backoffs start again, and unconfirmed crashes stay so. */
+  /**
+   * Applies the crash records of a task that earlier leaders left in its job's progress: its backoff starts again, and crashes with unproved blame
+   * stay unconfirmed until the endpoint is reachable or has ended.
+   */
   applyRecoveredCrashes(job: LiveJob, address: TaskAddress, now: number): void {
     this.applyRecoveredUnconfirmed(job, address);
     const crashes = job.progress.getTask(address)?.crashes ?? [];
@@ -68,8 +72,8 @@
   }
 
   /**
-   * Records the unconfirmed crashes that an earlier leader noted. This one may never confirm them, as it doesn't know the endpoint's address, and
-   * must not drop them, or a task could exceed its crash limit across changes of leader.
+   * Turns the unconfirmed crashes of a task that an earlier leader left into crash records with unproved blame. This leader may be unable to
+   * confirm them, as it may not know the endpoint's address.
    */
   private applyRecoveredUnconfirmed(job: LiveJob, address: TaskAddress): void {
     for (const crash of job.progress.getTask(address)?.unconfirmedCrashes ?? []) {
@@ -78,7 +82,10 @@
     }
   }
 
-  /** Puts the end of an incarnation down to `runs`, which were there or may have been, unless its removal was planned. */
+  /**
+   * Handles the end of an incarnation on which `runs` were, or may have been. Records a crash of their tasks, and confirms the unconfirmed ones. If
+   * its removal was planned, takes back the unconfirmed crashes instead.
+   */
   handleIncarnationEnd(endpoint: EndpointState, runs: readonly PlacedRun[], now: number): void {
     const { incarnation, address } = endpoint.getProfile();
     const unconfirmedRecords = this.unconfirmedCrashes.takeCrashesOf(incarnation);
@@ -98,7 +105,11 @@
     this.recordCrashes(incarnation, allRecords, now);
   }
 
-  /** Handles the expiry of an unreachable endpoint's lease, which has ended `runs`: the endpoint has crashed, or is cut off. */
+  /**
+   * Handles the expiry of an unreachable endpoint's lease, which has ended `runs`. Notes unconfirmed crashes of their tasks, as the endpoint has
+   * crashed or is partitioned. Those to blame, and those one record below the crash limit, get a record with unproved blame at once. Does nothing
+   * when the removal was planned.
+   */
   handleLeaseExpiry(endpoint: EndpointState, runs: readonly PlacedRun[], now: number): void {
     if (endpoint.isRemovalPlanned()) {
       return;
@@ -120,19 +131,19 @@
   }
 
   /**
-   * Returns true for a run in its startup whose task is over the crash limit with one record more: its next start must not be sent before the crash
-   * is confirmed or refuted. Recording every such run would delay healthy tasks.
+   * Returns true for a run in its startup whose task reaches the crash limit with one more record: its next start must not be sent before the crash
+   * is confirmed or refuted.
    */
   private isOneCrashBelowLimit(run: PlacedRun): boolean {
     return !isPastStartup(run) && this.listCrashRecords(run).length >= crashLimits.maxCrashes - 1;
   }
 
-  /** Handles the first poll of an endpoint without a response. */
+  /** Records, for the detection of outages, that an endpoint became unreachable. */
   handleUnreachable(endpoint: EndpointState, now: number): void {
     this.outageDetector.handleUnreachable(endpoint, now);
   }
 
-  /** Removes the unconfirmed crashes of an endpoint that responds. */
+  /** Handles a response of an endpoint to a poll: it has not crashed, so its unconfirmed crashes and their records are removed. */
   handleReachable(id: EndpointIncarnation, now: number): void {
     this.outageDetector.handleReachable(id);
     this.removeCrashRecords(id, this.unconfirmedCrashes.takeCrashesOf(id), 'heard again', now);
@@ -143,7 +154,10 @@
     this.removeCrashRecords(before, [{ job, address }], 'its run began on the next life', now);
   }
 
-  /** Clears the task of a listed run of the crashes in which its runs were much younger. */
+  /**
+   * Removes a task's crash records, confirmed or not, in which its run was so much younger than the listed run is now that the task can't be the
+   * cause.
+   */
   handleRunListed(run: PlacedRun): void {
     const { progress } = this.options.jobs.get(run.job) ?? {};
     const { crashes = [], unconfirmedCrashes = [] } = progress?.getTask(run.address) ?? {};
@@ -170,28 +184,32 @@
     return this.unconfirmedCrashes.isCrashUnconfirmed(id, now);
   }
 
-  /** Returns true when the machine has crashed so recently that another crash there is weak evidence against a task. */
+  /** Returns true when an endpoint on the machine has crashed recently, so that another crash there is weak evidence against a task. */
   hasCrashedRecently(address: string, now: number): boolean {
     return this.crashHistory.hasCrashedRecently(address, now);
   }
 
-  /** Returns true while there are recent crashes for which no task is, or still is, to blame. */
+  /** Returns true while there are recent crashes that no task over the crash limit explains, and for which no task is, or still is, to blame. */
   private hasUnexplainedCrashes(now: number): boolean {
     return this.crashHistory.hasUnexplainedCrashes(now, (task, endpoint) =>
       this.hasCrashRecord(task, endpoint),
     );
   }
 
+  /** Returns true when a task has a record of the crash of this incarnation. */
   private hasCrashRecord(task: TaskRef, crashed: EndpointIncarnation): boolean {
     return this.listCrashRecords(task).some(({ endpoint }) => endpoint === crashed);
   }
 
-  /** Returns the crash records of a task; none once its job has ended. */
+  /** Returns the crash records of a task; none when it has none, or its job is unknown. */
   private listCrashRecords({ job, address }: TaskRef): readonly TaskCrash[] {
     return this.options.jobs.get(job)?.progress.getTask(address)?.crashes ?? [];
   }
 
-  /** Fails the jobs with a task over the crash limit, and removes outdated crashes. */
+  /**
+   * Fails the jobs with a task over the crash limit, and clears other tasks of the crashes that it explains. Removes outdated crashes, and unconfirmed
+   * ones that can't be confirmed any more.
+   */
   applyCrashLimits(now: number, wallMs: number): void {
     for (const [id, address] of this.tasksOverLimit) {
       const job = this.options.jobs.get(id);
@@ -223,8 +241,8 @@
   }
 
   /**
-   * Clears other tasks of the crashes that a task over the limit explains, so that healthy jobs don't fail with it. Tasks whose runs were in their
-   * startup still count as present: several tasks that crash the same endpoints would otherwise clear each other.
+   * Clears other tasks of the crashes that a task over the limit explains by its sole or shared blame. Those whose runs were in their startup keep a
+   * record with the blame `present`, since several tasks may crash the same endpoints. Those with the sole blame for some crash keep all records.
    */
   private removeExplainedCrashes(taskOverLimit: TaskRef, crashes: readonly TaskCrash[], now: number): void {
     for (const { endpoint, blame } of crashes) {
@@ -241,7 +259,10 @@
     }
   }
 
-  /** Reduces the blame of a task whose run was in its startup to `present`. Returns false when it has no such crash record. */
+  /**
+   * Reduces the blame in a task's record of a crash to `present`. Returns false, and changes nothing, when it has no such record or the run was past
+   * its startup.
+   */
   private setBlamePresent(
     { job: id, address }: TaskRef,
     endpoint: EndpointIncarnation,
@@ -260,12 +281,12 @@
     return true;
   }
 
-  /** Returns true when a task has the sole blame for some crash, and so may have caused others. */
+  /** Returns true when a task has the sole blame for some crash. */
   private hasSoleBlame(task: TaskRef): boolean {
     return this.listCrashRecords(task).some(({ blame }) => blame === 'sole');
   }
 
-  /** Chooses the blame of each run for a crash. Runs whose start command isn't sent yet are left out. */
+  /** Returns the degree of blame of each run for the crash of its endpoint. Leaves out runs whose start command isn't sent yet. */
   private listRunBlames(
     endpoint: EndpointState,
     runs: readonly PlacedRun[],
@@ -282,13 +303,14 @@
     });
   }
 
-  /** Returns how long a run had certainly run when a poll last listed it, in milliseconds; assumed for one that an earlier leader placed. */
+  /** Returns the age of a run when a status last listed it, in milliseconds; an assumed one for an unconfirmed run of an earlier leader. */
   private getListedAgeMs(run: PlacedRun): number {
     return run.stage === 'unconfirmed'
       ? crashLimits.unknownAgeMs
       : Math.round(run.lastListedAt - run.confirmedAt);
   }
 
+  /** Removes the records of a crash from tasks, and logs the tasks that had one. */
   private removeCrashRecords(
     crashed: EndpointIncarnation,
     tasks: readonly TaskRef[],
@@ -303,7 +325,7 @@
     }
   }
 
-  /** Removes a task's record of a crash. Returns false when there is none. */
+  /** Removes a task's record of a crash, confirmed or not. Returns false when it has none. */
   private removeCrashRecord(
     { job: id, address }: TaskRef,
     crashed: EndpointIncarnation,
@@ -319,6 +341,7 @@
     return true;
   }
 
+  /** Adds crash records to their tasks; counts and logs those that were added. */
   private recordCrashes(endpoint: EndpointIncarnation, records: readonly CrashRecord[], now: number): void {
     const recorded = records.filter((record) => this.recordCrash(record, now));
     if (recorded.length === 0) {
@@ -337,7 +360,7 @@
     });
   }
 
-  /** Records a crash. Returns false when the task is done, or its job has ended. */
+  /** Adds a crash record to its task and to the history. Returns false, and adds none, when the task is done or unknown, or its job has ended. */
   private recordCrash({ job: id, address, crash }: CrashRecord, now: number): boolean {
     const job = this.options.jobs.get(id);
     const task = job?.progress.getTask(address);
@@ -356,7 +379,7 @@
     return true;
   }
 
-  /** Applies a task's crash records: sets the backoff before its next start, and notes when it is over the crash limit. */
+  /** Applies a task's crash records: sets the backoff before its next start, and notes the task for `applyCrashLimits` if it is over the limit. */
   private applyCrashRecords(job: LiveJob, address: TaskAddress, now: number): void {
     const { crashes } = job.progress.getTask(address)!;
     const backoffMs = computeBackoffMs(crashes);
--- a/packages/dispatch/crashes/OutageDetector.ts
+++ b/packages/dispatch/crashes/OutageDetector.ts
@@ -2,17 +2,17 @@
 import type { EndpointState } from '../endpoints/EndpointState';
 import { isPastStartup } from './isPastStartup';
 
-/** An endpoint that became unreachable. */
+/** Time and circumstances of an endpoint's becoming unreachable. */
 interface UnreachableEvent {
   /** Monotonic time of the first poll without a response. */
   readonly unreachableAt: number;
-  /** True when a run was in its startup there, and may be the cause. */
+  /** True when a run was in its startup there, which may be the cause. */
   readonly hasStartingRun: boolean;
 }
 
 /** Longest difference between the first unanswered polls of endpoints that fail together. */
 const MAX_COINCIDENCE_MS = 300;
-/** Longer than it takes to know that an endpoint has ended: its machine is back, or its lease has expired. */
+/** Time for which events are kept: longer than it takes until the endpoint's next incarnation responds, or its lease has expired. */
 const EVENT_RETENTION_MS = 60_000;
 
 /**
@@ -20,10 +20,10 @@
  * and not a task.
  */
 export class OutageDetector {
-  /** Newest event of each endpoint that has not responded since. */
+  /** Newest event of each endpoint that has not responded since, until it is outdated. */
   private readonly unreachableEvents = new Map<EndpointIncarnation, UnreachableEvent>();
 
-  /** Records that an endpoint became unreachable. Ignores one that has never responded to this leader, as the time is unknown. */
+  /** Records that an endpoint became unreachable, and removes outdated events. Ignores an endpoint that has never responded to this leader. */
   handleUnreachable(endpoint: EndpointState, now: number): void {
     if (endpoint.getRespondedAt() === undefined) {
       return;
@@ -39,12 +39,15 @@
     this.unreachableEvents.set(endpoint.getProfile().incarnation, { unreachableAt: now, hasStartingRun });
   }
 
-  /** Removes the event of an endpoint that responds again, and has not crashed. */
+  /** Removes the event of an endpoint that responds again. */
   handleReachable(incarnation: EndpointIncarnation): void {
     this.unreachableEvents.delete(incarnation);
   }
 
-  /** Returns true when the endpoint became unreachable in an outage. */
+  /**
+   * Returns true when the endpoint became unreachable in an outage: together with another one on which no run was in its startup. Returns false
+   * while it responds, or when it has never responded to this leader.
+   */
   isPartOfOutage(endpoint: EndpointState): boolean {
     const { incarnation } = endpoint.getProfile();
     const unreachableSince = endpoint.getUnreachableSince();
--- a/packages/dispatch/crashes/UnconfirmedCrash.ts
+++ b/packages/dispatch/crashes/UnconfirmedCrash.ts
@@ -1,6 +1,6 @@
 import type { CrashRecord } from './CrashRecord';
 
-/** The record that a task gets if an endpoint, unreachable since before its lease expired, proves to have crashed. */
+/** Crash record that a task gets if an endpoint that was unreachable when its lease expired proves to have crashed. */
 export interface UnconfirmedCrash extends CrashRecord {
   /** Monotonic time at which the expiry of the lease was noticed, or the record was recovered. */
   readonly since: number;
--- a/packages/dispatch/crashes/UnconfirmedCrashes.ts
+++ b/packages/dispatch/crashes/UnconfirmedCrashes.ts
@@ -2,7 +2,7 @@
 import type { UnconfirmedCrash } from './UnconfirmedCrash';
 import { crashLimits } from './crashLimits';
 
-/** Endpoints that were unreachable when their leases expired, with the tasks to blame if they have crashed. */
+/** Unconfirmed crashes of endpoints that were unreachable when their leases expired, by incarnation. */
 export class UnconfirmedCrashes {
   private readonly crashes = new Map<EndpointIncarnation, readonly UnconfirmedCrash[]>();
 
@@ -11,19 +11,19 @@
     this.crashes.set(endpoint, [...(this.crashes.get(endpoint) ?? []), record]);
   }
 
-  /** Removes and returns the unconfirmed crashes of an endpoint. */
+  /** Removes and returns the unconfirmed crashes of an incarnation; none when there are none. */
   takeCrashesOf(endpoint: EndpointIncarnation): readonly UnconfirmedCrash[] {
     const crashes = this.crashes.get(endpoint) ?? [];
     this.crashes.delete(endpoint);
     return crashes;
   }
 
-  /** Returns true while a poll of the endpoint's address may still confirm that it has crashed. */
+  /** Returns true while the incarnation has an unconfirmed crash that is recent enough for a poll of its address to confirm it. */
   isCrashUnconfirmed(endpoint: EndpointIncarnation, now: number): boolean {
     return this.crashes.get(endpoint)?.some(({ since }) => now - since < crashLimits.confirmationMs) ?? false;
   }
 
-  /** Removes and returns the crashes that can't be confirmed any more. */
+  /** Removes and returns the crashes of all incarnations whose time for confirmation is over. */
   takeOutdatedCrashes(now: number): readonly UnconfirmedCrash[] {
     const outdated = [...this.crashes.keys()].filter((endpoint) => !this.isCrashUnconfirmed(endpoint, now));
     return outdated.flatMap((endpoint) => this.takeCrashesOf(endpoint));
--- a/packages/dispatch/crashes/computeBackoffMs.ts
+++ b/packages/dispatch/crashes/computeBackoffMs.ts
@@ -2,8 +2,8 @@
 import { crashLimits } from './crashLimits';
 
 /**
- * Computes the backoff before a task's next start, in milliseconds, from the crashes that it has the sole blame for. Shared blame causes no backoff,
- * since all but one of the tasks are healthy.
+ * Computes the backoff before a task's next start, in milliseconds, from the crashes that it has the sole blame for: it doubles with each, up to a
+ * limit. Returns 0 without such crashes.
  */
 export const computeBackoffMs = (crashes: readonly TaskCrash[]): number => {
   const soleCount = crashes.filter(({ blame }) => blame === 'sole').length;
--- a/packages/dispatch/crashes/computeRunBlames.ts
+++ b/packages/dispatch/crashes/computeRunBlames.ts
@@ -14,14 +14,15 @@
   readonly isOutage: boolean;
   /** Returns true when the run's task is a crash suspect. */
   readonly isSuspect: (run: PlacedRun) => boolean;
-  /** Returns a key that the members of a gang share: they start together, and count as one. */
+  /** Returns a key that the members of a gang share, as they count as one task; any other task has a key of its own. */
   readonly getGangKey: (run: PlacedRun) => string;
 }
 
 /**
- * Chooses the degree of blame of each run for the crash of its endpoint. A task that crashes its endpoint usually does so during startup: the
+ * Computes the degree of blame of each run for the crash of its endpoint. A task that crashes its endpoint usually does so during startup: the
  * crash suspects among the starting runs are to blame, or all starting runs when there is no suspect among them. All others, and in an
- * outage all runs, only count as present.
+ * outage all runs, only count as present. The blame is sole for a single task or gang, otherwise shared; for a run of an earlier leader that no
+ * status has confirmed, it is inherited.
  */
 export const computeRunBlames = ({
   runs,
--- a/packages/dispatch/crashes/crashLimits.ts
+++ b/packages/dispatch/crashes/crashLimits.ts
@@ -2,9 +2,9 @@
 export const crashLimits = {
   /** Number of crashes with sole blame at which a task is over the crash limit. */
   maxSoleCrashes: 2,
-  /** The same while there are unexplained losses, which may coincide with starts of a healthy task. */
+  /** The same while there are unexplained crashes, which may coincide with starts of a healthy task. */
   maxSoleDuringUnexplained: 3,
-  /** Time after a crash that no task is to blame for during which losses count as unexplained, in milliseconds. */
+  /** Time after a crash that no task is to blame for during which there are unexplained crashes, in milliseconds. */
   unexplainedCrashMs: 30_000,
   /** Number of crashes with sole or shared blame at which a task is over the crash limit. */
   maxLikelyCrashes: 4,
@@ -12,7 +12,7 @@
   maxCrashes: 5,
   /** Number of crashes with any degree of blame from which a task is a crash suspect. */
   suspectAfterCrashes: 3,
-  /** Number of crashes from which a task waits rather than start beside a crash suspect in its startup. */
+  /** Number of crashes with any degree of blame from which a task is not started beside a crash suspect in its startup. */
   protectedAfterCrashes: 2,
   /** Age of a run, as listed by a poll, from which it is past its startup, in milliseconds. */
   startupMs: 300,
@@ -21,21 +21,21 @@
    * its endpoints does so at about the same age.
    */
   clearedAgeFactor: 2,
-  /** In milliseconds. */
+  /** Added to that multiple, in milliseconds. */
   clearedAgeOffsetMs: 1000,
-  /** Age at which a run clears its task of all crashes, in milliseconds: a long run may see many crashes of other causes. */
+  /** Age at which a run clears its task of all crashes, in milliseconds. */
   maxClearedAgeMs: 60_000,
   /** Assumed age of a run that an earlier leader placed, in milliseconds. */
   unknownAgeMs: 4500,
   /** Backoff after the first crash with sole blame, in milliseconds; doubles with each further one. */
   initialBackoffMs: 500,
-  /** Longest backoff, in milliseconds: a job that runs nothing for 3 s counts as lost. */
+  /** Longest backoff, in milliseconds. */
   maxBackoffMs: 2000,
   /**
    * Time after the expiry of its lease during which an unreachable endpoint is still polled, also without a record, in milliseconds: a response of
    * another incarnation confirms the crash.
    */
   confirmationMs: 15_000,
-  /** Time after a crash during which crash suspects avoid the machine, in milliseconds. */
+  /** Time after an endpoint crash during which crash suspects avoid its machine, in milliseconds. */
   recentMachineCrashMs: 30_000,
 } as const;
--- a/packages/dispatch/crashes/isOverCrashLimit.ts
+++ b/packages/dispatch/crashes/isOverCrashLimit.ts
@@ -5,8 +5,8 @@
 const LIKELY_BLAMES: ReadonlySet<CrashBlame> = new Set<CrashBlame>(['sole', 'shared']);
 
 /**
- * Returns true when a task has so many crash records that it must not be started again. While there are unexplained losses, one crash more with sole
- * blame is tolerated.
+ * Returns true when a task must not be started again, as its crash records reach the limit on sole, on sole or shared, or on any blame. The first limit
+ * is higher while there are unexplained crashes.
  */
 export const isOverCrashLimit = (crashes: readonly TaskCrash[], hasUnexplainedCrashes: boolean): boolean => {
   const soleCount = crashes.filter(({ blame }) => blame === 'sole').length;
