--- a/dev/bench/customersSection.ts
+++ b/dev/bench/customersSection.ts
@@ -112,7 +112,7 @@
       capacity: ENDPOINT_CAPACITY,
       labels: [],
       isDraining: false,
-      remainingMs: 0,
+      minDrainMs: 0,
     });
     dispatcher.handleStatus({ endpoint: life, running: [], ended: [], sentAt: 0 }, 0, 0);
   }
--- a/packages/dispatch/crashes/CrashTracker.ts
+++ b/packages/dispatch/crashes/CrashTracker.ts
@@ -83,8 +83,7 @@
   }
 
   /**
-   * Handles the end of an incarnation on which `runs` were, or may have been. Records a crash of their tasks, and confirms the unconfirmed ones. If
-   * its removal was planned, takes back the unconfirmed crashes instead.
+   * Handles the end of an incarnation on which `runs` were, or may have been. Records a crash of their tasks, and confirms the unconfirmed ones.    * its removal was planned, removes the unconfirmed ones and their records instead.
    */
   handleIncarnationEnd(endpoint: EndpointState, runs: readonly PlacedRun[], now: number): void {
     const { incarnation, address } = endpoint.getProfile();
--- a/packages/dispatch/endpoints/CommandResult.ts
+++ b/packages/dispatch/endpoints/CommandResult.ts
@@ -6,7 +6,7 @@
  * - `done`: the endpoint has executed it.
  * - `rejected`: the endpoint has rejected it, for the reason given.
  * - `unhealthy`: the endpoint has rejected it, being unhealthy.
- * - `gone`: the command didn't reach the incarnation, which has ended: its address belongs to another endpoint or incarnation.
+ * - `gone`: the address belongs to another endpoint, so that the incarnation has ended.
  * - `undelivered`: no connection could be made, so that the endpoint has not got it.
  * - `unanswered`: no valid response came within the time limit; the endpoint may have executed it, or may do so later.
  */
--- a/packages/dispatch/endpoints/EndpointClient.ts
+++ b/packages/dispatch/endpoints/EndpointClient.ts
@@ -5,7 +5,7 @@
 
 interface PollRequest {
   /** Acknowledges ends up to this sequence number, which the endpoint may forget; 0 acknowledges none. */
-  readonly lastSeen: number;
+  readonly acknowledgedUpTo: number;
   /** Length of the new lease, in milliseconds; undefined doesn't renew the lease. */
   readonly leaseMs: number | undefined;
   /** Longest time that the endpoint may delay its response until a run ends, in milliseconds. */
@@ -16,7 +16,7 @@
    * True when the poll may only be sent over the connection of the last response, since it acknowledges ends that only the process at its other end
    * has listed. The result is `disconnected` when that connection is closed.
    */
-  readonly isContinued?: boolean;
+  readonly isSameConnectionOnly?: boolean;
   /** True for a poll that is sent beside the poll loop, and acknowledges nothing. */
   readonly isExtra?: boolean;
 }
--- a/packages/dispatch/endpoints/EndpointProfile.ts
+++ b/packages/dispatch/endpoints/EndpointProfile.ts
@@ -18,5 +18,5 @@
   /** True when the endpoint is about to stop, and takes no new tasks. */
   readonly isDraining: boolean;
   /** Least time until a draining endpoint stops, in milliseconds from its record on. */
-  readonly remainingMs: number;
+  readonly minDrainMs: number;
 }
--- a/packages/dispatch/endpoints/EndpointRecords.ts
+++ b/packages/dispatch/endpoints/EndpointRecords.ts
@@ -19,7 +19,7 @@
   /** Parses the record of an endpoint; the error names the problem. */
   readonly parseEndpoint: (id: string, text: string) => Result<EndpointProfile, string>;
   /** Called with each valid record that is read. */
-  readonly handleRecord: (profile: EndpointProfile) => void;
+  readonly handleProfile: (profile: EndpointProfile) => void;
   /** Called when an endpoint that had a valid record has none any more. While the log is unavailable, and shortly after, this is delayed. */
   readonly handleRecordRemoval: (id: EndpointId) => void;
   /** Called when an invalid record was ignored. */
@@ -42,8 +42,8 @@
   private readonly follower: LogFollower;
   /** Endpoints whose records were removed while reregistration was pending, and which may register again. */
   private readonly expiredEndpoints = new Set<EndpointId>();
-  /** Monotonic time at which the topic last became readable; -Infinity before. */
-  private logRecoveredAt = -Infinity;
+  /** Monotonic time at which the topic last became readable; -Infinity before the first read. */
+  private topicReadableSince = -Infinity;
   private removalTimer: NodeJS.Timeout | undefined;
 
   constructor(private readonly options: EndpointRecordsOptions) {
@@ -111,7 +111,7 @@
     }
     this.registeredEndpoints.add(id);
     this.expiredEndpoints.delete(id);
-    this.options.handleRecord(parsed.value);
+    this.options.handleProfile(parsed.value);
   }
 
   /** Logs whether the topic can be read. If so, schedules the removal of expired endpoints and reports the recovery. */
@@ -119,7 +119,7 @@
     const { logger, topic } = this.options;
     logger.info(isConnected ? 'Topic can be read.' : 'Topic cannot be read.', { topic, detail });
     if (isConnected) {
-      this.logRecoveredAt = this.options.clock.getNow();
+      this.topicReadableSince = this.options.clock.getNow();
       this.scheduleRemoval(REREGISTRATION_WAIT_MS);
       this.options.handleLogRecovered(sentAt);
     }
@@ -135,7 +135,7 @@
     if (!this.follower.isFollowing()) {
       return;
     }
-    const remainingMs = this.logRecoveredAt + REREGISTRATION_WAIT_MS - this.options.clock.getNow();
+    const remainingMs = this.topicReadableSince + REREGISTRATION_WAIT_MS - this.options.clock.getNow();
     if (remainingMs > 0) {
       // The timer may fire early by the clock.
       this.scheduleRemoval(remainingMs);
@@ -148,7 +148,7 @@
 
   /** Returns true while the log is unavailable, and until endpoints have had time to register again after its recovery. */
   private isReregistrationPending(): boolean {
-    const availableMs = this.options.clock.getNow() - this.logRecoveredAt;
+    const availableMs = this.options.clock.getNow() - this.topicReadableSince;
     return !this.follower.isFollowing() || availableMs < REREGISTRATION_WAIT_MS;
   }
 
--- a/packages/dispatch/endpoints/EndpointSession.ts
+++ b/packages/dispatch/endpoints/EndpointSession.ts
@@ -78,7 +78,7 @@
     const sentAt = this.options.clock.getNow();
     const { client } = this.options;
     const result = await client.sendPoll({
-      lastSeen: 0,
+      acknowledgedUpTo: 0,
       leaseMs: undefined,
       waitMs: 0,
       timeoutMs: RESPONSE_TIMEOUT_MS,
@@ -133,10 +133,10 @@
     }
     // Another incarnation may respond on a new connection. It must not forget ends that it hasn't listed, or tasks that are done
     // would run again.
-    const lastSeen = isUnreachable || !this.isConnected ? 0 : this.lastDurableEnd;
+    const acknowledgedUpTo = isUnreachable || !this.isConnected ? 0 : this.lastDurableEnd;
     const result = await client.sendPoll({
-      lastSeen,
-      isContinued: lastSeen > 0,
+      acknowledgedUpTo,
+      isSameConnectionOnly: acknowledgedUpTo > 0,
       leaseMs,
       waitMs,
       timeoutMs: waitMs + Math.min(MAX_RESPONSE_TIMEOUT_MS, RESPONSE_TIMEOUT_MS * 2 ** this.failedPollCount),
--- a/packages/dispatch/endpoints/EndpointSessions.ts
+++ b/packages/dispatch/endpoints/EndpointSessions.ts
@@ -68,7 +68,7 @@
   constructor(private readonly options: EndpointSessionsOptions) {
     this.endpointRecords = new EndpointRecords({
       ...options,
-      handleRecord: (profile) => this.handleRecord(profile),
+      handleProfile: (profile) => this.handleProfile(profile),
       handleRecordRemoval: (id) => this.handleRecordRemoval(id),
       handleInvalidRecord: () => options.recordCount('recordsRefused'),
       handleRecordsRead: () => options.handleSchedulingChange(),
@@ -143,7 +143,7 @@
    * Applies the newest record of an endpoint. If it names another incarnation than the record before, the earlier one is deregistered and the new
    * one polled, but only a response proves that it runs.
    */
-  private handleRecord(profile: EndpointProfile): void {
+  private handleProfile(profile: EndpointProfile): void {
     const { dispatcher } = this.options;
     const known = this.getKnownEndpoint(profile.id);
     const before = known.newestProfile;
@@ -162,7 +162,7 @@
   /** Logs a record that is new, or differs from the previous one in incarnation, draining or capacity. */
   private logProfileChange(before: EndpointProfile | undefined, profile: EndpointProfile): void {
     const { logger } = this.options;
-    const { incarnation, service, isDraining, remainingMs, capacity, hall, labels } = profile;
+    const { incarnation, service, isDraining, minDrainMs, capacity, hall, labels } = profile;
     if (before === undefined || before.incarnation !== incarnation || before.isDraining !== isDraining) {
       logger.info('Endpoint seen.', {
         endpoint: incarnation,
@@ -171,7 +171,7 @@
         labels,
         room: capacity,
         isDraining,
-        remainingMs,
+        remainingMs: minDrainMs,
       });
     } else if (!isSameCapacity(before.capacity, capacity)) {
       logger.info('Endpoint capacity changed.', {
--- a/packages/dispatch/endpoints/EndpointState.ts
+++ b/packages/dispatch/endpoints/EndpointState.ts
@@ -231,7 +231,7 @@
   /** Returns the monotonic time until which a draining endpoint certainly runs. The first call counts as the begin of the drain. */
   getDrainDeadline(now: number): number {
     this.drainingSince ??= now;
-    return this.drainingSince + this.profile.remainingMs;
+    return this.drainingSince + this.profile.minDrainMs;
   }
 
   /** Returns true when the run failure rate has reached its limit. */
--- a/packages/dispatch/endpoints/createDeregisteredProfile.ts
+++ b/packages/dispatch/endpoints/createDeregisteredProfile.ts
@@ -17,5 +17,5 @@
   capacity: resourceMath.ZERO,
   labels: [],
   isDraining: false,
-  remainingMs: 0,
+  minDrainMs: 0,
 });
--- a/packages/dispatch/runs/RunMover.ts
+++ b/packages/dispatch/runs/RunMover.ts
@@ -77,7 +77,7 @@
       return undefined;
     }
     const { priority } = run;
-    if (endpoint.getProfile().isDraining && endpoint.getProfile().remainingMs > 0) {
+    if (endpoint.getProfile().isDraining && endpoint.getProfile().minDrainMs > 0) {
       return this.isEvictionDue(endpoint, run, shape, now)
         ? { book: endpoint, run, priority, reason: 'endpointLeaves', gainMs: 0 }
         : undefined;
--- a/tests/acknowledgedEnds.test.ts
+++ b/tests/acknowledgedEnds.test.ts
@@ -56,7 +56,7 @@
 
   /** Runs some tasks to their ends, which no poll has listed yet. */
   const runToEnds = async (client: HttpEndpointClient, first: number): Promise<void> => {
-    await client.sendPoll({ lastSeen: 0, leaseMs: 4000, waitMs: 0, timeoutMs: 500 });
+    await client.sendPoll({ acknowledgedUpTo: 0, leaseMs: 4000, waitMs: 0, timeoutMs: 500 });
     for (let number = first; number < first + TASKS; number += 1) {
       const order = { task: toTask(number), run: 1, spec: String(RUN_MS), checkpoint: '', ticket: '' };
       expect(await client.sendStart(order, 4000, 500)).toEqual({ kind: 'done' });
@@ -97,7 +97,7 @@
 
   const countEnds = async (client: HttpEndpointClient): Promise<number> => {
     const result: PollResult = await client.sendPoll({
-      lastSeen: 0,
+      acknowledgedUpTo: 0,
       leaseMs: undefined,
       waitMs: 0,
       timeoutMs: 500,
--- a/tests/crashCharges.test.ts
+++ b/tests/crashCharges.test.ts
@@ -107,7 +107,7 @@
     const id = startEndpoint();
     sendJob(createJob());
     startRuns();
-    dispatcher.handleEndpointProfile(createProfile(id, { isDraining: true, remainingMs: 0 }));
+    dispatcher.handleEndpointProfile(createProfile(id, { isDraining: true, minDrainMs: 0 }));
     stopEndpoint(id);
     expect(listCrashes(createJob())).toEqual([]);
   });
--- a/tests/dispatch.test.ts
+++ b/tests/dispatch.test.ts
@@ -543,7 +543,7 @@
 
   it('has long-running tasks moved away when it drains', () => {
     const { dispatcher, first } = createRunningTask();
-    dispatcher.handleEndpointProfile({ ...first, isDraining: true, remainingMs: 2000 });
+    dispatcher.handleEndpointProfile({ ...first, isDraining: true, minDrainMs: 2000 });
     dispatcher.handleTick(1000);
     expect(takeStops(dispatcher)).toHaveLength(1);
   });
--- a/tests/endpointSession.test.ts
+++ b/tests/endpointSession.test.ts
@@ -87,7 +87,7 @@
         return Promise.resolve({
           kind: 'held',
           running: [],
-          ended: request.lastSeen === 0 ? [END] : [],
+          ended: request.acknowledgedUpTo === 0 ? [END] : [],
         });
       },
       (result, _sentAt, newEndCount) => {
@@ -102,12 +102,12 @@
     await new Promise((resolve) => setTimeout(resolve, 600));
     session.stop();
 
-    expect(during.every(({ request }) => request.lastSeen === 0)).toBe(true);
+    expect(during.every(({ request }) => request.acknowledgedUpTo === 0)).toBe(true);
     expect(during.every(({ request }) => request.leaseMs === LEASE_MS)).toBe(true);
     // The session spaces its polls, though the endpoint responds at once while it lists an end.
     expect(during.length).toBeGreaterThan(OUTAGE_MS / 500);
     expect(during.length).toBeLessThan(OUTAGE_MS / 300);
     expect(newEndCounts.reduce((sum, count) => sum + count, 0)).toBe(1);
-    expect(polls.at(-1)?.request.lastSeen).toBe(1);
+    expect(polls.at(-1)?.request.acknowledgedUpTo).toBe(1);
   });
 });
--- a/tests/foreignRecords.test.ts
+++ b/tests/foreignRecords.test.ts
@@ -83,7 +83,7 @@
     expect(parse({ born: undefined })).toMatchObject({ ok: true, value: { incarnation: 'i-1' } });
     expect(parse({ state: 'draining', 'remaining-ms': 900 })).toMatchObject({
       ok: true,
-      value: { isDraining: true, remainingMs: 900 },
+      value: { isDraining: true, minDrainMs: 900 },
     });
   });
 
--- a/tests/helpers/CrashSimulation.ts
+++ b/tests/helpers/CrashSimulation.ts
@@ -108,15 +108,15 @@
   private dispatcher!: Dispatcher;
   private readonly machines: Machine[] = [];
   private readonly jobs = new Map<JobId, SubmittedJob>();
-  private readonly log = new Map<JobId, string>();
+  private readonly recordedProgress = new Map<JobId, string>();
   /** Incarnations that the leader polls, with their machines. */
-  private readonly polled = new Map<EndpointIncarnation, Machine>();
+  private readonly polledIncarnations = new Map<EndpointIncarnation, Machine>();
   /** Time at which the record of a crashed incarnation expires. */
   private readonly recordExpiresAt = new Map<EndpointIncarnation, number>();
   /** Start commands without a response, with the time of their timeout. */
   private readonly pendingTimeouts: { readonly at: number; readonly effect: StartEffect }[] = [];
   /** Time at which an incarnation crashed. */
-  private readonly downSince = new Map<EndpointIncarnation, number>();
+  private readonly crashedAt = new Map<EndpointIncarnation, number>();
 
   constructor(private readonly options: CrashSimulationOptions) {
     this.random = createRandom(options.seed);
@@ -198,18 +198,18 @@
       getDefinition: (id) => this.jobs.get(id)?.definition,
     });
     this.pendingTimeouts.length = 0;
-    this.polled.clear();
+    this.polledIncarnations.clear();
     for (const machine of this.machines) {
       if (machine.incarnation !== undefined) {
         this.dispatcher.handleEndpointProfile(machine.incarnation.profile);
-        this.polled.set(machine.incarnation.profile.incarnation, machine);
+        this.polledIncarnations.set(machine.incarnation.profile.incarnation, machine);
       }
     }
     // Records of crashed incarnations stay until they expire.
     for (const id of this.recordExpiresAt.keys()) {
       const machine = this.machines[Number(/^i-(\d+)/.exec(id)![1])]!;
       this.dispatcher.handleEndpointProfile(this.createIncarnationProfile(machine, id));
-      this.polled.set(id, machine);
+      this.polledIncarnations.set(id, machine);
     }
     for (const { definition } of this.jobs.values()) {
       this.dispatcher.handleJob(definition, this.readProgress(definition), this.now);
@@ -217,7 +217,7 @@
   }
 
   private readProgress(definition: JobDefinition): JobProgress {
-    const text = this.log.get(definition.id);
+    const text = this.recordedProgress.get(definition.id);
     return text === undefined ? new JobProgress(definition) : parseProgress(definition, text)!;
   }
 
@@ -236,7 +236,7 @@
     machine.incarnation = { profile, runs: new Map(), ends: [], endCount: 0 };
     if (machine.incarnationCount > 1) {
       this.dispatcher.handleEndpointProfile(profile);
-      this.polled.set(id, machine);
+      this.polledIncarnations.set(id, machine);
     }
   }
 
@@ -255,7 +255,7 @@
     machine.incarnation = undefined;
     machine.restartsAt = this.now + this.options.restartMs;
     this.recordExpiresAt.set(id, this.now + RECORD_EXPIRY_MS);
-    this.downSince.set(id, this.now);
+    this.crashedAt.set(id, this.now);
   }
 
   private updateMachines(): void {
@@ -298,17 +298,17 @@
   }
 
   private sendPolls(): void {
-    for (const [id, machine] of [...this.polled]) {
+    for (const [id, machine] of [...this.polledIncarnations]) {
       const { incarnation } = machine;
       if (incarnation?.profile.incarnation === id) {
         this.handlePollResponse(incarnation);
       } else if (incarnation !== undefined) {
-        this.polled.delete(id);
+        this.polledIncarnations.delete(id);
         const next = this.options.isKeepingIds === true ? incarnation.profile.incarnation : undefined;
         this.dispatcher.handleIncarnationEnd(id, this.now, next);
       } else if (
         this.options.isUnresponsive !== true ||
-        this.now - this.downSince.get(id)! >= POLL_TIMEOUT_MS
+        this.now - this.crashedAt.get(id)! >= POLL_TIMEOUT_MS
       ) {
         this.dispatcher.handleUnreachable(id, this.now);
         this.removeIfUnneeded(id);
@@ -324,7 +324,7 @@
       runCount === 0 &&
       !this.dispatcher.isCrashUnconfirmed(id, this.now)
     ) {
-      this.polled.delete(id);
+      this.polledIncarnations.delete(id);
     }
   }
 
@@ -364,7 +364,7 @@
     if (job === undefined) {
       return;
     }
-    this.log.set(id, formatProgress(job.definition, job.progress));
+    this.recordedProgress.set(id, formatProgress(job.definition, job.progress));
     const submitted = this.jobs.get(id)!;
     if (job.progress.isEnded()) {
       submitted.endedAt ??= this.now;
--- a/tests/helpers/IncarnationSimulation.ts
+++ b/tests/helpers/IncarnationSimulation.ts
@@ -255,7 +255,7 @@
           return { kind: 'done' };
         });
       },
-      sendPoll: async ({ lastSeen, leaseMs, waitMs, timeoutMs }) => {
+      sendPoll: async ({ acknowledgedUpTo, leaseMs, waitMs, timeoutMs }) => {
         const token = getCallToken();
         const expiresMs =
           leaseMs === undefined || clockOffsetMs === undefined ? undefined : toExpiry(leaseMs);
@@ -263,7 +263,7 @@
           if (!process.checkToken(token)) {
             return { kind: 'fenced' };
           }
-          process.handlePoll(lastSeen, expiresMs);
+          process.handlePoll(acknowledgedUpTo, expiresMs);
           await process.waitForEnd(waitMs);
           if (mutation !== 'livesNotTold' && incarnation !== profile.incarnation) {
             return { kind: 'otherLife', incarnation };
@@ -296,7 +296,7 @@
       void waitForDelay(this.random() * timeoutMs).then(() => this.sendCall(machine, timeoutMs, deliver));
     } else if (pick < 0.9) {
       void waitForDelay(this.random() * MAX_DELAY_MS).then(
-        () => process?.isOver === false && deliver(process, incarnation),
+        () => process?.hasEnded === false && deliver(process, incarnation),
       );
     }
     await waitForDelay(timeoutMs);
@@ -320,6 +320,6 @@
     }
     const response = await deliver(process, incarnation);
     await waitForDelay(LATENCY_MS);
-    return process.isOver || machine.isPartitioned ? { kind: 'unanswered', detail: 'reset' } : response;
+    return process.hasEnded || machine.isPartitioned ? { kind: 'unanswered', detail: 'reset' } : response;
   }
 }
--- a/tests/helpers/SimulatedIncarnation.ts
+++ b/tests/helpers/SimulatedIncarnation.ts
@@ -32,16 +32,16 @@
 export class SimulatedIncarnation {
   private readonly startedAt = performance.now();
   private readonly runs = new Map<TaskName, SimulatedRun>();
-  private readonly stopped = new Map<TaskName, number>();
+  private readonly stoppedRuns = new Map<TaskName, number>();
   private ends: EndedTaskStatus[] = [];
   private endCount = 0;
-  private expiredUpTo = 0;
-  private listedUpTo = 0;
-  private token = 0;
-  private expiresAt = -Infinity;
+  private lastExpiredEnd = 0;
+  private lastListedEnd = 0;
+  private highestToken = 0;
+  private leaseExpiresAt = -Infinity;
   private leaseTimer: NodeJS.Timeout | undefined;
   private endWaiters: (() => void)[] = [];
-  isOver = false;
+  hasEnded = false;
 
   constructor(private readonly options: SimulatedIncarnationOptions) {}
 
@@ -52,10 +52,10 @@
 
   /** Records the token of a call. Returns false when a higher one has been seen. */
   checkToken(token: number): boolean {
-    if (token < this.token) {
+    if (token < this.highestToken) {
       return false;
     }
-    this.token = token;
+    this.highestToken = token;
     return true;
   }
 
@@ -63,7 +63,7 @@
     if (!this.checkToken(token)) {
       return 'fence';
     }
-    if ((this.stopped.get(task) ?? 0) >= run) {
+    if ((this.stoppedRuns.get(task) ?? 0) >= run) {
       return 'old';
     }
     if (expiresMs <= this.getClock()) {
@@ -77,7 +77,7 @@
   }
 
   handleStop(task: TaskName, run: number): void {
-    this.stopped.set(task, Math.max(this.stopped.get(task) ?? 0, run));
+    this.stoppedRuns.set(task, Math.max(this.stoppedRuns.get(task) ?? 0, run));
     if (this.runs.get(task)?.run === run) {
       this.recordEnd(task, 'stopped');
     }
@@ -87,10 +87,10 @@
   handlePoll(lastSeen: number, expiresMs: number | undefined): void {
     const { incarnation, runChecker } = this.options;
     for (const { number, task, run, how } of this.ends) {
-      if (number <= lastSeen && number > this.listedUpTo) {
+      if (number <= lastSeen && number > this.lastListedEnd) {
         runChecker.recordEarlyAcknowledgement(incarnation, task, run);
       }
-      if (number <= lastSeen && number > this.expiredUpTo && how === 'done') {
+      if (number <= lastSeen && number > this.lastExpiredEnd && how === 'done') {
         runChecker.recordAcknowledged(task, run);
       }
     }
@@ -118,7 +118,7 @@
     readonly running: readonly RunningTaskStatus[];
     readonly ended: readonly EndedTaskStatus[];
   } {
-    this.listedUpTo = this.ends[this.ends.length - 1]?.number ?? this.listedUpTo;
+    this.lastListedEnd = this.ends[this.ends.length - 1]?.number ?? this.lastListedEnd;
     const running = [...this.runs].map(([task, { run, startedAt, runMs }]) => ({
       task,
       run,
@@ -131,7 +131,7 @@
 
   /** Ends the incarnation with its runs. */
   stop(): void {
-    this.isOver = true;
+    this.hasEnded = true;
     clearTimeout(this.leaseTimer);
     for (const [task, { run, timer }] of this.runs) {
       clearTimeout(timer);
@@ -146,7 +146,7 @@
     const runMs = isCrashing ? Infinity : Number(spec);
     const timer = isCrashing ? undefined : setTimeout(() => this.recordEnd(task, 'done'), runMs);
     if (isCrashing) {
-      setTimeout(() => !this.isOver && this.options.handleCrash(), CRASH_AFTER_MS);
+      setTimeout(() => !this.hasEnded && this.options.handleCrash(), CRASH_AFTER_MS);
     }
     this.runs.set(task, { run, startedAt: performance.now(), runMs, timer });
     this.options.runChecker.recordStart(this.options.incarnation, task, run);
@@ -156,7 +156,7 @@
     const { run, timer } = this.runs.get(task)!;
     clearTimeout(timer);
     this.runs.delete(task);
-    this.stopped.set(task, Math.max(this.stopped.get(task) ?? 0, run));
+    this.stoppedRuns.set(task, Math.max(this.stoppedRuns.get(task) ?? 0, run));
     this.endCount += 1;
     this.ends.push({ number: this.endCount, task, run, how, checkpoint: '' });
     this.options.runChecker.recordEnd(this.options.incarnation, task, run, how);
@@ -166,16 +166,16 @@
   /** Renews the lease, which is never shortened, and limited to the longest one. */
   private applyLease(expiresMs: number): void {
     const until = Math.min(expiresMs, this.getClock() + MAX_LEASE_MS);
-    if (until <= this.expiresAt) {
+    if (until <= this.leaseExpiresAt) {
       return;
     }
-    this.expiresAt = until;
+    this.leaseExpiresAt = until;
     clearTimeout(this.leaseTimer);
     this.leaseTimer = setTimeout(() => this.handleLeaseExpiry(), Math.max(0, until - this.getClock()));
   }
 
   private handleLeaseExpiry(): void {
-    this.expiredUpTo = this.endCount;
+    this.lastExpiredEnd = this.endCount;
     [...this.runs.keys()].forEach((task) => this.recordEnd(task, 'lapsed'));
   }
 }
--- a/tests/helpers/StopSimulation.ts
+++ b/tests/helpers/StopSimulation.ts
@@ -104,7 +104,7 @@
   startDraining(number: number, remainingMs: number): void {
     const endpoint = [...this.endpoints.values()][number]!;
     endpoint.drainDeadline = this.now + remainingMs;
-    this.dispatcher.handleEndpointProfile({ ...endpoint.profile, isDraining: true, remainingMs });
+    this.dispatcher.handleEndpointProfile({ ...endpoint.profile, isDraining: true, minDrainMs: remainingMs });
   }
 
   runUntil(untilMs: number): void {
--- a/tests/helpers/createProfile.ts
+++ b/tests/helpers/createProfile.ts
@@ -14,6 +14,6 @@
   capacity: { cpuMillis: 4000, memoryMb: 10_000, accelerators: 0 },
   labels: [],
   isDraining: false,
-  remainingMs: 0,
+  minDrainMs: 0,
   ...fields,
 });
--- a/tests/platformEndpoint.test.ts
+++ b/tests/platformEndpoint.test.ts
@@ -11,7 +11,7 @@
 const STARTED_AT_MS = 1_775_000_000_000;
 const TASK = toId<TaskName>('0000000000000001.0.0.0');
 const ORDER = { task: TASK, run: 1, spec: '', checkpoint: '', ticket: '' };
-const POLL = { lastSeen: 3, leaseMs: 4000, waitMs: 0, timeoutMs: 1000 };
+const POLL = { acknowledgedUpTo: 3, leaseMs: 4000, waitMs: 0, timeoutMs: 1000 };
 
 /** Response of the endpoint to one call. */
 interface ScriptedResponse {
