--- a/packages/dispatch/crashes/CrashTracker.ts
+++ b/packages/dispatch/crashes/CrashTracker.ts
@@ -83,7 +83,8 @@
   }
 
   /**
-   * Handles the end of an incarnation on which `runs` were, or may have been. Records a crash of their tasks, and confirms the unconfirmed ones.    * its removal was planned, removes the unconfirmed ones and their records instead.
+   * Handles the end of an incarnation on which `runs` were, or may have been. Records a crash of their tasks, and confirms the unconfirmed ones.
+   * If its removal was planned, removes the unconfirmed ones and their records instead.
    */
   handleIncarnationEnd(endpoint: EndpointState, runs: readonly PlacedRun[], now: number): void {
     const { incarnation, address } = endpoint.getProfile();
@@ -149,8 +150,12 @@
   }
 
   /** Clears the task of a run that was sent to an earlier incarnation, but began on the next one, of the crash of the earlier. */
-  handleTransferConfirmed({ job, address }: PlacedRun, before: EndpointIncarnation, now: number): void {
-    this.removeCrashRecords(before, [{ job, address }], 'its run began on the next life', now);
+  handleTransferConfirmed(
+    { job, address }: PlacedRun,
+    previousIncarnation: EndpointIncarnation,
+    now: number,
+  ): void {
+    this.removeCrashRecords(previousIncarnation, [{ job, address }], 'its run began on the next life', now);
   }
 
   /**
@@ -268,12 +273,12 @@
     now: number,
   ): boolean {
     const job = this.options.jobs.get(id);
-    const known = job?.progress.getTask(address)?.crashes.find((crash) => crash.endpoint === endpoint);
-    if (job === undefined || known === undefined || known.ageMs >= crashLimits.startupMs) {
+    const crashRecord = job?.progress.getTask(address)?.crashes.find((crash) => crash.endpoint === endpoint);
+    if (job === undefined || crashRecord === undefined || crashRecord.ageMs >= crashLimits.startupMs) {
       return false;
     }
-    if (known.blame !== 'present') {
-      job.progress.recordCrash(address, { ...known, blame: 'present' });
+    if (crashRecord.blame !== 'present') {
+      job.progress.recordCrash(address, { ...crashRecord, blame: 'present' });
       this.options.handleProgressChange(id);
       this.applyCrashRecords(job, address, now);
     }
--- a/packages/dispatch/endpoints/EndpointSessions.ts
+++ b/packages/dispatch/endpoints/EndpointSessions.ts
@@ -146,24 +146,28 @@
   private handleProfile(profile: EndpointProfile): void {
     const { dispatcher } = this.options;
     const known = this.getKnownEndpoint(profile.id);
-    const before = known.newestProfile;
+    const previousProfile = known.newestProfile;
     known.newestProfile = profile;
-    if (before !== undefined && before.incarnation !== profile.incarnation) {
-      dispatcher.handleEndpointDeregistered(before.incarnation);
+    if (previousProfile !== undefined && previousProfile.incarnation !== profile.incarnation) {
+      dispatcher.handleEndpointDeregistered(previousProfile.incarnation);
     }
     dispatcher.handleEndpointProfile(profile);
-    this.logProfileChange(before, profile);
+    this.logProfileChange(previousProfile, profile);
     this.startSessionsFor(profile.id);
-    if (before !== undefined && before.incarnation !== profile.incarnation) {
-      this.removeUnneededIncarnation(before.incarnation);
+    if (previousProfile !== undefined && previousProfile.incarnation !== profile.incarnation) {
+      this.removeUnneededIncarnation(previousProfile.incarnation);
     }
   }
 
   /** Logs a record that is new, or differs from the previous one in incarnation, draining or capacity. */
-  private logProfileChange(before: EndpointProfile | undefined, profile: EndpointProfile): void {
+  private logProfileChange(previousProfile: EndpointProfile | undefined, profile: EndpointProfile): void {
     const { logger } = this.options;
     const { incarnation, service, isDraining, minDrainMs, capacity, hall, labels } = profile;
-    if (before === undefined || before.incarnation !== incarnation || before.isDraining !== isDraining) {
+    if (
+      previousProfile === undefined ||
+      previousProfile.incarnation !== incarnation ||
+      previousProfile.isDraining !== isDraining
+    ) {
       logger.info('Endpoint seen.', {
         endpoint: incarnation,
         service,
@@ -173,11 +177,11 @@
         isDraining,
         remainingMs: minDrainMs,
       });
-    } else if (!isSameCapacity(before.capacity, capacity)) {
+    } else if (!isSameCapacity(previousProfile.capacity, capacity)) {
       logger.info('Endpoint capacity changed.', {
         endpoint: incarnation,
         room: capacity,
-        before: before.capacity,
+        before: previousProfile.capacity,
       });
     }
   }
@@ -257,18 +261,20 @@
     sentAt: number,
   ): boolean {
     const known = this.getKnownEndpoint(profile.id);
-    const before = known.currentIncarnation;
-    if (before === incarnation) {
+    const previousIncarnation = known.currentIncarnation;
+    if (previousIncarnation === incarnation) {
       return sentAt >= known.fencedFrom;
     }
     const respondedAt =
-      before === undefined ? undefined : this.options.dispatcher.getEndpointState(before)?.getRespondedAt();
+      previousIncarnation === undefined
+        ? undefined
+        : this.options.dispatcher.getEndpointState(previousIncarnation)?.getRespondedAt();
     if (respondedAt !== undefined && respondedAt > sentAt) {
       // The previous incarnation has responded since the poll was sent. The next polls show which one runs.
       return false;
     }
     this.applyNewIncarnation(known, profile, incarnation);
-    return before === undefined;
+    return previousIncarnation === undefined;
   }
 
   /** Makes an incarnation the current one of its endpoint, raises the fencing token, and ends the other incarnations that the dispatcher knows. */
@@ -278,9 +284,9 @@
     incarnation: EndpointIncarnation,
   ): void {
     const { dispatcher, clock, logger, recordCount, handleSchedulingChange } = this.options;
-    const { currentIncarnation: before, newestProfile } = known;
+    const { currentIncarnation: previousIncarnation, newestProfile } = known;
     known.currentIncarnation = incarnation;
-    if (before !== undefined) {
+    if (previousIncarnation !== undefined) {
       known.fence.recordNextIncarnation();
       known.fencedFrom = clock.getNow();
     }
--- a/tests/helpers/SimulatedIncarnation.ts
+++ b/tests/helpers/SimulatedIncarnation.ts
@@ -84,17 +84,17 @@
   }
 
   /** Forgets the ends up to a sequence number, and renews the lease. */
-  handlePoll(lastSeen: number, expiresMs: number | undefined): void {
+  handlePoll(acknowledgedUpTo: number, expiresMs: number | undefined): void {
     const { incarnation, runChecker } = this.options;
     for (const { number, task, run, how } of this.ends) {
-      if (number <= lastSeen && number > this.lastListedEnd) {
+      if (number <= acknowledgedUpTo && number > this.lastListedEnd) {
         runChecker.recordEarlyAcknowledgement(incarnation, task, run);
       }
-      if (number <= lastSeen && number > this.lastExpiredEnd && how === 'done') {
+      if (number <= acknowledgedUpTo && number > this.lastExpiredEnd && how === 'done') {
         runChecker.recordAcknowledged(task, run);
       }
     }
-    this.ends = this.ends.filter(({ number }) => number > lastSeen);
+    this.ends = this.ends.filter(({ number }) => number > acknowledgedUpTo);
     if (expiresMs !== undefined) {
       this.applyLease(expiresMs);
     }
