--- a/packages/dispatch/endpoints/EndedTaskStatus.ts
+++ b/packages/dispatch/endpoints/EndedTaskStatus.ts
@@ -15,6 +15,6 @@
  * How a run ended.
  * - `lapsed`: its lease expired.
  * - `broken`: it was ended because another member of its gang had ended.
- * - `alone`: it was ended because its gang was not complete in time.
+ * - `alone`: it was ended because its gang was never complete.
  */
 type EndKind = 'done' | 'failed' | 'stopped' | 'lapsed' | 'broken' | 'alone';
