--- a/packages/dispatch/Dispatcher.ts
+++ b/packages/dispatch/Dispatcher.ts
@@ -134,7 +134,7 @@
     this.crashTracker = new CrashTracker({
       jobs: this.jobs,
       tracker: this.runTracker,
-      handleChanged: (job) => this.changedJobs.add(job),
+      handleProgressChange: (job) => this.changedJobs.add(job),
     });
     this.endpointLossHandler = new EndpointLossHandler({
       endpoints: this.endpoints,
@@ -484,7 +484,7 @@
     this.isRoundDue = true;
     this.isEarlyAdviceDue = true;
     for (const endpoint of [...this.endpoints.values()]) {
-      this.endpointLossHandler.checkLease(endpoint, now);
+      this.endpointLossHandler.handleLeaseExpiry(endpoint, now);
       this.runTracker.sendDueStops(endpoint, now);
     }
     this.reservations.removeExpiredReservations(now);
--- a/packages/dispatch/LeaderController.ts
+++ b/packages/dispatch/LeaderController.ts
@@ -158,26 +158,26 @@
       parseEndpoint: options.parseEndpoint,
       createEndpointClient: options.createEndpointClient,
       isServiceUsed: (service) => options.isServiceRouted(service) || this.jobServices.has(service),
-      isRenewing: () => this.canGrantLeases(),
+      canGrantLeases: () => this.canGrantLeases(),
       handleStatusApplied: (newEndCount) => this.handleStatusApplied(newEndCount),
       waitForFlush: () => this.journal.waitForProgressFlush(),
       recordCount: (name) => options.recordCount(name),
-      handleChanged: () => {
+      handleSchedulingChange: () => {
         this.takeOver();
         this.queueSchedulingRound();
       },
-      handleFenced: (detail) => this.handleLeadershipLost(detail),
+      handleNewerLeader: (detail) => this.handleLeadershipLost(detail),
       handleLogRecovered: options.handleLogRecovered,
     });
     this.commandSender = new CommandSender({
       ...options,
       dispatcher: this.dispatcher,
       endpoints: this.endpointSessions,
-      lines: this.lineBatcher,
+      lineBatcher: this.lineBatcher,
       isStopped: () => this.isStopped,
-      isRenewing: () => this.canGrantLeases(),
-      handleStarted: (job) => this.recordStartForLoad(job),
-      handleChanged: () => this.queueSchedulingRound(),
+      canGrantLeases: () => this.canGrantLeases(),
+      handleJobStart: (job) => this.recordStartForLoad(job),
+      handleSchedulingChange: () => this.queueSchedulingRound(),
       handleLeadershipLost: (detail) => this.handleLeadershipLost(detail),
     });
     this.adviceBalancer = adviceBalancers[options.policies.turnChoice]({
@@ -266,7 +266,7 @@
   /** Retries calls to the log that have failed, since the log responded to a call that was sent at the monotonic time `sentAt`. */
   retryPendingLogCalls(sentAt: number): void {
     this.journal.retryPendingAppends();
-    this.endpointSessions.retryPending(sentAt);
+    this.endpointSessions.retryPendingRead(sentAt);
   }
 
   getDispatcher(): Dispatcher {
--- a/packages/dispatch/crashes/OutageDetector.ts
+++ b/packages/dispatch/crashes/OutageDetector.ts
@@ -2,58 +2,63 @@
 import type { EndpointState } from '../endpoints/EndpointState';
 import { isPastStartup } from './isPastStartup';
 
-/** An endpoint that became unreachable. */
+/** Time and circumstances of an endpoint's becoming unreachable. */
 interface UnreachableEvent {
   /** Monotonic time of the first poll without a response. */
-  readonly at: number;
-  /** True when a run was in its startup there, and may be the cause. */
+  readonly unreachableAt: number;
+  /** True when a run was in its startup there, which may be the cause. */
   readonly hasStartingRun: boolean;
 }
 
 /** Longest difference between the first unanswered polls of endpoints that fail together. */
-const COINCIDENCE_MS = 300;
-/** Longer than it takes to know that an endpoint has ended: its machine is back, or its lease has expired. */
-const RETENTION_MS = 60_000;
+const MAX_COINCIDENCE_MS = 300;
+/** Time for which events are kept: longer than it takes until the endpoint's next incarnation responds, or its lease has expired. */
+const EVENT_RETENTION_MS = 60_000;
 
 /**
  * Detects outages that hit several endpoints. If another endpoint became unreachable at the same time without a starting run, the cause is external,
  * and not a task.
  */
 export class OutageDetector {
-  /** Newest event of each endpoint that has not responded since. */
-  private readonly events = new Map<EndpointIncarnation, UnreachableEvent>();
+  /** Newest event of each endpoint that has not responded since, until it is outdated. */
+  private readonly unreachableEvents = new Map<EndpointIncarnation, UnreachableEvent>();
 
-  /** Records that an endpoint became unreachable. Ignores one that has never responded to this leader, as the time is unknown. */
+  /** Records that an endpoint became unreachable, and removes outdated events. Ignores an endpoint that has never responded to this leader. */
   handleUnreachable(endpoint: EndpointState, now: number): void {
     if (endpoint.getRespondedAt() === undefined) {
       return;
     }
-    for (const [incarnation, { at }] of this.events) {
-      if (now - at >= RETENTION_MS) {
-        this.events.delete(incarnation);
+    for (const [incarnation, { unreachableAt }] of this.unreachableEvents) {
+      if (now - unreachableAt >= EVENT_RETENTION_MS) {
+        this.unreachableEvents.delete(incarnation);
       }
     }
     const hasStartingRun = [...endpoint.getRuns()].some(
       (run) => run.stage !== 'recording' && !isPastStartup(run),
     );
-    this.events.set(endpoint.getProfile().incarnation, { at: now, hasStartingRun });
+    this.unreachableEvents.set(endpoint.getProfile().incarnation, { unreachableAt: now, hasStartingRun });
   }
 
-  /** Removes the event of an endpoint that responds again, and has not crashed. */
+  /** Removes the event of an endpoint that responds again. */
   handleReachable(incarnation: EndpointIncarnation): void {
-    this.events.delete(incarnation);
+    this.unreachableEvents.delete(incarnation);
   }
 
-  /** Returns true when the endpoint became unreachable in an outage. */
+  /**
+   * Returns true when the endpoint became unreachable in an outage: together with another one on which no run was in its startup. Returns false
+   * while it responds, or when it has never responded to this leader.
+   */
   isPartOfOutage(endpoint: EndpointState): boolean {
     const { incarnation } = endpoint.getProfile();
     const unreachableSince = endpoint.getUnreachableSince();
     if (unreachableSince === undefined || endpoint.getRespondedAt() === undefined) {
       return false;
     }
-    return [...this.events].some(
-      ([other, { at, hasStartingRun }]) =>
-        other !== incarnation && !hasStartingRun && Math.abs(at - unreachableSince) <= COINCIDENCE_MS,
+    return [...this.unreachableEvents].some(
+      ([other, { unreachableAt, hasStartingRun }]) =>
+        other !== incarnation &&
+        !hasStartingRun &&
+        Math.abs(unreachableAt - unreachableSince) <= MAX_COINCIDENCE_MS,
     );
   }
 }
--- a/packages/dispatch/endpoints/EndpointLossHandler.ts
+++ b/packages/dispatch/endpoints/EndpointLossHandler.ts
@@ -4,17 +4,17 @@
 import type { RunEnd } from '../runs/RunEnd';
 import type { RunTracker } from '../runs/RunTracker';
 import type { EndpointState } from './EndpointState';
-import { formatIncarnationEnd } from './formatIncarnationEnd';
+import { createIncarnationEndFields } from './createIncarnationEndFields';
 
 interface EndpointLossHandlerOptions {
   readonly endpoints: Map<EndpointIncarnation, EndpointState>;
   readonly tracker: RunTracker;
   readonly crashes: CrashTracker;
-  /** Longest lease that an endpoint grants, in milliseconds. */
+  /** Longest lease that an endpoint accepts, in milliseconds. */
   readonly longestLeaseMs: number;
 }
 
-const INCARNATION_OVER: RunEnd = { outcome: 'interrupted', evidence: 'lifeOver', checkpoint: '' };
+const INCARNATION_ENDED: RunEnd = { outcome: 'interrupted', evidence: 'lifeOver', checkpoint: '' };
 const LEASE_EXPIRED: RunEnd = { outcome: 'interrupted', evidence: 'leaseOver', checkpoint: '' };
 
 /** Ends the runs of endpoints whose incarnation has ended or whose lease has expired. */
@@ -22,8 +22,9 @@
   constructor(private readonly options: EndpointLossHandlerOptions) {}
 
   /**
-   * Ends the runs of an incarnation that has ended. Runs that were sent to it but never listed may have reached the `next` incarnation, or may still
-   * reach it: these are transferred there, until a poll with the new fencing token shows whether they run.
+   * Handles the end of an incarnation: records its crash, ends its runs and removes its state. When `next` is known, runs that no status has listed
+   * are transferred to it instead: their start commands may have reached it, or may still do, until a poll with the new fencing token shows whether
+   * they run. Does nothing for an unknown incarnation.
    */
   handleIncarnationEnd(incarnation: EndpointIncarnation, now: number, next?: EndpointIncarnation): void {
     const { endpoints, tracker, crashes } = this.options;
@@ -35,7 +36,10 @@
     const nextEndpoint = next === undefined ? undefined : endpoints.get(next);
     const transferred =
       nextEndpoint === undefined ? [] : runs.filter((run) => run.stage !== 'recording' && !run.hasBeenListed);
-    const fields = formatIncarnationEnd(endpoint, runs, now, { next, carriedCount: transferred.length });
+    const fields = createIncarnationEndFields(endpoint, runs, now, {
+      next,
+      carriedCount: transferred.length,
+    });
     tracker.sendLogLine('Endpoint incarnation has ended.', fields);
     tracker.sendCount('lifeEnds');
     tracker.sendCount('runsLost', runs.length - transferred.length);
@@ -44,17 +48,21 @@
       if (nextEndpoint !== undefined && transferred.includes(run)) {
         tracker.recordRunTransfer(endpoint, nextEndpoint, run);
       } else {
-        tracker.recordRunEnd(endpoint, run, INCARNATION_OVER, now);
+        tracker.recordRunEnd(endpoint, run, INCARNATION_ENDED, now);
       }
     }
-    // A poll of the previous incarnation may have given the next one a lease by another clock, limited by the longest that is granted.
+    // A poll meant for this incarnation may have given the next one a lease, counted by its own clock: assume the longest lease that an
+    // endpoint accepts.
     const { clockDriftShare, marginMs } = leaderTimings;
     nextEndpoint?.recordLease(now + this.options.longestLeaseMs * (1 + clockDriftShare) + marginMs);
     endpoints.delete(incarnation);
   }
 
-  /** Ends the runs of an endpoint that is unreachable, or not yet synced, once its lease has expired. */
-  checkLease(endpoint: EndpointState, now: number): void {
+  /**
+   * Ends the runs of an endpoint that is unreachable, or not yet synced, once its lease has expired, and records that it may have crashed. Runs whose
+   * start command was not sent go on. Does nothing while the endpoint responds or its lease is valid.
+   */
+  handleLeaseExpiry(endpoint: EndpointState, now: number): void {
     const isUnreachable = endpoint.getUnreachableSince() !== undefined || !endpoint.isSynced();
     if (!isUnreachable || now <= endpoint.getLeasedUntil()) {
       return;
--- a/packages/dispatch/endpoints/EndpointRecords.ts
+++ b/packages/dispatch/endpoints/EndpointRecords.ts
@@ -18,32 +18,32 @@
   readonly logger: Logger;
   /** Parses the record of an endpoint; the error names the problem. */
   readonly parseEndpoint: (id: string, text: string) => Result<EndpointProfile, string>;
-  /** Called with the newest record of a new or changed endpoint. */
-  readonly handleRecord: (profile: EndpointProfile) => void;
-  /** Called when the endpoint has no valid record any more. */
-  readonly handleRemoval: (id: EndpointId) => void;
+  /** Called with each valid record that is read. */
+  readonly handleProfile: (profile: EndpointProfile) => void;
+  /** Called when an endpoint that had a valid record has none any more. While the log is unavailable, and shortly after, this is delayed. */
+  readonly handleRecordRemoval: (id: EndpointId) => void;
   /** Called when an invalid record was ignored. */
   readonly handleInvalidRecord: () => void;
-  /** Called when all records of a read have been handled. */
-  readonly handleRead: () => void;
-  /** Called when the log has recovered, with the monotonic time at which the call that it responded to was sent. */
+  /** Called after the records of one read of the topic have been handled. */
+  readonly handleRecordsRead: () => void;
+  /** Called when the topic can be read, at first or again, with the monotonic time at which the successful read was sent. */
   readonly handleLogRecovered: (answeredSentAt: number) => void;
 }
 
-const RETRY_DELAY_MS = 300;
-const POLL_MS = 1000;
+const READ_RETRY_DELAY_MS = 300;
+const LOG_POLL_MS = 1000;
 /** Endpoints whose records expired while the log was unavailable register again within this time of its recovery. */
-const REREGISTRATION_MS = 2000;
+const REREGISTRATION_WAIT_MS = 2000;
 
-/** Follows the topic in which endpoints register. Invalid records, such as those of other writers, are ignored. */
+/** Follows the topic in which endpoints register. An invalid record counts as none, and is logged. */
 export class EndpointRecords {
   /** Endpoints with a valid record. */
-  private readonly registered = new Set<EndpointId>();
+  private readonly registeredEndpoints = new Set<EndpointId>();
   private readonly follower: LogFollower;
-  /** Endpoints whose records were removed while the log was unavailable, and may come back. */
-  private readonly expired = new Set<EndpointId>();
-  /** Monotonic time of the log's newest recovery. */
-  private logRecoveredAt = -Infinity;
+  /** Endpoints whose records were removed while reregistration was pending, and which may register again. */
+  private readonly expiredEndpoints = new Set<EndpointId>();
+  /** Monotonic time at which the topic last became readable; -Infinity before the first read. */
+  private topicReadableSince = -Infinity;
   private removalTimer: NodeJS.Timeout | undefined;
 
   constructor(private readonly options: EndpointRecordsOptions) {
@@ -53,13 +53,15 @@
       topic,
       clock,
       random,
-      pauseMs: RETRY_DELAY_MS,
-      pollWaitMs: POLL_MS,
+      pauseMs: READ_RETRY_DELAY_MS,
+      pollWaitMs: LOG_POLL_MS,
       handleRecords: (records) => this.handleRecords(records),
-      handleConnection: (isConnected, detail, sentAt) => this.handleConnection(isConnected, detail, sentAt),
+      handleConnection: (isConnected, detail, sentAt) =>
+        this.handleLogConnection(isConnected, detail, sentAt),
     });
   }
 
+  /** Starts to follow the topic. */
   start(): void {
     void this.follower.start();
   }
@@ -69,19 +71,22 @@
     this.follower.stop();
   }
 
-  /** Repeats a pending read that was sent before the log's outage ended. */
-  retryPending(answeredSentAt: number): void {
+  /**
+   * Repeats the read of the topic at once if the last one failed, or if the pending one was sent before `answeredSentAt`, the time of a call that the
+   * log has responded to since.
+   */
+  retryPendingRead(answeredSentAt: number): void {
     this.follower.retryPendingRead(answeredSentAt);
   }
 
-  /** Returns true once all records have been read. */
-  hasReadAll(): boolean {
+  /** Returns true once the endpoints' topic has been read to its end. */
+  hasReadAllRecords(): boolean {
     return this.follower.getOffset() !== undefined;
   }
 
   /** Returns the number of endpoints with a valid record. */
   countEndpoints(): number {
-    return this.registered.size;
+    return this.registeredEndpoints.size;
   }
 
   private handleRecords(records: readonly LogRecord[]): void {
@@ -93,7 +98,7 @@
         this.applyRecord(id, value);
       }
     }
-    this.options.handleRead();
+    this.options.handleRecordsRead();
   }
 
   private applyRecord(id: EndpointId, value: string): void {
@@ -104,62 +109,64 @@
       this.removeEndpoint(id);
       return;
     }
-    this.registered.add(id);
-    this.expired.delete(id);
-    this.options.handleRecord(parsed.value);
+    this.registeredEndpoints.add(id);
+    this.expiredEndpoints.delete(id);
+    this.options.handleProfile(parsed.value);
   }
 
-  private handleConnection(isConnected: boolean, detail: string, sentAt: number): void {
+  /** Logs whether the topic can be read. If so, schedules the removal of expired endpoints and reports the recovery. */
+  private handleLogConnection(isConnected: boolean, detail: string, sentAt: number): void {
     const { logger, topic } = this.options;
     logger.info(isConnected ? 'Topic can be read.' : 'Topic cannot be read.', { topic, detail });
     if (isConnected) {
-      this.logRecoveredAt = this.options.clock.getNow();
-      this.scheduleRemoval(REREGISTRATION_MS);
+      this.topicReadableSince = this.options.clock.getNow();
+      this.scheduleRemoval(REREGISTRATION_WAIT_MS);
       this.options.handleLogRecovered(sentAt);
     }
   }
 
   private scheduleRemoval(waitMs: number): void {
     clearTimeout(this.removalTimer);
-    this.removalTimer = setTimeout(() => this.removeExpired(), waitMs);
+    this.removalTimer = setTimeout(() => this.removeExpiredEndpoints(), waitMs);
   }
 
-  /** Removes the endpoints whose records have not come back. While the log is unavailable again, its next recovery decides. */
-  private removeExpired(): void {
+  /** Removes the endpoints that have not registered again. Does nothing while the log is unavailable: its next recovery schedules the removal again. */
+  private removeExpiredEndpoints(): void {
     if (!this.follower.isUpToDate()) {
       return;
     }
-    const remainingMs = this.logRecoveredAt + REREGISTRATION_MS - this.options.clock.getNow();
+    const remainingMs = this.topicReadableSince + REREGISTRATION_WAIT_MS - this.options.clock.getNow();
     if (remainingMs > 0) {
       // The timer may fire early by the clock.
       this.scheduleRemoval(remainingMs);
       return;
     }
-    for (const id of [...this.expired]) {
+    for (const id of [...this.expiredEndpoints]) {
       this.removeEndpoint(id);
     }
   }
 
-  /** Returns true until the log has been available long enough for endpoints to register again. */
-  private isLogRecovering(): boolean {
-    const reachableMs = this.options.clock.getNow() - this.logRecoveredAt;
-    return !this.follower.isUpToDate() || reachableMs < REREGISTRATION_MS;
+  /** Returns true while the log is unavailable, and until endpoints have had time to register again after its recovery. */
+  private isReregistrationPending(): boolean {
+    const availableMs = this.options.clock.getNow() - this.topicReadableSince;
+    return !this.follower.isUpToDate() || availableMs < REREGISTRATION_WAIT_MS;
   }
 
+  /** Removes an endpoint whose record was deleted, or keeps it until `removeExpiredEndpoints` while reregistration is pending. */
   private handleDeletion(id: EndpointId): void {
-    if (this.registered.has(id) && this.isLogRecovering()) {
+    if (this.registeredEndpoints.has(id) && this.isReregistrationPending()) {
       this.options.logger.info('Endpoint record expired while the log was unavailable.', { endpoint: id });
-      this.expired.add(id);
+      this.expiredEndpoints.add(id);
     } else {
       this.removeEndpoint(id);
     }
   }
 
   private removeEndpoint(id: EndpointId): void {
-    this.expired.delete(id);
-    if (this.registered.delete(id)) {
+    this.expiredEndpoints.delete(id);
+    if (this.registeredEndpoints.delete(id)) {
       this.options.logger.info('Endpoint deregistered.', { endpoint: id });
-      this.options.handleRemoval(id);
+      this.options.handleRecordRemoval(id);
     }
   }
 }
--- a/packages/dispatch/endpoints/EndpointSession.ts
+++ b/packages/dispatch/endpoints/EndpointSession.ts
@@ -7,35 +7,38 @@
 import type { EndpointClient } from './EndpointClient';
 import type { PollResult } from './PollResult';
 
-type HeldResult = Extract<PollResult, { kind: 'held' }>;
+type StatusResult = Extract<PollResult, { kind: 'held' }>;
 
 interface EndpointSessionOptions {
   readonly endpoint: EndpointState;
   readonly client: EndpointClient;
   readonly clock: Clock;
   /** Returns true while this leader may grant leases. */
-  readonly isRenewing: () => boolean;
-  /** Called when the incarnation has responded to a poll. Returns false when the status must be ignored. */
+  readonly canGrantLeases: () => boolean;
+  /** Called when the incarnation has responded to a poll that was sent at `sentAt`. Returns false when its status must be ignored. */
   readonly handleResponse: (sentAt: number) => boolean;
-  /** Called when another incarnation of the endpoint has responded to a poll. */
+  /** Called when another incarnation of the endpoint than the polled one has responded. */
   readonly handleOtherIncarnation: (incarnation: EndpointIncarnation, sentAt: number) => void;
   /**
    * Applies a status; resolves once its ends are durable. Rejects when this leader has lost its leadership. A status repeats an end until it is
    * acknowledged; `newEndCount` of its ends are new.
    */
-  readonly handleStatus: (result: HeldResult, sentAt: number, newEndCount: number) => Promise<void>;
+  readonly handleStatus: (result: StatusResult, sentAt: number, newEndCount: number) => Promise<void>;
+  /** Called for each poll of the loop without a response. */
   readonly handleUnreachable: (detail: string) => void;
-  readonly handleGone: () => void;
-  readonly handleFenced: () => void;
+  /** Called when the incarnation has ended, as its address belongs to another endpoint. The session has stopped. */
+  readonly handleIncarnationGone: () => void;
+  /** Called when the endpoint has seen the token of a newer leader. The session has stopped. */
+  readonly handleNewerLeader: () => void;
 }
 
-/** Longest delay of a response. A lost response delays the ends in it by as much. */
+/** Longest time that an endpoint may delay its response to a poll until a run ends. */
 const POLL_WAIT_MS = 400;
 /** The same while no task runs on the endpoint. */
 const IDLE_POLL_WAIT_MS = 1000;
-/** Time limit for a response, beyond the wait of the poll. */
+/** Time limit for a response, in addition to the time that the endpoint may delay it. */
 const RESPONSE_TIMEOUT_MS = 300;
-/** The time limit doubles with each poll without a response, up to this value. */
+/** Upper bound of that limit, which doubles with each failed poll in sequence. */
 const MAX_RESPONSE_TIMEOUT_MS = 1200;
 const RETRY_DELAY_MS = 100;
 const MAX_RETRY_DELAY_MS = 500;
@@ -43,26 +46,30 @@
  * Longest wait for ends to be durable before the next poll. Polls continue while the log is unavailable, so that the lease doesn't expire. Each
  * response then comes at once, with the same ends, so that the wait has to space the polls.
  */
-const DURABLE_WAIT_MS = POLL_WAIT_MS;
+const MAX_DURABLE_WAIT_MS = POLL_WAIT_MS;
 
 /**
  * Renews the lease of one incarnation of an endpoint and follows its status, by one long poll at a time that returns when a run ends. Ends are
  * acknowledged only once they are durable. An unreachable endpoint gets no new lease, so that the time by which its runs have ended stays known.
  */
 export class EndpointSession {
-  /** Ends up to this sequence number are durable, and acknowledged by the next poll. */
-  private lastAcknowledged = 0;
-  /** Ends up to this sequence number have been received. */
-  private lastReceived = 0;
+  /** Sequence number up to which all ends are durable, so that the next poll may acknowledge them. */
+  private lastDurableEnd = 0;
+  /** Highest sequence number of an end that a status has listed. */
+  private lastReceivedEnd = 0;
   private isStopped = false;
   private isExtraPollPending = false;
-  private failures = 0;
-  /** True when the incarnation responded to the newest poll of the loop, so that the connection leads to it. */
+  /** Polls in sequence with no response, or one from another incarnation. */
+  private failedPollCount = 0;
+  /** True when this incarnation responded to the newest poll of the loop: the connection leads to it. */
   private isConnected = false;
 
   constructor(private readonly options: EndpointSessionOptions) {}
 
-  /** Polls once beside the loop, without a lease, for a change that the response to the pending poll may not show. */
+  /**
+   * Sends one poll beside the loop, which renews no lease and acknowledges nothing, and applies the status: the response to the pending poll of the
+   * loop may not show the newest changes. Does nothing while another such poll is pending, or once the session has stopped.
+   */
   async sendExtraPoll(): Promise<void> {
     if (this.isStopped || this.isExtraPollPending) {
       return;
@@ -71,7 +78,7 @@
     const sentAt = this.options.clock.getNow();
     const { client } = this.options;
     const result = await client.sendPoll({
-      lastSeen: 0,
+      acknowledgedUpTo: 0,
       leaseMs: undefined,
       waitMs: 0,
       timeoutMs: RESPONSE_TIMEOUT_MS,
@@ -87,32 +94,37 @@
     }
   }
 
-  /** Polls until `stop` is called, or until the incarnation has ended. */
-  async run(): Promise<void> {
+  /** Polls until `stop` is called, the incarnation has ended, or the leadership is lost. */
+  async runPollLoop(): Promise<void> {
     while (!this.isStopped) {
-      await this.sendPoll();
+      await this.runPoll();
     }
   }
 
+  /** Stops the polls, and the client. */
   stop(): void {
     this.isStopped = true;
     void this.options.client.stop();
   }
 
-  /** Returns the sequence number up to which ends are durable, and acknowledged by the next poll. */
-  getLastAcknowledged(): number {
-    return this.lastAcknowledged;
+  /** Returns the sequence number up to which all ends are durable, so that the next poll may acknowledge them; 0 when none are. */
+  getLastDurableEnd(): number {
+    return this.lastDurableEnd;
   }
 
   getClient(): EndpointClient {
     return this.options.client;
   }
 
-  private async sendPoll(): Promise<void> {
-    const { client, clock, endpoint, isRenewing } = this.options;
+  /**
+   * Sends one poll of the loop and handles its result. It renews the lease only while the endpoint responds and this leader may grant leases, and
+   * may be delayed by the endpoint only while it responds.
+   */
+  private async runPoll(): Promise<void> {
+    const { client, clock, endpoint, canGrantLeases } = this.options;
     const isUnreachable = endpoint.getUnreachableSince() !== undefined;
     const isResponding = endpoint.isSynced() && !isUnreachable;
-    const leaseMs = isResponding && isRenewing() ? leaderTimings.leaseMs : undefined;
+    const leaseMs = isResponding && canGrantLeases() ? leaderTimings.leaseMs : undefined;
     const usualWaitMs = endpoint.countRuns() === 0 ? IDLE_POLL_WAIT_MS : POLL_WAIT_MS;
     const waitMs = isResponding ? usualWaitMs : 0;
     const sentAt = clock.getNow();
@@ -121,26 +133,26 @@
     }
     // Another incarnation may respond on a new connection. It must not forget ends that it hasn't listed, or tasks that are done
     // would run again.
-    const lastSeen = isUnreachable || !this.isConnected ? 0 : this.lastAcknowledged;
+    const acknowledgedUpTo = isUnreachable || !this.isConnected ? 0 : this.lastDurableEnd;
     const result = await client.sendPoll({
-      lastSeen,
-      isContinued: lastSeen > 0,
+      acknowledgedUpTo,
+      isSameConnectionOnly: acknowledgedUpTo > 0,
       leaseMs,
       waitMs,
-      timeoutMs: waitMs + Math.min(MAX_RESPONSE_TIMEOUT_MS, RESPONSE_TIMEOUT_MS * 2 ** this.failures),
+      timeoutMs: waitMs + Math.min(MAX_RESPONSE_TIMEOUT_MS, RESPONSE_TIMEOUT_MS * 2 ** this.failedPollCount),
     });
     if (!this.isStopped) {
-      await this.handleResult(result, sentAt);
+      await this.handlePollResult(result, sentAt);
     }
   }
 
-  /** Records a lease that is sent at a time, whether or not it arrives. */
+  /** Records a lease that is sent to the endpoint at `sentAt`: it is assumed to arrive, and its end allows for clock drift. */
   recordLease(sentAt: number): void {
     const { leaseMs, clockDriftShare, marginMs } = leaderTimings;
     this.options.endpoint.recordLease(sentAt + leaseMs * (1 + clockDriftShare) + marginMs);
   }
 
-  private async handleResult(result: PollResult, sentAt: number): Promise<void> {
+  private async handlePollResult(result: PollResult, sentAt: number): Promise<void> {
     this.isConnected = result.kind === 'held';
     switch (result.kind) {
       case 'held':
@@ -148,11 +160,11 @@
         return;
       case 'fenced':
         this.isStopped = true;
-        this.options.handleFenced();
+        this.options.handleNewerLeader();
         return;
       case 'gone':
         this.stop();
-        this.options.handleGone();
+        this.options.handleIncarnationGone();
         return;
       case 'otherLife':
         this.options.handleOtherIncarnation(result.incarnation, sentAt);
@@ -167,38 +179,42 @@
     }
   }
 
+  /** Counts a failed poll, and waits before the next one, longer after each failure. */
   private async waitForRetry(): Promise<void> {
-    this.failures += 1;
-    await waitForDelay(Math.min(MAX_RETRY_DELAY_MS, RETRY_DELAY_MS * (this.failures - 1)));
+    this.failedPollCount += 1;
+    await waitForDelay(Math.min(MAX_RETRY_DELAY_MS, RETRY_DELAY_MS * (this.failedPollCount - 1)));
   }
 
-  private async handleStatus(result: HeldResult, sentAt: number): Promise<void> {
-    this.failures = 0;
+  /** Applies the status unless it must be ignored, and waits for its ends to be durable, for a limited time. */
+  private async handleStatus(result: StatusResult, sentAt: number): Promise<void> {
+    this.failedPollCount = 0;
     if (!this.options.handleResponse(sentAt)) {
       return;
     }
     const acknowledged = this.applyAndAcknowledge(result, sentAt);
-    await waitWithTimeout(acknowledged, DURABLE_WAIT_MS, undefined);
+    await waitWithTimeout(acknowledged, MAX_DURABLE_WAIT_MS, undefined);
   }
 
-  /** Applies a status, and acknowledges its ends once they are durable. */
-  private async applyAndAcknowledge(result: HeldResult, sentAt: number): Promise<void> {
+  /** Applies a status, and lets the next poll acknowledge its ends once they are durable. Stops polling when the leadership is lost. */
+  private async applyAndAcknowledge(result: StatusResult, sentAt: number): Promise<void> {
     try {
       await this.applyStatus(result, sentAt);
     } catch {
       this.isStopped = true;
       return;
     }
-    this.lastAcknowledged = this.getNewestEnd(result, this.lastAcknowledged);
+    this.lastDurableEnd = this.getNewestEndNumber(result, this.lastDurableEnd);
   }
 
-  private applyStatus(result: HeldResult, sentAt: number): Promise<void> {
-    const newEndCount = result.ended.filter(({ number }) => number > this.lastReceived).length;
-    this.lastReceived = this.getNewestEnd(result, this.lastReceived);
+  /** Passes a status on with the number of its ends that no earlier status has listed. Resolves once its ends are durable. */
+  private applyStatus(result: StatusResult, sentAt: number): Promise<void> {
+    const newEndCount = result.ended.filter(({ number }) => number > this.lastReceivedEnd).length;
+    this.lastReceivedEnd = this.getNewestEndNumber(result, this.lastReceivedEnd);
     return this.options.handleStatus(result, sentAt, newEndCount);
   }
 
-  private getNewestEnd({ ended }: HeldResult, atLeast: number): number {
+  /** Returns the highest sequence number among the ends of a status, and at least `atLeast`. */
+  private getNewestEndNumber({ ended }: StatusResult, atLeast: number): number {
     return ended.reduce((newest, { number }) => Math.max(newest, number), atLeast);
   }
 }
--- a/packages/dispatch/runs/RunMover.ts
+++ b/packages/dispatch/runs/RunMover.ts
@@ -87,7 +87,7 @@
       return undefined;
     }
     const { priority } = run;
-    if (endpoint.getProfile().isDraining && endpoint.getProfile().remainingMs > 0) {
+    if (endpoint.getProfile().isDraining && endpoint.getProfile().minDrainMs > 0) {
       return this.isEvictionDue(endpoint, run, shape, now)
         ? { endpoint, run, priority, reason: 'endpointLeaves', gainMs: 0 }
         : undefined;
--- a/tests/acknowledgedEnds.test.ts
+++ b/tests/acknowledgedEnds.test.ts
@@ -56,7 +56,7 @@
 
   /** Runs some tasks to their ends, which no poll has listed yet. */
   const runToEnds = async (client: HttpEndpointClient, first: number): Promise<void> => {
-    await client.sendPoll({ lastSeen: 0, leaseMs: 4000, waitMs: 0, timeoutMs: 500 });
+    await client.sendPoll({ acknowledgedUpTo: 0, leaseMs: 4000, waitMs: 0, timeoutMs: 500 });
     for (let number = first; number < first + TASKS; number += 1) {
       const order = { task: toTask(number), run: 1, spec: String(RUN_MS), checkpoint: '', ticket: '' };
       expect(await client.sendStart(order, 4000, 500)).toEqual({ kind: 'done' });
@@ -80,7 +80,7 @@
       endpoint,
       client,
       clock: systemClock,
-      isRenewing: () => true,
+      canGrantLeases: () => true,
       handleResponse: () => {
         endpoint.recordResponse(systemClock.getNow());
         return true;
@@ -88,8 +88,8 @@
       handleOtherIncarnation: () => undefined,
       handleStatus: handleHeld,
       handleUnreachable: () => endpoint.recordUnreachable(systemClock.getNow()),
-      handleGone: () => undefined,
-      handleFenced: () => undefined,
+      handleIncarnationGone: () => undefined,
+      handleNewerLeader: () => undefined,
     });
     sessions.push(session);
     return session;
@@ -97,7 +97,7 @@
 
   const countEnds = async (client: HttpEndpointClient): Promise<number> => {
     const result: PollResult = await client.sendPoll({
-      lastSeen: 0,
+      acknowledgedUpTo: 0,
       leaseMs: undefined,
       waitMs: 0,
       timeoutMs: 500,
@@ -130,7 +130,7 @@
         await new Promise<void>((resolve) => (resume = resolve));
       }
     });
-    void session.run();
+    void session.runPollLoop();
     while (polls.length < 2) {
       await waitForDelay(5);
     }
@@ -151,7 +151,7 @@
         await new Promise<void>(() => undefined);
       }
     });
-    void session.run();
+    void session.runPollLoop();
     while (count < 2) {
       await waitForDelay(5);
     }
