--- a/packages/boxes/BoxClient.ts
+++ b/packages/boxes/BoxClient.ts
@@ -13,9 +13,11 @@
 import type { ConfigurationResponse } from './ConfigurationResponse';
 import type { LogStatus } from './LogStatus';
 
+/** Connections for all requests but log writes. */
 const MAX_CONNECTIONS = 3;
 const MAX_WRITE_CONNECTIONS = 4;
-const SHORT_TIMEOUT_MS = 200;
+/** Timeout of requests for the log status, of leader announcements and of handovers. */
+const CONTROL_TIMEOUT_MS = 200;
 
 const stateResponseSchema = z.object({
   state: z.enum(['queued', 'running', 'completed', 'failed', 'cancelled', 'absent']),
@@ -29,37 +31,38 @@
 
 /** HTTP client of another entry box. Its methods never reject: a request without a valid response gives `undefined` or false. */
 export class BoxClient implements AdviceClient {
-  private readonly client: HttpClient;
+  private readonly httpClient: HttpClient;
   /** Has its own connections, so that slow log writes do not block short requests. */
-  private readonly writeClient: HttpClient;
+  private readonly writeHttpClient: HttpClient;
 
   constructor(readonly address: string) {
-    this.client = new HttpClient({ address, connections: MAX_CONNECTIONS });
-    this.writeClient = new HttpClient({ address, connections: MAX_WRITE_CONNECTIONS });
+    this.httpClient = new HttpClient({ address, connections: MAX_CONNECTIONS });
+    this.writeHttpClient = new HttpClient({ address, connections: MAX_WRITE_CONNECTIONS });
   }
 
+  /** Requests tickets for a step on some endpoints through the box; undefined when it gets no response from the advice service in time. */
   async requestAdvice(
     step: string,
     endpoints: readonly EndpointId[],
     timeoutMs: number,
   ): Promise<ReadonlyMap<EndpointId, string> | undefined> {
-    const response = await this.client.sendJson('/advice', { step, endpoints, timeoutMs }, timeoutMs);
+    const response = await this.httpClient.sendJson('/advice', { step, endpoints, timeoutMs }, timeoutMs);
     return parseTickets(response);
   }
 
-  /** Requests the state of a job on behalf of a caller; undefined when the box does not lead or does not respond in time. */
+  /** Requests the state of a job on behalf of a caller; undefined when the box does not lead or returns no state in time. */
   async requestJobState(
     id: JobId,
     caller: JobCaller,
     timeoutMs: number,
   ): Promise<JobState | 'absent' | undefined> {
-    const response = await this.client.sendJson('/job-state', { id, caller, timeoutMs }, timeoutMs);
+    const response = await this.httpClient.sendJson('/job-state', { id, caller, timeoutMs }, timeoutMs);
     return stateResponseSchema.safeParse(response).data?.state;
   }
 
   /** Requests the box to append a record of a job; undefined when it does not respond, in which case the record may have been written. */
   async requestWrite(write: LogWrite, timeoutMs: number): Promise<WriteOutcome | undefined> {
-    const response = await this.writeClient.sendJson('/write', { ...write, timeoutMs }, timeoutMs);
+    const response = await this.writeHttpClient.sendJson('/write', { ...write, timeoutMs }, timeoutMs);
     return writeResponseSchema.safeParse(response).data?.outcome;
   }
 
@@ -68,16 +71,16 @@
     knownVersion: number,
     timeoutMs: number,
   ): Promise<ConfigurationResponse | undefined> {
-    const response = await this.client.sendJson('/configuration', { knownVersion }, timeoutMs);
+    const response = await this.httpClient.sendJson('/configuration', { knownVersion }, timeoutMs);
     return configurationResponseSchema.safeParse(response).data;
   }
 
-  /** Requests whether the box can use the log. */
+  /** Requests whether the box can use the log; `noAnswer` when it does not respond in time. */
   async requestLogStatus(): Promise<LogStatus> {
-    const result = await this.client.sendRequest({
+    const result = await this.httpClient.sendRequest({
       method: 'GET',
       path: '/log',
-      timeoutMs: SHORT_TIMEOUT_MS,
+      timeoutMs: CONTROL_TIMEOUT_MS,
     });
     if (result.kind !== 'answered') {
       return 'noAnswer';
@@ -88,15 +91,15 @@
   /** Announces the leader and its address; false when the box did not confirm it. */
   async sendLeaderAnnouncement({ record, ...contact }: LeaderAnnouncement): Promise<boolean> {
     const body = { ...record, ...contact };
-    return (await this.client.sendJson('/leader', body, SHORT_TIMEOUT_MS)) !== undefined;
+    return (await this.httpClient.sendJson('/leader', body, CONTROL_TIMEOUT_MS)) !== undefined;
   }
 
   /** Asks the box to lead next, after the leader of an epoch has stopped; false when it did not confirm it. */
   async sendHandover(epoch: number): Promise<boolean> {
-    return (await this.client.sendJson('/hand-over', { epoch }, SHORT_TIMEOUT_MS)) !== undefined;
+    return (await this.httpClient.sendJson('/hand-over', { epoch }, CONTROL_TIMEOUT_MS)) !== undefined;
   }
 
   async stop(): Promise<void> {
-    await Promise.all([this.client.stop(), this.writeClient.stop()]);
+    await Promise.all([this.httpClient.stop(), this.writeHttpClient.stop()]);
   }
 }
--- a/packages/boxes/BoxClients.ts
+++ b/packages/boxes/BoxClients.ts
@@ -10,20 +10,20 @@
   readonly announcedAt: number;
 }
 
-/** Clients of the other announced entry boxes, and the choice of a box that should lead. */
+/** HTTP clients of the other announced entry boxes, and the search for a box that should lead next. */
 export class BoxClients {
   private readonly clients = new Map<string, BoxClient>();
 
   constructor(
     private readonly directory: BoxDirectory,
-    private readonly own: BoxResources & { readonly box: string },
+    private readonly ownBox: BoxResources & { readonly box: string },
   ) {}
 
   /** Returns all other announced boxes with their clients. */
   listOthers(): readonly ConnectedBox[] {
     return this.directory
       .listBoxes()
-      .filter(({ box }) => box !== this.own.box)
+      .filter(({ box }) => box !== this.ownBox.box)
       .map(({ box, address, announcedAt, cores, linkMbps }) => ({
         box,
         announcedAt,
@@ -33,7 +33,7 @@
       }));
   }
 
-  /** Returns the client of a box by its name; undefined when it has not announced itself. */
+  /** Returns the client of an announced box by its name; undefined when it has not announced itself. */
   findClient(name: string): BoxClient | undefined {
     const known = this.directory.listBoxes().find(({ box }) => box === name);
     return known === undefined ? undefined : this.getClient(known.box, known.address);
@@ -44,7 +44,7 @@
    * others; undefined when none can. Prefers strong boxes, because a weak leader of a large fleet falls behind with its heartbeats.
    */
   async findLeaderCandidate(): Promise<BoxClient | undefined> {
-    const peers = this.directory.listPeers(this.own);
+    const peers = this.directory.listPeers(this.ownBox);
     return (
       (await this.findStrongerCandidate()) ??
       (await this.findFirstOfBoxes(peers)) ??
@@ -52,9 +52,9 @@
     );
   }
 
-  /** Returns a box that is stronger than this one and can use the log; undefined when there is none. */
+  /** Returns the first box to respond that is stronger than this one and can use the log; undefined when there is none. */
   findStrongerCandidate(): Promise<BoxClient | undefined> {
-    return this.findFirstOfBoxes(this.directory.listStronger(this.own));
+    return this.findFirstOfBoxes(this.directory.listStronger(this.ownBox));
   }
 
   private findFirstOfBoxes(boxes: readonly { readonly box: string }[]): Promise<BoxClient | undefined> {
@@ -74,7 +74,7 @@
     });
   }
 
-  /** Returns the strongest box that can use the log, after all have responded or timed out. */
+  /** Returns the strongest box that can use the log, after all have responded or timed out; undefined when none can. */
   private async findStrongestWithLog(boxes: readonly ConnectedBox[]): Promise<BoxClient | undefined> {
     const statuses = await Promise.all(boxes.map(({ client }) => client.requestLogStatus()));
     const usable = boxes.filter((_box, index) => statuses[index] === 'usable');
--- a/packages/boxes/BoxDirectory.ts
+++ b/packages/boxes/BoxDirectory.ts
@@ -7,7 +7,7 @@
 
 const KEY_PREFIX = 'b/';
 const recordSchema = boxResourcesSchema.extend({ address: z.string() });
-/** Ratio of leader capacities from which a box counts as stronger than another. */
+/** Ratio of leader capacities from which a box counts as clearly stronger than another. */
 const MIN_STRONGER_RATIO = 1.5;
 
 interface KnownBox extends BoxResources {
@@ -23,16 +23,19 @@
   private readonly boxes = new Map<string, KnownBox>();
 
   /** Returns the log key of the announcement of a box. */
-  static toKey(box: string): string {
+  static toAnnouncementKey(box: string): string {
     return `${KEY_PREFIX}${box}`;
   }
 
-  /** Formats the announcement of a box. */
-  static formatRecord(address: string, { cores, linkMbps }: BoxResources): string {
+  /** Formats a box's address and resources as the value of its announcement in the log. */
+  static formatAnnouncement(address: string, { cores, linkMbps }: BoxResources): string {
     return JSON.stringify({ address, cores, linkMbps });
   }
 
-  /** Applies the announcements among records of the jobs topic, which were read at a monotonic time in milliseconds. */
+  /**
+   * Applies the announcements among records of the jobs topic, read at a monotonic time in milliseconds. Removes boxes with an invalid or
+   * empty one.
+   */
   foldRecords(records: readonly LogRecord[], readAt = -Infinity): void {
     for (const { key, value } of records) {
       if (!key.startsWith(KEY_PREFIX)) {
@@ -48,7 +51,7 @@
     }
   }
 
-  /** Sets the address and resources of a box that it announced by a request. */
+  /** Sets the address and resources that a box announced by a request. Keeps the time of its announcement in the log. */
   setBox(box: string, address: string, { cores, linkMbps }: BoxResources): void {
     const announcedAt = this.boxes.get(box)?.announcedAt ?? -Infinity;
     this.boxes.set(box, { box, address, cores, linkMbps, announcedAt });
@@ -64,7 +67,7 @@
     return this.listBoxes().filter((box) => computeLeaderCapacity(box) * MIN_STRONGER_RATIO > ownCapacity);
   }
 
-  /** Returns the boxes that should lead in preference to a box with the given resources. */
+  /** Returns the boxes that are clearly stronger than a box with the given resources. */
   listStronger(own: BoxResources): readonly KnownBox[] {
     const ownCapacity = computeLeaderCapacity(own);
     return this.listBoxes().filter((box) => computeLeaderCapacity(box) >= ownCapacity * MIN_STRONGER_RATIO);
--- a/packages/boxes/BoxServer.ts
+++ b/packages/boxes/BoxServer.ts
@@ -20,7 +20,7 @@
 interface BoxServerOptions {
   /** Host and port to listen on, for other entry boxes and metrics collectors. */
   readonly address: string;
-  readonly advice: AdviceClient;
+  readonly adviceClient: AdviceClient;
   readonly formatMetrics: () => string;
   /** Checks whether this box can use the log now. */
   readonly isLogUsable: () => Promise<boolean>;
@@ -30,7 +30,7 @@
     caller: JobCaller,
     timeoutMs: number,
   ) => Promise<JobState | 'absent' | undefined>;
-  /** Appends a record of a job on behalf of another box. */
+  /** Appends a record of a job on behalf of another box; refused when this box cannot write now. */
   readonly writeForBox: (write: LogWrite, timeoutMs: number) => Promise<WriteOutcome>;
   /** Returns the configuration if it is newer than the known version, and its age. */
   readonly getConfiguration: (knownVersion: number) => ConfigurationResponse;
@@ -40,7 +40,7 @@
   readonly handleHandover: (epoch: number) => void;
 }
 
-/** Exceeds the largest record of the platform's log. */
+/** Largest request body. Exceeds the largest record of the log. */
 const MAX_BODY_BYTES = 524_288;
 const adviceRequestSchema = z.object({
   step: z.string(),
@@ -127,7 +127,7 @@
       }
       const endpoints = parsed.data.endpoints.map((id) => toId<EndpointId>(id));
       const { step, timeoutMs } = parsed.data;
-      const tickets = await options.advice.requestAdvice(step, endpoints, timeoutMs);
+      const tickets = await options.adviceClient.requestAdvice(step, endpoints, timeoutMs);
       return tickets === undefined ? reply.code(503).send({}) : reply.send({ good: [...tickets] });
     });
   }
--- a/packages/common/StepFilteredClock.ts
+++ b/packages/common/StepFilteredClock.ts
@@ -7,8 +7,8 @@
   readonly handleStep: (byMs: number) => void;
 }
 
-/** Differences up to this limit are applied at once. */
-const MAX_SLEW_MS = 200;
+/** Largest change of the difference between the wall clock and the monotonic clock that is applied at once. */
+const MAX_IMMEDIATE_CHANGE_MS = 200;
 /** Time for which a step must persist before it is applied. */
 const STEP_CONFIRMATION_MS = 15_000;
 
@@ -40,7 +40,7 @@
 
   private updateOffset(offsetMs: number, now: number): void {
     const byMs = offsetMs - this.offsetMs;
-    if (Math.abs(byMs) <= MAX_SLEW_MS) {
+    if (Math.abs(byMs) <= MAX_IMMEDIATE_CHANGE_MS) {
       this.steppedSince = undefined;
       this.offsetMs = offsetMs;
       return;
--- a/packages/dispatch/advice/AdviceChannel.ts
+++ b/packages/dispatch/advice/AdviceChannel.ts
@@ -4,6 +4,6 @@
 export interface AdviceChannel {
   readonly box: string;
   /** Whether the leader runs on this box. */
-  readonly isOwn: boolean;
+  readonly isOwnBox: boolean;
   readonly client: AdviceClient;
 }
--- a/packages/gateway/JobService.ts
+++ b/packages/gateway/JobService.ts
@@ -25,6 +25,9 @@
     caller: JobCaller,
     deadline: number,
   ): Promise<JobServiceResult<'cancelled' | 'absent'>>;
-  /** Returns the number of accepted jobs of a queue that have no started task; unavailable until this box has read all jobs. */
+  /**
+   * Returns the number of accepted jobs of a queue that have neither started a task nor been cancelled; unavailable until this box has read
+   * all jobs.
+   */
   countPendingJobs(queueName: string): JobServiceResult<number>;
 }
--- a/packages/gateway/JobSubmission.ts
+++ b/packages/gateway/JobSubmission.ts
@@ -5,7 +5,7 @@
   /** Opaque text that is passed to each task. */
   readonly spec: string;
   readonly steps: readonly JobStep[];
-  /** Number of repetitions. */
+  /** How often the job's steps run in total; 1 for a job without a schedule. */
   readonly times: number;
   /** Due time of the first repetition in milliseconds since 1970; 0 for a job without a schedule. */
   readonly firstRunMs: number;
--- a/packages/serve/BoxJobService.ts
+++ b/packages/serve/BoxJobService.ts
@@ -41,37 +41,37 @@
     timeoutMs: number,
   ) => Promise<JobState | 'absent' | undefined>;
   /** Handles a job accepted by this box, once it is durable. */
-  readonly handleAccepted: (definition: JobDefinition) => void;
-  /** Handles a cancel accepted by this box, once it is durable. */
-  readonly handleCancelled: (id: JobId) => void;
+  readonly handleJobAccepted: (definition: JobDefinition) => void;
+  /** Handles a cancellation accepted by this box, once it is durable. */
+  readonly handleJobCancelled: (id: JobId) => void;
 }
 
 const RETRY_AFTER_MS = 1000;
-/** Duration of failing appends from which jobs are refused at once, while reads fail too. */
-const MAX_OUTAGE_MS = 400;
-/** The same while reads succeed, when only some responses may be lost. */
-const MAX_WRITE_OUTAGE_MS = 1000;
-/** Longest time for an append. A caller does better to retry slower ones through another box. */
+/** Duration of failing appends beyond which jobs are refused without a try, while reads fail too. */
+const REFUSAL_OUTAGE_MS = 400;
+/** Duration of failing appends beyond which jobs are refused without a try, while reads succeed. */
+const REFUSAL_OUTAGE_WHILE_READABLE_MS = 1000;
+/** Timeout of an append, unless the deadline of the caller shortens it. */
 const MAX_WRITE_MS = 1300;
 /** Share of the caller's remaining time that an append may take, which leaves time for a retry through another box. */
-const MAX_WRITE_SHARE = 0.4;
-/** Longest read from the log or the leader on behalf of a caller. */
-const MAX_REFRESH_MS = 400;
+const MAX_WRITE_TIME_SHARE = 0.4;
+/** Timeout of a read from the log or a state request to the leader, unless the deadline of the caller shortens it. */
+const MAX_READ_MS = 400;
 /** Timeout of a state request to the leader, after which the log is read instead. */
-const LEADER_TIMEOUT_MS = 80;
-/** Time without state requests after the leader has failed to respond. About the time until the next leader is known. */
+const LEADER_STATE_TIMEOUT_MS = 80;
+/** Time for which no state of a known job is requested from the leader after it returned none. */
 const LEADER_BACKOFF_MS = 1000;
 const ACCEPTED = { kind: 'answered', answer: { kind: 'accepted' } } as const;
 const TAKEN = { kind: 'answered', answer: { kind: 'taken' } } as const;
 const ABSENT = { kind: 'answered', answer: 'absent' } as const;
 
-const ENDED: ReadonlySet<JobState | undefined> = new Set(['completed', 'failed', 'cancelled']);
+const ENDED_STATES: ReadonlySet<JobState | undefined> = new Set(['completed', 'failed', 'cancelled']);
 
-const isEnded = (state: JobState | undefined): boolean => ENDED.has(state);
+const isEnded = (state: JobState | undefined): boolean => ENDED_STATES.has(state);
 
 /** Job service of a box. Accepts jobs once they are durable in the log, and reads them from the replica and the leader. */
 export class BoxJobService implements JobService {
-  /** Monotonic time from which states may be requested from the leader again. */
+  /** Monotonic time from which states of known jobs may be requested from the leader again. */
   private leaderRetryAt = -Infinity;
 
   constructor(private readonly options: BoxJobServiceOptions) {}
@@ -109,7 +109,7 @@
       ...submission,
       acceptedAtMs: Math.round(clock.getWallTime()),
     };
-    const check = await this.options.admission.checkJob(definition, this.computeRefreshDeadline(deadline));
+    const check = await this.options.admission.checkJob(definition, this.computeReadDeadline(deadline));
     if (check.kind === 'known') {
       return this.createKnownResult(replica.getDefinition(id)!, queue, customer);
     }
@@ -137,7 +137,7 @@
       ...(customer === undefined ? {} : { customer: customer.name }),
       ...check.load,
     });
-    this.options.handleAccepted(definition);
+    this.options.handleJobAccepted(definition);
     return ACCEPTED;
   }
 
@@ -145,7 +145,7 @@
     return { name, weight, limit };
   }
 
-  /** Creates the result for an existing id: accepted for the queue and customer of its job, taken for all others. */
+  /** Creates and logs the result for an existing id: accepted for the queue and customer of its job, taken for all others. */
   private createKnownResult(
     known: JobDefinition,
     queue: JobQueue,
@@ -174,7 +174,7 @@
     if (known === undefined) {
       const isFresh = await this.waitForRefresh(this.options.jobsFollower, deadline);
       if (!isFresh && replica.getState(id) === undefined) {
-        return this.requestFromLeader(id, caller, deadline);
+        return this.requestStateFromLeader(id, caller, deadline);
       }
     }
     if (!this.isAccessible(id, caller)) {
@@ -189,8 +189,8 @@
   }
 
   /**
-   * Requests the state of an open job from the leader, which has the newest one. If it does not respond, updates the replica from the
-   * log and returns undefined.
+   * Requests the state of an open job from the leader, which has the newest one. Returns undefined if this process leads, and, after
+   * updating the replica from the log, if the leader returns no state or has recently returned none.
    */
   private async requestNewestState(
     id: JobId,
@@ -202,7 +202,7 @@
       return undefined;
     }
     if (clock.getNow() >= this.leaderRetryAt) {
-      const timeoutMs = Math.min(LEADER_TIMEOUT_MS, this.computeRefreshTimeoutMs(deadline));
+      const timeoutMs = Math.min(LEADER_STATE_TIMEOUT_MS, this.computeReadTimeoutMs(deadline));
       const state = await requestLeaderState(id, caller, timeoutMs);
       if (state !== undefined && state !== 'absent') {
         return state;
@@ -223,7 +223,7 @@
     if (replica.getDefinition(id) === undefined) {
       const isFresh = await this.waitForRefresh(this.options.jobsFollower, deadline);
       if (replica.getDefinition(id) === undefined) {
-        const found = isFresh ? ABSENT : await this.requestFromLeader(id, caller, deadline);
+        const found = isFresh ? ABSENT : await this.requestStateFromLeader(id, caller, deadline);
         if (found.kind !== 'answered' || found.answer === 'absent') {
           return found.kind === 'answered' ? ABSENT : found;
         }
@@ -238,7 +238,7 @@
     this.logDecision('Cancel.', id, '', { outcome, tookMs });
     if (outcome === 'written') {
       metrics.recordCount('cancels');
-      this.options.handleCancelled(id);
+      this.options.handleJobCancelled(id);
       return { kind: 'answered', answer: 'cancelled' };
     }
     return outcome === 'unknown'
@@ -253,13 +253,13 @@
       : { kind: 'answered', answer: replica.countPending(queueName) };
   }
 
-  /** Requests the state of a job that this box cannot read from the log. */
-  private async requestFromLeader(
+  /** Requests the state of a job that this box does not know from the leader; unavailable when the leader returns none. */
+  private async requestStateFromLeader(
     id: JobId,
     caller: JobCaller,
     deadline: number,
   ): Promise<JobServiceResult<JobState | 'absent'>> {
-    const state = await this.options.requestLeaderState(id, caller, this.computeRefreshTimeoutMs(deadline));
+    const state = await this.options.requestLeaderState(id, caller, this.computeReadTimeoutMs(deadline));
     return state === undefined
       ? { kind: 'unavailable', retryAfterMs: RETRY_AFTER_MS }
       : { kind: 'answered', answer: state };
@@ -271,17 +271,17 @@
     return definition === undefined || hasAccess(caller, definition);
   }
 
-  /** Returns whether appends have failed for so long that another is not worth trying. */
+  /** Returns whether appends have failed for longer than the limit from which jobs are refused without a try. */
   private isLogUnavailable(): boolean {
     const { writer, isLogReadable } = this.options;
-    return writer.getOutageMs() > (isLogReadable() ? MAX_WRITE_OUTAGE_MS : MAX_OUTAGE_MS);
+    return writer.getOutageMs() > (isLogReadable() ? REFUSAL_OUTAGE_WHILE_READABLE_MS : REFUSAL_OUTAGE_MS);
   }
 
   private computeWriteDeadline(startedAt: number, deadline: number): number {
-    return startedAt + Math.min(MAX_WRITE_MS, (deadline - startedAt) * MAX_WRITE_SHARE);
+    return startedAt + Math.min(MAX_WRITE_MS, (deadline - startedAt) * MAX_WRITE_TIME_SHARE);
   }
 
-  /** Records that a job is refused because the log is unavailable, and returns that result. */
+  /** Counts and logs that a job is refused because the log is unavailable, and returns that result. */
   private createUnavailableResult(id: JobId, queue: string): JobServiceResult<never> {
     const failingMs = Math.round(this.options.writer.getOutageMs());
     this.options.metrics.recordCount('notTaken');
@@ -290,16 +290,16 @@
   }
 
   private waitForRefresh(follower: LogFollower, deadline: number): Promise<boolean> {
-    return follower.waitForRefresh(this.computeRefreshTimeoutMs(deadline));
+    return follower.waitForRefresh(this.computeReadTimeoutMs(deadline));
   }
 
-  private computeRefreshDeadline(deadline: number): number {
-    return this.options.clock.getNow() + this.computeRefreshTimeoutMs(deadline);
+  private computeReadDeadline(deadline: number): number {
+    return this.options.clock.getNow() + this.computeReadTimeoutMs(deadline);
   }
 
-  private computeRefreshTimeoutMs(deadline: number): number {
+  private computeReadTimeoutMs(deadline: number): number {
     const leftMs = deadline - this.options.clock.getNow();
-    return Math.max(1, Math.min(MAX_REFRESH_MS, leftMs));
+    return Math.max(1, Math.min(MAX_READ_MS, leftMs));
   }
 
   private logDecision(message: string, job: JobId, queue: string, fields: Record<string, unknown>): void {
--- a/packages/serve/ConfigurationUpdater.ts
+++ b/packages/serve/ConfigurationUpdater.ts
@@ -19,28 +19,30 @@
   readonly logger: Logger;
   /** Age in milliseconds up to which a configuration counts as fresh; undefined for no limit. */
   readonly maxAgeMs: number | undefined;
-  /** Returns whether the operator topic can be read. */
-  readonly isFollowing: () => boolean;
+  /** Returns whether the whole operator topic is known and reads of it succeed. */
+  readonly isUpToDate: () => boolean;
   /** Returns the monotonic time of the last successful read of the operator topic, in milliseconds. */
   readonly getLastReadAt: () => number;
+  /** Returns all other announced boxes. */
   readonly listOthers: () => readonly { readonly box: string; readonly client: BoxClient }[];
 }
 
-/** Several requests to random boxes fit into the time within which a new version must take effect. */
+/** Shortest time between two requests for the configuration to other boxes. */
 const REQUEST_INTERVAL_MS = 250;
 const REQUEST_TIMEOUT_MS = 200;
 const MAX_LOGGED_PROBLEMS = 20;
 
-/** Applies new versions of the configuration from the log and, while that is unavailable, from other boxes. */
+/** Applies new versions of the configuration from the log and, if the source allows it, from other boxes while the log is unavailable. */
 export class ConfigurationUpdater {
-  /** Monotonic time at which another box last confirmed that the current version is the newest. */
+  /** Latest monotonic time, by the responses of other boxes, at which the current version was known to be the newest. */
   private confirmedAt = -Infinity;
-  private requestedAt = -Infinity;
+  /** Monotonic time of the last request to another box. */
+  private lastRequestAt = -Infinity;
   private isRequesting = false;
 
   constructor(private readonly options: ConfigurationUpdaterOptions) {}
 
-  /** Applies the configurations among records of the operator topic; logs and skips malformed ones. */
+  /** Applies the configurations that are newer than the current one among records of the operator topic; logs and skips malformed ones. */
   handleRecords(records: readonly LogRecord[]): void {
     const { adapter, logger } = this.options;
     for (const { key, value } of records) {
@@ -57,7 +59,7 @@
     }
   }
 
-  /** Returns whether the configuration is not older than the maximum age; always true without one. */
+  /** Returns whether the configuration is younger than the maximum age; always true without a maximum. */
   isFresh(): boolean {
     const { maxAgeMs } = this.options;
     return maxAgeMs === undefined || this.getAgeMs() < maxAgeMs;
@@ -65,30 +67,33 @@
 
   /** Returns an upper bound of the milliseconds since the current version was confirmed to be the newest. */
   getAgeMs(): number {
-    const { clock, getLastReadAt: readFollowedAt } = this.options;
-    return clock.getMaxElapsedSince(Math.max(readFollowedAt(), this.confirmedAt));
+    const { clock, getLastReadAt } = this.options;
+    return clock.getMaxElapsedSince(Math.max(getLastReadAt(), this.confirmedAt));
   }
 
-  /** Creates the response to a box that has a known version. */
+  /** Creates the response to a box that has the given version: the age of the configuration, and the configuration if it is newer. */
   createResponse(knownVersion: number): ConfigurationResponse {
     const configuration = this.options.router.getConfiguration();
     const isNewer = configuration !== undefined && configuration.version > knownVersion;
     return { ageMs: this.getAgeMs(), ...(isNewer ? { configuration } : {}) };
   }
 
-  /** Requests the configuration from another box when that is due and the log is unavailable. Called periodically. */
+  /**
+   * Requests the configuration from a random other box if the source allows it, the operator topic is not up to date, no request is in
+   * flight and the last one was long enough ago. Called periodically.
+   */
   handleTick(): void {
-    const { clock, isFollowing, source } = this.options;
-    const isDue = clock.getNow() - this.requestedAt >= REQUEST_INTERVAL_MS;
+    const { clock, isUpToDate: isFollowing, source } = this.options;
+    const isDue = clock.getNow() - this.lastRequestAt >= REQUEST_INTERVAL_MS;
     if (configurationSources[source].isUsingBoxes && isDue && !this.isRequesting && !isFollowing()) {
-      this.requestedAt = clock.getNow();
+      this.lastRequestAt = clock.getNow();
       void this.requestFromBox();
     }
   }
 
   private async requestFromBox(): Promise<void> {
-    const { clock, random, listOthers: readOthers, router } = this.options;
-    const others = readOthers();
+    const { clock, random, listOthers, router } = this.options;
+    const others = listOthers();
     const other = others[Math.floor(random() * others.length)];
     if (other === undefined) {
       return;
--- a/packages/serve/ForwardingWriter.ts
+++ b/packages/serve/ForwardingWriter.ts
@@ -8,7 +8,7 @@
 
 interface ForwardingWriterOptions {
   /** Appends to the log directly. */
-  readonly own: RecordWriter;
+  readonly directWriter: RecordWriter;
   readonly clock: Clock;
   readonly logger: Logger;
   readonly getLeader: () => LeaderContact;
@@ -19,15 +19,18 @@
 }
 
 /** Initial and smallest timeout of a forwarded write. The leader batches writes, so that one takes up to two appends. */
-const MIN_TIMEOUT_MS = 600;
-/** The timeout is this multiple of the last successful write, so that a slow log does not cause direct writes by all boxes. */
-const TIMEOUT_FACTOR = 3;
+const MIN_FORWARD_TIMEOUT_MS = 600;
+/**
+ * Multiple of the duration of the last successful forwarded write that is the timeout of the next, so that a slow log does not cause direct
+ * writes by all boxes.
+ */
+const FORWARD_TIMEOUT_FACTOR = 3;
 /** Writes are forwarded only to a leader with activity newer than this. Covers its heartbeat interval and a box's read interval. */
 const MAX_ACTIVITY_AGE_MS = 1250;
-/** Time for which no write is forwarded after a failure. */
-const BACKOFF_MS = 1000;
-/** Duration of failing direct writes from which no fallback to them is tried. */
-const MAX_OWN_OUTAGE_MS = 400;
+/** Time for which no write is forwarded after a forwarding failure. */
+const FORWARD_BACKOFF_MS = 1000;
+/** Duration of failing direct writes beyond which a write that could not be forwarded is not tried directly. */
+const MAX_DIRECT_OUTAGE_MS = 400;
 
 /** Leader to forward a write to, or the reason why it is not forwarded. */
 type ForwardingTarget =
@@ -45,15 +48,17 @@
  */
 export class ForwardingWriter implements RecordWriter {
   /** Monotonic time at which forwarding last failed. The next attempt needs newer activity of the leader. */
-  private failedAt = -Infinity;
-  private timeoutMs = MIN_TIMEOUT_MS;
+  private forwardingFailedAt = -Infinity;
+  /** Timeout of the next forwarded write. */
+  private forwardTimeoutMs = MIN_FORWARD_TIMEOUT_MS;
 
   constructor(private readonly options: ForwardingWriterOptions) {}
 
+  /** Forwards a record to the leader, or writes it directly if that is not possible or fails; unknown when it may have been written. */
   async writeRecord(write: LogWrite, deadline: number): Promise<WriteOutcome> {
     const target = this.chooseTarget();
     if (target.leader === undefined) {
-      const own = await this.options.own.writeRecord(write, deadline);
+      const own = await this.options.directWriter.writeRecord(write, deadline);
       this.logFailure(write, own, target.reason);
       return own;
     }
@@ -69,7 +74,7 @@
 
   /** Returns zero while writes can be forwarded, else the outage of direct writes in milliseconds. */
   getOutageMs(): number {
-    return this.chooseTarget().leader === undefined ? this.options.own.getOutageMs() : 0;
+    return this.chooseTarget().leader === undefined ? this.options.directWriter.getOutageMs() : 0;
   }
 
   private chooseTarget(): ForwardingTarget {
@@ -78,20 +83,20 @@
     if (contact.kind !== 'known') {
       return { leader: undefined, reason: contact.kind };
     }
-    if (clock.getNow() - this.failedAt < BACKOFF_MS) {
+    if (clock.getNow() - this.forwardingFailedAt < FORWARD_BACKOFF_MS) {
       return { leader: undefined, reason: 'avoided' };
     }
-    const isActive = !isReadingActivity() || hasActivitySince(this.failedAt, MAX_ACTIVITY_AGE_MS);
+    const isActive = !isReadingActivity() || hasActivitySince(this.forwardingFailedAt, MAX_ACTIVITY_AGE_MS);
     return isActive ? { leader: contact.client } : { leader: undefined, reason: 'silent' };
   }
 
-  /** Logs a record that was not written, with the outcomes of both ways. */
+  /** Logs a record whose direct write was refused or not confirmed, with the outcome of the forwarding or the reason why there was none. */
   private logFailure(write: LogWrite, own: WriteOutcome, leader: string): void {
     if (own !== 'written') {
       this.options.logger.info('Record not written, neither directly nor by the leader.', {
         record: write.key,
         own,
-        ownFailingMs: Math.round(this.options.own.getOutageMs()),
+        ownFailingMs: Math.round(this.options.directWriter.getOutageMs()),
         leader,
         isReadingSigns: this.options.isReadingActivity(),
       });
@@ -110,18 +115,18 @@
       const requestedAt = clock.getNow();
       const logStatus = await leader.requestLogStatus();
       if (logStatus !== 'usable') {
-        this.failedAt = clock.getNow();
+        this.forwardingFailedAt = clock.getNow();
         const tookMs = Math.round(clock.getNow() - requestedAt);
         logger.info('Write not forwarded to the leader.', { record: write.key, log: logStatus, tookMs });
         return 'refused';
       }
     }
     const sentAt = clock.getNow();
-    const timeoutMs = Math.max(1, Math.min(this.timeoutMs, deadline - sentAt));
+    const timeoutMs = Math.max(1, Math.min(this.forwardTimeoutMs, deadline - sentAt));
     const outcome = await leader.requestWrite(write, timeoutMs);
     const tookMs = clock.getNow() - sentAt;
     if (outcome === undefined) {
-      this.failedAt = clock.getNow();
+      this.forwardingFailedAt = clock.getNow();
       logger.info('Leader did not respond to a forwarded write.', {
         record: write.key,
         box: leader.address,
@@ -130,15 +135,15 @@
       return 'unknown';
     }
     if (outcome === 'written') {
-      this.timeoutMs = Math.max(MIN_TIMEOUT_MS, TIMEOUT_FACTOR * tookMs);
+      this.forwardTimeoutMs = Math.max(MIN_FORWARD_TIMEOUT_MS, FORWARD_TIMEOUT_FACTOR * tookMs);
     }
     return outcome;
   }
 
   private writeDirectly(write: LogWrite, deadline: number): Promise<WriteOutcome> {
-    const { own } = this.options;
-    return own.getOutageMs() > MAX_OWN_OUTAGE_MS
+    const { directWriter } = this.options;
+    return directWriter.getOutageMs() > MAX_DIRECT_OUTAGE_MS
       ? Promise.resolve('refused')
-      : own.writeRecord(write, deadline);
+      : directWriter.writeRecord(write, deadline);
   }
 }
--- a/packages/serve/LeaderAnnouncer.ts
+++ b/packages/serve/LeaderAnnouncer.ts
@@ -15,30 +15,32 @@
   readonly logger: Logger;
   readonly listOthers: () => readonly AnnouncedBox[];
   /** Creates the announcement of this box as leader; undefined while it does not lead. */
-  readonly createAnnouncement: () => LeaderAnnouncement | undefined;
+  readonly createBoxAnnouncement: () => LeaderAnnouncement | undefined;
 }
 
 /** Delivery of the announcement of one epoch to one box. */
 interface Delivery {
   readonly epoch: number;
-  /** `announcedAt` of the box at that time. A later one means that the box has restarted and needs a new delivery. */
+  /**
+   * `announcedAt` of the box when the delivery was created. A different value means that the box has restarted and needs a new delivery.
+   */
   readonly announcedAt: number;
-  attempts: number;
+  attemptCount: number;
   /** Monotonic time of the next attempt; Infinity while one is in flight, and once it has succeeded or none is left. */
-  nextAt: number;
+  nextAttemptAt: number;
 }
 
 const MAX_CONCURRENT_REQUESTS = 16;
 const FIRST_RETRY_MS = 500;
 const MAX_RETRY_MS = 8000;
-/** Age of a box's announcement up to which the box gets the leader announcement at once, since it may not follow the log yet. */
+/** A box gets the leader announcement at once if its own announcement was read less than this before this box began to lead, or later. */
 const NEW_BOX_AGE_MS = 3000;
 /**
  * Time after which a leader is announced to boxes that should know it from the log. Avoids a burst of requests for each of several
  * short-lived leaders.
  */
-const STABLE_LEADER_MS = 3500;
-/** Attempts after which a box is presumed gone, until it announces itself again. */
+const STABLE_LEADER_AGE_MS = 3500;
+/** Attempts for each box and epoch, until the box announces itself again. */
 const MAX_ATTEMPTS = 10;
 
 /**
@@ -49,16 +51,16 @@
  */
 export class LeaderAnnouncer {
   private readonly deliveries = new Map<string, Delivery>();
-  private inFlight = 0;
+  private inFlightCount = 0;
   private ledEpoch = 0;
   /** Monotonic time from which this box has led that epoch. */
   private ledSince = -Infinity;
 
   constructor(private readonly options: LeaderAnnouncerOptions) {}
 
-  /** Sends the announcements that are due. Called periodically. */
+  /** Sends the announcements that are due, within the limit of concurrent requests, while this box leads. Called periodically. */
   handleTick(): void {
-    const announcement = this.options.createAnnouncement();
+    const announcement = this.options.createBoxAnnouncement();
     if (announcement === undefined) {
       return;
     }
@@ -69,7 +71,7 @@
     }
     for (const other of this.options.listOthers()) {
       const delivery = this.getDelivery(other);
-      if (this.inFlight < MAX_CONCURRENT_REQUESTS && now >= delivery.nextAt) {
+      if (this.inFlightCount < MAX_CONCURRENT_REQUESTS && now >= delivery.nextAttemptAt) {
         void this.sendAnnouncement(other, delivery, announcement);
       }
     }
@@ -81,8 +83,8 @@
       return known;
     }
     const isNew = announcedAt + NEW_BOX_AGE_MS > this.ledSince;
-    const nextAt = isNew ? -Infinity : this.ledSince + STABLE_LEADER_MS;
-    const delivery: Delivery = { epoch: this.ledEpoch, announcedAt, attempts: 0, nextAt };
+    const nextAt = isNew ? -Infinity : this.ledSince + STABLE_LEADER_AGE_MS;
+    const delivery: Delivery = { epoch: this.ledEpoch, announcedAt, attemptCount: 0, nextAttemptAt: nextAt };
     this.deliveries.set(box, delivery);
     return delivery;
   }
@@ -92,23 +94,23 @@
     delivery: Delivery,
     announcement: LeaderAnnouncement,
   ): Promise<void> {
-    this.inFlight += 1;
-    delivery.nextAt = Infinity;
-    delivery.attempts += 1;
+    this.inFlightCount += 1;
+    delivery.nextAttemptAt = Infinity;
+    delivery.attemptCount += 1;
     const isDelivered = await other.client.sendLeaderAnnouncement(announcement);
-    this.inFlight -= 1;
+    this.inFlightCount -= 1;
     if (isDelivered) {
       return;
     }
-    if (delivery.attempts < MAX_ATTEMPTS) {
-      const retryMs = Math.min(MAX_RETRY_MS, FIRST_RETRY_MS * 2 ** (delivery.attempts - 1));
-      delivery.nextAt = this.options.clock.getNow() + retryMs;
+    if (delivery.attemptCount < MAX_ATTEMPTS) {
+      const retryMs = Math.min(MAX_RETRY_MS, FIRST_RETRY_MS * 2 ** (delivery.attemptCount - 1));
+      delivery.nextAttemptAt = this.options.clock.getNow() + retryMs;
       return;
     }
     this.options.logger.info('Box did not confirm the leader announcement.', {
       other: other.box,
       epoch: delivery.epoch,
-      tries: delivery.attempts,
+      tries: delivery.attemptCount,
     });
   }
 }
--- a/packages/serve/LeaderHandover.ts
+++ b/packages/serve/LeaderHandover.ts
@@ -18,51 +18,53 @@
   readonly retryPending: () => void;
   /** Reads the log now; false when the read fails or takes too long. */
   readonly waitForLogRead: () => Promise<boolean>;
-  /** Handles that this process stops leading because it shuts down. */
-  readonly handleResigned: () => void;
+  /** Handles that this process stops leading at a planned stop. */
+  readonly handleGracefulStop: () => void;
   /** Handles that this process stops leading but keeps running. */
   readonly handleLeadershipLost: (epoch: number, detail: string) => void;
 }
 
-/** Duration of failing writes from which the leader looks for a box that can use the log. */
-const MIN_WRITE_OUTAGE_MS = 300;
+/** Duration of failing writes beyond which the leader searches for a box that can use the log. */
+const CANDIDATE_SEARCH_OUTAGE_MS = 300;
 /**
  * Time for retried requests to succeed once another box can use the log. Avoids a change of leader when the log has just recovered for
  * all boxes.
  */
 const RECOVERY_CHECK_MS = 300;
-/** Duration of failing writes from which the leader hands over although it can read. */
-const MAX_WRITE_OUTAGE_MS = 2000;
-/** Time between searches for a stronger box, and before the first one. */
-const STABLE_LEADER_MS = 2000;
-/** Part of the grace period that is reserved for the end of a planned stop. */
+/** Duration of failing writes from which the leader hands over although its reads succeed. */
+const HANDOVER_WRITE_OUTAGE_MS = 2000;
+/** Time between two searches for a stronger box, and between the election and the first one. */
+const STRONGER_SEARCH_INTERVAL_MS = 2000;
+/** Part of the grace period that is reserved for what follows the wait for the log at a planned stop. */
 const STOP_RESERVE_MS = 2000;
-const CANDIDATE_POLL_MS = 100;
+/** Time between searches for a box that can use the log, during a planned stop. */
+const CANDIDATE_POLL_INTERVAL_MS = 100;
 
 /** Hands leadership over to a better suited box, and at a planned stop. The controller stops before the other box is asked to lead. */
 export class LeaderHandover {
   private isHandingOver = false;
-  private leadingSince = 0;
+  /** Monotonic time of the last search for a stronger box, or of the election if later. */
+  private lastStrongerSearchAt = 0;
 
   constructor(private readonly options: LeaderHandoverOptions) {}
 
   /** Records that this process was elected now. */
   recordElected(): void {
-    this.leadingSince = this.options.clock.getNow();
+    this.lastStrongerSearchAt = this.options.clock.getNow();
   }
 
-  /** Starts a handover if this box cannot write to the log or a stronger box exists. Called periodically. */
+  /** Starts a handover attempt if writes to the log keep failing or, at intervals, if a stronger box exists. Called periodically. */
   handleTick(): void {
     const { clock, settings, directory, getController } = this.options;
     const controller = getController();
     if (controller === undefined || this.isHandingOver) {
       return;
     }
-    if (controller.getLogOutageMs() > MIN_WRITE_OUTAGE_MS) {
+    if (controller.getLogOutageMs() > CANDIDATE_SEARCH_OUTAGE_MS) {
       this.runOnce(() => this.runHandoverInOutage());
       return;
     }
-    const isStable = clock.getNow() - this.leadingSince > STABLE_LEADER_MS;
+    const isStable = clock.getNow() - this.lastStrongerSearchAt > STRONGER_SEARCH_INTERVAL_MS;
     if (isStable && directory.listStronger(settings).length > 0) {
       this.runOnce(() => this.runHandoverToStronger());
     }
@@ -73,14 +75,21 @@
    * keeps leading and renewing leases for as long as its grace period allows.
    */
   async runPlannedHandover(): Promise<void> {
-    const { clock, settings, boxes, getController, getEpoch, handleResigned } = this.options;
+    const {
+      clock,
+      settings,
+      boxes,
+      getController,
+      getEpoch,
+      handleGracefulStop: handleResigned,
+    } = this.options;
     this.isHandingOver = true;
     const until = clock.getNow() + settings.graceMs - STOP_RESERVE_MS;
     while ((getController()?.getLogOutageMs() ?? 0) > 0 && clock.getNow() < until) {
       if ((await boxes.findLeaderCandidate()) !== undefined) {
         break;
       }
-      await waitForDelay(CANDIDATE_POLL_MS);
+      await waitForDelay(CANDIDATE_POLL_INTERVAL_MS);
     }
     const controller = getController();
     if (controller === undefined) {
@@ -93,6 +102,7 @@
     await next?.sendHandover(epoch);
   }
 
+  /** Runs a handover attempt; no other starts before it ends. */
   private runOnce(attempt: () => Promise<void>): void {
     this.isHandingOver = true;
     void attempt().finally(() => {
@@ -100,9 +110,9 @@
     });
   }
 
-  /** Hands over to a stronger box, unless writes to the log fail. */
+  /** Hands over to a stronger box that can use the log, if there is one and the writes of this box succeed. */
   private async runHandoverToStronger(): Promise<void> {
-    this.leadingSince = this.options.clock.getNow();
+    this.lastStrongerSearchAt = this.options.clock.getNow();
     const next = await this.options.boxes.findStrongerCandidate();
     const controller = this.options.getController();
     if (next !== undefined && controller?.getLogOutageMs() === 0) {
@@ -110,7 +120,10 @@
     }
   }
 
-  /** Hands over to a box that can use the log, unless this box can use it again. */
+  /**
+   * Hands over to a box that can use the log, unless writes succeed again, or reads succeed and writes have failed for less than
+   * `HANDOVER_WRITE_OUTAGE_MS`.
+   */
   private async runHandoverInOutage(): Promise<void> {
     const { boxes, retryPending, waitForLogRead, getController } = this.options;
     const next = await boxes.findLeaderCandidate();
@@ -124,7 +137,7 @@
     if (controller === undefined || controller.getLogOutageMs() === 0) {
       return;
     }
-    if (canRead && controller.getLogOutageMs() < MAX_WRITE_OUTAGE_MS) {
+    if (canRead && controller.getLogOutageMs() < HANDOVER_WRITE_OUTAGE_MS) {
       return;
     }
     await this.runHandover(next, controller, 'the log is unavailable to this box');
--- a/packages/serve/LoadAdmission.ts
+++ b/packages/serve/LoadAdmission.ts
@@ -12,7 +12,7 @@
 
 interface LoadAdmissionOptions {
   readonly mode: AdmissionMode;
-  readonly view: LoadView;
+  readonly loadView: LoadView;
   readonly clock: Clock;
   readonly logger: Logger;
   readonly metrics: ServeMetrics;
@@ -20,18 +20,21 @@
   readonly getEpoch: () => number | undefined;
   /** Reads the jobs topic until a monotonic deadline; true if all records written before the call have been applied. */
   readonly waitForJobsRefresh: (deadline: number) => Promise<boolean>;
+  /** Returns whether the replica holds the job. */
   readonly isKnown: (id: JobId) => boolean;
 }
 
 type SubmittedJob = Pick<JobDefinition, 'id' | 'queue' | 'customer' | 'steps' | 'firstRunMs'>;
 
-/** Result of admission control. `load` holds fields for the log line of an accepted job. */
+/**
+ * Result of admission control: accept the job, return the result for its existing id, or refuse it. `load` holds fields of the log line.
+ */
 type AdmissionCheck =
   | { readonly kind: 'taken'; readonly load: Readonly<Record<string, unknown>> }
   | { readonly kind: 'known' }
   | { readonly kind: 'refused'; readonly retryAfterMs: number };
 
-/** Number of jobs of uncertain outcome that are remembered. Callers retry within seconds. */
+/** Number of jobs with an unconfirmed write that are remembered, for retries of their callers. The oldest ones are forgotten first. */
 const MAX_UNCERTAIN_JOBS = 2000;
 
 const DECISION_COUNTERS = {
@@ -56,16 +59,19 @@
     }
   }
 
-  /** Decides whether to accept a job; a monotonic deadline bounds the read that precedes a refusal. */
+  /**
+   * Decides by the published load whether to accept a job, and logs a refusal. Reads the jobs topic before a refusal, until a monotonic
+   * deadline: returns `known` if the job turns out to exist, and accepts it if the read fails or an earlier write of it was not confirmed.
+   */
   async checkJob(job: SubmittedJob, deadline: number): Promise<AdmissionCheck> {
-    const { mode: door, metrics } = this.options;
-    if (!admissionModes[door].isLoadPublished) {
+    const { mode, metrics } = this.options;
+    if (!admissionModes[mode].isLoadPublished) {
       return { kind: 'taken', load: {} };
     }
     const load = this.getLoad();
     const decision = this.chooseDecision(load, job, deadline);
     metrics.recordCount(DECISION_COUNTERS[decision.kind]);
-    if (decision.kind !== 'hopeless' || !admissionModes[door].canRefuse) {
+    if (decision.kind !== 'hopeless' || !admissionModes[mode].canRefuse) {
       return { kind: 'taken', load: this.formatLoad(load, decision) };
     }
     if (this.uncertainJobs.has(job.id) || !(await this.options.waitForJobsRefresh(deadline))) {
@@ -86,8 +92,8 @@
   }
 
   private getLoad(): KnownLoad | undefined {
-    const { clock, getEpoch: readEpoch, view } = this.options;
-    return view.getLoad({ now: clock.getNow(), wallMs: clock.getWallTime(), epoch: readEpoch() });
+    const { clock, getEpoch, loadView: view } = this.options;
+    return view.getLoad({ now: clock.getNow(), wallMs: clock.getWallTime(), epoch: getEpoch() });
   }
 
   private chooseDecision(
--- a/packages/serve/OtherBoxes.ts
+++ b/packages/serve/OtherBoxes.ts
@@ -16,6 +16,7 @@
 
 interface OtherBoxesOptions {
   readonly settings: ServeSettings;
+  /** Id of this process. */
   readonly process: string;
   readonly clock: Clock;
   readonly logger: Logger;
@@ -26,6 +27,7 @@
   readonly isStopping: () => boolean;
 }
 
+/** Timeout of one write of this box's announcement. */
 const ANNOUNCE_TIMEOUT_MS = 20_000;
 const ANNOUNCE_RETRY_MS = 1000;
 
@@ -42,19 +44,19 @@
       clock,
       logger,
       listOthers: () => this.clients.listOthers(),
-      createAnnouncement: () => this.createLeaderAnnouncement(),
+      createBoxAnnouncement: () => this.createLeaderAnnouncement(),
     });
   }
 
   /** Creates the record that announces this box's address and resources. */
   createAnnouncement(): LogWrite {
     const { settings } = this.options;
-    const value = BoxDirectory.formatRecord(settings.internal, settings);
-    return { key: BoxDirectory.toKey(settings.box), value };
+    const value = BoxDirectory.formatAnnouncement(settings.internal, settings);
+    return { key: BoxDirectory.toAnnouncementKey(settings.box), value };
   }
 
-  /** Writes the announcement to the log, with retries until it succeeds or the process stops. */
-  async writeAnnouncement(writer: RecordWriter): Promise<void> {
+  /** Writes this box's announcement to the log, with retries until it succeeds or the process stops. */
+  async writeBoxAnnouncement(writer: RecordWriter): Promise<void> {
     const { clock, isStopping } = this.options;
     const write = this.createAnnouncement();
     while (!isStopping()) {
@@ -66,7 +68,7 @@
     }
   }
 
-  /** Sends leader announcements while this box leads. Called periodically. */
+  /** Sends the leader announcements to other boxes that are due, while this box leads. Called periodically. */
   handleTick(): void {
     this.announcer.handleTick();
   }
@@ -76,7 +78,7 @@
     this.directory.setBox(record.box, address, { cores, linkMbps });
   }
 
-  /** Returns how the current leader can be reached. */
+  /** Returns whether and how the current leader can be reached. */
   getLeaderContact(): LeaderContact {
     const box = this.options.getLeader()?.box;
     if (box === undefined) {
@@ -89,7 +91,7 @@
     return client === undefined ? { kind: 'noAddress', box } : { kind: 'known', box, client };
   }
 
-  /** Requests a job's state from the leader; undefined when it does not respond in time or cannot be reached. */
+  /** Requests a job's state from the leader; undefined when this box leads, or the leader cannot be reached or does not respond in time. */
   async requestJobState(
     id: JobId,
     caller: JobCaller,
@@ -102,8 +104,8 @@
   private createLeaderAnnouncement(): LeaderAnnouncement | undefined {
     const { settings, process, getLeader, isLeading } = this.options;
     const record = getLeader();
-    const isOwn = record?.process === process;
+    const isOwnRecord = record?.process === process;
     const { internal, cores, linkMbps } = settings;
-    return isOwn && isLeading() ? { record, address: internal, cores, linkMbps } : undefined;
+    return isOwnRecord && isLeading() ? { record, address: internal, cores, linkMbps } : undefined;
   }
 }
--- a/packages/serve/ServeAdapter.ts
+++ b/packages/serve/ServeAdapter.ts
@@ -25,14 +25,16 @@
 export interface ServeAdapter {
   /** Log topic of the configuration. */
   readonly operatorTopic: string;
+  /** Key of the configuration record in the operator topic. */
   readonly configurationKey: string;
+  /** Log topic of the endpoint records. */
   readonly endpointsTopic: string;
   createLogClient(): LogClient;
   createAdviceClient(): AdviceClient;
-  /** Creates a client of the incarnation that the profile names; `readToken` returns the fencing token for each request. */
+  /** Creates a client of the incarnation that the profile names; `getToken` returns the fencing token for each request. */
   createEndpointClient(profile: EndpointProfile, getToken: () => number): EndpointClient;
   createCallerServer(input: CallerServerOptions): CallerServerHandle;
-  /** Parses the configuration; on failure returns all problems. */
+  /** Parses the text of a configuration; on failure returns all problems. */
   parseConfiguration(text: string): Result<QueueConfiguration, readonly string[]>;
   /** Parses the record of an endpoint; on failure returns the problem. */
   parseEndpoint(id: string, text: string): Result<EndpointProfile, string>;
--- a/packages/serve/ServeProcess.ts
+++ b/packages/serve/ServeProcess.ts
@@ -44,7 +44,7 @@
   readonly adapter: ServeAdapter;
   readonly clock: MachineClock;
   readonly random: Random;
-  /** Unique for each start of the box. */
+  /** Id of this process, unique for each start of the box. */
   readonly process: string;
   readonly createPartLogger: (part: string) => Logger;
 }
@@ -58,10 +58,10 @@
 const FORWARDED_TIMEOUT_SHARE = 0.9;
 /** Time in which the load balancer notices from its readiness probes that this box is stopping. */
 const DRAIN_NOTICE_MS = 2600;
-/** Duration of failing writes from which a leader is not ready and forwarded writes are refused. */
-const MAX_WRITE_OUTAGE_MS = 600;
+/** Duration of failing writes from which a leader is not ready, and beyond which forwarded writes are refused. */
+const UNREADY_WRITE_OUTAGE_MS = 600;
 
-/** Entry process: creates its parts, connects them, and starts and stops them in order. */
+/** Process of an entry box: creates its components, connects them, and starts and stops them in order. */
 export class ServeProcess {
   private readonly logClient: LogClient;
   private readonly logger: Logger;
@@ -75,13 +75,13 @@
   private readonly adviceClient: AdviceClient;
   private readonly otherBoxes: OtherBoxes;
   private readonly leaderWatch: LeaderWatch;
-  private readonly configuration: ConfigurationUpdater;
-  private readonly handover: LeaderHandover;
+  private readonly configurationUpdater: ConfigurationUpdater;
+  private readonly leaderHandover: LeaderHandover;
   private readonly boxServer: BoxServer;
   private readonly callerServer: ReturnType<ServeAdapter['createCallerServer']>;
   private readonly jobService: BoxJobService;
   private controller: LeaderController | undefined;
-  private timer: NodeJS.Timeout | undefined;
+  private tickTimer: NodeJS.Timeout | undefined;
   private isStopping = false;
 
   constructor(private readonly options: ServeProcessOptions) {
@@ -120,8 +120,8 @@
       isOutranked: () => this.otherBoxes.directory.listStronger(settings).length > 0,
       handleElected: (election) => this.startLeading(election),
     });
-    this.configuration = this.createConfigurationUpdater();
-    this.handover = this.createHandover();
+    this.configurationUpdater = this.createConfigurationUpdater();
+    this.leaderHandover = this.createHandover();
     this.leaderWatch = new LeaderWatch({
       handleEnded: (process) => this.leadership.handleLeaderEnded(process),
     });
@@ -135,12 +135,12 @@
     });
     this.boxServer = new BoxServer({
       address: settings.internal,
-      advice: this.adviceClient,
+      adviceClient: this.adviceClient,
       formatMetrics: () => this.formatMetrics(),
       isLogUsable: () => this.isLogUsable(),
       getJobState: (id, caller, timeoutMs) => this.getJobState(id, caller, timeoutMs),
       writeForBox: (write, timeoutMs) => this.writeForBox(write, timeoutMs),
-      getConfiguration: (knownVersion) => this.configuration.createResponse(knownVersion),
+      getConfiguration: (knownVersion) => this.configurationUpdater.createResponse(knownVersion),
       handleLeaderAnnouncement: (announcement) => this.handleLeaderAnnouncement(announcement),
       handleHandover: (epoch) => this.leadership.handleHandover(epoch),
     });
@@ -150,13 +150,16 @@
     await this.boxServer.start();
     await this.callerServer.start();
     this.followers.startNextFollower();
-    void this.otherBoxes.writeAnnouncement(this.writer);
-    this.timer = setInterval(() => this.handleTick(), TICK_INTERVAL_MS);
+    void this.otherBoxes.writeBoxAnnouncement(this.writer);
+    this.tickTimer = setInterval(() => this.handleTick(), TICK_INTERVAL_MS);
     const { box, hall, front, log } = this.options.settings;
     this.logger.info('Started.', { process: this.options.process, box, hall, front, log });
   }
 
-  /** Stops gracefully: hands leadership over, drains callers and finishes requests. */
+  /**
+   * Stops gracefully: hands leadership over, waits until callers are sent elsewhere, then stops all components. Does nothing if called
+   * again.
+   */
   async stop(): Promise<void> {
     if (this.isStopping) {
       return;
@@ -165,9 +168,9 @@
     this.logger.info('Stopping.', { isLeading: this.controller !== undefined });
     this.leadership.stop();
     const stopAt = this.options.clock.getNow() + DRAIN_NOTICE_MS;
-    await this.handover.runPlannedHandover();
+    await this.leaderHandover.runPlannedHandover();
     await waitForDelay(Math.max(0, stopAt - this.options.clock.getNow()));
-    clearInterval(this.timer);
+    clearInterval(this.tickTimer);
     this.leaderWatch.setLeader(undefined);
     await this.callerServer.stop();
     await this.boxServer.stop();
@@ -181,14 +184,14 @@
     this.logger.info('Settings reloaded.', { box: this.options.settings.box });
   }
 
-  /** Returns whether this box accepts callers, for the readiness probe. */
+  /** Returns whether this box accepts callers: it is not stopping, can use the log and has a configuration. For the readiness probe. */
   isReady(): boolean {
     return !this.isStopping && this.isLogAvailable() && this.router.getConfiguration() !== undefined;
   }
 
-  /** Returns whether this box can read all topics and, as leader, write. */
+  /** Returns whether all topics that this box follows can be read and, as leader, its writes have not failed for too long. */
   private isLogAvailable(): boolean {
-    return this.isLogReadable() && (this.controller?.getLogOutageMs() ?? 0) < MAX_WRITE_OUTAGE_MS;
+    return this.isLogReadable() && (this.controller?.getLogOutageMs() ?? 0) < UNREADY_WRITE_OUTAGE_MS;
   }
 
   private isLogReadable(): boolean {
@@ -208,9 +211,11 @@
     return outcome.kind === 'answered' ? outcome.answer : undefined;
   }
 
-  /** Appends a record on behalf of another box and applies it. */
+  /**
+   * Appends a record on behalf of another box, and applies it once written; refused while this box is stopping or its writes keep failing.
+   */
   private async writeForBox(write: LogWrite, timeoutMs: number): Promise<WriteOutcome> {
-    if (this.isStopping || this.writer.getOutageMs() > MAX_WRITE_OUTAGE_MS) {
+    if (this.isStopping || this.writer.getOutageMs() > UNREADY_WRITE_OUTAGE_MS) {
       return 'refused';
     }
     const deadline = this.options.clock.getNow() + timeoutMs * FORWARDED_TIMEOUT_SHARE;
@@ -225,7 +230,7 @@
     return new BoxJobService({
       replica: this.replica,
       writer: jobWritePolicies[this.options.settings.jobWriting]({
-        own: this.writer,
+        directWriter: this.writer,
         clock: this.options.clock,
         logger: this.options.createPartLogger('jobs'),
         getLeader: () => this.otherBoxes.getLeaderContact(),
@@ -241,8 +246,8 @@
       isLogReadable: () => this.isLogReadable(),
       isLeading: () => this.controller?.isActive() ?? false,
       requestLeaderState: (id, caller, timeoutMs) => this.otherBoxes.requestJobState(id, caller, timeoutMs),
-      handleAccepted: (definition) => this.applyAccepted(definition),
-      handleCancelled: (id) => this.applyCancelled(id),
+      handleJobAccepted: (definition) => this.applyAccepted(definition),
+      handleJobCancelled: (id) => this.applyCancelled(id),
     });
   }
 
@@ -250,7 +255,7 @@
     const { clock, settings } = this.options;
     return new LoadAdmission({
       mode: settings.door,
-      view: this.loadView,
+      loadView: this.loadView,
       clock,
       logger: this.options.createPartLogger('jobs'),
       metrics: this.metrics,
@@ -260,7 +265,7 @@
     });
   }
 
-  /** Handles the announcement of a leader. Without access to the log, this is the only way to learn of one. */
+  /** Records the address and leadership of an announced leader, and stops leading if the announcement supersedes it. */
   private handleLeaderAnnouncement(announcement: LeaderAnnouncement): void {
     const { record } = announcement;
     this.otherBoxes.applyLeaderAnnouncement(announcement);
@@ -283,7 +288,7 @@
       getEpoch: () => this.leadership.getRecord()?.epoch ?? 0,
       retryPending: () => this.handleLogRecovered(clock.getNow()),
       waitForLogRead: () => this.followers.jobs.waitForRefresh(LOG_CHECK_TIMEOUT_MS),
-      handleResigned: () => {
+      handleGracefulStop: () => {
         this.controller = undefined;
       },
       handleLeadershipLost: (epoch, detail) => this.handleLeadershipLost(epoch, detail),
@@ -304,7 +309,7 @@
         this.leadership.foldRecords(records);
         this.foldLoad(records);
       },
-      handleOperator: (records) => this.configuration.handleRecords(records),
+      handleOperator: (records) => this.configurationUpdater.handleRecords(records),
       handleStatesConnection: (isConnected) => this.leadership.handleConnection(isConnected),
       handleLogRecovered: (sentAt) => this.handleLogRecovered(sentAt),
     });
@@ -348,7 +353,7 @@
       random,
       logger: createPartLogger('configuration'),
       maxAgeMs: settings.maxConfigurationAgeMs,
-      isFollowing: () => this.followers.operator.isFollowing(),
+      isUpToDate: () => this.followers.operator.isFollowing(),
       getLastReadAt: () => this.followers.operator.getLastSuccessAt(),
       listOthers: () => this.otherBoxes.clients.listOthers(),
     });
@@ -357,14 +362,14 @@
   private createAuthorizer(): CallerAuthorizer {
     return new CallerAuthorizer({
       router: this.router,
-      isFresh: () => this.configuration.isFresh(),
+      isFresh: () => this.configurationUpdater.isFresh(),
       handleRejected: (queue, reason) => {
         this.metrics.recordCount('keysRefused');
         this.logger.info('Call refused for its key.', {
           queue,
           reason,
           configuration: this.router.getConfiguration()?.version,
-          configurationAgeMs: Math.round(this.configuration.getAgeMs()),
+          configurationAgeMs: Math.round(this.configurationUpdater.getAgeMs()),
         });
       },
     });
@@ -389,7 +394,7 @@
       return;
     }
     this.metrics.recordCount('elections');
-    this.handover.recordElected();
+    this.leaderHandover.recordElected();
     this.followers.startLeading();
     this.controller = new LeaderController({
       ...election,
@@ -431,9 +436,9 @@
   }
 
   /** Returns the channels for advice requests: this box first, then the other announced boxes. */
-  private listAdviceChannels(): { box: string; isOwn: boolean; client: AdviceClient }[] {
-    const own = { box: this.options.settings.box, isOwn: true, client: this.adviceClient };
-    const others = this.otherBoxes.clients.listOthers().map((other) => ({ ...other, isOwn: false }));
+  private listAdviceChannels(): { box: string; isOwnBox: boolean; client: AdviceClient }[] {
+    const own = { box: this.options.settings.box, isOwnBox: true, client: this.adviceClient };
+    const others = this.otherBoxes.clients.listOthers().map((other) => ({ ...other, isOwnBox: false }));
     return [own, ...others];
   }
 
@@ -471,9 +476,9 @@
         ? { process: record.process, address: leaderBox.address }
         : undefined,
     );
-    this.handover.handleTick();
+    this.leaderHandover.handleTick();
     this.otherBoxes.handleTick();
-    this.configuration.handleTick();
+    this.configurationUpdater.handleTick();
   }
 
   private formatMetrics(): string {
@@ -494,7 +499,7 @@
     return text + this.formatCustomerMetrics();
   }
 
-  /** Returns the age of the newest load digest; no gauge before the first one. */
+  /** Returns the gauge of the age of the newest load digest in milliseconds; none before the first digest. */
   private getLoadGauges(): Readonly<Record<string, number>> {
     const { clock } = this.options;
     const epoch = this.leadership.getRecord()?.epoch;
--- a/packages/serve/TopicFollowers.ts
+++ b/packages/serve/TopicFollowers.ts
@@ -29,11 +29,12 @@
 }
 
 const STATES_INTERVAL: PollInterval = { pauseMs: 350, pollMs: 500 };
-/** Less frequent, because a request for an unknown job triggers a read. */
+/** Less frequent than for states, because a request for an unknown job triggers a read. */
 const JOBS_INTERVAL: PollInterval = { pauseMs: 1000, pollMs: 1000 };
-/** An outage is detected within this time plus the timeout of a request. */
+/** Without a pause, so that an outage is detected within the poll time plus the timeout of a request. */
 const OPERATOR_INTERVAL: PollInterval = { pauseMs: 0, pollMs: 800 };
-const LEADER_PAUSE_MS = 0;
+/** Pause between two reads of the jobs topic by the leader. */
+const LEADER_JOBS_PAUSE_MS = 0;
 
 /** Followers of the log topics. They start one after the other, each once the previous one has read its topic to the end. */
 export class TopicFollowers {
@@ -41,19 +42,19 @@
   readonly states: LogFollower;
   readonly operator: LogFollower;
   /** Followers to be started, most urgent first. On a narrow link, sequential reads complete the first topic sooner. */
-  private readonly unstarted: LogFollower[];
+  private readonly unstartedFollowers: LogFollower[];
 
   constructor(private readonly options: TopicFollowersOptions) {
     const { operatorTopic, handleJobs, handleStates, handleOperator } = options;
     this.jobs = this.createFollower(topics.jobs, JOBS_INTERVAL, handleJobs);
     this.states = this.createFollower(topics.states, STATES_INTERVAL, handleStates);
     this.operator = this.createFollower(operatorTopic, OPERATOR_INTERVAL, handleOperator);
-    this.unstarted = [this.operator, this.states, this.jobs];
+    this.unstartedFollowers = [this.operator, this.states, this.jobs];
   }
 
   /** Starts the next follower, if any is left. */
   startNextFollower(): void {
-    void this.unstarted.shift()?.start();
+    void this.unstartedFollowers.shift()?.start();
   }
 
   stop(): void {
@@ -62,13 +63,13 @@
     this.operator.stop();
   }
 
-  /** Stops following the states, which the leader writes itself, and follows jobs without a pause. */
+  /** Stops following the states topic, which the leader writes itself, and follows the jobs topic without a pause. */
   startLeading(): void {
     this.states.stop();
-    this.jobs.setPause(LEADER_PAUSE_MS);
+    this.jobs.setPause(LEADER_JOBS_PAUSE_MS);
   }
 
-  /** Follows states and jobs as a box that does not lead. */
+  /** Follows the states topic again, and the jobs topic with its usual pause. */
   stopLeading(): void {
     this.jobs.setPause(JOBS_INTERVAL.pauseMs);
     void this.states.start();
--- a/packages/serve/jobWritePolicies.ts
+++ b/packages/serve/jobWritePolicies.ts
@@ -6,6 +6,6 @@
 
 /** Creates the writer of job records for each policy. */
 export const jobWritePolicies: Readonly<Record<JobWritePolicyName, (input: WriterInput) => RecordWriter>> = {
-  own: ({ own }) => own,
+  own: ({ directWriter }) => directWriter,
   leader: (input) => new ForwardingWriter(input),
 };
--- a/tests/admission.test.ts
+++ b/tests/admission.test.ts
@@ -119,7 +119,7 @@
     const handleLine = (message: string, fields = {}): void => void this.lines.push({ message, fields });
     this.door = new LoadAdmission({
       mode: door,
-      view: this.view,
+      loadView: this.view,
       clock: { getNow: () => this.now, getWallTime: () => this.now },
       logger: { info: handleLine, warn: handleLine, error: handleLine },
       metrics: this.metrics,
--- a/tests/helpers/AdviceSimulation.ts
+++ b/tests/helpers/AdviceSimulation.ts
@@ -182,7 +182,7 @@
     };
     return {
       box: `box-${box}`,
-      isOwn: box === 0,
+      isOwnBox: box === 0,
       client: { requestAdvice, stop: () => Promise.resolve() },
     };
   }
--- a/tests/leadership.test.ts
+++ b/tests/leadership.test.ts
@@ -136,8 +136,8 @@
     directory.foldRecords(
       Object.entries(cores).map(([box, value], offset) => ({
         offset,
-        key: BoxDirectory.toKey(box),
-        value: BoxDirectory.formatRecord(`${box}:80`, { cores: value, linkMbps: 1000 }),
+        key: BoxDirectory.toAnnouncementKey(box),
+        value: BoxDirectory.formatAnnouncement(`${box}:80`, { cores: value, linkMbps: 1000 }),
       })),
     );
     expect(directory.listPeers({ cores: 1.35, linkMbps: 1000 }).map(({ box }) => box)).toEqual([
@@ -157,8 +157,8 @@
     directory.foldRecords(
       Object.entries(powers).map(([box, power], offset) => ({
         offset,
-        key: BoxDirectory.toKey(box),
-        value: BoxDirectory.formatRecord(`${box}:80`, power),
+        key: BoxDirectory.toAnnouncementKey(box),
+        value: BoxDirectory.formatAnnouncement(`${box}:80`, power),
       })),
     );
     return directory;
@@ -174,7 +174,7 @@
   it('are compared by cores alone when an earlier version announced them', () => {
     const directory = new BoxDirectory();
     const value = JSON.stringify({ address: 'old:80', cores: 0.81 });
-    directory.foldRecords([{ offset: 0, key: BoxDirectory.toKey('old'), value }]);
+    directory.foldRecords([{ offset: 0, key: BoxDirectory.toAnnouncementKey('old'), value }]);
     expect(directory.listStronger({ cores: 0.5, linkMbps: 1000 }).map(({ box }) => box)).toEqual(['old']);
   });
 
