--- a/packages/boxes/BoxClients.ts
+++ b/packages/boxes/BoxClients.ts
@@ -47,17 +47,17 @@
     const peers = this.directory.listPeers(this.ownBox);
     return (
       (await this.findStrongerCandidate()) ??
-      (await this.findFirstOfBoxes(peers)) ??
+      (await this.findFirstOfNamed(peers)) ??
       this.findStrongestWithLog(this.listOthers())
     );
   }
 
   /** Returns the first box to respond that is stronger than this one and can use the log; undefined when there is none. */
   findStrongerCandidate(): Promise<BoxClient | undefined> {
-    return this.findFirstOfBoxes(this.directory.listStronger(this.ownBox));
+    return this.findFirstOfNamed(this.directory.listStronger(this.ownBox));
   }
 
-  private findFirstOfBoxes(boxes: readonly { readonly box: string }[]): Promise<BoxClient | undefined> {
+  private findFirstOfNamed(boxes: readonly { readonly box: string }[]): Promise<BoxClient | undefined> {
     const names = new Set(boxes.map(({ box }) => box));
     return this.findFirstWithLog(this.listOthers().filter(({ box }) => names.has(box)));
   }
--- a/packages/boxes/BoxDirectory.ts
+++ b/packages/boxes/BoxDirectory.ts
@@ -5,8 +5,8 @@
 import { boxResourcesSchema } from './boxResourcesSchema';
 import { computeLeaderCapacity } from './computeLeaderCapacity';
 
-const KEY_PREFIX = 'b/';
-const recordSchema = boxResourcesSchema.extend({ address: z.string() });
+const ANNOUNCEMENT_KEY_PREFIX = 'b/';
+const announcementSchema = boxResourcesSchema.extend({ address: z.string() });
 /** Ratio of leader capacities from which a box counts as clearly stronger than another. */
 const MIN_STRONGER_RATIO = 1.5;
 
@@ -24,7 +24,7 @@
 
   /** Returns the log key of the announcement of a box. */
   static toAnnouncementKey(box: string): string {
-    return `${KEY_PREFIX}${box}`;
+    return `${ANNOUNCEMENT_KEY_PREFIX}${box}`;
   }
 
   /** Formats a box's address and resources as the value of its announcement in the log. */
@@ -38,11 +38,11 @@
    */
   foldRecords(records: readonly LogRecord[], readAt = -Infinity): void {
     for (const { key, value } of records) {
-      if (!key.startsWith(KEY_PREFIX)) {
+      if (!key.startsWith(ANNOUNCEMENT_KEY_PREFIX)) {
         continue;
       }
-      const box = key.slice(KEY_PREFIX.length);
-      const parsed = recordSchema.safeParse(parseJson(value));
+      const box = key.slice(ANNOUNCEMENT_KEY_PREFIX.length);
+      const parsed = announcementSchema.safeParse(parseJson(value));
       if (parsed.success) {
         this.boxes.set(box, { box, ...parsed.data, announcedAt: readAt });
       } else {
--- a/packages/serve/BoxJobService.ts
+++ b/packages/serve/BoxJobService.ts
@@ -30,11 +30,11 @@
   readonly logger: Logger;
   readonly metrics: ServeMetrics;
   readonly admission: LoadAdmission;
-  /** Returns whether all topics can be read. */
+  /** Returns whether all topics that this box follows can be read. */
   readonly isLogReadable: () => boolean;
-  /** Returns whether this process leads, so that its replica is the newest. */
+  /** Returns whether this process leads and has taken over, so that its replica is the newest. */
   readonly isLeading: () => boolean;
-  /** Requests a job's state from the leader; undefined when it does not respond in time or cannot be reached. */
+  /** Requests a job's state from the leader; undefined when this box leads, or the leader cannot be reached or returns no state in time. */
   readonly requestLeaderState: (
     id: JobId,
     caller: JobCaller,
@@ -46,6 +46,7 @@
   readonly handleJobCancelled: (id: JobId) => void;
 }
 
+/** Time after which callers are asked to retry when the log is unavailable. */
 const RETRY_AFTER_MS = 1000;
 /** Duration of failing appends beyond which jobs are refused without a try, while reads fail too. */
 const REFUSAL_OUTAGE_MS = 400;
@@ -61,9 +62,9 @@
 const LEADER_STATE_TIMEOUT_MS = 80;
 /** Time for which no state of a known job is requested from the leader after it returned none. */
 const LEADER_BACKOFF_MS = 1000;
-const ACCEPTED = { kind: 'answered', answer: { kind: 'accepted' } } as const;
-const TAKEN = { kind: 'answered', answer: { kind: 'taken' } } as const;
-const ABSENT = { kind: 'answered', answer: 'absent' } as const;
+const ACCEPTED_RESULT = { kind: 'answered', answer: { kind: 'accepted' } } as const;
+const ID_TAKEN_RESULT = { kind: 'answered', answer: { kind: 'taken' } } as const;
+const ABSENT_RESULT = { kind: 'answered', answer: 'absent' } as const;
 
 const ENDED_STATES: ReadonlySet<JobState | undefined> = new Set(['completed', 'failed', 'cancelled']);
 
@@ -138,7 +139,7 @@
       ...check.load,
     });
     this.options.handleJobAccepted(definition);
-    return ACCEPTED;
+    return ACCEPTED_RESULT;
   }
 
   private toJobCustomer({ name, weight, limit }: CustomerPolicy): JobCustomer {
@@ -154,12 +155,12 @@
     const isSame = known.queue.name === queue.name && known.customer?.name === customer?.name;
     if (isSame) {
       this.logDecision('Job already accepted.', known.id, queue.name, {});
-      return ACCEPTED;
+      return ACCEPTED_RESULT;
     }
     this.logDecision('Job not taken: its id belongs to another.', known.id, queue.name, {
       customer: customer?.name,
     });
-    return TAKEN;
+    return ID_TAKEN_RESULT;
   }
 
   async getJobState(
@@ -178,7 +179,7 @@
       }
     }
     if (!this.isAccessible(id, caller)) {
-      return ABSENT;
+      return ABSENT_RESULT;
     }
     const hasEnded = isEnded(replica.getState(id));
     const newest = hasEnded ? undefined : await this.requestNewestState(id, caller, deadline);
@@ -223,14 +224,14 @@
     if (replica.getDefinition(id) === undefined) {
       const isFresh = await this.waitForRefresh(this.options.jobsFollower, deadline);
       if (replica.getDefinition(id) === undefined) {
-        const found = isFresh ? ABSENT : await this.requestStateFromLeader(id, caller, deadline);
+        const found = isFresh ? ABSENT_RESULT : await this.requestStateFromLeader(id, caller, deadline);
         if (found.kind !== 'answered' || found.answer === 'absent') {
-          return found.kind === 'answered' ? ABSENT : found;
+          return found.kind === 'answered' ? ABSENT_RESULT : found;
         }
       }
     }
     if (!this.isAccessible(id, caller)) {
-      return ABSENT;
+      return ABSENT_RESULT;
     }
     const write = { key: jobKeys.toCancelKey(id), value: '1' };
     const outcome = await writer.writeRecord(write, this.computeWriteDeadline(startedAt, deadline));
--- a/packages/serve/ConfigurationUpdater.ts
+++ b/packages/serve/ConfigurationUpdater.ts
@@ -83,9 +83,9 @@
    * flight and the last one was long enough ago. Called periodically.
    */
   handleTick(): void {
-    const { clock, isUpToDate: isFollowing, source } = this.options;
+    const { clock, isUpToDate, source } = this.options;
     const isDue = clock.getNow() - this.lastRequestAt >= REQUEST_INTERVAL_MS;
-    if (configurationSources[source].isUsingBoxes && isDue && !this.isRequesting && !isFollowing()) {
+    if (configurationSources[source].isUsingBoxes && isDue && !this.isRequesting && !isUpToDate()) {
       this.lastRequestAt = clock.getNow();
       void this.requestFromBox();
     }
--- a/packages/serve/LeaderAnnouncer.ts
+++ b/packages/serve/LeaderAnnouncer.ts
@@ -19,7 +19,7 @@
 }
 
 /** Delivery of the announcement of one epoch to one box. */
-interface Delivery {
+interface AnnouncementDelivery {
   readonly epoch: number;
   /**
    * `announcedAt` of the box when the delivery was created. A different value means that the box has restarted and needs a new delivery.
@@ -31,8 +31,8 @@
 }
 
 const MAX_CONCURRENT_REQUESTS = 16;
-const FIRST_RETRY_MS = 500;
-const MAX_RETRY_MS = 8000;
+const FIRST_RETRY_DELAY_MS = 500;
+const MAX_RETRY_DELAY_MS = 8000;
 /** A box gets the leader announcement at once if its own announcement was read less than this before this box began to lead, or later. */
 const NEW_BOX_AGE_MS = 3000;
 /**
@@ -41,7 +41,7 @@
  */
 const STABLE_LEADER_AGE_MS = 3500;
 /** Attempts for each box and epoch, until the box announces itself again. */
-const MAX_ATTEMPTS = 10;
+const MAX_DELIVERY_ATTEMPTS = 10;
 
 /**
  * Announces the leader and its address to all other boxes while this box leads.
@@ -50,7 +50,7 @@
  * could not forward jobs to the leader.
  */
 export class LeaderAnnouncer {
-  private readonly deliveries = new Map<string, Delivery>();
+  private readonly deliveries = new Map<string, AnnouncementDelivery>();
   private inFlightCount = 0;
   private ledEpoch = 0;
   /** Monotonic time from which this box has led that epoch. */
@@ -77,21 +77,26 @@
     }
   }
 
-  private getDelivery({ box, announcedAt }: AnnouncedBox): Delivery {
+  private getDelivery({ box, announcedAt }: AnnouncedBox): AnnouncementDelivery {
     const known = this.deliveries.get(box);
     if (known?.epoch === this.ledEpoch && known.announcedAt === announcedAt) {
       return known;
     }
     const isNew = announcedAt + NEW_BOX_AGE_MS > this.ledSince;
     const nextAt = isNew ? -Infinity : this.ledSince + STABLE_LEADER_AGE_MS;
-    const delivery: Delivery = { epoch: this.ledEpoch, announcedAt, attemptCount: 0, nextAttemptAt: nextAt };
+    const delivery: AnnouncementDelivery = {
+      epoch: this.ledEpoch,
+      announcedAt,
+      attemptCount: 0,
+      nextAttemptAt: nextAt,
+    };
     this.deliveries.set(box, delivery);
     return delivery;
   }
 
   private async sendAnnouncement(
     other: AnnouncedBox,
-    delivery: Delivery,
+    delivery: AnnouncementDelivery,
     announcement: LeaderAnnouncement,
   ): Promise<void> {
     this.inFlightCount += 1;
@@ -102,8 +107,8 @@
     if (isDelivered) {
       return;
     }
-    if (delivery.attemptCount < MAX_ATTEMPTS) {
-      const retryMs = Math.min(MAX_RETRY_MS, FIRST_RETRY_MS * 2 ** (delivery.attemptCount - 1));
+    if (delivery.attemptCount < MAX_DELIVERY_ATTEMPTS) {
+      const retryMs = Math.min(MAX_RETRY_DELAY_MS, FIRST_RETRY_DELAY_MS * 2 ** (delivery.attemptCount - 1));
       delivery.nextAttemptAt = this.options.clock.getNow() + retryMs;
       return;
     }
--- a/packages/serve/LeaderHandover.ts
+++ b/packages/serve/LeaderHandover.ts
@@ -13,6 +13,7 @@
   readonly directory: BoxDirectory;
   /** Returns the leader controller of this process; undefined while it does not lead. */
   readonly getController: () => LeaderController | undefined;
+  /** Returns the epoch of the current leader; 0 while none is known. */
   readonly getEpoch: () => number;
   /** Retries the pending log requests of this box. */
   readonly retryPending: () => void;
@@ -61,18 +62,18 @@
       return;
     }
     if (controller.getLogOutageMs() > CANDIDATE_SEARCH_OUTAGE_MS) {
-      this.runOnce(() => this.runHandoverInOutage());
+      this.runExclusively(() => this.runHandoverInOutage());
       return;
     }
     const isStable = clock.getNow() - this.lastStrongerSearchAt > STRONGER_SEARCH_INTERVAL_MS;
     if (isStable && directory.listStronger(settings).length > 0) {
-      this.runOnce(() => this.runHandoverToStronger());
+      this.runExclusively(() => this.runHandoverToStronger());
     }
   }
 
   /**
-   * Hands leadership over at a planned stop. While the log is unavailable to every box, no other box could take over, so this process
-   * keeps leading and renewing leases for as long as its grace period allows.
+   * Hands leadership over at a planned stop, if this process leads. While writes to the log fail and no other box can use it, this process
+   * first keeps leading and renewing leases for as long as its grace period allows.
    */
   async runPlannedHandover(): Promise<void> {
     const {
@@ -103,7 +104,7 @@
   }
 
   /** Runs a handover attempt; no other starts before it ends. */
-  private runOnce(attempt: () => Promise<void>): void {
+  private runExclusively(attempt: () => Promise<void>): void {
     this.isHandingOver = true;
     void attempt().finally(() => {
       this.isHandingOver = false;
--- a/packages/serve/LoadAdmission.ts
+++ b/packages/serve/LoadAdmission.ts
@@ -92,8 +92,8 @@
   }
 
   private getLoad(): KnownLoad | undefined {
-    const { clock, getEpoch, loadView: view } = this.options;
-    return view.getLoad({ now: clock.getNow(), wallMs: clock.getWallTime(), epoch: getEpoch() });
+    const { clock, getEpoch, loadView } = this.options;
+    return loadView.getLoad({ now: clock.getNow(), wallMs: clock.getWallTime(), epoch: getEpoch() });
   }
 
   private chooseDecision(
--- a/packages/serve/OtherBoxes.ts
+++ b/packages/serve/OtherBoxes.ts
@@ -29,7 +29,7 @@
 
 /** Timeout of one write of this box's announcement. */
 const ANNOUNCE_TIMEOUT_MS = 20_000;
-const ANNOUNCE_RETRY_MS = 1000;
+const ANNOUNCE_RETRY_DELAY_MS = 1000;
 
 /** Addresses and clients of the other boxes, and the announcements of this box and its leadership to them. */
 export class OtherBoxes {
@@ -64,7 +64,7 @@
       if (outcome === 'written') {
         return;
       }
-      await waitForDelay(ANNOUNCE_RETRY_MS);
+      await waitForDelay(ANNOUNCE_RETRY_DELAY_MS);
     }
   }
 
@@ -91,7 +91,7 @@
     return client === undefined ? { kind: 'noAddress', box } : { kind: 'known', box, client };
   }
 
-  /** Requests a job's state from the leader; undefined when this box leads, or the leader cannot be reached or does not respond in time. */
+  /** Requests a job's state from the leader; undefined when this box leads, or the leader cannot be reached or returns no state in time. */
   async requestJobState(
     id: JobId,
     caller: JobCaller,
--- a/packages/serve/ServeMetrics.ts
+++ b/packages/serve/ServeMetrics.ts
@@ -2,7 +2,7 @@
 import { lossCauses } from '../dispatch/stops/lossCauses';
 import type { LossCounterName } from '../dispatch/stops/LossCounterName';
 
-const COUNTERS = [
+const COUNTER_NAMES = [
   'accepted',
   'notTaken',
   'doorUnknown',
@@ -47,7 +47,7 @@
 const MICROS_PER_MS = 1000;
 const MICROS_PER_SECOND = 1e6;
 
-type CounterName = (typeof COUNTERS)[number];
+type CounterName = (typeof COUNTER_NAMES)[number];
 type DurationName =
   | 'acceptMs'
   | 'readMs'
@@ -64,7 +64,7 @@
 
 /** Counters and latency histograms of one entry process. */
 export class ServeMetrics {
-  private readonly counters = new Map<CounterName, number>(COUNTERS.map((name) => [name, 0]));
+  private readonly counters = new Map<CounterName, number>(COUNTER_NAMES.map((name) => [name, 0]));
   private readonly durations = new Map<DurationName, Histogram>();
 
   recordCount(name: CounterName, amount = 1): void {
--- a/packages/serve/ServePolicies.ts
+++ b/packages/serve/ServePolicies.ts
@@ -5,7 +5,7 @@
 
 /** Policies of an entry process. All boxes of a deployment should use the same. */
 export interface ServePolicies extends DispatchPolicies {
-  /** Which box appends the records of jobs that this box accepts. */
+  /** Which box appends the records of the jobs and cancels that this box accepts. */
   readonly jobWriting: JobWritePolicyName;
   /** Admission control by load. */
   readonly door: AdmissionMode;
--- a/packages/serve/ServeProcess.ts
+++ b/packages/serve/ServeProcess.ts
@@ -50,12 +50,14 @@
 }
 
 const TICK_INTERVAL_MS = 50;
+/** Timeout of the read of the jobs topic at a takeover. */
 const TAKEOVER_READ_TIMEOUT_MS = 1000;
 /** Timeout of the read that checks whether the log is available. Shorter than the timeout of the request between boxes. */
 const LOG_CHECK_TIMEOUT_MS = 150;
+/** Time for which a write waits for others to be appended with it. */
 const WRITE_LINGER_MS = 2;
 /** Share of the timeout of a forwarded write that the append may take. The rest is for the response. */
-const FORWARDED_TIMEOUT_SHARE = 0.9;
+const FORWARDED_APPEND_TIME_SHARE = 0.9;
 /** Time in which the load balancer notices from its readiness probes that this box is stopping. */
 const DRAIN_NOTICE_MS = 2600;
 /** Duration of failing writes from which a leader is not ready, and beyond which forwarded writes are refused. */
@@ -195,7 +197,7 @@
   }
 
   private isLogReadable(): boolean {
-    return this.followers.isReadable(this.controller !== undefined);
+    return this.followers.isLogReadable(this.controller !== undefined);
   }
 
   /** Returns the state of a job for another box; undefined while this one does not lead, or without a result in time. */
@@ -218,7 +220,7 @@
     if (this.isStopping || this.writer.getOutageMs() > UNREADY_WRITE_OUTAGE_MS) {
       return 'refused';
     }
-    const deadline = this.options.clock.getNow() + timeoutMs * FORWARDED_TIMEOUT_SHARE;
+    const deadline = this.options.clock.getNow() + timeoutMs * FORWARDED_APPEND_TIME_SHARE;
     const outcome = await this.writer.writeRecord(write, deadline);
     if (outcome === 'written') {
       this.handleJobWrites([write]);
@@ -246,8 +248,8 @@
       isLogReadable: () => this.isLogReadable(),
       isLeading: () => this.controller?.isActive() ?? false,
       requestLeaderState: (id, caller, timeoutMs) => this.otherBoxes.requestJobState(id, caller, timeoutMs),
-      handleJobAccepted: (definition) => this.applyAccepted(definition),
-      handleJobCancelled: (id) => this.applyCancelled(id),
+      handleJobAccepted: (definition) => this.applyAcceptedJob(definition),
+      handleJobCancelled: (id) => this.applyCancelledJob(id),
     });
   }
 
@@ -298,7 +300,7 @@
   private createFollowers(): TopicFollowers {
     const { adapter, clock, random } = this.options;
     return new TopicFollowers({
-      log: this.logClient,
+      logClient: this.logClient,
       operatorTopic: adapter.operatorTopic,
       clock,
       random,
@@ -307,7 +309,7 @@
       handleStates: (records) => {
         this.replica.foldStateRecords(records);
         this.leadership.foldRecords(records);
-        this.foldLoad(records);
+        this.foldLoadRecords(records);
       },
       handleOperator: (records) => this.configurationUpdater.handleRecords(records),
       handleStatesConnection: (isConnected) => this.leadership.handleConnection(isConnected),
@@ -315,7 +317,7 @@
     });
   }
 
-  private foldLoad(records: readonly LogWrite[]): void {
+  private foldLoadRecords(records: readonly LogWrite[]): void {
     const epoch = this.leadership.getRecord()?.epoch ?? 0;
     const invalidCount = this.loadView.foldRecords(records, this.options.clock.getNow(), epoch);
     if (invalidCount > 0) {
@@ -375,13 +377,13 @@
     });
   }
 
-  private applyAccepted(definition: JobDefinition): void {
+  private applyAcceptedJob(definition: JobDefinition): void {
     if (this.replica.recordDefinition(definition)) {
       this.controller?.handleJob(definition);
     }
   }
 
-  private applyCancelled(id: JobId): void {
+  private applyCancelledJob(id: JobId): void {
     if (this.replica.recordCancel(id)) {
       this.controller?.handleCancel(id);
     }
@@ -411,7 +413,7 @@
       policies: settings,
       // A leader does not follow the states topic, so it applies its own digests directly.
       ...(admissionModes[settings.door].isLoadPublished
-        ? { handleLoadDigest: (value) => this.foldLoad([{ key: loadKeys.digestKey, value }]) }
+        ? { handleLoadDigest: (value) => this.foldLoadRecords([{ key: loadKeys.digestKey, value }]) }
         : {}),
       getCustomerLimit: (customer) => this.router.getCustomers().findByName(customer)?.limit,
       parseEndpoint: (id, text) => adapter.parseEndpoint(id, text),
--- a/packages/serve/ServeSettings.ts
+++ b/packages/serve/ServeSettings.ts
@@ -22,7 +22,7 @@
    * Maximum age in milliseconds of the configuration, beyond which callers' keys are rejected; undefined for no limit.
    */
   readonly maxConfigurationAgeMs: number | undefined;
-  /** Longest lease that an endpoint grants, in milliseconds. It shortens longer ones to this. */
+  /** Longest lease that an endpoint grants, in milliseconds. An endpoint shortens longer requested leases to this. */
   readonly longestLeaseMs: number;
   /** Largest append to the log, in bytes. */
   readonly maxAppendBytes: number;
--- a/packages/serve/TopicFollowers.ts
+++ b/packages/serve/TopicFollowers.ts
@@ -7,7 +7,7 @@
 import { topics } from './topics';
 
 interface TopicFollowersOptions {
-  readonly log: LogClient;
+  readonly logClient: LogClient;
   readonly operatorTopic: string;
   readonly clock: Clock;
   readonly random: Random;
@@ -17,7 +17,7 @@
   readonly handleOperator: (records: readonly LogRecord[]) => void;
   /** Handles a change of whether the states topic can be read. */
   readonly handleStatesConnection: (isConnected: boolean) => void;
-  /** Handles the first response of the log after an outage; its request was sent at a monotonic time. */
+  /** Handles that a topic can be read for the first time or again; the successful request was sent at a monotonic time. */
   readonly handleLogRecovered: (sentAt: number) => void;
 }
 
@@ -79,7 +79,7 @@
    * Returns whether all topics that this box follows can be read. The jobs topic need not have been read to the end, since a box can
    * accept new jobs before that.
    */
-  isReadable(isLeading: boolean): boolean {
+  isLogReadable(isLeading: boolean): boolean {
     const isFollowingStates = isLeading || this.states.isFollowing();
     return isFollowingStates && this.jobs.isReachable() && this.operator.isFollowing();
   }
@@ -96,9 +96,9 @@
     interval: PollInterval,
     handleRecords: (records: readonly LogRecord[]) => void,
   ): LogFollower {
-    const { log, clock, random, logger, handleStatesConnection, handleLogRecovered } = this.options;
+    const { logClient, clock, random, logger, handleStatesConnection, handleLogRecovered } = this.options;
     return new LogFollower({
-      client: log,
+      client: logClient,
       topic,
       clock,
       random,
