--- a/packages/serve/ForwardingWriter.ts
+++ b/packages/serve/ForwardingWriter.ts
@@ -25,7 +25,10 @@
  * writes by all boxes.
  */
 const FORWARD_TIMEOUT_FACTOR = 3;
-/** Writes are forwarded only to a leader with activity newer than this. Covers its heartbeat interval and a box's read interval. */
+/**
+ * Age of the leader's activity in the log up to which writes are forwarded, while that is readable. Covers its heartbeat interval and a
+ * box's read interval.
+ */
 const MAX_ACTIVITY_AGE_MS = 1250;
 /** Time for which no write is forwarded after a forwarding failure. */
 const FORWARD_BACKOFF_MS = 1000;
@@ -47,7 +50,7 @@
  * them. The leader also learns of each job without reading it from the log.
  */
 export class ForwardingWriter implements RecordWriter {
-  /** Monotonic time at which forwarding last failed. The next attempt needs newer activity of the leader. */
+  /** Monotonic time at which forwarding last failed. While its activity is readable, the leader must have been active since. */
   private forwardingFailedAt = -Infinity;
   /** Timeout of the next forwarded write. */
   private forwardTimeoutMs = MIN_FORWARD_TIMEOUT_MS;
@@ -58,18 +61,18 @@
   async writeRecord(write: LogWrite, deadline: number): Promise<WriteOutcome> {
     const target = this.chooseTarget();
     if (target.leader === undefined) {
-      const own = await this.options.directWriter.writeRecord(write, deadline);
-      this.logFailure(write, own, target.reason);
-      return own;
+      const directOutcome = await this.options.directWriter.writeRecord(write, deadline);
+      this.logFailure(write, directOutcome, target.reason);
+      return directOutcome;
     }
     const outcome = await this.requestLeaderWrite(target.leader, write, deadline);
     if (outcome === 'written') {
       return 'written';
     }
-    const own = await this.writeDirectly(write, deadline);
-    this.logFailure(write, own, outcome);
+    const directOutcome = await this.writeDirectly(write, deadline);
+    this.logFailure(write, directOutcome, outcome);
     // The leader may have written the record.
-    return own === 'refused' && outcome === 'unknown' ? 'unknown' : own;
+    return directOutcome === 'refused' && outcome === 'unknown' ? 'unknown' : directOutcome;
   }
 
   /** Returns zero while writes can be forwarded, else the outage of direct writes in milliseconds. */
@@ -91,13 +94,13 @@
   }
 
   /** Logs a record whose direct write was refused or not confirmed, with the outcome of the forwarding or the reason why there was none. */
-  private logFailure(write: LogWrite, own: WriteOutcome, leader: string): void {
-    if (own !== 'written') {
+  private logFailure(write: LogWrite, directOutcome: WriteOutcome, forwardingResult: string): void {
+    if (directOutcome !== 'written') {
       this.options.logger.info('Record not written, neither directly nor by the leader.', {
         record: write.key,
-        own,
+        own: directOutcome,
         ownFailingMs: Math.round(this.options.directWriter.getOutageMs()),
-        leader,
+        leader: forwardingResult,
         isReadingSigns: this.options.isReadingActivity(),
       });
     }
--- a/packages/serve/LeaderAnnouncer.ts
+++ b/packages/serve/LeaderAnnouncer.ts
@@ -15,7 +15,7 @@
   readonly logger: Logger;
   readonly listOthers: () => readonly AnnouncedBox[];
   /** Creates the announcement of this box as leader; undefined while it does not lead. */
-  readonly createBoxAnnouncement: () => LeaderAnnouncement | undefined;
+  readonly createLeaderAnnouncement: () => LeaderAnnouncement | undefined;
 }
 
 /** Delivery of the announcement of one epoch to one box. */
@@ -60,7 +60,7 @@
 
   /** Sends the announcements that are due, within the limit of concurrent requests, while this box leads. Called periodically. */
   handleTick(): void {
-    const announcement = this.options.createBoxAnnouncement();
+    const announcement = this.options.createLeaderAnnouncement();
     if (announcement === undefined) {
       return;
     }
@@ -83,12 +83,12 @@
       return known;
     }
     const isNew = announcedAt + NEW_BOX_AGE_MS > this.ledSince;
-    const nextAt = isNew ? -Infinity : this.ledSince + STABLE_LEADER_AGE_MS;
+    const nextAttemptAt = isNew ? -Infinity : this.ledSince + STABLE_LEADER_AGE_MS;
     const delivery: AnnouncementDelivery = {
       epoch: this.ledEpoch,
       announcedAt,
       attemptCount: 0,
-      nextAttemptAt: nextAt,
+      nextAttemptAt,
     };
     this.deliveries.set(box, delivery);
     return delivery;
--- a/packages/serve/OtherBoxes.ts
+++ b/packages/serve/OtherBoxes.ts
@@ -44,12 +44,12 @@
       clock,
       logger,
       listOthers: () => this.clients.listOthers(),
-      createBoxAnnouncement: () => this.createLeaderAnnouncement(),
+      createLeaderAnnouncement: () => this.createLeaderAnnouncement(),
     });
   }
 
   /** Creates the record that announces this box's address and resources. */
-  createAnnouncement(): LogWrite {
+  createBoxAnnouncement(): LogWrite {
     const { settings } = this.options;
     const value = BoxDirectory.formatAnnouncement(settings.internal, settings);
     return { key: BoxDirectory.toAnnouncementKey(settings.box), value };
@@ -58,7 +58,7 @@
   /** Writes this box's announcement to the log, with retries until it succeeds or the process stops. */
   async writeBoxAnnouncement(writer: RecordWriter): Promise<void> {
     const { clock, isStopping } = this.options;
-    const write = this.createAnnouncement();
+    const write = this.createBoxAnnouncement();
     while (!isStopping()) {
       const outcome = await writer.writeRecord(write, clock.getNow() + ANNOUNCE_TIMEOUT_MS);
       if (outcome === 'written') {
--- a/packages/serve/ServeProcess.ts
+++ b/packages/serve/ServeProcess.ts
@@ -107,7 +107,7 @@
       lingerMs: WRITE_LINGER_MS,
       maxBytes: settings.maxAppendBytes,
       random,
-      probe: this.otherBoxes.createAnnouncement(),
+      probe: this.otherBoxes.createBoxAnnouncement(),
     });
     this.followers = this.createFollowers();
     this.leadership = new Leadership({
