--- a/packages/boxes/BoxClients.ts
+++ b/packages/boxes/BoxClients.ts
@@ -57,6 +57,7 @@
     return this.findFirstOfNamed(this.directory.listStronger(this.ownBox));
   }
 
+  /** Returns the client of the first of the given other boxes to respond that it can use the log; undefined when none does. */
   private findFirstOfNamed(boxes: readonly { readonly box: string }[]): Promise<BoxClient | undefined> {
     const names = new Set(boxes.map(({ box }) => box));
     return this.findFirstWithLog(this.listOthers().filter(({ box }) => names.has(box)));
@@ -82,6 +83,7 @@
     return ranked[0]?.client;
   }
 
+  /** Returns the client of a box, after replacing it if the address of the box has changed. */
   private getClient(box: string, address: string): BoxClient {
     const known = this.clients.get(box);
     if (known?.address === address) {
--- a/packages/boxes/BoxServer.ts
+++ b/packages/boxes/BoxServer.ts
@@ -67,7 +67,7 @@
 const announcementSchema = leaderRecordSchema.extend({ address: z.string(), ...boxResourcesSchema.shape });
 const handoverSchema = z.object({ epoch: z.number() });
 
-const readBody = ({ body }: FastifyRequest): unknown =>
+const parseBody = ({ body }: FastifyRequest): unknown =>
   parseJson(Buffer.isBuffer(body) ? body.toString('utf8') : '');
 
 /** HTTP server for other entry boxes: advice, job states, log writes, leadership and configuration; and for metrics collectors. */
@@ -81,7 +81,7 @@
       reply.code((await options.isLogUsable()) ? 200 : 503).send(''),
     );
     this.app.post('/job-state', async (request, reply) => {
-      const parsed = stateRequestSchema.safeParse(readBody(request));
+      const parsed = stateRequestSchema.safeParse(parseBody(request));
       if (!parsed.success) {
         return reply.code(400).send({ error: 'malformed question' });
       }
@@ -90,7 +90,7 @@
       return state === undefined ? reply.code(503).send({}) : reply.send({ state });
     });
     this.app.post('/write', async (request, reply) => {
-      const parsed = writeRequestSchema.safeParse(readBody(request));
+      const parsed = writeRequestSchema.safeParse(parseBody(request));
       if (!parsed.success) {
         return reply.code(400).send({ error: 'malformed write' });
       }
@@ -98,13 +98,13 @@
       return reply.send({ outcome: await options.writeForBox({ key, value }, timeoutMs) });
     });
     this.app.post('/configuration', (request, reply) => {
-      const parsed = configurationRequestSchema.safeParse(readBody(request));
+      const parsed = configurationRequestSchema.safeParse(parseBody(request));
       return parsed.success
         ? reply.send(options.getConfiguration(parsed.data.knownVersion))
         : reply.code(400).send({ error: 'malformed question' });
     });
     this.app.post('/leader', (request, reply) => {
-      const parsed = announcementSchema.safeParse(readBody(request));
+      const parsed = announcementSchema.safeParse(parseBody(request));
       if (!parsed.success) {
         return reply.code(400).send({ error: 'malformed introduction' });
       }
@@ -113,7 +113,7 @@
       return reply.send({});
     });
     this.app.post('/hand-over', (request, reply) => {
-      const parsed = handoverSchema.safeParse(readBody(request));
+      const parsed = handoverSchema.safeParse(parseBody(request));
       if (!parsed.success) {
         return reply.code(400).send({ error: 'malformed hand-over' });
       }
@@ -121,7 +121,7 @@
       return reply.send({});
     });
     this.app.post('/advice', async (request, reply) => {
-      const parsed = adviceRequestSchema.safeParse(readBody(request));
+      const parsed = adviceRequestSchema.safeParse(parseBody(request));
       if (!parsed.success) {
         return reply.code(400).send({ error: 'malformed question' });
       }
--- a/packages/serve/BoxJobService.ts
+++ b/packages/serve/BoxJobService.ts
@@ -87,7 +87,7 @@
     const { replica, writer, clock, metrics } = this.options;
     const known = replica.getDefinition(id);
     if (known !== undefined) {
-      return this.createKnownResult(known, queue, customer);
+      return this.createKnownJobResult(known, queue, customer);
     }
     const problem = customer && customerLimits.checkSteps(submission.steps, customer.limit);
     if (problem !== undefined) {
@@ -112,7 +112,7 @@
     };
     const check = await this.options.admission.checkJob(definition, this.computeReadDeadline(deadline));
     if (check.kind === 'known') {
-      return this.createKnownResult(replica.getDefinition(id)!, queue, customer);
+      return this.createKnownJobResult(replica.getDefinition(id)!, queue, customer);
     }
     if (check.kind === 'refused') {
       metrics.recordCount('notTaken');
@@ -126,7 +126,7 @@
     }
     if (outcome === 'unknown') {
       metrics.recordCount('unknown');
-      this.options.admission.recordUncertain(id);
+      this.options.admission.recordUncertainJob(id);
       this.logDecision('The log did not answer: the job may be accepted.', id, queue.name, { tookMs });
       return { kind: 'unknown' };
     }
@@ -147,7 +147,7 @@
   }
 
   /** Creates and logs the result for an existing id: accepted for the queue and customer of its job, taken for all others. */
-  private createKnownResult(
+  private createKnownJobResult(
     known: JobDefinition,
     queue: JobQueue,
     customer: CustomerPolicy | undefined,
@@ -178,7 +178,7 @@
         return this.requestStateFromLeader(id, caller, deadline);
       }
     }
-    if (!this.isAccessible(id, caller)) {
+    if (!this.isJobAccessible(id, caller)) {
       return ABSENT_RESULT;
     }
     const hasEnded = isEnded(replica.getState(id));
@@ -230,7 +230,7 @@
         }
       }
     }
-    if (!this.isAccessible(id, caller)) {
+    if (!this.isJobAccessible(id, caller)) {
       return ABSENT_RESULT;
     }
     const write = { key: jobKeys.toCancelKey(id), value: '1' };
@@ -267,7 +267,7 @@
   }
 
   /** Returns false when the job is known and the caller has no access to it. */
-  private isAccessible(id: JobId, caller: JobCaller): boolean {
+  private isJobAccessible(id: JobId, caller: JobCaller): boolean {
     const definition = this.options.replica.getDefinition(id);
     return definition === undefined || hasAccess(caller, definition);
   }
--- a/packages/serve/ConfigurationUpdater.ts
+++ b/packages/serve/ConfigurationUpdater.ts
@@ -20,7 +20,7 @@
   /** Age in milliseconds up to which a configuration counts as fresh; undefined for no limit. */
   readonly maxAgeMs: number | undefined;
   /** Returns whether the whole operator topic is known and reads of it succeed. */
-  readonly isUpToDate: () => boolean;
+  readonly isTopicUpToDate: () => boolean;
   /** Returns the monotonic time of the last successful read of the operator topic, in milliseconds. */
   readonly getLastReadAt: () => number;
   /** Returns all other announced boxes. */
@@ -83,15 +83,15 @@
    * flight and the last one was long enough ago. Called periodically.
    */
   handleTick(): void {
-    const { clock, isUpToDate, source } = this.options;
+    const { clock, isTopicUpToDate, source } = this.options;
     const isDue = clock.getNow() - this.lastRequestAt >= REQUEST_INTERVAL_MS;
-    if (configurationSources[source].isUsingBoxes && isDue && !this.isRequesting && !isUpToDate()) {
+    if (configurationSources[source].isUsingBoxes && isDue && !this.isRequesting && !isTopicUpToDate()) {
       this.lastRequestAt = clock.getNow();
-      void this.requestFromBox();
+      void this.requestFromRandomBox();
     }
   }
 
-  private async requestFromBox(): Promise<void> {
+  private async requestFromRandomBox(): Promise<void> {
     const { clock, random, listOthers, router } = this.options;
     const others = listOthers();
     const other = others[Math.floor(random() * others.length)];
--- a/packages/serve/ForwardingWriter.ts
+++ b/packages/serve/ForwardingWriter.ts
@@ -59,7 +59,7 @@
 
   /** Forwards a record to the leader, or writes it directly if that is not possible or fails; unknown when it may have been written. */
   async writeRecord(write: LogWrite, deadline: number): Promise<WriteOutcome> {
-    const target = this.chooseTarget();
+    const target = this.chooseForwardingTarget();
     if (target.leader === undefined) {
       const directOutcome = await this.options.directWriter.writeRecord(write, deadline);
       this.logFailure(write, directOutcome, target.reason);
@@ -77,10 +77,10 @@
 
   /** Returns zero while writes can be forwarded, else the outage of direct writes in milliseconds. */
   getOutageMs(): number {
-    return this.chooseTarget().leader === undefined ? this.options.directWriter.getOutageMs() : 0;
+    return this.chooseForwardingTarget().leader === undefined ? this.options.directWriter.getOutageMs() : 0;
   }
 
-  private chooseTarget(): ForwardingTarget {
+  private chooseForwardingTarget(): ForwardingTarget {
     const { clock, hasActivitySince, isReadingActivity, getLeader } = this.options;
     const contact = getLeader();
     if (contact.kind !== 'known') {
--- a/packages/serve/LeaderHandover.ts
+++ b/packages/serve/LeaderHandover.ts
@@ -31,7 +31,7 @@
  * Time for retried requests to succeed once another box can use the log. Avoids a change of leader when the log has just recovered for
  * all boxes.
  */
-const RECOVERY_CHECK_MS = 300;
+const RECOVERY_WAIT_MS = 300;
 /** Duration of failing writes from which the leader hands over although its reads succeed. */
 const HANDOVER_WRITE_OUTAGE_MS = 2000;
 /** Time between two searches for a stronger box, and between the election and the first one. */
@@ -132,7 +132,7 @@
       return;
     }
     retryPending();
-    await waitForDelay(RECOVERY_CHECK_MS);
+    await waitForDelay(RECOVERY_WAIT_MS);
     const canRead = await waitForLogRead();
     const controller = getController();
     if (controller === undefined || controller.getLogOutageMs() === 0) {
--- a/packages/serve/LoadAdmission.ts
+++ b/packages/serve/LoadAdmission.ts
@@ -21,7 +21,7 @@
   /** Reads the jobs topic until a monotonic deadline; true if all records written before the call have been applied. */
   readonly waitForJobsRefresh: (deadline: number) => Promise<boolean>;
   /** Returns whether the replica holds the job. */
-  readonly isKnown: (id: JobId) => boolean;
+  readonly isJobKnown: (id: JobId) => boolean;
 }
 
 type SubmittedJob = Pick<JobDefinition, 'id' | 'queue' | 'customer' | 'steps' | 'firstRunMs'>;
@@ -51,7 +51,7 @@
   constructor(private readonly options: LoadAdmissionOptions) {}
 
   /** Records that a job may have been accepted although its write was not confirmed, so that a retry is not refused. */
-  recordUncertain(id: JobId): void {
+  recordUncertainJob(id: JobId): void {
     this.uncertainJobs.add(id);
     if (this.uncertainJobs.size > MAX_UNCERTAIN_JOBS) {
       const [oldest] = this.uncertainJobs;
@@ -68,30 +68,30 @@
     if (!admissionModes[mode].isLoadPublished) {
       return { kind: 'taken', load: {} };
     }
-    const load = this.getLoad();
+    const load = this.getKnownLoad();
     const decision = this.chooseDecision(load, job, deadline);
     metrics.recordCount(DECISION_COUNTERS[decision.kind]);
     if (decision.kind !== 'hopeless' || !admissionModes[mode].canRefuse) {
-      return { kind: 'taken', load: this.formatLoad(load, decision) };
+      return { kind: 'taken', load: this.createLoadFields(load, decision) };
     }
     if (this.uncertainJobs.has(job.id) || !(await this.options.waitForJobsRefresh(deadline))) {
       metrics.recordCount('doorDoubtful');
-      return { kind: 'taken', load: this.formatLoad(load, decision) };
+      return { kind: 'taken', load: this.createLoadFields(load, decision) };
     }
-    if (this.options.isKnown(job.id)) {
+    if (this.options.isJobKnown(job.id)) {
       return { kind: 'known' };
     }
     this.options.logger.info('Job not taken: it could not be of use in time.', {
       job: job.id,
       queue: job.queue.name,
       ...(job.customer === undefined ? {} : { customer: job.customer.name }),
-      ...this.formatLoad(load, decision),
+      ...this.createLoadFields(load, decision),
       retryAfterMs: decision.retryAfterMs,
     });
     return { kind: 'refused', retryAfterMs: decision.retryAfterMs };
   }
 
-  private getLoad(): KnownLoad | undefined {
+  private getKnownLoad(): KnownLoad | undefined {
     const { clock, getEpoch, loadView } = this.options;
     return loadView.getLoad({ now: clock.getNow(), wallMs: clock.getWallTime(), epoch: getEpoch() });
   }
@@ -112,7 +112,7 @@
     });
   }
 
-  private formatLoad(
+  private createLoadFields(
     load: KnownLoad | undefined,
     decision: AdmissionDecision,
   ): Readonly<Record<string, unknown>> {
--- a/packages/serve/OtherBoxes.ts
+++ b/packages/serve/OtherBoxes.ts
@@ -28,19 +28,19 @@
 }
 
 /** Timeout of one write of this box's announcement. */
-const ANNOUNCE_TIMEOUT_MS = 20_000;
-const ANNOUNCE_RETRY_DELAY_MS = 1000;
+const ANNOUNCEMENT_WRITE_TIMEOUT_MS = 20_000;
+const ANNOUNCEMENT_RETRY_DELAY_MS = 1000;
 
 /** Addresses and clients of the other boxes, and the announcements of this box and its leadership to them. */
 export class OtherBoxes {
   readonly directory = new BoxDirectory();
   readonly clients: BoxClients;
-  private readonly announcer: LeaderAnnouncer;
+  private readonly leaderAnnouncer: LeaderAnnouncer;
 
   constructor(private readonly options: OtherBoxesOptions) {
     const { settings, clock, logger } = options;
     this.clients = new BoxClients(this.directory, settings);
-    this.announcer = new LeaderAnnouncer({
+    this.leaderAnnouncer = new LeaderAnnouncer({
       clock,
       logger,
       listOthers: () => this.clients.listOthers(),
@@ -60,17 +60,17 @@
     const { clock, isStopping } = this.options;
     const write = this.createBoxAnnouncement();
     while (!isStopping()) {
-      const outcome = await writer.writeRecord(write, clock.getNow() + ANNOUNCE_TIMEOUT_MS);
+      const outcome = await writer.writeRecord(write, clock.getNow() + ANNOUNCEMENT_WRITE_TIMEOUT_MS);
       if (outcome === 'written') {
         return;
       }
-      await waitForDelay(ANNOUNCE_RETRY_DELAY_MS);
+      await waitForDelay(ANNOUNCEMENT_RETRY_DELAY_MS);
     }
   }
 
   /** Sends the leader announcements to other boxes that are due, while this box leads. Called periodically. */
   handleTick(): void {
-    this.announcer.handleTick();
+    this.leaderAnnouncer.handleTick();
   }
 
   /** Records the address and resources of the box that announced its leadership. */
--- a/packages/serve/ServeMetrics.ts
+++ b/packages/serve/ServeMetrics.ts
@@ -43,7 +43,7 @@
   'turnWastedMs',
   'turnUnansweredMs',
 ] as const;
-const QUANTILES = [50, 90, 99, 99.9] as const;
+const PERCENTILES = [50, 90, 99, 99.9] as const;
 const MICROS_PER_MS = 1000;
 const MICROS_PER_SECOND = 1e6;
 
@@ -91,9 +91,9 @@
     }
     for (const [name, histogram] of this.durations) {
       const metric = `stairline_${toMetricName(name).replace('_ms', '_seconds')}`;
-      for (const quantile of QUANTILES) {
-        const seconds = histogram.getValueAtPercentile(quantile) / MICROS_PER_SECOND;
-        lines.push(`${metric}{quantile="${quantile / 100}"} ${seconds}`);
+      for (const percentile of PERCENTILES) {
+        const seconds = histogram.getValueAtPercentile(percentile) / MICROS_PER_SECOND;
+        lines.push(`${metric}{quantile="${percentile / 100}"} ${seconds}`);
       }
       lines.push(`${metric}_count ${histogram.totalCount}`);
     }
--- a/packages/serve/ServeProcess.ts
+++ b/packages/serve/ServeProcess.ts
@@ -46,6 +46,7 @@
   readonly random: Random;
   /** Id of this process, unique for each start of the box. */
   readonly process: string;
+  /** Creates a logger whose lines name a part of the process. */
   readonly createPartLogger: (part: string) => Logger;
 }
 
@@ -263,7 +264,7 @@
       metrics: this.metrics,
       getEpoch: () => this.leadership.getRecord()?.epoch,
       waitForJobsRefresh: (deadline) => this.followers.jobs.waitForRefresh(deadline - clock.getNow()),
-      isKnown: (id) => this.replica.getDefinition(id) !== undefined,
+      isJobKnown: (id) => this.replica.getDefinition(id) !== undefined,
     });
   }
 
@@ -305,13 +306,13 @@
       clock,
       random,
       logger: this.logger,
-      handleJobs: (records) => this.handleJobRecords(records),
-      handleStates: (records) => {
+      handleJobRecords: (records) => this.handleJobRecords(records),
+      handleStateRecords: (records) => {
         this.replica.foldStateRecords(records);
         this.leadership.foldRecords(records);
         this.foldLoadRecords(records);
       },
-      handleOperator: (records) => this.configurationUpdater.handleRecords(records),
+      handleOperatorRecords: (records) => this.configurationUpdater.handleRecords(records),
       handleStatesConnection: (isConnected) => this.leadership.handleConnection(isConnected),
       handleLogRecovered: (sentAt) => this.handleLogRecovered(sentAt),
     });
@@ -355,7 +356,7 @@
       random,
       logger: createPartLogger('configuration'),
       maxAgeMs: settings.maxConfigurationAgeMs,
-      isUpToDate: () => this.followers.operator.isFollowing(),
+      isTopicUpToDate: () => this.followers.operator.isFollowing(),
       getLastReadAt: () => this.followers.operator.getLastSuccessAt(),
       listOthers: () => this.otherBoxes.clients.listOthers(),
     });
--- a/packages/serve/TopicFollowers.ts
+++ b/packages/serve/TopicFollowers.ts
@@ -12,9 +12,9 @@
   readonly clock: Clock;
   readonly random: Random;
   readonly logger: Logger;
-  readonly handleJobs: (records: readonly LogRecord[]) => void;
-  readonly handleStates: (records: readonly LogRecord[]) => void;
-  readonly handleOperator: (records: readonly LogRecord[]) => void;
+  readonly handleJobRecords: (records: readonly LogRecord[]) => void;
+  readonly handleStateRecords: (records: readonly LogRecord[]) => void;
+  readonly handleOperatorRecords: (records: readonly LogRecord[]) => void;
   /** Handles a change of whether the states topic can be read. */
   readonly handleStatesConnection: (isConnected: boolean) => void;
   /** Handles that a topic can be read for the first time or again; the successful request was sent at a monotonic time. */
@@ -29,9 +29,9 @@
 }
 
 const STATES_INTERVAL: PollInterval = { pauseMs: 350, pollMs: 500 };
-/** Less frequent than for states, because a request for an unknown job triggers a read. */
+/** Interval of the jobs topic. Longer than that of the states topic, because a request for an unknown job triggers a read. */
 const JOBS_INTERVAL: PollInterval = { pauseMs: 1000, pollMs: 1000 };
-/** Without a pause, so that an outage is detected within the poll time plus the timeout of a request. */
+/** Interval of the operator topic. Without a pause, so that an outage is detected within the poll time plus the timeout of a request. */
 const OPERATOR_INTERVAL: PollInterval = { pauseMs: 0, pollMs: 800 };
 /** Pause between two reads of the jobs topic by the leader. */
 const LEADER_JOBS_PAUSE_MS = 0;
@@ -45,10 +45,10 @@
   private readonly unstartedFollowers: LogFollower[];
 
   constructor(private readonly options: TopicFollowersOptions) {
-    const { operatorTopic, handleJobs, handleStates, handleOperator } = options;
-    this.jobs = this.createFollower(topics.jobs, JOBS_INTERVAL, handleJobs);
-    this.states = this.createFollower(topics.states, STATES_INTERVAL, handleStates);
-    this.operator = this.createFollower(operatorTopic, OPERATOR_INTERVAL, handleOperator);
+    const { operatorTopic, handleJobRecords, handleStateRecords, handleOperatorRecords } = options;
+    this.jobs = this.createFollower(topics.jobs, JOBS_INTERVAL, handleJobRecords);
+    this.states = this.createFollower(topics.states, STATES_INTERVAL, handleStateRecords);
+    this.operator = this.createFollower(operatorTopic, OPERATOR_INTERVAL, handleOperatorRecords);
     this.unstartedFollowers = [this.operator, this.states, this.jobs];
   }
 
--- a/tests/admission.test.ts
+++ b/tests/admission.test.ts
@@ -125,7 +125,7 @@
       metrics: this.metrics,
       getEpoch: () => this.epoch,
       waitForJobsRefresh: () => Promise.resolve(this.isReadable),
-      isKnown: (id) => id === this.found,
+      isJobKnown: (id) => id === this.found,
     });
   }
 
@@ -174,7 +174,7 @@
   it('refuses no job that an earlier request may have submitted', async () => {
     const box = new AdmissionFixture();
     box.handleDigest(HOPELESS_MS);
-    box.door.recordUncertain(createJobDefinition(1, []).id);
+    box.door.recordUncertainJob(createJobDefinition(1, []).id);
     expect(await box.chooseKind(1)).toBe('taken');
     box.found = createJobDefinition(2, []).id;
     expect(await box.chooseKind(2)).toBe('known');
--- a/tests/configurationUpdater.test.ts
+++ b/tests/configurationUpdater.test.ts
@@ -39,7 +39,7 @@
       random: createRandom(seed),
       logger: { info: record, warn: record, error: record },
       maxAgeMs,
-      isUpToDate: () => this.isFollowing,
+      isTopicUpToDate: () => this.isFollowing,
       getLastReadAt: () => this.followedAt,
       listOthers: () => this.others,
     });
--- a/tests/suspension.test.ts
+++ b/tests/suspension.test.ts
@@ -210,7 +210,7 @@
       random: createRandom(1),
       logger: LOGGER,
       maxAgeMs: 5000,
-      isUpToDate: () => true,
+      isTopicUpToDate: () => true,
       getLastReadAt: () => followedAt,
       listOthers: () => [],
     });
