--- a/packages/serve/LoadAdmission.ts
+++ b/packages/serve/LoadAdmission.ts
@@ -60,8 +60,9 @@
   }
 
   /**
-   * Decides by the published load whether to accept a job, and logs a refusal. Reads the jobs topic before a refusal, until a monotonic
-   * deadline: returns `known` if the job turns out to exist, and accepts it if the read fails or an earlier write of it was not confirmed.
+   * Decides by the published load whether to accept a job, and logs a refusal. Modes that do not refuse accept all jobs. Reads the jobs
+   * topic before a refusal, until a monotonic deadline: returns `known` if the job turns out to exist, and accepts it if the read fails or
+   * an earlier write of it was not confirmed.
    */
   async checkJob(job: SubmittedJob, deadline: number): Promise<AdmissionCheck> {
     const { mode, metrics } = this.options;
