--- a/packages/boxes/BoxServer.ts
+++ b/packages/boxes/BoxServer.ts
@@ -20,7 +20,7 @@
 interface BoxServerOptions {
   /** Host and port to listen on, for other entry boxes and metrics collectors. */
   readonly address: string;
-  readonly advice: AdviceClient;
+  readonly adviceClient: AdviceClient;
   readonly formatMetrics: () => string;
   /** Checks whether this box can use the log now. */
   readonly isLogUsable: () => Promise<boolean>;
@@ -30,7 +30,7 @@
     caller: JobCaller,
     timeoutMs: number,
   ) => Promise<JobState | 'absent' | undefined>;
-  /** Appends a record of a job on behalf of another box. */
+  /** Appends a record of a job on behalf of another box; refused when this box cannot write now. */
   readonly writeForBox: (write: LogWrite, timeoutMs: number) => Promise<WriteOutcome>;
   /** Returns the configuration if it is newer than the known version, and its age. */
   readonly getConfiguration: (knownVersion: number) => ConfigurationResponse;
@@ -40,7 +40,7 @@
   readonly handleHandover: (epoch: number) => void;
 }
 
-/** Exceeds the largest record of the platform's log. */
+/** Largest request body. Exceeds the largest record of the log. */
 const MAX_BODY_BYTES = 524_288;
 const adviceRequestSchema = z.object({
   step: z.string(),
@@ -67,7 +67,7 @@
 const announcementSchema = leaderRecordSchema.extend({ address: z.string(), ...boxResourcesSchema.shape });
 const handoverSchema = z.object({ epoch: z.number() });
 
-const readBody = ({ body }: FastifyRequest): unknown =>
+const parseBody = ({ body }: FastifyRequest): unknown =>
   parseJson(Buffer.isBuffer(body) ? body.toString('utf8') : '');
 
 /** HTTP server for other entry boxes: advice, job states, log writes, leadership and configuration; and for metrics collectors. */
@@ -81,7 +81,7 @@
       reply.code((await options.isLogUsable()) ? 200 : 503).send(''),
     );
     this.app.post('/job-state', async (request, reply) => {
-      const parsed = stateRequestSchema.safeParse(readBody(request));
+      const parsed = stateRequestSchema.safeParse(parseBody(request));
       if (!parsed.success) {
         return reply.code(400).send({ error: 'malformed question' });
       }
@@ -90,7 +90,7 @@
       return state === undefined ? reply.code(503).send({}) : reply.send({ state });
     });
     this.app.post('/write', async (request, reply) => {
-      const parsed = writeRequestSchema.safeParse(readBody(request));
+      const parsed = writeRequestSchema.safeParse(parseBody(request));
       if (!parsed.success) {
         return reply.code(400).send({ error: 'malformed write' });
       }
@@ -98,13 +98,13 @@
       return reply.send({ outcome: await options.writeForBox({ key, value }, timeoutMs) });
     });
     this.app.post('/configuration', (request, reply) => {
-      const parsed = configurationRequestSchema.safeParse(readBody(request));
+      const parsed = configurationRequestSchema.safeParse(parseBody(request));
       return parsed.success
         ? reply.send(options.getConfiguration(parsed.data.knownVersion))
         : reply.code(400).send({ error: 'malformed question' });
     });
     this.app.post('/leader', (request, reply) => {
-      const parsed = announcementSchema.safeParse(readBody(request));
+      const parsed = announcementSchema.safeParse(parseBody(request));
       if (!parsed.success) {
         return reply.code(400).send({ error: 'malformed introduction' });
       }
@@ -113,7 +113,7 @@
       return reply.send({});
     });
     this.app.post('/hand-over', (request, reply) => {
-      const parsed = handoverSchema.safeParse(readBody(request));
+      const parsed = handoverSchema.safeParse(parseBody(request));
       if (!parsed.success) {
         return reply.code(400).send({ error: 'malformed hand-over' });
       }
@@ -121,13 +121,13 @@
       return reply.send({});
     });
     this.app.post('/advice', async (request, reply) => {
-      const parsed = adviceRequestSchema.safeParse(readBody(request));
+      const parsed = adviceRequestSchema.safeParse(parseBody(request));
       if (!parsed.success) {
         return reply.code(400).send({ error: 'malformed question' });
       }
       const endpoints = parsed.data.endpoints.map((id) => toId<EndpointId>(id));
       const { step, timeoutMs } = parsed.data;
-      const tickets = await options.advice.requestAdvice(step, endpoints, timeoutMs);
+      const tickets = await options.adviceClient.requestAdvice(step, endpoints, timeoutMs);
       return tickets === undefined ? reply.code(503).send({}) : reply.send({ good: [...tickets] });
     });
   }
--- a/packages/serve/TopicFollowers.ts
+++ b/packages/serve/TopicFollowers.ts
@@ -7,17 +7,17 @@
 import { topics } from './topics';
 
 interface TopicFollowersOptions {
-  readonly log: LogClient;
+  readonly logClient: LogClient;
   readonly operatorTopic: string;
   readonly clock: Clock;
   readonly random: Random;
   readonly logger: Logger;
-  readonly handleJobs: (records: readonly LogRecord[]) => void;
-  readonly handleStates: (records: readonly LogRecord[]) => void;
-  readonly handleOperator: (records: readonly LogRecord[]) => void;
+  readonly handleJobRecords: (records: readonly LogRecord[]) => void;
+  readonly handleStateRecords: (records: readonly LogRecord[]) => void;
+  readonly handleOperatorRecords: (records: readonly LogRecord[]) => void;
   /** Handles a change of whether the states topic can be read. */
   readonly handleStatesConnection: (isConnected: boolean) => void;
-  /** Handles the first response of the log after an outage; its request was sent at a monotonic time. */
+  /** Handles that a topic can be read for the first time or again; the successful request was sent at a monotonic time. */
   readonly handleLogRecovered: (sentAt: number) => void;
 }
 
@@ -29,11 +29,12 @@
 }
 
 const STATES_INTERVAL: PollInterval = { pauseMs: 350, pollWaitMs: 500 };
-/** Less frequent, because a request for an unknown job triggers a read. */
+/** Interval of the jobs topic. Longer than that of the states topic, because a request for an unknown job triggers a read. */
 const JOBS_INTERVAL: PollInterval = { pauseMs: 1000, pollWaitMs: 1000 };
-/** An outage is detected within this time plus the timeout of a request. */
+/** Interval of the operator topic. Without a pause, so that an outage is detected within the poll time plus the timeout of a request. */
 const OPERATOR_INTERVAL: PollInterval = { pauseMs: 0, pollWaitMs: 800 };
-const LEADER_PAUSE_MS = 0;
+/** Pause between two reads of the jobs topic by the leader. */
+const LEADER_JOBS_PAUSE_MS = 0;
 
 /** Followers of the log topics. They start one after the other, each once the previous one has read its topic to the end. */
 export class TopicFollowers {
@@ -41,19 +42,19 @@
   readonly states: LogFollower;
   readonly operator: LogFollower;
   /** Followers to be started, most urgent first. On a narrow link, sequential reads complete the first topic sooner. */
-  private readonly unstarted: LogFollower[];
+  private readonly unstartedFollowers: LogFollower[];
 
   constructor(private readonly options: TopicFollowersOptions) {
-    const { operatorTopic, handleJobs, handleStates, handleOperator } = options;
-    this.jobs = this.createFollower(topics.jobs, JOBS_INTERVAL, handleJobs);
-    this.states = this.createFollower(topics.states, STATES_INTERVAL, handleStates);
-    this.operator = this.createFollower(operatorTopic, OPERATOR_INTERVAL, handleOperator);
-    this.unstarted = [this.operator, this.states, this.jobs];
+    const { operatorTopic, handleJobRecords, handleStateRecords, handleOperatorRecords } = options;
+    this.jobs = this.createFollower(topics.jobs, JOBS_INTERVAL, handleJobRecords);
+    this.states = this.createFollower(topics.states, STATES_INTERVAL, handleStateRecords);
+    this.operator = this.createFollower(operatorTopic, OPERATOR_INTERVAL, handleOperatorRecords);
+    this.unstartedFollowers = [this.operator, this.states, this.jobs];
   }
 
   /** Starts the next follower, if any is left. */
   startNextFollower(): void {
-    void this.unstarted.shift()?.start();
+    void this.unstartedFollowers.shift()?.start();
   }
 
   stop(): void {
@@ -62,13 +63,13 @@
     this.operator.stop();
   }
 
-  /** Stops following the states, which the leader writes itself, and follows jobs without a pause. */
+  /** Stops following the states topic, which the leader writes itself, and follows the jobs topic without a pause. */
   startLeading(): void {
     this.states.stop();
-    this.jobs.setPause(LEADER_PAUSE_MS);
+    this.jobs.setPause(LEADER_JOBS_PAUSE_MS);
   }
 
-  /** Follows states and jobs as a box that does not lead. */
+  /** Follows the states topic again, and the jobs topic with its usual pause. */
   stopLeading(): void {
     this.jobs.setPause(JOBS_INTERVAL.pauseMs);
     void this.states.start();
@@ -78,7 +79,7 @@
    * Returns whether all topics that this box follows can be read. The jobs topic need not have been read to the end, since a box can
    * accept new jobs before that.
    */
-  isReadable(isLeading: boolean): boolean {
+  isLogReadable(isLeading: boolean): boolean {
     const isFollowingStates = isLeading || this.states.isUpToDate();
     return isFollowingStates && this.jobs.isLogReachable() && this.operator.isUpToDate();
   }
@@ -95,9 +96,9 @@
     interval: PollInterval,
     handleRecords: (records: readonly LogRecord[]) => void,
   ): LogFollower {
-    const { log, clock, random, logger, handleStatesConnection, handleLogRecovered } = this.options;
+    const { logClient, clock, random, logger, handleStatesConnection, handleLogRecovered } = this.options;
     return new LogFollower({
-      client: log,
+      client: logClient,
       topic,
       clock,
       random,
--- a/tests/admission.test.ts
+++ b/tests/admission.test.ts
@@ -119,13 +119,13 @@
     const handleLine = (message: string, fields = {}): void => void this.lines.push({ message, fields });
     this.door = new LoadAdmission({
       mode: door,
-      view: this.view,
+      loadView: this.view,
       clock: { getNow: () => this.now, getWallTime: () => this.now },
       logger: { info: handleLine, warn: handleLine, error: handleLine },
       metrics: this.metrics,
       getEpoch: () => this.epoch,
       waitForJobsRefresh: () => Promise.resolve(this.isReadable),
-      isKnown: (id) => id === this.found,
+      isJobKnown: (id) => id === this.found,
     });
   }
 
@@ -174,7 +174,7 @@
   it('refuses no job that an earlier request may have submitted', async () => {
     const box = new AdmissionFixture();
     box.handleDigest(HOPELESS_MS);
-    box.door.recordUncertain(createJobDefinition(1, []).id);
+    box.door.recordUncertainJob(createJobDefinition(1, []).id);
     expect(await box.chooseKind(1)).toBe('taken');
     box.found = createJobDefinition(2, []).id;
     expect(await box.chooseKind(2)).toBe('known');
