--- a/dev/cell/Cell.ts
+++ b/dev/cell/Cell.ts
@@ -337,7 +337,7 @@
 
   private isLeading(box: CellBox): boolean {
     const output = box.process.readOutput();
-    return output.lastIndexOf('"Leading."') > output.lastIndexOf('"Leading no more."');
+    return output.lastIndexOf('"Leading."') > output.lastIndexOf('"Stopped leading."');
   }
 
   private async startNewBox(addresses: readonly string[]): Promise<void> {
--- a/packages/dispatch/Dispatcher.ts
+++ b/packages/dispatch/Dispatcher.ts
@@ -577,7 +577,7 @@
   private handleMove({ endpoint: endpoint, run, reason, gainMs }: MoveCandidate): void {
     const { incarnation } = endpoint.getProfile();
     this.jobs.get(run.job)?.recordFailureOn(run.address.repetition, run.address.step, incarnation);
-    this.runTracker.sendLogLine('Run is moved.', {
+    this.runTracker.sendLogLine('Run moved.', {
       job: run.job,
       task: run.task,
       run: run.run,
@@ -596,7 +596,7 @@
     step: WaitingStep,
     estimate: PreemptionEstimate,
   ): void {
-    this.runTracker.sendLogLine('Run gives way.', {
+    this.runTracker.sendLogLine('Run preempted.', {
       job: run.job,
       task: run.task,
       run: run.run,
--- a/packages/dispatch/LeaderController.ts
+++ b/packages/dispatch/LeaderController.ts
@@ -184,7 +184,7 @@
       clock,
       listChannels: options.listChannels,
       handleResponse: (request, response, tookMs) => {
-        options.logger.info('Advice answered.', {
+        options.logger.info('Advice received.', {
           step: request.step,
           cause: request.adviceReason,
           asked: request.candidates.length,
--- a/packages/dispatch/crashes/CrashTracker.ts
+++ b/packages/dispatch/crashes/CrashTracker.ts
@@ -175,7 +175,7 @@
     if (progress?.removeCrashes(run.address, isCleared) === true) {
       const { job, task } = run;
       this.options.handleProgressChange(job);
-      this.options.tracker.sendLogLine('Task is cleared of crashes.', {
+      this.options.tracker.sendLogLine('Crash records cleared.', {
         job,
         task,
         listedMs: Math.round(listedMs),
@@ -225,7 +225,7 @@
         isOverCrashLimit(crashes, this.hasUnexplainedCrashes(now))
       ) {
         const task = toTaskName(id, address);
-        this.options.tracker.sendLogLine('Task is given up: endpoints ended under it.', {
+        this.options.tracker.sendLogLine('Task failed: endpoints crashed under it.', {
           job: id,
           task,
           crashes,
@@ -325,7 +325,7 @@
     if (cleared.length > 0) {
       const names = cleared.slice(0, MAX_LOGGED_TASKS).map(({ job, address }) => toTaskName(job, address));
       const fields = { endpoint: crashed, reason, count: cleared.length, tasks: names };
-      this.options.tracker.sendLogLine('Charges of a crash are taken back.', fields);
+      this.options.tracker.sendLogLine('Crash records removed.', fields);
     }
   }
 
@@ -352,7 +352,7 @@
       return;
     }
     this.options.tracker.sendCount('crashesCharged', recorded.length);
-    this.options.tracker.sendLogLine('Crash is charged.', {
+    this.options.tracker.sendLogLine('Crash recorded.', {
       endpoint,
       count: recorded.length,
       tasks: recorded.slice(0, MAX_LOGGED_TASKS).map(({ job, address, crash }) => ({
--- a/packages/dispatch/endpoints/EndpointSessions.ts
+++ b/packages/dispatch/endpoints/EndpointSessions.ts
@@ -298,7 +298,7 @@
       dispatcher.handleEndpointDeregistered(incarnation);
     }
     for (const earlier of dispatcher.listOtherIncarnations(incarnation)) {
-      logger.info('Endpoint has started again under its id.', {
+      logger.info('Endpoint has restarted under its id.', {
         endpoint: incarnation,
         before: earlier,
         acknowledged: this.sessions.get(earlier)?.getLastDurableEnd() ?? 0,
@@ -338,7 +338,7 @@
     const endpoint = dispatcher.getEndpointState(incarnation);
     if (endpoint !== undefined && (endpoint.getUnreachableSince() !== undefined || !endpoint.isSynced())) {
       const { hall, labels } = endpoint.getProfile();
-      logger.info('Endpoint answers.', {
+      logger.info('Endpoint is reachable.', {
         endpoint: incarnation,
         hall,
         labels,
@@ -357,7 +357,7 @@
     const { clock, dispatcher, logger, recordCount } = this.options;
     const endpoint = dispatcher.getEndpointState(incarnation);
     if (endpoint !== undefined && endpoint.getUnreachableSince() === undefined) {
-      logger.info('Endpoint does not answer.', { endpoint: incarnation, detail });
+      logger.info('Endpoint is unreachable.', { endpoint: incarnation, detail });
     }
     recordCount('unanswered');
     dispatcher.handleEndpointUnreachable(incarnation, clock.getNow());
--- a/packages/dispatch/endpoints/StatusReconciler.ts
+++ b/packages/dispatch/endpoints/StatusReconciler.ts
@@ -165,7 +165,7 @@
     run.stage = 'running';
     endpoint.addRun(run);
     this.options.tracker.sendStop(endpoint, run, 'notWanted');
-    this.options.tracker.sendLogLine('Stopping a run that is not wanted.', {
+    this.options.tracker.sendLogLine('Stopping an orphan run.', {
       job: run.job,
       task: row.task,
       run: row.run,
--- a/packages/dispatch/runs/RunTracker.ts
+++ b/packages/dispatch/runs/RunTracker.ts
@@ -99,7 +99,7 @@
     this.sendCount(`runsLostBy.${lossCause}`);
     this.sendCount(`coreMsLostBy.${lossCause}`, lostCoreMs);
     if (lostCoreMs >= MIN_LOGGED_LOST_CORE_MS) {
-      this.sendLogLine('Work is lost.', {
+      this.sendLogLine('Work lost.', {
         job: run.job,
         task: run.task,
         run: run.run,
@@ -124,7 +124,7 @@
     const { incarnation } = to.getProfile();
     this.jobs.get(run.job)?.progress.recordRunTransfer(run.address, run.run, incarnation);
     this.callbacks.handleProgressChanged(run.job);
-    this.sendLogLine('Run may have reached the next life.', {
+    this.sendLogLine('Run may have reached the next incarnation.', {
       job: run.job,
       task: run.task,
       run: run.run,
--- a/packages/serve/BoxJobService.ts
+++ b/packages/serve/BoxJobService.ts
@@ -91,7 +91,7 @@
     const problem = customer && customerLimits.checkSteps(submission.steps, customer.limit);
     if (problem !== undefined) {
       metrics.recordCount('impossible');
-      this.logDecision('Job not taken: it could never run.', id, queue.name, {
+      this.logDecision('Job refused: it could never run.', id, queue.name, {
         customer: customer?.name,
         limit: customer?.limit,
         problem,
@@ -126,7 +126,7 @@
     if (outcome === 'unknown') {
       metrics.recordCount('unknown');
       this.options.admission.recordUncertain(id);
-      this.logDecision('The log did not answer: the job may be accepted.', id, queue.name, { tookMs });
+      this.logDecision('The log did not respond: the job may be accepted.', id, queue.name, { tookMs });
       return { kind: 'unknown' };
     }
     metrics.recordCount('accepted');
@@ -156,7 +156,7 @@
       this.logDecision('Job already accepted.', known.id, queue.name, {});
       return ACCEPTED;
     }
-    this.logDecision('Job not taken: its id belongs to another.', known.id, queue.name, {
+    this.logDecision('Job refused: its id belongs to another job.', known.id, queue.name, {
       customer: customer?.name,
     });
     return TAKEN;
@@ -285,7 +285,7 @@
   private createUnavailableResult(id: JobId, queue: string): JobServiceResult<never> {
     const failingMs = Math.round(this.options.writer.getOutageMs());
     this.options.metrics.recordCount('notTaken');
-    this.logDecision('Job not taken: the log is out.', id, queue, { failingMs });
+    this.logDecision('Job refused: the log is unavailable.', id, queue, { failingMs });
     return { kind: 'unavailable', retryAfterMs: RETRY_AFTER_MS };
   }
 
--- a/packages/serve/LoadAdmission.ts
+++ b/packages/serve/LoadAdmission.ts
@@ -75,7 +75,7 @@
     if (this.options.isKnown(job.id)) {
       return { kind: 'known' };
     }
-    this.options.logger.info('Job not taken: it could not be of use in time.', {
+    this.options.logger.info('Job refused: it could not be useful in time.', {
       job: job.id,
       queue: job.queue.name,
       ...(job.customer === undefined ? {} : { customer: job.customer.name }),
--- a/packages/serve/ServeProcess.ts
+++ b/packages/serve/ServeProcess.ts
@@ -360,7 +360,7 @@
       isFresh: () => this.configuration.isFresh(),
       handleRejected: (queue, reason) => {
         this.metrics.recordCount('keysRefused');
-        this.logger.info('Call refused for its key.', {
+        this.logger.info('Request rejected for its key.', {
           queue,
           reason,
           configuration: this.router.getConfiguration()?.version,
@@ -424,7 +424,7 @@
   }
 
   private handleLeadershipLost(epoch: number, detail: string): void {
-    this.logger.info('Leading no more.', { epoch, detail });
+    this.logger.info('Stopped leading.', { epoch, detail });
     this.controller = undefined;
     this.leadership.handleLeadershipLost();
     this.followers.stopLeading();
--- a/tests/admission.test.ts
+++ b/tests/admission.test.ts
@@ -158,7 +158,7 @@
     expect(await box.startCheck()).toEqual({ kind: 'refused', retryAfterMs: expect.any(Number) });
     expect(box.lines).toEqual([
       {
-        message: 'Job not taken: it could not be of use in time.',
+        message: 'Job refused: it could not be useful in time.',
         fields: expect.objectContaining({
           loadEpoch: 1,
           loadSequence: 1,
--- a/tests/crashCharges.test.ts
+++ b/tests/crashCharges.test.ts
@@ -189,7 +189,7 @@
       expect(progress.getState()).toBe('failed');
       expect(effects).toContainEqual(
         expect.objectContaining({
-          message: 'Task is given up: endpoints ended under it.',
+          message: 'Task failed: endpoints crashed under it.',
           fields: expect.objectContaining({
             job: job.id,
             crashes: ended.map((endpoint) => ({ endpoint, blame: 'sole', ageMs: 0 })),
--- a/tests/crashes.test.ts
+++ b/tests/crashes.test.ts
@@ -109,7 +109,7 @@
   simulation: CrashSimulation,
 ): readonly { readonly job: unknown; readonly crashCount: number }[] =>
   simulation.logLines
-    .filter(({ message }) => message.startsWith('Task is given up'))
+    .filter(({ message }) => message.startsWith('Task failed: endpoints crashed'))
     .map(({ fields }) => ({
       job: fields['job'],
       crashCount: (fields['crashes'] as readonly unknown[]).length,
--- a/tests/logging.test.ts
+++ b/tests/logging.test.ts
@@ -63,11 +63,11 @@
   return Array.from({ length: count }, () => `${createDigits()}${createDigits()}`);
 };
 
-const JOB_MESSAGES = ['Job taken in.', 'Advice answered.', 'Tasks placed.', 'Run ended.', 'Job ended.'];
+const JOB_MESSAGES = ['Job taken in.', 'Advice received.', 'Tasks placed.', 'Run ended.', 'Job ended.'];
 
 /** Creates the fields of a line of a job, which name the job or its step. */
 const createJobFields = (message: string, job: string): Record<string, unknown> =>
-  message === 'Advice answered.' ? { step: `${job}.0.0` } : { job };
+  message === 'Advice received.' ? { step: `${job}.0.0` } : { job };
 
 /**
  * Logs jobs that arrive evenly, each with lines over half a second, beside a warning and a moved run each 50 ms. Returns the ids of the jobs.
@@ -88,7 +88,7 @@
   );
   for (let at = startedAt; at < startedAt + seconds * 1000; at += 50) {
     events.push({ at, send: () => fixture.logger.warn('Something is odd.') });
-    events.push({ at, send: () => fixture.logger.info('Run is moved.', { job: jobs[0] }) });
+    events.push({ at, send: () => fixture.logger.info('Run moved.', { job: jobs[0] }) });
   }
   events.sort((left, right) => left.at - right.at);
   for (const { at, send } of events) {
@@ -160,8 +160,8 @@
     expect(getLineClass('warn', 'Tasks placed.', { job: 'a' })).toBe('vital');
     expect(getLineClass('info', 'Leader changed.', { epoch: 2 })).toBe('vital');
     expect(getLineClass('info', 'Job ended late.', { job: 'a' })).toBe('vital');
-    expect(getLineClass('info', 'Run is moved.', { job: 'a' })).toBe('notable');
-    expect(getLineClass('info', 'Run is moved.', { rows: [] })).toBe('notable');
+    expect(getLineClass('info', 'Run moved.', { job: 'a' })).toBe('notable');
+    expect(getLineClass('info', 'Run moved.', { rows: [] })).toBe('notable');
     expect(getLineClass('info', 'Never heard of.', { job: 'a' })).toBe('story');
     expect(getLineClass('info', 'Never heard of.', { step: 'a.0.1' })).toBe('story');
     expect(getLineClass('info', 'Never heard of.', undefined)).toBe('vital');
@@ -188,13 +188,13 @@
   it('are combined into one line with rows, and a single one has the usual form', () => {
     const fixture = new LogFixture();
     const batcher = new LineBatcher(fixture.logger);
-    ['a', 'b', 'c'].forEach((job) => batcher.recordLine('Run gives way.', toFields(job, 'x.0.0'), 0));
-    batcher.recordLine('Run gives way.', toFields('d', 'y.0.0'), 0);
+    ['a', 'b', 'c'].forEach((job) => batcher.recordLine('Run preempted.', toFields(job, 'x.0.0'), 0));
+    batcher.recordLine('Run preempted.', toFields('d', 'y.0.0'), 0);
     batcher.recordLine('Job ended.', { job: 'a' }, 0);
     batcher.writeDueBatches(20);
     expect(fixture.listMessages()).toEqual(['Job ended.']);
     batcher.writeDueBatches(100);
-    const [whole, single] = fixture.listLines('Run gives way.');
+    const [whole, single] = fixture.listLines('Run preempted.');
     expect(whole).toMatchObject({ for: 'x.0.0', rows: [{ job: 'a' }, { job: 'b' }, { job: 'c' }] });
     expect(single).toMatchObject({ for: 'y.0.0', job: 'd', percent: 5 });
   });
@@ -203,7 +203,7 @@
     const fixture = new LogFixture();
     const batcher = new LineBatcher(fixture.logger);
     const jobs = Array.from({ length: 100 }, (_, number) => `job-${number}`);
-    jobs.forEach((job) => batcher.recordLine('Run is moved.', { ...toFields(job, 'x'), reason: 'slow' }, 0));
+    jobs.forEach((job) => batcher.recordLine('Run moved.', { ...toFields(job, 'x'), reason: 'slow' }, 0));
     expect(fixture.written).toHaveLength(2);
     batcher.stop();
     expect(fixture.written).toHaveLength(3);
@@ -243,7 +243,7 @@
     expect(chosen.length).toBeGreaterThan(jobs.length / 20);
     expect(listCompleteJobs(fixture, chosen)).toEqual(chosen);
     expect(fixture.listLines('Something is odd.')).toHaveLength(400);
-    expect(fixture.listLines('Run is moved.')).toHaveLength(400);
+    expect(fixture.listLines('Run moved.')).toHaveLength(400);
     const reports = fixture.listLines('Lines left out.').length;
     expect(reports).toBeGreaterThanOrEqual(15);
     expect(reports).toBeLessThanOrEqual(21);
@@ -296,10 +296,10 @@
     const fixture = new LogFixture();
     const [job] = createJobIds(64).filter((one) => computeJobSamplingLevel(one) >= 5);
     Array.from({ length: 5000 }).forEach(() => fixture.logger.info('Tasks placed.', { job }));
-    fixture.logger.info('Run is moved.', { job });
+    fixture.logger.info('Run moved.', { job });
     fixture.logger.info('Job ended late.', { job });
-    expect(fixture.listMessages().slice(-2)).toEqual(['Run is moved.', 'Job ended late.']);
-    Array.from({ length: 5000 }).forEach(() => fixture.logger.info('Run is moved.', { job }));
+    expect(fixture.listMessages().slice(-2)).toEqual(['Run moved.', 'Job ended late.']);
+    Array.from({ length: 5000 }).forEach(() => fixture.logger.info('Run moved.', { job }));
     fixture.logger.info('Leader changed.');
     expect(fixture.listMessages().slice(-1)).toEqual(['Leader changed.']);
   });
--- a/tests/serve/crashes.test.ts
+++ b/tests/serve/crashes.test.ts
@@ -47,7 +47,7 @@
   it('fails at the crash limit, and other tasks complete', async () => {
     await checkOutcome(await sendJobs());
     const output = cell.boxes.map(({ process }) => process.readOutput()).join('');
-    expect(output).toContain('Task is given up: endpoints ended under it.');
+    expect(output).toContain('Task failed: endpoints crashed under it.');
     expect(output).toContain('"cause":"lifeOver"');
     const leader = await cell.startLeader();
     expect(await cell.readMetrics(leader)).toContain('stairline_tasks_given_up_total 1\n');
--- a/tests/serve/door.test.ts
+++ b/tests/serve/door.test.ts
@@ -37,7 +37,7 @@
           return response.status === 429;
         }, 12_000);
         refused.push(id);
-        expect(box.process.readOutput()).toContain('Job not taken: it could not be of use in time.');
+        expect(box.process.readOutput()).toContain('Job refused: it could not be useful in time.');
       }
       for (const box of cell.boxes) {
         expect((await cell.sendJob(box, backlog, BACKLOG_JOB)).status).toBe(200);
--- a/tests/serve/explain.test.ts
+++ b/tests/serve/explain.test.ts
@@ -12,7 +12,7 @@
   JSON.stringify({ time: `2026-01-01T00:00:0${second}.000Z`, level: 'info', box: 'box-1', ...fields });
 
 const LINES = [
-  toLine(0, { part: 'leader', message: 'Endpoint does not answer.', endpoint: 'i-1' }),
+  toLine(0, { part: 'leader', message: 'Endpoint is unreachable.', endpoint: 'i-1' }),
   toLine(1, { part: 'jobs', message: 'Job accepted.', job: JOB }),
   toLine(2, {
     part: 'leader',
@@ -20,8 +20,8 @@
     job: JOB,
     placed: [{ task: `${JOB}.0.0.0`, run: 1, endpoint: 'i-1' }],
   }),
-  toLine(3, { part: 'leader', message: 'Endpoint does not answer.', endpoint: 'i-1' }),
-  toLine(3, { part: 'leader', message: 'Endpoint does not answer.', endpoint: 'i-2' }),
+  toLine(3, { part: 'leader', message: 'Endpoint is unreachable.', endpoint: 'i-1' }),
+  toLine(3, { part: 'leader', message: 'Endpoint is unreachable.', endpoint: 'i-2' }),
   toLine(4, { part: 'leadership', message: 'Leader changed.', epoch: 2 }),
   `  5.0 box-1 ${toLine(5, { part: 'leader', message: 'Job ended.', job: JOB, ending: 'completed' })}`,
   'not a line',
@@ -44,7 +44,7 @@
     expect(messages).toEqual([
       'Job accepted.',
       'Tasks placed.',
-      'Endpoint does not answer.',
+      'Endpoint is unreachable.',
       'Leader changed.',
       'Job ended.',
     ]);
--- a/tests/serve/faults.test.ts
+++ b/tests/serve/faults.test.ts
@@ -68,7 +68,7 @@
     );
     leader.process.sendSignal('SIGCONT');
     await waitForCompletion(ids);
-    await cell.startUntil(() => Promise.resolve(leader.process.readOutput().includes('"Leading no more."')));
+    await cell.startUntil(() => Promise.resolve(leader.process.readOutput().includes('"Stopped leading."')));
   });
 
   it('hands leadership over without a gap when the leader stops gracefully', async () => {
