--- a/packages/cli/entryCommand.ts
+++ b/packages/cli/entryCommand.ts
@@ -8,7 +8,7 @@
 import { sharedOptions } from './sharedOptions';
 import { writeError } from './writeError';
 
-const SIGNALS = ['SIGTERM', 'SIGINT'] as const;
+const STOP_SIGNALS = ['SIGTERM', 'SIGINT'] as const;
 
 /** Waits for a signal and for the graceful stop, and resolves to the exit code. A second signal exits at once. */
 const waitForExitCode = (entry: EntryProcess): Promise<number> =>
@@ -31,7 +31,7 @@
         resolve(interrupted === 0 ? exitCodes.done : exitCodes.failed);
       });
     };
-    for (const signal of SIGNALS) {
+    for (const signal of STOP_SIGNALS) {
       process.on(signal, handleSignal);
     }
   });
--- a/packages/cli/explainCommand.ts
+++ b/packages/cli/explainCommand.ts
@@ -2,7 +2,7 @@
 import type { Command } from './Command';
 import { createOperatorClient } from './createOperatorClient';
 import { exitCodes } from './exitCodes';
-import { formatExplanation } from './formatExplanation';
+import { formatRequestEvents } from './formatRequestEvents';
 import { readMergedEvents } from './readMergedEvents';
 import { sharedOptions } from './sharedOptions';
 import { writeError } from './writeError';
@@ -34,7 +34,7 @@
       writeError(`No entry box has events of request ${id}.${missing}`);
       return exitCodes.failed;
     }
-    for (const sentence of formatExplanation(events)) {
+    for (const sentence of formatRequestEvents(events)) {
       writeLine(sentence);
     }
     writeLine('');
--- a/packages/cli/formatCommandList.ts
+++ b/packages/cli/formatCommandList.ts
@@ -1,10 +1,10 @@
 import type { Command } from './Command';
 
-const NAME_WIDTH = 10;
+const COMMAND_NAME_WIDTH = 10;
 
 /** Formats the usage of the binary, with all commands. */
 export const formatCommandList = (commands: readonly Command[]): string => {
-  const lines = commands.map((command) => `  ${command.name.padEnd(NAME_WIDTH)} ${command.summary}`);
+  const lines = commands.map((command) => `  ${command.name.padEnd(COMMAND_NAME_WIDTH)} ${command.summary}`);
   return [
     'usage: stairline COMMAND [ARGUMENTS]',
     '',
--- a/packages/cli/formatExplanation.ts
+++ b/packages/cli/formatRequestEvents.ts
@@ -2,13 +2,13 @@
 
 type EventFormatter = (event: TimelineEvent) => string;
 
-const WAIT_CAUSES: Readonly<Record<string, string>> = {
+const WAIT_CAUSE_TEXTS: Readonly<Record<string, string>> = {
   nothing: 'nothing: capacity was free at once',
   room: 'free capacity on a worker',
   limit: "a limit of its row or its team's quota",
 };
 
-const PLACEMENT_REASONS: Readonly<Record<string, string>> = {
+const PLACEMENT_REASON_TEXTS: Readonly<Record<string, string>> = {
   spread: 'it had the most free capacity for this demand (placement of the row: spread)',
   pack: 'it had the least free capacity that fits this demand (placement of the row: pack)',
 };
@@ -17,8 +17,8 @@
   arrived: ({ box, detail }) => `It arrived at ${box} for row ${detail['row']}.`,
   'sent on': ({ box, detail }) => `${box} had no free capacity at once and forwarded it to ${detail['to']}.`,
   placed: ({ box, detail }) => {
-    const waited = WAIT_CAUSES[String(detail['waitedFor'])] ?? String(detail['waitedFor']);
-    const why = PLACEMENT_REASONS[String(detail['placement'])] ?? '';
+    const waited = WAIT_CAUSE_TEXTS[String(detail['waitedFor'])] ?? String(detail['waitedFor']);
+    const why = PLACEMENT_REASON_TEXTS[String(detail['placement'])] ?? '';
     return `${box} placed it on ${detail['worker']} after ${detail['waitedMs']} ms, waiting for ${waited}; chosen because ${why}.`;
   },
   'not sent': ({ detail }) =>
@@ -33,7 +33,7 @@
 };
 
 /** Formats the events of one request as sentences. */
-export const formatExplanation = (events: readonly TimelineEvent[]): readonly string[] =>
+export const formatRequestEvents = (events: readonly TimelineEvent[]): readonly string[] =>
   events.flatMap((event) => {
     const formatter = EVENT_FORMATTERS[event.kind];
     return formatter === undefined ? [] : [formatter(event)];
--- a/packages/cli/ledgerCommand.ts
+++ b/packages/cli/ledgerCommand.ts
@@ -9,11 +9,14 @@
 import { writeLine } from './writeLine';
 
 const DEFAULT_WINDOW_SECONDS = 2;
-const DEFAULT_WORST_COUNT = 10;
+const DEFAULT_SLOWEST_COUNT = 10;
 const MS_PER_SECOND = 1000;
 
 /** Parses an option as a positive number; returns undefined when it is not one. */
-const parsePositive = (value: string | boolean | undefined, defaultValue: number): number | undefined => {
+const parsePositiveNumber = (
+  value: string | boolean | undefined,
+  defaultValue: number,
+): number | undefined => {
   const number = value === undefined ? defaultValue : Number(value);
   return number > 0 && Number.isFinite(number) ? number : undefined;
 };
@@ -28,13 +31,13 @@
       type: 'string',
       help: `seconds of acceptance time that jobs are grouped by (${DEFAULT_WINDOW_SECONDS})`,
     },
-    worst: { type: 'string', help: `number of slowest jobs to show (${DEFAULT_WORST_COUNT})` },
+    worst: { type: 'string', help: `number of slowest jobs to show (${DEFAULT_SLOWEST_COUNT})` },
     json: { type: 'boolean', help: 'print the phases of each job as one JSON object a line' },
   },
   run: ({ positionals, values }) => {
-    const windowSeconds = parsePositive(values['window'], DEFAULT_WINDOW_SECONDS);
-    const worstCount = parsePositive(values['worst'], DEFAULT_WORST_COUNT);
-    if (positionals.length === 0 || windowSeconds === undefined || worstCount === undefined) {
+    const windowSeconds = parsePositiveNumber(values['window'], DEFAULT_WINDOW_SECONDS);
+    const slowestCount = parsePositiveNumber(values['worst'], DEFAULT_SLOWEST_COUNT);
+    if (positionals.length === 0 || windowSeconds === undefined || slowestCount === undefined) {
       writeError('Expected at least one log file, and positive numbers for --window and --worst.');
       return Promise.resolve(exitCodes.usage);
     }
@@ -42,19 +45,19 @@
     if (lines === undefined) {
       return Promise.resolve(exitCodes.usage);
     }
-    const accounts = readJobHistories(lines);
-    if (accounts.length === 0) {
+    const histories = readJobHistories(lines);
+    if (histories.length === 0) {
       writeError('The logs contain no accepted job.');
       return Promise.resolve(exitCodes.failed);
     }
     const isJson = values['json'] === true;
-    const ledger = createLedger(accounts, {
+    const ledger = createLedger(histories, {
       windowMs: windowSeconds * MS_PER_SECOND,
       samplingLevel: readSamplingLevel(lines),
-      worstCount: isJson ? accounts.length : worstCount,
+      slowestCount: isJson ? histories.length : slowestCount,
     });
     if (isJson) {
-      ledger.worst.forEach(({ account: { job, queue, ending }, path, totalMs }) =>
+      ledger.slowestJobs.forEach(({ history: { job, queue, ending }, path, totalMs }) =>
         writeLine(JSON.stringify({ job, queue, ending, totalMs, path })),
       );
     } else {
--- a/packages/cli/serveCommand.ts
+++ b/packages/cli/serveCommand.ts
@@ -19,7 +19,7 @@
 
 const LOG_LINES_PER_SECOND = 400;
 /** Interval of checks whether the counts of suppressed log lines are due. */
-const LOG_TICK_MS = 1000;
+const SUPPRESSED_COUNT_CHECK_MS = 1000;
 
 /** Waits for SIGTERM or SIGINT and for the graceful stop; SIGHUP reloads the settings. */
 const waitForStop = (serve: ServeProcess): Promise<void> =>
@@ -74,7 +74,7 @@
       readWall: () => Date.now(),
       linesPerSecond: LOG_LINES_PER_SECOND,
     });
-    setInterval(() => decisionLog.handleTick(), LOG_TICK_MS).unref();
+    setInterval(() => decisionLog.handleTick(), SUPPRESSED_COUNT_CHECK_MS).unref();
     const createPartLogger = (part: string): Logger => decisionLog.createLogger(part);
     const clock = createMachineClock(createPartLogger('clock'));
     const serve = new ServeProcess({
--- a/packages/cli/statusCommand.ts
+++ b/packages/cli/statusCommand.ts
@@ -6,7 +6,7 @@
 import { sharedOptions } from './sharedOptions';
 import { writeLine } from './writeLine';
 
-const HEADINGS = [
+const STATUS_HEADINGS = [
   'box',
   'hall',
   'ready',
@@ -20,7 +20,7 @@
   'standing',
 ];
 
-const toCells = (status: EntryStatus): readonly unknown[] => {
+const toStatusCells = (status: EntryStatus): readonly unknown[] => {
   const waiting = status.rows.reduce((sum, row) => sum + row.waiting, 0);
   const running = status.rows.reduce((sum, row) => sum + row.running, 0);
   const standing = Object.values(status.standing).reduce((sum, count) => sum + count, 0);
@@ -58,9 +58,9 @@
       writeLine(JSON.stringify(responses));
     } else {
       const lines = responses.map(({ box, answer }) =>
-        answer.ok ? toCells(answer.value) : [box, `no response: ${answer.error}`],
+        answer.ok ? toStatusCells(answer.value) : [box, `no response: ${answer.error}`],
       );
-      writeLine(formatColumns(HEADINGS, lines));
+      writeLine(formatColumns(STATUS_HEADINGS, lines));
     }
     return responses.some(({ answer }) => answer.ok) ? exitCodes.done : exitCodes.failed;
   },
--- a/packages/cli/tableCommand.ts
+++ b/packages/cli/tableCommand.ts
@@ -21,10 +21,10 @@
   readonly teams: readonly Team[];
 }
 
-type Action = (client: OperatorClient, input: CommandInput) => Promise<number>;
+type TableAction = (client: OperatorClient, input: CommandInput) => Promise<number>;
 
 /** Parses a value as JSON, or returns the text itself when it is not JSON. */
-const parseValue = (text: string): CellValue => {
+const parseCellValue = (text: string): CellValue => {
   try {
     return JSON.parse(text) as CellValue;
   } catch {
@@ -40,7 +40,7 @@
   return /^[a-z]/.test(name) ? name : `op-${name}`;
 };
 
-const writeTable: Action = async (client, input) => {
+const writeTable: TableAction = async (client, input) => {
   const response = await client.requestFromAny<TableResponse>('/table');
   if (!response.ok) {
     writeError(`No entry box responds: ${response.error}.`);
@@ -70,7 +70,7 @@
   return exitCodes.done;
 };
 
-const writeHistory: Action = async (client, input) => {
+const writeHistory: TableAction = async (client, input) => {
   const response = await client.requestFromAny<{ history: readonly AppliedEdit[] }>('/table/history');
   if (!response.ok) {
     writeError(`No entry box responds: ${response.error}.`);
@@ -120,7 +120,7 @@
   return exitCodes.done;
 };
 
-const sendEdit: Action = async (client, input) => {
+const sendEdit: TableAction = async (client, input) => {
   const [, cell, text] = input.positionals;
   if (cell === undefined || text === undefined) {
     writeError('table set: expected CELL and VALUE, for example: table set row/video-render/weight 2');
@@ -129,7 +129,7 @@
   const basedOn = input.values['based-on'];
   const body = {
     cell,
-    value: parseValue(text),
+    value: parseCellValue(text),
     operator: typeof input.values['operator'] === 'string' ? input.values['operator'] : getOperatorName(),
     ...(typeof basedOn === 'string' ? { basedOn: Number(basedOn) } : {}),
   };
@@ -148,7 +148,11 @@
   return writeEditResult(response.value);
 };
 
-const ACTIONS: Readonly<Record<string, Action>> = { show: writeTable, set: sendEdit, history: writeHistory };
+const TABLE_ACTIONS: Readonly<Record<string, TableAction>> = {
+  show: writeTable,
+  set: sendEdit,
+  history: writeHistory,
+};
 
 /** `stairline table`: shows and edits the operators' table. */
 export const tableCommand: Command = {
@@ -165,7 +169,7 @@
     },
   },
   run: async (input) => {
-    const action = ACTIONS[input.positionals[0] ?? ''];
+    const action = TABLE_ACTIONS[input.positionals[0] ?? ''];
     if (action === undefined) {
       writeError('table: expected show, set or history.');
       return exitCodes.usage;
--- a/packages/cli/writeLine.ts
+++ b/packages/cli/writeLine.ts
@@ -1,15 +1,15 @@
-let isGuarded = false;
+let hasErrorHandler = false;
 
 /** Exits without an error when the reader closes the pipe. */
-const startGuard = (): void => {
-  isGuarded = true;
+const addOutputErrorHandler = (): void => {
+  hasErrorHandler = true;
   process.stdout.on('error', () => process.exit(0));
 };
 
 /** Writes a line to standard output. */
 export const writeLine = (line: string): void => {
-  if (!isGuarded) {
-    startGuard();
+  if (!hasErrorHandler) {
+    addOutputErrorHandler();
   }
   process.stdout.write(`${line}\n`);
 };
--- a/packages/ledger/CauseSums.ts
+++ b/packages/ledger/CauseSums.ts
@@ -4,14 +4,14 @@
 
 /** Sums the time of several jobs by cause, in milliseconds. */
 export class CauseSums {
-  private readonly sums = new Map<LedgerCause, number>();
+  private readonly msByCause = new Map<LedgerCause, number>();
   private jobCount = 0;
 
   /** Adds the critical path of one job. */
   addPath(spans: readonly LedgerSpan[]): void {
     this.jobCount += 1;
     for (const { cause, from, to } of spans) {
-      this.sums.set(cause, (this.sums.get(cause) ?? 0) + to - from);
+      this.msByCause.set(cause, (this.msByCause.get(cause) ?? 0) + to - from);
     }
   }
 
@@ -21,7 +21,7 @@
 
   /** Returns the mean milliseconds per job that a cause took; 0 when no job had it. */
   getMeanMs(cause: LedgerCause): number {
-    return this.jobCount === 0 ? 0 : (this.sums.get(cause) ?? 0) / this.jobCount;
+    return this.jobCount === 0 ? 0 : (this.msByCause.get(cause) ?? 0) / this.jobCount;
   }
 
   /** Returns the mean milliseconds per job over all causes. */
--- a/packages/ledger/computeCriticalPath.ts
+++ b/packages/ledger/computeCriticalPath.ts
@@ -8,9 +8,9 @@
 /** Causes of waits before a placement, latest first. */
 const WAIT_CAUSES: readonly LedgerCause[] = ['pause', 'limit', 'room', 'answer', 'turn', 'round'];
 /** Tolerance for the order of lines that a leader writes in the same event loop turn. */
-const SAME_TURN_MS = 2;
+const SAME_TURN_TOLERANCE_MS = 2;
 /** Maximum time from the end of the last run until the end of the job is recorded; a longer one means that the line of a run is missing. */
-const MAX_NOTED_MS = 150;
+const MAX_END_RECORDING_MS = 150;
 
 /** Builds a path backwards from its end. Each span ends where the next later one starts, so that spans never overlap. */
 class PathBuilder {
@@ -36,11 +36,11 @@
   }
 }
 
-const toRunCause = ({ outcome, stopCause: why }: RunHistory): LedgerCause => {
+const toRunTimeCause = ({ outcome, stopCause }: RunHistory): LedgerCause => {
   if (outcome === 'done' || outcome === 'failed') {
     return outcome === 'done' ? 'running' : 'failed';
   }
-  return why === '' ? 'lost' : 'stopped';
+  return stopCause === '' ? 'lost' : 'stopped';
 };
 
 /** Finds the previous ended run of the same task. */
@@ -64,7 +64,8 @@
   at: number,
 ): RunHistory | undefined => {
   for (const run of runs) {
-    const isPlacedThen = Math.abs(run.placedAt - at) <= SAME_TURN_MS && run.placedAt < later.placedAt;
+    const isPlacedThen =
+      Math.abs(run.placedAt - at) <= SAME_TURN_TOLERANCE_MS && run.placedAt < later.placedAt;
     if (isPlacedThen && toStepName(run) === toStepName(later)) {
       return run;
     }
@@ -107,20 +108,20 @@
 };
 
 /** Adds a run from its placement to its end. */
-const addRun = (path: PathBuilder, account: RunHistory): void => {
-  const name = toRunName(account);
-  const recordedAt = account.placedAt + account.recordMs;
-  path.addSpan(toRunCause(account), recordedAt + account.startMs, name);
+const addRun = (path: PathBuilder, run: RunHistory): void => {
+  const name = toRunName(run);
+  const recordedAt = run.placedAt + run.recordMs;
+  path.addSpan(toRunTimeCause(run), recordedAt + run.startMs, name);
   path.addSpan('start', recordedAt, name);
-  path.addSpan('record', account.placedAt, name);
+  path.addSpan('record', run.placedAt, name);
 };
 
 /** Finds the run that ended last before a time, which the next event had to wait for. */
-const findLastEnded = (runs: readonly RunHistory[], before: number): RunHistory | undefined => {
+const findLastEndedRun = (runs: readonly RunHistory[], before: number): RunHistory | undefined => {
   let last: RunHistory | undefined;
   for (const run of runs) {
     const isEarlier =
-      run.endedAt !== undefined && run.endedAt <= before + SAME_TURN_MS && run.placedAt < before;
+      run.endedAt !== undefined && run.endedAt <= before + SAME_TURN_TOLERANCE_MS && run.placedAt < before;
     if (isEarlier && (last?.endedAt ?? -Infinity) < run.endedAt!) {
       last = run;
     }
@@ -128,28 +129,25 @@
   return last;
 };
 
-const findLastSample = (
-  { waitSamples: notes }: JobHistory,
-  from: number,
-  to: number,
-): WaitSample | undefined => notes.findLast(({ at }) => at > from && at <= to + SAME_TURN_MS);
+const findLastSample = ({ waitSamples }: JobHistory, from: number, to: number): WaitSample | undefined =>
+  waitSamples.findLast(({ at }) => at > from && at <= to + SAME_TURN_TOLERANCE_MS);
 
 /** Adds a time that no run covers: the waits that leaders logged while they lasted, and changes of leader after them. */
 const addGap = (
   path: PathBuilder,
-  account: JobHistory,
+  history: JobHistory,
   from: number,
   { fallback = 'unknown', run = '' }: { readonly fallback?: LedgerCause; readonly run?: string } = {},
 ): void => {
   const addUnloggedSpan = (start: number): void => {
-    const isTakenOver = account.takeOvers.some((at) => at > start && at <= path.getStart());
+    const isTakenOver = history.takeOvers.some((at) => at > start && at <= path.getStart());
     path.addSpan(isTakenOver ? 'leader' : fallback, start, run);
   };
-  let sample = findLastSample(account, from, path.getStart());
+  let sample = findLastSample(history, from, path.getStart());
   while (sample !== undefined) {
     addUnloggedSpan(sample.at);
     addWaits(path, sample.at, sample.waits, from, run);
-    sample = findLastSample(account, from, path.getStart() - 2 * SAME_TURN_MS);
+    sample = findLastSample(history, from, path.getStart() - 2 * SAME_TURN_TOLERANCE_MS);
   }
   addUnloggedSpan(from);
 };
@@ -158,30 +156,30 @@
  * Computes the critical path of an ended job, from the request to its end without gaps: of tasks that ran in parallel only the one that
  * ended last is on it. Returns no spans for an open job.
  */
-export const computeCriticalPath = (account: JobHistory): readonly LedgerSpan[] => {
-  if (account.endedAt === undefined) {
+export const computeCriticalPath = (history: JobHistory): readonly LedgerSpan[] => {
+  if (history.endedAt === undefined) {
     return [];
   }
-  const startsAt = account.acceptedAt - account.acceptMs;
-  const path = new PathBuilder(account.endedAt, startsAt);
-  const remaining = new Set(account.runs.values());
-  let run = findLastEnded([...remaining], path.getStart());
-  const lastEndedAt = run?.endedAt ?? account.endedAt;
-  if (account.endedAt - lastEndedAt <= MAX_NOTED_MS) {
+  const startsAt = history.acceptedAt - history.acceptMs;
+  const path = new PathBuilder(history.endedAt, startsAt);
+  const remaining = new Set(history.runs.values());
+  let run = findLastEndedRun([...remaining], path.getStart());
+  const lastEndedAt = run?.endedAt ?? history.endedAt;
+  if (history.endedAt - lastEndedAt <= MAX_END_RECORDING_MS) {
     path.addSpan('noted', lastEndedAt);
   }
   while (run !== undefined) {
     remaining.delete(run);
-    addGap(path, account, run.endedAt!);
+    addGap(path, history, run.endedAt!);
     const previous = findPreviousRun(remaining, run);
     addRun(path, run);
-    addRunWaits(path, run, [...account.runs.values()], previous?.endedAt ?? -Infinity);
+    addRunWaits(path, run, [...history.runs.values()], previous?.endedAt ?? -Infinity);
     const retryStart = previous?.endedAt ?? path.getStart();
-    addGap(path, account, retryStart, { fallback: 'retry', run: toRunName(run) });
-    run = previous ?? findLastEnded([...remaining], path.getStart());
+    addGap(path, history, retryStart, { fallback: 'retry', run: toRunName(run) });
+    run = previous ?? findLastEndedRun([...remaining], path.getStart());
   }
-  addGap(path, account, account.addedAt ?? account.acceptedAt);
-  path.addSpan('handOver', account.acceptedAt);
+  addGap(path, history, history.addedAt ?? history.acceptedAt);
+  path.addSpan('handOver', history.acceptedAt);
   path.addSpan('accept', startsAt);
   return path.spans;
 };
--- a/packages/ledger/createLedger.ts
+++ b/packages/ledger/createLedger.ts
@@ -6,13 +6,13 @@
 
 interface LedgerOptions {
   readonly windowMs: number;
-  readonly worstCount: number;
+  readonly slowestCount: number;
   /** Highest sampling level of the logs. */
   readonly samplingLevel?: number;
 }
 
 interface LedgerJob {
-  readonly account: JobHistory;
+  readonly history: JobHistory;
   readonly path: readonly LedgerSpan[];
   /** Time from the caller's request to the end of the job. */
   readonly totalMs: number;
@@ -41,17 +41,17 @@
   /** `queues` holds the sums of one in 2^n jobs. */
   readonly samplingLevel: number;
   /** Jobs that took longest. */
-  readonly worst: readonly LedgerJob[];
+  readonly slowestJobs: readonly LedgerJob[];
 }
 
 const createWindows = (
   jobs: readonly LedgerJob[],
-  startedAt: number,
+  firstAcceptedAt: number,
   windowMs: number,
 ): readonly LedgerWindow[] => {
   const windows = new Map<number, CauseSums>();
-  for (const { account, path } of jobs) {
-    const fromMs = Math.floor((account.acceptedAt - startedAt) / windowMs) * windowMs;
+  for (const { history, path } of jobs) {
+    const fromMs = Math.floor((history.acceptedAt - firstAcceptedAt) / windowMs) * windowMs;
     const sums = windows.get(fromMs) ?? new CauseSums();
     sums.addPath(path);
     windows.set(fromMs, sums);
@@ -61,37 +61,37 @@
     .sort((left, right) => left.fromMs - right.fromMs);
 };
 
-const createQueue = (
+const createLedgerQueue = (
   queue: string,
-  accounts: readonly JobHistory[],
+  histories: readonly JobHistory[],
   jobs: readonly LedgerJob[],
-  startedAt: number,
+  firstAcceptedAt: number,
   windowMs: number,
 ): LedgerQueue => {
   const sums = new CauseSums();
   jobs.forEach(({ path }) => sums.addPath(path));
-  const windows = createWindows(jobs, startedAt, windowMs);
-  return { queue, sums, openCount: accounts.length - jobs.length, windows };
+  const windows = createWindows(jobs, firstAcceptedAt, windowMs);
+  return { queue, sums, openCount: histories.length - jobs.length, windows };
 };
 
-const toLedgerJob = (account: JobHistory): LedgerJob => {
-  const path = chooseCriticalPath(account);
-  return { account, path, totalMs: path.reduce((sum, { from, to }) => sum + to - from, 0) };
+const toLedgerJob = (history: JobHistory): LedgerJob => {
+  const path = chooseCriticalPath(history);
+  return { history, path, totalMs: path.reduce((sum, { from, to }) => sum + to - from, 0) };
 };
 
-const createQueues = (
-  accounts: readonly JobHistory[],
+const createLedgerQueues = (
+  histories: readonly JobHistory[],
   jobs: readonly LedgerJob[],
-  startedAt: number,
+  firstAcceptedAt: number,
   windowMs: number,
 ): readonly LedgerQueue[] => {
-  const names = [...new Set(accounts.map(({ queue }) => queue))].sort();
+  const names = [...new Set(histories.map(({ queue }) => queue))].sort();
   return names.map((queue) =>
-    createQueue(
+    createLedgerQueue(
       queue,
-      accounts.filter((account) => account.queue === queue),
-      jobs.filter(({ account }) => account.queue === queue),
-      startedAt,
+      histories.filter((history) => history.queue === queue),
+      jobs.filter(({ history }) => history.queue === queue),
+      firstAcceptedAt,
       windowMs,
     ),
   );
@@ -102,17 +102,20 @@
  * the sample of jobs that was logged completely, since late jobs are logged outside of it too and would bias the means.
  */
 export const createLedger = (
-  accounts: readonly JobHistory[],
-  { windowMs, worstCount, samplingLevel = 0 }: LedgerOptions,
+  histories: readonly JobHistory[],
+  { windowMs, slowestCount, samplingLevel = 0 }: LedgerOptions,
 ): Ledger => {
-  const startedAt = accounts.reduce((earliest, { acceptedAt }) => Math.min(earliest, acceptedAt), Infinity);
+  const firstAcceptedAt = histories.reduce(
+    (earliest, { acceptedAt }) => Math.min(earliest, acceptedAt),
+    Infinity,
+  );
   const isSampled = ({ job }: JobHistory): boolean => computeSamplingLevel(job) >= samplingLevel;
   const isLate = ({ loggedPath }: JobHistory): boolean => loggedPath !== undefined;
-  const ended = accounts.filter(({ endedAt }) => endedAt !== undefined).map(toLedgerJob);
-  const sampled = ended.filter(({ account }) => isSampled(account));
-  const late = ended.filter(({ account }) => isLate(account));
-  const queues = createQueues(accounts.filter(isSampled), sampled, startedAt, windowMs);
-  const lateQueues = createQueues(accounts.filter(isLate), late, startedAt, windowMs);
-  const worst = [...ended].sort((left, right) => right.totalMs - left.totalMs).slice(0, worstCount);
-  return { queues, lateQueues, samplingLevel, worst };
+  const ended = histories.filter(({ endedAt }) => endedAt !== undefined).map(toLedgerJob);
+  const sampled = ended.filter(({ history }) => isSampled(history));
+  const late = ended.filter(({ history }) => isLate(history));
+  const queues = createLedgerQueues(histories.filter(isSampled), sampled, firstAcceptedAt, windowMs);
+  const lateQueues = createLedgerQueues(histories.filter(isLate), late, firstAcceptedAt, windowMs);
+  const slowestJobs = [...ended].sort((left, right) => right.totalMs - left.totalMs).slice(0, slowestCount);
+  return { queues, lateQueues, samplingLevel, slowestJobs };
 };
--- a/packages/ledger/readJobHistories.ts
+++ b/packages/ledger/readJobHistories.ts
@@ -9,9 +9,9 @@
 import { toRunKey } from './toRunKey';
 import type { WaitSample } from './WaitSample';
 
-type Account = JobHistory & { readonly waitSamples: WaitSample[] };
-type Accounts = Map<string, Account>;
-type LineHandler = (accounts: Accounts, line: LogLine, at: number, takeOvers: readonly number[]) => void;
+type MutableHistory = JobHistory & { readonly waitSamples: WaitSample[] };
+type Histories = Map<string, MutableHistory>;
+type LineHandler = (histories: Histories, line: LogLine, at: number, takeOvers: readonly number[]) => void;
 
 const acceptedSchema = z.object({ job: z.string(), queue: z.string(), tookMs: z.number() });
 const jobSchema = z.object({ job: z.string() });
@@ -27,7 +27,7 @@
   waitsRowSchema.transform((row) => [row]),
   z.object({ rows: z.array(waitsRowSchema) }).transform(({ rows }) => rows),
 ]);
-const lateSchema = z.object({
+const endedLateSchema = z.object({
   job: z.string(),
   queue: z.string(),
   ending: z.string(),
@@ -45,9 +45,9 @@
   startMs: z.number().optional(),
 });
 
-const createAccount = (
-  fields: Pick<Account, 'job' | 'queue' | 'acceptedAt' | 'acceptMs' | 'takeOvers'>,
-): Account => ({
+const createHistory = (
+  fields: Pick<MutableHistory, 'job' | 'queue' | 'acceptedAt' | 'acceptMs' | 'takeOvers'>,
+): MutableHistory => ({
   ...fields,
   addedAt: undefined,
   endedAt: undefined,
@@ -57,26 +57,26 @@
   loggedPath: undefined,
 });
 
-const handleAccepted: LineHandler = (accounts, line, at, takeOvers) => {
+const handleAccepted: LineHandler = (histories, line, at, takeOvers) => {
   const parsed = acceptedSchema.safeParse(line).data;
-  if (parsed === undefined || accounts.has(parsed.job)) {
+  if (parsed === undefined || histories.has(parsed.job)) {
     return;
   }
   const { job, queue, tookMs } = parsed;
-  accounts.set(job, createAccount({ job, queue, acceptedAt: at, acceptMs: tookMs, takeOvers }));
+  histories.set(job, createHistory({ job, queue, acceptedAt: at, acceptMs: tookMs, takeOvers }));
 };
 
-const handleAdded: LineHandler = (accounts, line, at) => {
-  const account = accounts.get(jobSchema.safeParse(line).data?.job ?? '');
-  if (account !== undefined) {
-    account.addedAt ??= at;
+const handleAdded: LineHandler = (histories, line, at) => {
+  const history = histories.get(jobSchema.safeParse(line).data?.job ?? '');
+  if (history !== undefined) {
+    history.addedAt ??= at;
   }
 };
 
-const handlePlaced: LineHandler = (accounts, line, at) => {
+const handlePlaced: LineHandler = (histories, line, at) => {
   const parsed = placedSchema.safeParse(line).data;
-  const account = accounts.get(parsed?.job ?? '');
-  if (parsed === undefined || account === undefined) {
+  const history = histories.get(parsed?.job ?? '');
+  if (parsed === undefined || history === undefined) {
     return;
   }
   for (const { task, run, endpoint = '' } of parsed.placed) {
@@ -90,13 +90,13 @@
       startMs: 0,
     };
     const placed = { task, run, endpoint, placedAt: at, waits: parsed.waits };
-    account.runs.set(toRunKey({ task, run }), { ...placed, ...initial });
+    history.runs.set(toRunKey({ task, run }), { ...placed, ...initial });
   }
 };
 
-const handleRunEnded: LineHandler = (accounts, line, at) => {
+const handleRunEnded: LineHandler = (histories, line, at) => {
   const parsed = runEndedSchema.safeParse(line).data;
-  const run = parsed && accounts.get(parsed.job)?.runs.get(toRunKey(parsed));
+  const run = parsed && histories.get(parsed.job)?.runs.get(toRunKey(parsed));
   if (parsed === undefined || run === undefined) {
     return;
   }
@@ -108,26 +108,29 @@
   run.startMs = parsed.startMs ?? 0;
 };
 
-const handleWaits: LineHandler = (accounts, line, at) => {
+const handleWaits: LineHandler = (histories, line, at) => {
   for (const { job, waits } of waitsSchema.safeParse(line).data ?? []) {
-    accounts.get(job)?.waitSamples.push({ at, waits });
+    histories.get(job)?.waitSamples.push({ at, waits });
   }
 };
 
-const handleJobEnded: LineHandler = (accounts, line, at) => {
+const handleJobEnded: LineHandler = (histories, line, at) => {
   const parsed = jobEndedSchema.safeParse(line).data;
-  const account = accounts.get(parsed?.job ?? '');
-  if (parsed !== undefined && account !== undefined) {
+  const history = histories.get(parsed?.job ?? '');
+  if (parsed !== undefined && history !== undefined) {
     // A leader may log an end that it couldn't make durable, so the line of a later leader replaces it.
-    account.endedAt = at;
-    account.ending = parsed.ending;
+    history.endedAt = at;
+    history.ending = parsed.ending;
   }
 };
 
 const isCause = (text: string): text is LedgerCause => ledgerCauses.some((cause) => cause === text);
 
 /** Converts the rows of a logged path, which hold only durations, to spans, the last of which ends at `endedAt`. */
-const toLoggedPath = (rows: z.infer<typeof lateSchema>['path'], endedAt: number): readonly LedgerSpan[] => {
+const toLoggedPath = (
+  rows: z.infer<typeof endedLateSchema>['path'],
+  endedAt: number,
+): readonly LedgerSpan[] => {
   let from = endedAt - rows.reduce((sum, { ms }) => sum + ms, 0);
   return rows.map(({ cause, ms, run = '' }) => {
     const span = { cause: isCause(cause) ? cause : 'unknown', from, to: from + ms, run };
@@ -136,26 +139,26 @@
   });
 };
 
-/** Creates the account when the logs hold no other line about the job. */
-const handleEndedLate: LineHandler = (accounts, line, at, takeOvers) => {
-  const parsed = lateSchema.safeParse(line).data;
+/** Handles the line on a late or failed end; creates the history when the logs hold no other line about the job. */
+const handleEndedLate: LineHandler = (histories, line, at, takeOvers) => {
+  const parsed = endedLateSchema.safeParse(line).data;
   if (parsed === undefined) {
     return;
   }
   const { job, queue, ending, totalMs, path } = parsed;
-  const account =
-    accounts.get(job) ?? createAccount({ job, queue, acceptedAt: at - totalMs, acceptMs: 0, takeOvers });
-  accounts.set(job, account);
-  account.endedAt = at;
-  account.ending = ending;
-  account.loggedPath = toLoggedPath(path, account.endedAt);
+  const history =
+    histories.get(job) ?? createHistory({ job, queue, acceptedAt: at - totalMs, acceptMs: 0, takeOvers });
+  histories.set(job, history);
+  history.endedAt = at;
+  history.ending = ending;
+  history.loggedPath = toLoggedPath(path, history.endedAt);
 };
 
 /** Logged by a leader that has taken over. */
 const TAKEOVER_MESSAGE = 'Leading.';
 
 /** Handlers of the lines about a job, by their message. */
-const HANDLERS: Readonly<Record<string, LineHandler>> = {
+const LINE_HANDLERS: Readonly<Record<string, LineHandler>> = {
   'Job accepted.': handleAccepted,
   'Job taken in.': handleAdded,
   'Step waits.': handleWaits,
@@ -165,7 +168,7 @@
   'Job ended late.': handleEndedLate,
 };
 
-/** Reads the logs of all boxes into one account per job, in the order in which the jobs were accepted. */
+/** Reads the logs of all boxes into one history per job, in the order in which the jobs were accepted. */
 export const readJobHistories = (texts: Iterable<string>): readonly JobHistory[] => {
   const lines: { readonly line: LogLine; readonly at: number }[] = [];
   const takeOvers: number[] = [];
@@ -173,7 +176,7 @@
     const line = parseLogLine(text);
     if (line?.message === TAKEOVER_MESSAGE) {
       takeOvers.push(Date.parse(line.time));
-    } else if (line !== undefined && HANDLERS[line.message] !== undefined) {
+    } else if (line !== undefined && LINE_HANDLERS[line.message] !== undefined) {
       lines.push({ line, at: Date.parse(line.time) });
     }
   }
@@ -181,9 +184,9 @@
   const toRank = ({ line }: { readonly line: LogLine }): number => (line.message === 'Job accepted.' ? 0 : 1);
   lines.sort((left, right) => toRank(left) - toRank(right) || left.at - right.at);
   takeOvers.sort((left, right) => left - right);
-  const accounts: Accounts = new Map();
+  const histories: Histories = new Map();
   for (const { line, at } of lines) {
-    HANDLERS[line.message]?.(accounts, line, at, takeOvers);
+    LINE_HANDLERS[line.message]?.(histories, line, at, takeOvers);
   }
-  return [...accounts.values()];
+  return [...histories.values()];
 };
--- a/packages/standins/EndpointStandin.ts
+++ b/packages/standins/EndpointStandin.ts
@@ -18,11 +18,11 @@
  * its capacity, and keeps statistics by which tests detect overcommitment. The request says how long its task runs.
  */
 export class EndpointStandin {
-  private readonly tasks = new Map<string, StandinTask>();
-  private readonly starts = new Map<string, number>();
-  private peak: Demand = demandMath.NOTHING;
-  private peakConnections = 0;
-  private connections = 0;
+  private readonly runningTasks = new Map<string, StandinTask>();
+  private readonly startCounts = new Map<string, number>();
+  private peakDemand: Demand = demandMath.NOTHING;
+  private peakConnectionCount = 0;
+  private connectionCount = 0;
   private fault: EndpointFault = 'none';
   /** Highest fencing token seen; requests with a lower one are rejected. */
   private highestToken = 0;
@@ -36,10 +36,10 @@
     });
     server.keepAliveTimeout = 60_000;
     server.on('connection', (socket) => {
-      this.connections += 1;
-      this.peakConnections = Math.max(this.peakConnections, this.connections);
+      this.connectionCount += 1;
+      this.peakConnectionCount = Math.max(this.peakConnectionCount, this.connectionCount);
       socket.on('close', () => {
-        this.connections -= 1;
+        this.connectionCount -= 1;
       });
     });
     this.server = server;
@@ -54,8 +54,8 @@
   /** Creates the report of running tasks that a worker sends to the platform. */
   createReport(): StandinReport {
     const now = performance.now();
-    const tasks = [...this.tasks.values()].map((task) => ({
-      task: task.task,
+    const tasks = [...this.runningTasks.values()].map((task) => ({
+      task: task.taskId,
       need: task.demand,
       endsWithinMs: Math.max(0, task.leaseEndsAt - now),
     }));
@@ -65,11 +65,11 @@
   private async handleRequest(request: IncomingMessage, response: ServerResponse): Promise<void> {
     const [, part, name, action] = (request.url ?? '/').split('?')[0]?.split('/') ?? [];
     if (part === 'run' && name !== undefined) {
-      await this.handleRun(name, request, response);
+      await this.handleRunRequest(name, request, response);
     } else if (part === 'fence') {
       this.handleFence(request, response);
     } else if (part === 'tasks' && name !== undefined) {
-      this.handleTask(decodeURIComponent(name), action ?? '', request, response);
+      this.handleTaskAction(decodeURIComponent(name), action ?? '', request, response);
     } else if (part === 'standin' && name === 'fault') {
       this.fault = (await readJsonBody(request)) as EndpointFault;
       sendJson(response, 200, {});
@@ -81,19 +81,23 @@
   }
 
   private createStats(): EndpointStats {
-    const running = [...this.tasks.values()];
+    const running = [...this.runningTasks.values()];
     return {
       worker: this.box.worker,
-      peak: this.peak,
-      peakConnections: this.peakConnections,
+      peak: this.peakDemand,
+      peakConnections: this.peakConnectionCount,
       capacity: this.box.capacity,
       runningCount: running.length,
-      starts: Object.fromEntries(this.starts),
-      runningSeats: running.map((task) => task.task).filter((task) => task.includes('/seat/')),
+      starts: Object.fromEntries(this.startCounts),
+      runningSeats: running.map((task) => task.taskId).filter((task) => task.includes('/seat/')),
     };
   }
 
-  private async handleRun(row: string, request: IncomingMessage, response: ServerResponse): Promise<void> {
+  private async handleRunRequest(
+    row: string,
+    request: IncomingMessage,
+    response: ServerResponse,
+  ): Promise<void> {
     const fault = this.fault;
     if (fault === 'resetBefore') {
       request.socket.destroy();
@@ -104,7 +108,7 @@
       chunks.push(chunk as Buffer);
     }
     const body = Buffer.concat(chunks);
-    if (!this.applyToken(request)) {
+    if (!this.applyFencingToken(request)) {
       response.setHeader('x-task-id', String(request.headers['x-task-id'] ?? ''));
       response.setHeader('x-fenced', '1');
       sendJson(response, 409, { error: 'lower token' });
@@ -114,7 +118,7 @@
     const runMs =
       Number(request.headers['x-run-ms'] ?? DEFAULT_RUN_MS) * (fault === 'slow' ? SLOW_FACTOR : 1);
     if (fault !== 'silent' && Number.isFinite(runMs)) {
-      task.timers.push(setTimeout(() => this.handleEnd(task, body, fault), runMs));
+      task.timers.push(setTimeout(() => this.handleTaskEnd(task, body, fault), runMs));
     }
     if (fault === 'dropAndRunOn') {
       request.socket.destroy();
@@ -123,7 +127,7 @@
   }
 
   /** Applies the fencing token of a request and returns whether it is current. Requests without one always pass. */
-  private applyToken(request: IncomingMessage): boolean {
+  private applyFencingToken(request: IncomingMessage): boolean {
     const token = Number(request.headers['x-owner-token'] ?? this.highestToken);
     if (token < this.highestToken) {
       return false;
@@ -133,7 +137,7 @@
   }
 
   private handleFence(request: IncomingMessage, response: ServerResponse): void {
-    if (this.applyToken(request)) {
+    if (this.applyFencingToken(request)) {
       sendJson(response, 200, { tasks: this.createReport().tasks });
     } else {
       sendJson(response, 409, { error: 'lower token' });
@@ -147,17 +151,17 @@
     ) as Demand;
     const limitMs = Number(request.headers['x-time-limit-ms'] ?? 60_000);
     const task: StandinTask = {
-      task: id,
+      taskId: id,
       row,
       demand,
       leaseEndsAt: performance.now() + limitMs,
       response,
       timers: [],
     };
-    this.tasks.set(id, task);
+    this.runningTasks.set(id, task);
     const caller = String(request.headers['x-caller-request'] ?? id);
     const key = `${row} ${caller}`;
-    this.starts.set(key, (this.starts.get(key) ?? 0) + 1);
+    this.startCounts.set(key, (this.startCounts.get(key) ?? 0) + 1);
     this.recordPeak();
     return task;
   }
@@ -174,19 +178,24 @@
 
   private recordPeak(): void {
     let sum = demandMath.NOTHING;
-    for (const task of this.tasks.values()) {
+    for (const task of this.runningTasks.values()) {
       sum = demandMath.toSum(sum, task.demand);
     }
-    this.peak = {
-      cpus: Math.max(this.peak.cpus, sum.cpus),
-      memoryMb: Math.max(this.peak.memoryMb, sum.memoryMb),
-      accelerators: Math.max(this.peak.accelerators, sum.accelerators),
-      slots: Math.max(this.peak.slots, sum.slots),
+    this.peakDemand = {
+      cpus: Math.max(this.peakDemand.cpus, sum.cpus),
+      memoryMb: Math.max(this.peakDemand.memoryMb, sum.memoryMb),
+      accelerators: Math.max(this.peakDemand.accelerators, sum.accelerators),
+      slots: Math.max(this.peakDemand.slots, sum.slots),
     };
   }
 
-  private handleTask(id: string, action: string, request: IncomingMessage, response: ServerResponse): void {
-    const task = this.tasks.get(id);
+  private handleTaskAction(
+    id: string,
+    action: string,
+    request: IncomingMessage,
+    response: ServerResponse,
+  ): void {
+    const task = this.runningTasks.get(id);
     if (task === undefined) {
       sendJson(response, 404, { error: 'no such task' });
       return;
@@ -207,26 +216,26 @@
     if (task.response.destroyed) {
       return;
     }
-    task.response.setHeader('x-task-id', task.task);
+    task.response.setHeader('x-task-id', task.taskId);
     task.response.setHeader('x-yielded', reason === 'checkpoint' ? '1' : '0');
     sendJson(task.response, status, { error: reason });
   }
 
   private removeTask(task: StandinTask): void {
-    this.tasks.delete(task.task);
+    this.runningTasks.delete(task.taskId);
     for (const timer of task.timers) {
       clearTimeout(timer);
     }
   }
 
-  private handleEnd(task: StandinTask, body: Buffer, fault: EndpointFault): void {
+  private handleTaskEnd(task: StandinTask, body: Buffer, fault: EndpointFault): void {
     this.removeTask(task);
     const { response } = task;
     if (response.destroyed) {
       return;
     }
     const responseBody = Buffer.concat([Buffer.from(`${task.row}:`), body]);
-    const id = fault === 'cross' ? 'another/task' : task.task;
+    const id = fault === 'cross' ? 'another/task' : task.taskId;
     if (fault === 'resetAfter') {
       response.destroy();
       return;
--- a/packages/standins/PlatformStandin.ts
+++ b/packages/standins/PlatformStandin.ts
@@ -16,7 +16,7 @@
   readonly listLagMs: number;
 }
 
-type Handler = (url: URL, request: IncomingMessage, response: ServerResponse) => Promise<void>;
+type RequestHandler = (url: URL, request: IncomingMessage, response: ServerResponse) => Promise<void>;
 
 interface StoredReport {
   readonly report: StandinReport;
@@ -31,8 +31,8 @@
   private readonly streams = new Map<string, StandinStream>();
   private boxes: readonly StandinBox[] = [];
   private visibleBoxes: readonly StandinBox[] = [];
-  private visibleVersion = 0;
-  private readonly reports = new Map<string, StoredReport[]>();
+  private visibleBoxesVersion = 0;
+  private readonly reportsByWorker = new Map<string, StoredReport[]>();
   private faults: StandinFaults = { isDown: false, delayMs: 0, loseAnswers: 0, cutBoxes: [] };
   private server: Server | undefined;
   private appendCount = 0;
@@ -40,13 +40,13 @@
   /** Number of requests received apart from control requests, with or without a response. */
   private requestCount = 0;
 
-  private readonly handlers: Readonly<Record<string, Handler>> = {
+  private readonly handlers: Readonly<Record<string, RequestHandler>> = {
     'POST /streams': (url, request, response) => this.handleAppend(url, request, response),
     'GET /streams': (url, _request, response) => this.handleRead(url, response),
     'GET /boxes': (url, request, response) => this.handleBoxes(url, request, response),
     'GET /reports': (url, _request, response) => this.handleReports(url, response),
     'POST /standin': (url, request, response) => this.handleControl(url, request, response),
-    'GET /standin': (_url, _request, response) => this.handleCounts(response),
+    'GET /standin': (_url, _request, response) => this.handleGetCounts(response),
   };
 
   constructor(private readonly options: PlatformStandinOptions) {}
@@ -119,7 +119,7 @@
 
   private async handleBoxes(url: URL, request: IncomingMessage, response: ServerResponse): Promise<void> {
     const hall = url.searchParams.get('hall');
-    const tag = `"${this.visibleVersion}"`;
+    const tag = `"${this.visibleBoxesVersion}"`;
     if (request.headers['if-none-match'] === tag) {
       response.writeHead(304).end();
       return;
@@ -132,7 +132,7 @@
     const hall = url.searchParams.get('hall');
     const now = performance.now();
     const visibleReports = [];
-    for (const stored of this.reports.values()) {
+    for (const stored of this.reportsByWorker.values()) {
       const newest = stored.filter((entry) => entry.storedAt <= now - this.options.reportLagMs).at(-1);
       if (newest !== undefined && newest.report.hall === hall) {
         const { worker, tasks, ageMs } = newest.report;
@@ -154,7 +154,7 @@
     sendJson(response, 200, {});
   }
 
-  private async handleCounts(response: ServerResponse): Promise<void> {
+  private async handleGetCounts(response: ServerResponse): Promise<void> {
     sendJson(response, 200, { appends: this.appendCount, reads: this.readCount, calls: this.requestCount });
   }
 
@@ -163,7 +163,7 @@
     this.boxes = boxes;
     setTimeout(() => {
       this.visibleBoxes = boxes;
-      this.visibleVersion += 1;
+      this.visibleBoxesVersion += 1;
     }, this.options.listLagMs);
   }
 
@@ -175,15 +175,15 @@
   }
 
   private applyTrim(trim: { stream: string; first: number }): void {
-    this.streams.get(trim.stream)?.removeBefore(trim.first);
+    this.streams.get(trim.stream)?.removeRecordsBefore(trim.first);
   }
 
   private recordReports(reports: readonly StandinReport[]): void {
     const storedAt = performance.now();
     for (const report of reports) {
-      const recent = (this.reports.get(report.worker) ?? []).slice(-20);
+      const recent = (this.reportsByWorker.get(report.worker) ?? []).slice(-20);
       recent.push({ report, storedAt });
-      this.reports.set(report.worker, recent);
+      this.reportsByWorker.set(report.worker, recent);
     }
   }
 }
--- a/packages/standins/StandinTask.ts
+++ b/packages/standins/StandinTask.ts
@@ -3,7 +3,7 @@
 
 /** Task that an endpoint stand-in runs. */
 export interface StandinTask {
-  readonly task: string;
+  readonly taskId: string;
   readonly row: string;
   readonly demand: Demand;
   /** Monotonic time at which its lease ends, in milliseconds. */
--- a/packages/standins/platform/BlackholedConnections.ts
+++ b/packages/standins/platform/BlackholedConnections.ts
@@ -3,26 +3,26 @@
 
 /** Connections of a stand-in that stay open but get no more responses, as when a network device drops their state without a reset. */
 export class BlackholedConnections {
-  private readonly open = new Set<Socket>();
-  private readonly blackholed = new Set<Socket>();
+  private readonly openSockets = new Set<Socket>();
+  private readonly blackholedSockets = new Set<Socket>();
 
   /** Tracks the connections of a server. */
   addServer(server: Server): void {
     server.on('connection', (socket: Socket) => {
-      this.open.add(socket);
+      this.openSockets.add(socket);
       socket.once('close', () => {
-        this.open.delete(socket);
-        this.blackholed.delete(socket);
+        this.openSockets.delete(socket);
+        this.blackholedSockets.delete(socket);
       });
     });
   }
 
   /** Blackholes all connections that are open now, for good. New connections work. */
   applyBlackhole(): void {
-    this.open.forEach((socket) => this.blackholed.add(socket));
+    this.openSockets.forEach((socket) => this.blackholedSockets.add(socket));
   }
 
   isBlackholed({ socket }: IncomingMessage): boolean {
-    return this.blackholed.has(socket);
+    return this.blackholedSockets.has(socket);
   }
 }
--- a/packages/standins/platform/ExecutorRun.ts
+++ b/packages/standins/platform/ExecutorRun.ts
@@ -1,7 +1,7 @@
 /** Run on an endpoint stand-in. Times are in milliseconds of its own clock. */
 export interface ExecutorRun {
   readonly task: string;
-  readonly run: number;
+  readonly runNumber: number;
   readonly spec: string;
   readonly startedAt: number;
   readonly runMs: number;
--- a/packages/standins/platform/ExecutorStandin.ts
+++ b/packages/standins/platform/ExecutorStandin.ts
@@ -32,16 +32,16 @@
 }
 
 type EndRow = [number: number, task: string, run: number, how: string, saved: string];
-type Handler = (body: CommandBody, response: ServerResponse) => Promise<void> | void;
+type CommandHandler = (body: CommandBody, response: ServerResponse) => Promise<void> | void;
 
-const LATE_START_MS = 1500;
+const START_DELAY_MS = 1500;
 /** Longer than the maximum timeout of a command. */
-const LATE_RESPONSE_MS = 700;
+const RESPONSE_DELAY_MS = 700;
 const SLOW_FACTOR = 4;
 const ENDLESS_SPEC = 'lasts';
 const CRASHING_SPEC = 'crashes';
-const CRASH_AFTER_MS = 10;
-const HUNDRED = 100;
+const CRASH_DELAY_MS = 10;
+const FULL_PERCENT = 100;
 
 /**
  * Stands in for one incarnation of an endpoint, with the commands that the platform documents. It doesn't check its capacity, rejects
@@ -52,11 +52,11 @@
 export class ExecutorStandin {
   private readonly runs = new Map<string, ExecutorRun>();
   /** Highest run number of each task that has ended or was stopped; start commands up to it are rejected. */
-  private readonly endedRuns = new Map<string, number>();
-  private ends: EndRow[] = [];
+  private readonly endedRunNumbers = new Map<string, number>();
+  private unacknowledgedEnds: EndRow[] = [];
   private endCount = 0;
   /** Number of the last end before the latest expiry of the lease. */
-  private lastExpiredEnd = 0;
+  private lastEndBeforeExpiry = 0;
   /** Highest fencing token seen. */
   private highestToken = 0;
   /** Time at which the lease expires, by the clock of this incarnation; Infinity before the first lease. */
@@ -67,18 +67,18 @@
   private isStopped = false;
   private expiredTicketCount = 0;
   private server: Server | undefined;
-  private readonly waiters = new Waiters();
+  private readonly pollWaiters = new Waiters();
   private readonly startedAt = performance.now();
   /** Id of this incarnation in the records of the run checker. */
   private readonly incarnation: string;
   /** Number of the last end that a response has listed. */
-  private lastListedEnd = 0;
+  private lastListedEndNumber = 0;
   private readonly connections = new BlackholedConnections();
 
-  private readonly handlers: Readonly<Record<string, Handler>> = {
+  private readonly handlers: Readonly<Record<string, CommandHandler>> = {
     '/run-start': (body, response) => this.handleStart(body, response),
     '/run-stop': (body, response) => this.handleStop(body, response),
-    '/hold': (body, response) => this.handleHold(body, response),
+    '/hold': (body, response) => this.handlePoll(body, response),
     '/pace': (_body, response) => this.sendResponse(response, 200, {}),
   };
 
@@ -100,7 +100,7 @@
     clearTimeout(this.leaseTimer);
     for (const run of this.runs.values()) {
       clearTimeout(run.timer);
-      this.options.runChecker.recordEnd(this.incarnation, run.task, run.run, 'gone');
+      this.options.runChecker.recordEnd(this.incarnation, run.task, run.runNumber, 'gone');
     }
     this.runs.clear();
     this.server?.closeAllConnections();
@@ -156,14 +156,14 @@
 
   private handleStart(body: CommandBody, response: ServerResponse): void {
     if (this.fault === 'lateStarts') {
-      setTimeout(() => this.startRun(body), LATE_START_MS);
+      setTimeout(() => this.startRun(body), START_DELAY_MS);
       return;
     }
     const reason = this.startRun(body);
     const sendResult = (): void =>
       this.sendResponse(response, reason === undefined ? 200 : 409, reason === undefined ? {} : { reason });
     if (this.fault === 'lateAnswers') {
-      setTimeout(sendResult, LATE_RESPONSE_MS);
+      setTimeout(sendResult, RESPONSE_DELAY_MS);
     } else {
       sendResult();
     }
@@ -179,7 +179,7 @@
     if ((body['fencing-token'] ?? 0) < this.highestToken) {
       return 'fence';
     }
-    if ((this.endedRuns.get(task) ?? 0) >= run) {
+    if ((this.endedRunNumbers.get(task) ?? 0) >= run) {
       return 'old';
     }
     if ((body['expires-ms'] ?? Infinity) <= this.getClockMs()) {
@@ -194,13 +194,13 @@
     }
     this.renewLease(body['expires-ms']);
     if (spec === CRASHING_SPEC) {
-      setTimeout(() => this.handleCrash(), CRASH_AFTER_MS);
+      setTimeout(() => this.handleCrash(), CRASH_DELAY_MS);
     }
     const isEndless = spec === ENDLESS_SPEC || spec === CRASHING_SPEC || this.fault === 'hanging';
     const runMs = isEndless ? Infinity : Number(spec) * (this.fault === 'slow' ? SLOW_FACTOR : 1);
     const how = this.fault === 'failing' ? 'failed' : 'done';
     const timer = runMs === Infinity ? undefined : setTimeout(() => this.recordEnd(task, how), runMs);
-    this.runs.set(task, { task, run, spec, startedAt: this.getClockMs(), runMs, timer });
+    this.runs.set(task, { task, runNumber: run, spec, startedAt: this.getClockMs(), runMs, timer });
     this.options.runChecker.recordStart(this.incarnation, task, run);
     return undefined;
   }
@@ -212,52 +212,53 @@
   }
 
   private handleStop(body: CommandBody, response: ServerResponse): void {
-    this.endedRuns.set(body.task, Math.max(this.endedRuns.get(body.task) ?? 0, body.run));
-    if (this.runs.get(body.task)?.run === body.run) {
+    this.endedRunNumbers.set(body.task, Math.max(this.endedRunNumbers.get(body.task) ?? 0, body.run));
+    if (this.runs.get(body.task)?.runNumber === body.run) {
       this.recordEnd(body.task, 'stopped');
     }
     this.sendResponse(response, 200, {});
   }
 
-  private async handleHold(body: CommandBody, response: ServerResponse): Promise<void> {
+  private async handlePoll(body: CommandBody, response: ServerResponse): Promise<void> {
     const lastSeen = body['last-seen'] ?? 0;
-    this.recordAcknowledged(lastSeen);
+    this.handleAcknowledgement(lastSeen);
     this.renewLease(body['expires-ms']);
     const waitMs = body['wait-ms'] ?? 0;
-    if (waitMs > 0 && this.ends.length === 0) {
-      await this.waiters.waitForRelease(waitMs);
+    if (waitMs > 0 && this.unacknowledgedEnds.length === 0) {
+      await this.pollWaiters.waitForRelease(waitMs);
     }
     const running = [...this.runs.values()].map((run) => [
       run.task,
-      run.run,
+      run.runNumber,
       '',
-      this.computePercent(run),
+      this.computeProgressPercent(run),
       0,
     ]);
     const { bornAtMs } = this.options;
     const born = bornAtMs === undefined ? {} : { born: bornAtMs };
-    this.lastListedEnd = this.ends[this.ends.length - 1]?.[0] ?? this.lastListedEnd;
-    this.sendResponse(response, 200, { ...born, running, 'end-time': this.ends });
+    this.lastListedEndNumber =
+      this.unacknowledgedEnds[this.unacknowledgedEnds.length - 1]?.[0] ?? this.lastListedEndNumber;
+    this.sendResponse(response, 200, { ...born, running, 'end-time': this.unacknowledgedEnds });
   }
 
   /** Removes the ends up to a number, which the leader has acknowledged. */
-  private recordAcknowledged(lastSeen: number): void {
-    for (const [number, task, run, how] of this.ends) {
-      if (number <= lastSeen && number > this.lastListedEnd) {
+  private handleAcknowledgement(lastSeen: number): void {
+    for (const [number, task, run, how] of this.unacknowledgedEnds) {
+      if (number <= lastSeen && number > this.lastListedEndNumber) {
         this.options.runChecker.recordEarlyAcknowledgement(this.incarnation, task, run);
       }
-      if (number <= lastSeen && number > this.lastExpiredEnd && how === 'done') {
-        this.options.runChecker.recordAcknowledged(task, run);
+      if (number <= lastSeen && number > this.lastEndBeforeExpiry && how === 'done') {
+        this.options.runChecker.recordAcknowledgedEnd(task, run);
       }
     }
-    this.ends = this.ends.filter((end) => end[0] > lastSeen);
+    this.unacknowledgedEnds = this.unacknowledgedEnds.filter((end) => end[0] > lastSeen);
   }
 
   /** Returns the progress of a run. */
-  private computePercent(run: ExecutorRun): number {
+  private computeProgressPercent(run: ExecutorRun): number {
     return run.runMs === Infinity
-      ? HUNDRED
-      : Math.min(HUNDRED, Math.floor(((this.getClockMs() - run.startedAt) * HUNDRED) / run.runMs));
+      ? FULL_PERCENT
+      : Math.min(FULL_PERCENT, Math.floor(((this.getClockMs() - run.startedAt) * FULL_PERCENT) / run.runMs));
   }
 
   /** Extends the lease; an earlier expiry is ignored. All runs end when it expires. */
@@ -269,7 +270,7 @@
     clearTimeout(this.leaseTimer);
     this.leaseTimer = setTimeout(
       () => {
-        this.lastExpiredEnd = this.endCount;
+        this.lastEndBeforeExpiry = this.endCount;
         for (const task of [...this.runs.keys()]) {
           this.recordEnd(task, 'lapsed');
         }
@@ -285,11 +286,11 @@
     }
     clearTimeout(run.timer);
     this.runs.delete(task);
-    this.endedRuns.set(task, Math.max(this.endedRuns.get(task) ?? 0, run.run));
+    this.endedRunNumbers.set(task, Math.max(this.endedRunNumbers.get(task) ?? 0, run.runNumber));
     this.endCount += 1;
-    this.ends.push([this.endCount, task, run.run, how, '']);
-    this.options.runChecker.recordEnd(this.incarnation, task, run.run, how);
-    this.waiters.releaseAll();
+    this.unacknowledgedEnds.push([this.endCount, task, run.runNumber, how, '']);
+    this.options.runChecker.recordEnd(this.incarnation, task, run.runNumber, how);
+    this.pollWaiters.releaseAll();
   }
 
   /** Returns the milliseconds since the incarnation started. */
--- a/packages/standins/platform/KeyedTopic.ts
+++ b/packages/standins/platform/KeyedTopic.ts
@@ -25,12 +25,12 @@
 }
 
 const LENGTH_BYTES = 4;
-const MAX_KEPT_RESULTS = 5;
+const MAX_RESULTS_PER_PRODUCER = 5;
 
 /** Keyed topic of the stand-in for the platform's log. Checks the epochs and sequence numbers of producers, and keeps the newest record by key. */
 export class KeyedTopic {
   private readonly records: StoredRecord[] = [];
-  private readonly newest = new Map<string, number>();
+  private readonly newestOffsets = new Map<string, number>();
   private readonly producers = new Map<string, ProducerState>();
   private readonly waiters = new Waiters();
   /** Offset of the first record that can still be read. */
@@ -38,7 +38,7 @@
 
   /** Appends records. Repeats the earlier result for a sequence number that the producer has used, and rejects outdated epochs and gaps. */
   append(frames: Buffer, writer: AppendWriter | undefined): AppendResponse {
-    const state = writer === undefined ? undefined : this.getProducer(writer);
+    const state = writer === undefined ? undefined : this.updateProducerState(writer);
     if (writer !== undefined && state !== undefined) {
       if (writer.epoch < state.epoch) {
         return { status: 409, body: { reason: 'fenced' } };
@@ -52,7 +52,7 @@
       }
     }
     const offset = this.records.length;
-    this.recordFrames(frames);
+    this.addFrames(frames);
     const result = { offset, end: this.records.length };
     if (writer !== undefined && state !== undefined) {
       this.recordResult(state, writer, result);
@@ -62,7 +62,7 @@
   }
 
   /** Returns the response body of a read from an offset on; undefined when the offset has been removed. */
-  getFrames(fromOffset: number): Buffer | undefined {
+  getReadBody(fromOffset: number): Buffer | undefined {
     if (fromOffset < this.firstOffset) {
       return undefined;
     }
@@ -83,7 +83,7 @@
 
   /** Returns the newest record of each key greater than `afterKey`, sorted by key. */
   listNewest(afterKey: string): readonly { key: string; value: Buffer; offset: number }[] {
-    return [...this.newest]
+    return [...this.newestOffsets]
       .filter(([key]) => key > afterKey)
       .sort(([left], [right]) => (left < right ? -1 : 1))
       .map(([key, offset]) => ({ key, value: this.records[offset]!.value, offset }));
@@ -100,7 +100,7 @@
   }
 
   /** Returns the state of a producer, which begins anew with each higher epoch. */
-  private getProducer(writer: AppendWriter): ProducerState {
+  private updateProducerState(writer: AppendWriter): ProducerState {
     const current = this.producers.get(writer.producer);
     if (current !== undefined && current.epoch >= writer.epoch) {
       return current;
@@ -117,10 +117,10 @@
   ): void {
     state.sequence = writer.sequence;
     state.results.set(writer.sequence, result);
-    state.results.delete(writer.sequence - MAX_KEPT_RESULTS);
+    state.results.delete(writer.sequence - MAX_RESULTS_PER_PRODUCER);
   }
 
-  private recordFrames(frames: Buffer): void {
+  private addFrames(frames: Buffer): void {
     let position = 0;
     while (position < frames.length) {
       const end = position + LENGTH_BYTES + frames.readUInt32BE(position);
@@ -129,9 +129,9 @@
       const key = frame.toString('utf8', LENGTH_BYTES + 1, LENGTH_BYTES + 1 + keyLength);
       const value = frame.subarray(LENGTH_BYTES + 1 + keyLength);
       if (value.length === 0) {
-        this.newest.delete(key);
+        this.newestOffsets.delete(key);
       } else {
-        this.newest.set(key, this.records.length);
+        this.newestOffsets.set(key, this.records.length);
       }
       this.records.push({ key, value, frame });
       position = end;
--- a/packages/standins/platform/LogStandin.ts
+++ b/packages/standins/platform/LogStandin.ts
@@ -16,9 +16,9 @@
   readonly link: RateLimitedLink;
 }
 
-type Handler = (logRequest: LogRequest) => Promise<void>;
+type RequestHandler = (logRequest: LogRequest) => Promise<void>;
 
-const PAGE_ITEMS = 500;
+const MAX_PAGE_ITEMS = 500;
 const LENGTH_BYTES = 4;
 const MAX_APPEND_WAIT_MS = 2000;
 
@@ -26,21 +26,21 @@
 export class LogStandin {
   private readonly topics = new Map<string, KeyedTopic>();
   private readonly servers: Server[] = [];
-  private readonly faults = new Map<string, LogFault>();
-  private readonly links = new Map<string, RateLimitedLink>();
+  private readonly faultsByListener = new Map<string, LogFault>();
+  private readonly linksByListener = new Map<string, RateLimitedLink>();
   /** Listener of each request in progress, by its response. */
-  private readonly pending = new Map<ServerResponse, string>();
+  private readonly pendingResponses = new Map<ServerResponse, string>();
   /** Duration of an append, and minimum duration of a read, in milliseconds. */
   private latencyMs = 0;
   /** Monotonic time until which each topic is busy; a topic processes its appends one after the other. */
-  private readonly busyUntil = new Map<string, number>();
+  private readonly topicsBusyUntil = new Map<string, number>();
   private requestCount = 0;
   private readonly connections = new BlackholedConnections();
 
-  private readonly handlers: Readonly<Record<string, Handler>> = {
+  private readonly handlers: Readonly<Record<string, RequestHandler>> = {
     'POST /log-append': (logRequest) => this.handleAppend(logRequest),
     'GET /log-read': (logRequest) => this.handleRead(logRequest),
-    'GET /log-newest': (logRequest) => this.handleNewest(logRequest),
+    'GET /log-newest': (logRequest) => this.handleReadNewest(logRequest),
   };
 
   /** Starts a listener. Each box gets a listener of its own, so that a fault can be injected for one box. */
@@ -50,8 +50,8 @@
     });
     this.servers.push(server);
     this.connections.addServer(server);
-    this.faults.set(name, 'none');
-    this.links.set(name, new RateLimitedLink());
+    this.faultsByListener.set(name, 'none');
+    this.linksByListener.set(name, new RateLimitedLink());
     await startListening(server, address);
   }
 
@@ -64,12 +64,12 @@
 
   /** Sets the fault of one listener, or of all. With `silent`, pending long polls get no response either. */
   setFault(fault: LogFault, listener?: string): void {
-    for (const name of listener === undefined ? [...this.faults.keys()] : [listener]) {
-      this.faults.set(name, fault);
+    for (const name of listener === undefined ? [...this.faultsByListener.keys()] : [listener]) {
+      this.faultsByListener.set(name, fault);
     }
-    for (const [response, name] of fault === 'silent' ? [...this.pending] : []) {
+    for (const [response, name] of fault === 'silent' ? [...this.pendingResponses] : []) {
       if (listener === undefined || listener === name) {
-        this.pending.delete(response);
+        this.pendingResponses.delete(response);
       }
     }
   }
@@ -77,12 +77,12 @@
   /** Blackholes all connections that are open now, with their pending long polls. New connections work. */
   applyBlackhole(): void {
     this.connections.applyBlackhole();
-    this.pending.clear();
+    this.pendingResponses.clear();
   }
 
   /** Sets the rate of each box's link in megabits per second; Infinity for no limit. */
   setLinkRate(megabits: number): void {
-    this.links.forEach((link) => link.setRate(megabits));
+    this.linksByListener.forEach((link) => link.setRate(megabits));
   }
 
   /** Sets the duration of each append and read in milliseconds. A topic processes one append at a time, and rejects appends while its queue is too long. */
@@ -122,7 +122,7 @@
     response: ServerResponse,
   ): Promise<void> {
     this.requestCount += 1;
-    const fault = this.faults.get(listener);
+    const fault = this.faultsByListener.get(listener);
     if (fault === 'silent' || this.connections.isBlackholed(request)) {
       return;
     }
@@ -136,10 +136,10 @@
       sendJson(response, 404, {});
       return;
     }
-    this.pending.set(response, listener);
-    const link = this.links.get(listener) ?? new RateLimitedLink();
+    this.pendingResponses.set(response, listener);
+    const link = this.linksByListener.get(listener) ?? new RateLimitedLink();
     await handler({ url, request, response, isResponseLost: fault === 'loseAnswers', link });
-    this.pending.delete(response);
+    this.pendingResponses.delete(response);
   }
 
   private async handleAppend({ url, request, response, isResponseLost, link }: LogRequest): Promise<void> {
@@ -159,7 +159,7 @@
             sequence: Number(searchParams.get('call-seq')),
           };
     const topic = searchParams.get('topic') ?? '';
-    if (!(await this.waitForAppend(topic))) {
+    if (!(await this.waitForTopic(topic))) {
       sendJson(response, 503, {});
       return;
     }
@@ -170,16 +170,16 @@
   }
 
   /** Waits until the topic has had time for all earlier appends and this one. Returns false when its queue is too long. */
-  private async waitForAppend(topic: string): Promise<boolean> {
+  private async waitForTopic(topic: string): Promise<boolean> {
     if (this.latencyMs === 0) {
       return true;
     }
     const now = performance.now();
-    const startsAt = Math.max(now, this.busyUntil.get(topic) ?? 0);
+    const startsAt = Math.max(now, this.topicsBusyUntil.get(topic) ?? 0);
     if (startsAt - now > MAX_APPEND_WAIT_MS) {
       return false;
     }
-    this.busyUntil.set(topic, startsAt + this.latencyMs);
+    this.topicsBusyUntil.set(topic, startsAt + this.latencyMs);
     await waitForDelay(startsAt + this.latencyMs - now);
     return true;
   }
@@ -191,11 +191,11 @@
     const waitMs = Number(url.searchParams.get('wait-ms') ?? 0);
     if (topic.getEndOffset() <= from && waitMs > 0) {
       await topic.waitForAppend(waitMs);
-      if (!this.pending.has(response)) {
+      if (!this.pendingResponses.has(response)) {
         return;
       }
     }
-    const frames = topic.getFrames(from);
+    const frames = topic.getReadBody(from);
     if (frames === undefined) {
       sendJson(response, 410, { first: topic.getFirstOffset() });
       return;
@@ -203,10 +203,10 @@
     await link.sendResponse(response, frames, 'application/octet-stream');
   }
 
-  private async handleNewest({ url, response, link }: LogRequest): Promise<void> {
+  private async handleReadNewest({ url, response, link }: LogRequest): Promise<void> {
     const topic = this.getTopic(url.searchParams.get('topic') ?? '');
     const all = topic.listNewest(url.searchParams.get('depends-on') ?? '');
-    const items = all.slice(0, PAGE_ITEMS).map(({ key, value, offset }) => ({
+    const items = all.slice(0, MAX_PAGE_ITEMS).map(({ key, value, offset }) => ({
       'private-key': key,
       value: value.toString('base64'),
       offset,
--- a/packages/standins/platform/RunChecker.ts
+++ b/packages/standins/platform/RunChecker.ts
@@ -1,7 +1,7 @@
 interface ObservedRun {
   readonly endpoint: string;
   readonly task: string;
-  readonly run: number;
+  readonly runNumber: number;
 }
 
 /** Number of lost endpoints after which starts of a task are counted separately. */
@@ -9,57 +9,57 @@
 
 /** Observes the starts and ends of runs on all endpoint stand-ins, and collects violations of the scheduler's guarantees. */
 export class RunChecker {
-  private readonly running = new Map<string, ObservedRun[]>();
+  private readonly runningByTask = new Map<string, ObservedRun[]>();
   /** Run number of the first completed run of each task. */
-  private readonly doneRuns = new Map<string, number>();
+  private readonly firstDoneRunNumbers = new Map<string, number>();
   /** Starts after a completed run, by the key of that run. They are violations once its end has been acknowledged. */
   private readonly startsAfterCompletion = new Map<string, string>();
-  private readonly acknowledgedRuns = new Set<string>();
-  private readonly startCounts = new Map<string, number>();
-  private readonly runningCounts = new Map<string, number>();
-  private readonly lostCounts = new Map<string, number>();
+  private readonly runsWithAcknowledgedEnd = new Set<string>();
+  private readonly startCountsByTask = new Map<string, number>();
+  private readonly runCountsByEndpoint = new Map<string, number>();
+  private readonly lossCountsByTask = new Map<string, number>();
   private readonly startCountsAfterLosses = new Map<string, number>();
   private readonly violations: string[] = [];
 
   /** `maxRuns` is the number of tasks that fit on one endpoint. */
-  constructor(private readonly maxRuns: number) {}
+  constructor(private readonly maxRunsPerEndpoint: number) {}
 
   recordStart(endpoint: string, task: string, run: number): void {
-    const parallelRuns = this.running.get(task) ?? [];
+    const parallelRuns = this.runningByTask.get(task) ?? [];
     if (parallelRuns.length > 0) {
       this.violations.push(
-        `${task} run ${run} on ${endpoint} beside run ${parallelRuns[0]!.run} on ${parallelRuns[0]!.endpoint}`,
+        `${task} run ${run} on ${endpoint} beside run ${parallelRuns[0]!.runNumber} on ${parallelRuns[0]!.endpoint}`,
       );
     }
-    const doneRun = this.doneRuns.get(task);
+    const doneRun = this.firstDoneRunNumbers.get(task);
     if (doneRun !== undefined) {
       const key = `${task}#${doneRun}`;
       this.startsAfterCompletion.set(key, `${task} run ${run} on ${endpoint} after run ${doneRun} was done`);
-      this.checkAcknowledged(key);
+      this.checkStartAfterCompletion(key);
     }
-    this.running.set(task, [...parallelRuns, { endpoint, task, run }]);
-    this.startCounts.set(task, (this.startCounts.get(task) ?? 0) + 1);
+    this.runningByTask.set(task, [...parallelRuns, { endpoint, task, runNumber: run }]);
+    this.startCountsByTask.set(task, (this.startCountsByTask.get(task) ?? 0) + 1);
     if (this.countLosses(task) >= LOSS_THRESHOLD) {
       this.startCountsAfterLosses.set(task, this.countStartsAfterLosses(task) + 1);
     }
-    const count = (this.runningCounts.get(endpoint) ?? 0) + 1;
-    this.runningCounts.set(endpoint, count);
-    if (count > this.maxRuns) {
-      this.violations.push(`${endpoint} runs ${count} tasks of ${this.maxRuns}`);
+    const count = (this.runCountsByEndpoint.get(endpoint) ?? 0) + 1;
+    this.runCountsByEndpoint.set(endpoint, count);
+    if (count > this.maxRunsPerEndpoint) {
+      this.violations.push(`${endpoint} runs ${count} tasks of ${this.maxRunsPerEndpoint}`);
     }
   }
 
   recordEnd(endpoint: string, task: string, run: number, how: string): void {
-    const remaining = (this.running.get(task) ?? []).filter(
-      (other) => other.endpoint !== endpoint || other.run !== run,
+    const remaining = (this.runningByTask.get(task) ?? []).filter(
+      (other) => other.endpoint !== endpoint || other.runNumber !== run,
     );
-    this.running.set(task, remaining);
-    this.runningCounts.set(endpoint, (this.runningCounts.get(endpoint) ?? 1) - 1);
+    this.runningByTask.set(task, remaining);
+    this.runCountsByEndpoint.set(endpoint, (this.runCountsByEndpoint.get(endpoint) ?? 1) - 1);
     if (how === 'gone') {
-      this.lostCounts.set(task, (this.lostCounts.get(task) ?? 0) + 1);
+      this.lossCountsByTask.set(task, (this.lossCountsByTask.get(task) ?? 0) + 1);
     }
-    if (how === 'done' && !this.doneRuns.has(task)) {
-      this.doneRuns.set(task, run);
+    if (how === 'done' && !this.firstDoneRunNumbers.has(task)) {
+      this.firstDoneRunNumbers.set(task, run);
     }
   }
 
@@ -69,10 +69,10 @@
   }
 
   /** Records that the end of a run was acknowledged before its endpoint's lease expired. */
-  recordAcknowledged(task: string, run: number): void {
+  recordAcknowledgedEnd(task: string, run: number): void {
     const key = `${task}#${run}`;
-    this.acknowledgedRuns.add(key);
-    this.checkAcknowledged(key);
+    this.runsWithAcknowledgedEnd.add(key);
+    this.checkStartAfterCompletion(key);
   }
 
   /** Returns a description of each violation so far. */
@@ -81,17 +81,17 @@
   }
 
   countStarts(task: string): number {
-    return this.startCounts.get(task) ?? 0;
+    return this.startCountsByTask.get(task) ?? 0;
   }
 
   /** Returns how many endpoints ended while they ran the task. */
   countLosses(task: string): number {
-    return this.lostCounts.get(task) ?? 0;
+    return this.lossCountsByTask.get(task) ?? 0;
   }
 
   /** Returns the maximum over the job's tasks of the number of endpoints that ended while they ran the task. */
   computeMaxLosses(job: string): number {
-    const counts = [...this.lostCounts].filter(([task]) => task.startsWith(`${job}.`));
+    const counts = [...this.lossCountsByTask].filter(([task]) => task.startsWith(`${job}.`));
     return Math.max(0, ...counts.map(([, count]) => count));
   }
 
@@ -101,12 +101,12 @@
   }
 
   countAllStarts(): number {
-    return [...this.startCounts.values()].reduce((sum, count) => sum + count, 0);
+    return [...this.startCountsByTask.values()].reduce((sum, count) => sum + count, 0);
   }
 
-  private checkAcknowledged(key: string): void {
+  private checkStartAfterCompletion(key: string): void {
     const violation = this.startsAfterCompletion.get(key);
-    if (violation !== undefined && this.acknowledgedRuns.has(key)) {
+    if (violation !== undefined && this.runsWithAcknowledgedEnd.has(key)) {
       this.violations.push(violation);
       this.startsAfterCompletion.delete(key);
     }
--- a/packages/standins/platform/ticketTexts.ts
+++ b/packages/standins/platform/ticketTexts.ts
@@ -1,9 +1,9 @@
 /** Validity of a ticket; must match `validity-ms` in the configuration of the test cell. */
-const VALIDITY_MS = 2500;
+const TICKET_VALIDITY_MS = 2500;
 
 /** Formats and checks the tickets of the advice stand-in, which contain their time of expiry. */
 export const ticketTexts = {
   format: (step: string, endpoint: string): string =>
-    `${step} ${endpoint} ${Math.round(performance.now()) + VALIDITY_MS}`,
+    `${step} ${endpoint} ${Math.round(performance.now()) + TICKET_VALIDITY_MS}`,
   hasExpired: (ticket: string): boolean => Number(ticket.split(' ').at(-1)) <= performance.now(),
 } as const;
--- a/packages/timeline/Timeline.ts
+++ b/packages/timeline/Timeline.ts
@@ -22,7 +22,7 @@
 export class Timeline {
   private readonly rings = { request: [] as TimelineEvent[], other: [] as TimelineEvent[] };
   /** Index of the oldest event of each full ring. */
-  private readonly starts = { request: 0, other: 0 };
+  private readonly oldestIndexes = { request: 0, other: 0 };
 
   constructor(private readonly options: TimelineOptions) {}
 
@@ -40,8 +40,8 @@
       ring.push(event);
       return;
     }
-    ring[this.starts[name]] = event;
-    this.starts[name] = (this.starts[name] + 1) % this.options.capacity;
+    ring[this.oldestIndexes[name]] = event;
+    this.oldestIndexes[name] = (this.oldestIndexes[name] + 1) % this.options.capacity;
   }
 
   /** Returns the kept events of a request, or without one all events that belong to no request, in order of time. */
--- a/packages/timeline/readJobLines.ts
+++ b/packages/timeline/readJobLines.ts
@@ -2,7 +2,7 @@
 import { parseLogLine } from './parseLogLine';
 
 /** Components whose lines concern all jobs: changes of leader, availability of the log, and lines that were sampled out. */
-const SHARED_PARTS = new Set(['leadership', 'serve', 'sight']);
+const CLUSTER_WIDE_PARTS = new Set(['leadership', 'serve', 'sight']);
 
 const listEndpoints = ({ endpoint, placed = [], rows = [] }: LogLine): readonly string[] => [
   ...(endpoint === undefined ? [] : [endpoint]),
@@ -11,7 +11,7 @@
 ];
 
 /** Removes the rows about other jobs from a line. */
-const removeOtherRows = (line: LogLine, job: string): LogLine => {
+const removeRowsOfOtherJobs = (line: LogLine, job: string): LogLine => {
   const rows = line.rows?.filter((row) => row.job === job);
   return rows === undefined || rows.length === 0 ? line : { ...line, rows };
 };
@@ -27,7 +27,9 @@
  */
 export const readJobLines = (texts: Iterable<string>, job: string): readonly LogLine[] => {
   const lines = [...texts].map(parseLogLine).filter((line) => line !== undefined);
-  const jobLines = lines.filter((line) => isAboutJob(line, job)).map((line) => removeOtherRows(line, job));
+  const jobLines = lines
+    .filter((line) => isAboutJob(line, job))
+    .map((line) => removeRowsOfOtherJobs(line, job));
   const times = jobLines.map(({ time }) => time).sort();
   const [first, last] = [times[0], times[times.length - 1]];
   if (first === undefined || last === undefined) {
@@ -37,7 +39,7 @@
   const related = lines.filter((line) => {
     const isWithin = line.time >= first && line.time <= last;
     const isEndpoint = line.job === undefined && line.endpoint !== undefined && endpoints.has(line.endpoint);
-    return isWithin && (isEndpoint || SHARED_PARTS.has(line.part));
+    return isWithin && (isEndpoint || CLUSTER_WIDE_PARTS.has(line.part));
   });
   return [...new Set([...jobLines, ...related])].sort((left, right) => (left.time < right.time ? -1 : 1));
 };
--- a/tests/acknowledgedEnds.test.ts
+++ b/tests/acknowledgedEnds.test.ts
@@ -48,7 +48,7 @@
       incarnation,
       getToken: () => 7,
       getNow: readNow,
-      clockMs: 0,
+      initialClockMs: 0,
     });
     clients.push(client);
     return client;
--- a/tests/helpers/SimulatedIncarnation.ts
+++ b/tests/helpers/SimulatedIncarnation.ts
@@ -91,7 +91,7 @@
         runChecker.recordEarlyAcknowledgement(life, task, run);
       }
       if (number <= lastSeen && number > this.expiredUpTo && how === 'done') {
-        runChecker.recordAcknowledged(task, run);
+        runChecker.recordAcknowledgedEnd(task, run);
       }
     }
     this.ends = this.ends.filter(({ number }) => number > lastSeen);
--- a/tests/lateJobs.test.ts
+++ b/tests/lateJobs.test.ts
@@ -254,7 +254,7 @@
 
   it('have less than a tenth of their time without a cause in the ledger', () => {
     const late = [...simulation.late].map((job) => accounts.get(job)!);
-    const { queues } = createLedger(late, { windowMs: 2000, worstCount: 1 });
+    const { queues } = createLedger(late, { windowMs: 2000, slowestCount: 1 });
     const { sums } = queues[0]!;
     expect(sums.getMeanMs('unknown')).toBeLessThan(sums.getMeanTotalMs() / 10);
   });
--- a/tests/ledger.test.ts
+++ b/tests/ledger.test.ts
@@ -64,8 +64,8 @@
 
 describe('ledger', () => {
   it('computes the critical path from the request to the end without gaps', () => {
-    const [account] = readJobHistories(createJobLines('a', 0));
-    const path = computeCriticalPath(account!).map(({ cause, from, to }) => [cause, to - from]);
+    const [history] = readJobHistories(createJobLines('a', 0));
+    const path = computeCriticalPath(history!).map(({ cause, from, to }) => [cause, to - from]);
     expect(path).toEqual([
       ['accept', 15],
       ['handOver', 5],
@@ -91,15 +91,15 @@
       'no line of ours',
       '{"time":"x","message":"Job accepted."}',
     ];
-    const accounts = readJobHistories([...lines].reverse());
-    const ledger = createLedger(accounts, { windowMs: 2000, worstCount: 1 });
-    const { queues, worst } = ledger;
+    const histories = readJobHistories([...lines].reverse());
+    const ledger = createLedger(histories, { windowMs: 2000, slowestCount: 1 });
+    const { queues, slowestJobs } = ledger;
     const shown = queues.map(({ queue, openCount, windows }) => [queue, openCount, windows.length]);
     expect(shown).toEqual([
       ['jobs', 0, 2],
       ['lasting', 1, 0],
     ]);
-    expect(worst.map(({ totalMs }) => totalMs)).toEqual([701]);
+    expect(slowestJobs.map(({ totalMs }) => totalMs)).toEqual([701]);
     expect(queues[0]!.sums.getMeanMs('lost')).toBe(205);
     // Without the line that the leader added the job, the 5 ms before the round have no known cause.
     expect(queues[0]!.windows[0]!.sums.getMeanMs('unknown')).toBe(5);
@@ -203,14 +203,14 @@
     ];
     const sums = createLedger(readJobHistories([...createJobLines('a', 0), ...laterLines]), {
       windowMs: 2000,
-      worstCount: 1,
+      slowestCount: 1,
     }).queues[0]!.sums;
     expect([sums.getMeanTotalMs(), sums.getMeanMs('unknown')]).toEqual([950, 0]);
   });
 
   it('attributes the time of a missing run to unknown and not to the end of the job', () => {
     const lines = createJobLines('a', 0).filter((line) => !line.includes('"run":2'));
-    const sums = createLedger(readJobHistories(lines), { windowMs: 2000, worstCount: 1 }).queues[0]!.sums;
+    const sums = createLedger(readJobHistories(lines), { windowMs: 2000, slowestCount: 1 }).queues[0]!.sums;
     expect(sums.getMeanMs('noted')).toBe(0);
     expect(sums.getMeanMs('unknown')).toBe(201);
   });
@@ -239,7 +239,7 @@
     expect(samplingLevel).toBe(1);
     const { queues, lateQueues } = createLedger(readJobHistories(lines), {
       windowMs: 2000,
-      worstCount: 1,
+      slowestCount: 1,
       samplingLevel,
     });
     expect(lateQueues.map(({ sums }) => sums.countJobs())).toEqual([1]);
@@ -250,7 +250,7 @@
     expect(queues[0]!.sums.countJobs()).toBe(sampled.length);
   });
 
-  it('returns no accounts for logs without jobs', () => {
+  it('returns no histories for logs without jobs', () => {
     expect(readJobHistories(['', 'text'])).toEqual([]);
   });
 });
--- a/tests/platformEndpoint.test.ts
+++ b/tests/platformEndpoint.test.ts
@@ -35,7 +35,7 @@
       incarnation: endpointIncarnations.toIncarnation(ID, startedAtMs),
       getToken: () => token,
       getNow: () => now,
-      clockMs: undefined,
+      initialClockMs: undefined,
     });
   };
 
