--- a/packages/cli/OperatorClient.ts
+++ b/packages/cli/OperatorClient.ts
@@ -20,7 +20,7 @@
     private readonly box: string | undefined,
   ) {}
 
-  /** Requests a path from every box. */
+  /** Sends a GET request for a path to all allowed boxes in parallel, and returns the response or the error of each. */
   async requestFromAll<Body>(path: string): Promise<readonly BoxResponse<Body>[]> {
     return Promise.all(
       this.getEntries().map(async (entry) => ({
@@ -30,7 +30,7 @@
     );
   }
 
-  /** Requests a path from one box after the other until one responds. */
+  /** Sends a GET request to one allowed box after the other until one responds; returns the last error when none does. */
   async requestFromAny<Body>(path: string): Promise<Result<Body, string>> {
     let last: Result<Body, string> = { ok: false, error: 'no entry box is named in the settings' };
     for (const entry of this.getEntries()) {
@@ -42,7 +42,9 @@
     return last;
   }
 
-  /** Posts to the first reachable box. Never retries on another box, since the first may have applied the request. */
+  /**
+   * Posts to the first allowed box that responds to a status request. Never retries on another box, since the first may have applied it.
+   */
   async sendToAny<Body>(path: string, body: unknown): Promise<Result<Body, string>> {
     for (const entry of this.getEntries()) {
       const status = await this.sendRequest<object>(entry.operators, '/status', undefined, GET_TIMEOUT_MS);
--- a/packages/cli/explainJobCommand.ts
+++ b/packages/cli/explainJobCommand.ts
@@ -13,7 +13,7 @@
     .map(([name, value]) => `${name}=${typeof value === 'string' ? value : JSON.stringify(value)}`)
     .join(' ');
 
-/** `stairline explain-job`: prints the events of one job from the logs of all boxes. */
+/** `stairline explain-job`: prints the log lines of all boxes that explain what happened to one job. */
 export const explainJobCommand: Command = {
   name: 'explain-job',
   summary:
--- a/packages/cli/formatRequestEvents.ts
+++ b/packages/cli/formatRequestEvents.ts
@@ -32,7 +32,7 @@
     `${box} responded with ${detail['outcome']}${detail['why'] === '' ? '' : ` (${detail['why']})`}.`,
 };
 
-/** Formats the events of one request as sentences. */
+/** Formats the timeline events of one request as sentences; events of unknown kinds are left out. */
 export const formatRequestEvents = (events: readonly TimelineEvent[]): readonly string[] =>
   events.flatMap((event) => {
     const formatter = EVENT_FORMATTERS[event.kind];
--- a/packages/cli/ledgerCommand.ts
+++ b/packages/cli/ledgerCommand.ts
@@ -12,7 +12,7 @@
 const DEFAULT_SLOWEST_COUNT = 10;
 const MS_PER_SECOND = 1000;
 
-/** Parses an option as a positive number; returns undefined when it is not one. */
+/** Parses an option as a positive, finite number. Returns the default without the option, and undefined for an invalid value. */
 const parsePositiveNumber = (
   value: string | boolean | undefined,
   defaultValue: number,
--- a/packages/cli/parseChoice.ts
+++ b/packages/cli/parseChoice.ts
@@ -1,4 +1,4 @@
-/** Parses an option as a key of `choices`. Returns the default without the option, undefined when there is no such key. */
+/** Parses the text of an option as a key of `choices`. Returns the default when `text` is undefined, and undefined when it is no key. */
 export const parseChoice = <Choice extends string>(
   choices: Readonly<Record<Choice, unknown>>,
   text: unknown,
--- a/packages/cli/readMergedEvents.ts
+++ b/packages/cli/readMergedEvents.ts
@@ -8,7 +8,7 @@
   readonly silent: readonly string[];
 }
 
-/** Requests the events of all boxes and merges them in causal order. */
+/** Requests timeline events from all allowed boxes and merges them in order of hybrid time. Lists the boxes that did not respond. */
 export const readMergedEvents = async (client: OperatorClient, path: string): Promise<MergedEvents> => {
   const responses = await client.requestFromAll<{ events: readonly TimelineEvent[] }>(path);
   const events = responses.flatMap(({ answer }) => (answer.ok ? answer.value.events : []));
--- a/packages/cli/serveCommand.ts
+++ b/packages/cli/serveCommand.ts
@@ -18,7 +18,7 @@
 import { writeError } from './writeError';
 
 const LOG_LINES_PER_SECOND = 400;
-/** Interval of checks whether the counts of suppressed log lines are due. */
+/** Interval at which the log checks whether counts of suppressed lines are due. */
 const SUPPRESSED_COUNT_CHECK_MS = 1000;
 
 /** Waits for SIGTERM or SIGINT and for the graceful stop; SIGHUP reloads the settings. */
--- a/packages/cli/tableCommand.ts
+++ b/packages/cli/tableCommand.ts
@@ -16,7 +16,9 @@
 
 interface TableResponse {
   readonly offset: number;
+  /** True when the table comes from the log or a peer, false when from the settings alone. */
   readonly isShared: boolean;
+  /** Workloads of the operators' table. */
   readonly rows: readonly Row[];
   readonly teams: readonly Team[];
 }
@@ -32,7 +34,10 @@
   }
 };
 
-/** Returns the login name in the form that operators' names have. */
+/**
+ * Returns the login name in the form of an operator's name: lower case, other characters as dashes, and a prefix unless it begins with a
+ * letter.
+ */
 const getOperatorName = (): string => {
   const name = userInfo()
     .username.toLowerCase()
--- a/packages/cli/writeLine.ts
+++ b/packages/cli/writeLine.ts
@@ -1,6 +1,6 @@
 let hasErrorHandler = false;
 
-/** Exits without an error when the reader closes the pipe. */
+/** Adds a handler that ends the process with exit code 0 when standard output fails, as when the reader closes the pipe. */
 const addOutputErrorHandler = (): void => {
   hasErrorHandler = true;
   process.stdout.on('error', () => process.exit(0));
--- a/packages/ledger/CauseSums.ts
+++ b/packages/ledger/CauseSums.ts
@@ -2,12 +2,12 @@
 import { ledgerCauses } from './ledgerCauses';
 import type { LedgerSpan } from './LedgerSpan';
 
-/** Sums the time of several jobs by cause, in milliseconds. */
+/** Sums of the time that jobs spent on their critical paths, by cause, in milliseconds. */
 export class CauseSums {
   private readonly msByCause = new Map<LedgerCause, number>();
   private jobCount = 0;
 
-  /** Adds the critical path of one job. */
+  /** Adds the critical path of one job, and counts the job. */
   addPath(spans: readonly LedgerSpan[]): void {
     this.jobCount += 1;
     for (const { cause, from, to } of spans) {
@@ -15,16 +15,17 @@
     }
   }
 
+  /** Returns the number of jobs whose critical path has been added. */
   countJobs(): number {
     return this.jobCount;
   }
 
-  /** Returns the mean milliseconds per job that a cause took; 0 when no job had it. */
+  /** Returns the milliseconds that a cause took, as a mean over all added jobs; 0 without jobs. */
   getMeanMs(cause: LedgerCause): number {
     return this.jobCount === 0 ? 0 : (this.msByCause.get(cause) ?? 0) / this.jobCount;
   }
 
-  /** Returns the mean milliseconds per job over all causes. */
+  /** Returns the mean duration of the added jobs' critical paths in milliseconds, all causes together; 0 without jobs. */
   getMeanTotalMs(): number {
     return ledgerCauses.reduce((total, cause) => total + this.getMeanMs(cause), 0);
   }
--- a/packages/ledger/JobHistory.ts
+++ b/packages/ledger/JobHistory.ts
@@ -6,20 +6,21 @@
 export interface JobHistory {
   readonly job: string;
   readonly queue: string;
-  /** When the job was durable. */
+  /** Time at which the acceptance was logged, once the job was durable. */
   readonly acceptedAt: number;
-  /** Time from the request until the job was durable, in milliseconds. */
+  /** Milliseconds from the request until the job was durable. */
   readonly acceptMs: number;
-  /** When a leader first added the job; undefined when no line says so. */
+  /** Time at which a leader first added the job; undefined without such a line. */
   addedAt: number | undefined;
-  /** When the end of the job was recorded; undefined while it is open. */
+  /** Time at which the last logged end of the job was recorded; undefined without a logged end. */
   endedAt: number | undefined;
+  /** How the job ended; empty without a logged end. */
   ending: string;
-  /** By task and run number. */
+  /** Runs by the key that `toRunKey` makes of task and run number. */
   readonly runs: Map<string, RunHistory>;
-  /** Waits that leaders logged while they lasted, in order of time. */
+  /** Waits that leaders logged before they ended, in order of time. */
   readonly waitSamples: readonly WaitSample[];
-  /** When leaders took over, in order. */
+  /** Times at which leaders took over, earliest first. */
   readonly takeOvers: readonly number[];
   /** Critical path that the leader logged because the job failed or ended late; undefined otherwise. */
   loggedPath: readonly LedgerSpan[] | undefined;
--- a/packages/ledger/LedgerSpan.ts
+++ b/packages/ledger/LedgerSpan.ts
@@ -3,10 +3,10 @@
 /** Part of a job's time that is attributed to one cause. */
 export interface LedgerSpan {
   readonly cause: LedgerCause;
-  /** Milliseconds since 1970. */
+  /** Start in milliseconds since 1970. */
   readonly from: number;
-  /** Milliseconds since 1970. */
+  /** End in milliseconds since 1970. */
   readonly to: number;
-  /** Name of the run that it belongs to; empty outside of runs. */
+  /** Display name of the run that the time belongs to, such as `TASK run 2`; empty for time outside of runs. */
   readonly run: string;
 }
--- a/packages/ledger/WaitSample.ts
+++ b/packages/ledger/WaitSample.ts
@@ -2,8 +2,8 @@
 
 /** Wait of a step that a leader logged before the wait ended. */
 export interface WaitSample {
-  /** Milliseconds since 1970. */
+  /** Time at which the wait was logged, in milliseconds since 1970. */
   readonly at: number;
-  /** Milliseconds waited so far, by cause. */
+  /** Milliseconds that the step had waited at that time, by cause. */
   readonly waits: Readonly<Partial<Record<LedgerCause, number>>>;
 }
--- a/packages/ledger/computeCriticalPath.ts
+++ b/packages/ledger/computeCriticalPath.ts
@@ -5,14 +5,14 @@
 import { toRunName } from './toRunName';
 import type { WaitSample } from './WaitSample';
 
-/** Causes of waits before a placement, latest first. */
+/** Causes of waits before a placement, in reverse of the order in which they occur. */
 const WAIT_CAUSES: readonly LedgerCause[] = ['pause', 'limit', 'room', 'answer', 'turn', 'round'];
-/** Tolerance for the order of lines that a leader writes in the same event loop turn. */
+/** Maximum difference between the times of lines that a leader writes in the same event loop turn. */
 const SAME_TURN_TOLERANCE_MS = 2;
 /** Maximum time from the end of the last run until the end of the job is recorded; a longer one means that the line of a run is missing. */
 const MAX_END_RECORDING_MS = 150;
 
-/** Builds a path backwards from its end. Each span ends where the next later one starts, so that spans never overlap. */
+/** Builds a critical path backwards from its end. Each new span ends where the earliest one so far starts, so that spans never overlap. */
 class PathBuilder {
   readonly spans: LedgerSpan[] = [];
 
@@ -21,12 +21,15 @@
     private readonly earliestStart: number,
   ) {}
 
-  /** Returns the start of the earliest span so far. */
+  /** Returns the start of the earliest span so far; the end of the path before the first span. */
   getStart(): number {
     return this.start;
   }
 
-  /** Adds a span in front, from `from` to the current start of the path. */
+  /**
+   * Adds a span in front, from `from` to the current start of the path. A start before the earliest allowed one is cut off, and a span
+   * without duration is left out.
+   */
   addSpan(cause: LedgerCause, from: number, run = ''): void {
     const start = Math.max(this.earliestStart, Math.min(from, this.start));
     if (start < this.start) {
@@ -36,6 +39,7 @@
   }
 }
 
+/** Returns the cause that the time of a run is attributed to, by its outcome and by whether the leader stopped it. */
 const toRunTimeCause = ({ outcome, stopCause }: RunHistory): LedgerCause => {
   if (outcome === 'done' || outcome === 'failed') {
     return outcome === 'done' ? 'running' : 'failed';
@@ -43,7 +47,7 @@
   return stopCause === '' ? 'lost' : 'stopped';
 };
 
-/** Finds the previous ended run of the same task. */
+/** Finds the run of the same task with the highest lower run number that has a logged end; undefined when there is none. */
 const findPreviousRun = (runs: Iterable<RunHistory>, later: RunHistory): RunHistory | undefined => {
   let previous: RunHistory | undefined;
   for (const run of runs) {
@@ -57,7 +61,7 @@
 
 const toStepName = ({ task }: RunHistory): string => task.slice(0, task.lastIndexOf('.'));
 
-/** Finds a run of an earlier batch of the same step that was placed at a time. */
+/** Finds a run of the same step that was placed at the time `at`, before the later run; undefined when there is none. */
 const findEarlierBatch = (
   runs: Iterable<RunHistory>,
   later: RunHistory,
@@ -73,7 +77,7 @@
   return undefined;
 };
 
-/** Adds waits that ended at `at`, none of them before `notBefore`, and returns when the first of them began. */
+/** Adds the waits that ended at `at`, cut off before `notBefore`. Returns the time at which the first of them began, not cut off. */
 const addWaits = (
   path: PathBuilder,
   at: number,
@@ -107,7 +111,7 @@
   }
 };
 
-/** Adds a run from its placement to its end. */
+/** Adds the spans of a run: its execution up to the current start of the path, the start command, and the record of the placement. */
 const addRun = (path: PathBuilder, run: RunHistory): void => {
   const name = toRunName(run);
   const recordedAt = run.placedAt + run.recordMs;
@@ -116,7 +120,7 @@
   path.addSpan('record', run.placedAt, name);
 };
 
-/** Finds the run that ended last before a time, which the next event had to wait for. */
+/** Finds the run that ended last among those placed before a time and ended by then; undefined when there is none. */
 const findLastEndedRun = (runs: readonly RunHistory[], before: number): RunHistory | undefined => {
   let last: RunHistory | undefined;
   for (const run of runs) {
@@ -129,10 +133,14 @@
   return last;
 };
 
+/** Finds the last wait that was logged after `from` and not after `to`; undefined when there is none. */
 const findLastSample = ({ waitSamples }: JobHistory, from: number, to: number): WaitSample | undefined =>
   waitSamples.findLast(({ at }) => at > from && at <= to + SAME_TURN_TOLERANCE_MS);
 
-/** Adds a time that no run covers: the waits that leaders logged while they lasted, and changes of leader after them. */
+/**
+ * Adds the time from `from` to the current start of the path, which no run covers: logged waits with their causes, and the time between
+ * them as `leader` when a leader took over in it, otherwise as the fallback cause.
+ */
 const addGap = (
   path: PathBuilder,
   history: JobHistory,
@@ -153,8 +161,8 @@
 };
 
 /**
- * Computes the critical path of an ended job, from the request to its end without gaps: of tasks that ran in parallel only the one that
- * ended last is on it. Returns no spans for an open job.
+ * Computes the critical path of a job from its history, from the request to the end of the job without gaps. Of runs in parallel only the
+ * one that ended last is on it. Returns no spans for a job without a logged end.
  */
 export const computeCriticalPath = (history: JobHistory): readonly LedgerSpan[] => {
   if (history.endedAt === undefined) {
--- a/packages/ledger/createLedger.ts
+++ b/packages/ledger/createLedger.ts
@@ -5,42 +5,46 @@
 import { chooseCriticalPath } from './chooseCriticalPath';
 
 interface LedgerOptions {
+  /** Width of the windows that jobs are grouped by, by time of acceptance. */
   readonly windowMs: number;
+  /** Maximum number of slowest jobs to list. */
   readonly slowestCount: number;
-  /** Highest sampling level of the logs. */
+  /** Level n at which only one in 2^n jobs was logged completely; 0 (the default) when all were. */
   readonly samplingLevel?: number;
 }
 
 interface LedgerJob {
   readonly history: JobHistory;
   readonly path: readonly LedgerSpan[];
-  /** Time from the caller's request to the end of the job. */
+  /** Duration of the critical path in milliseconds: from the caller's request to the end of the job. */
   readonly totalMs: number;
 }
 
 interface LedgerWindow {
   /** Start of the window, in milliseconds since the first job was accepted. */
   readonly fromMs: number;
+  /** Sums of the ended jobs that were accepted in the window. */
   readonly sums: CauseSums;
 }
 
 interface LedgerQueue {
   readonly queue: string;
+  /** Sums of the queue's ended jobs. */
   readonly sums: CauseSums;
-  /** Number of jobs without a logged end. */
+  /** Number of the queue's jobs without a logged end. */
   readonly openCount: number;
-  /** Windows of the time of acceptance, in order. */
+  /** Sums by time of acceptance, earliest window first; windows without ended jobs are left out. */
   readonly windows: readonly LedgerWindow[];
 }
 
 interface Ledger {
-  /** Sums of all jobs, or of those in the sample that was logged completely. */
+  /** Sums of the jobs in the sample of `samplingLevel`, whose logs are complete; of all jobs at level 0. */
   readonly queues: readonly LedgerQueue[];
-  /** Sums of all jobs that a leader logged as failed or late, in the sample or not. */
+  /** Sums of the jobs that a leader logged as failed or late, in the sample or not. */
   readonly lateQueues: readonly LedgerQueue[];
   /** `queues` holds the sums of one in 2^n jobs. */
   readonly samplingLevel: number;
-  /** Jobs that took longest. */
+  /** Jobs that took longest, in the sample or not, longest first. */
   readonly slowestJobs: readonly LedgerJob[];
 }
 
@@ -98,8 +102,8 @@
 };
 
 /**
- * Creates the sums of job time by queue, window of acceptance and cause, and lists the jobs that took longest. The sums by queue cover only
- * the sample of jobs that was logged completely, since late jobs are logged outside of it too and would bias the means.
+ * Creates the sums of job time by queue, window of acceptance and cause, and the list of the jobs that took longest. Jobs outside of the
+ * sample are left out of the sums in `queues`: of those only late and failed jobs are logged, which would bias the means.
  */
 export const createLedger = (
   histories: readonly JobHistory[],
--- a/packages/ledger/readJobHistories.ts
+++ b/packages/ledger/readJobHistories.ts
@@ -22,7 +22,7 @@
   placed: z.array(z.object({ task: z.string(), run: z.number(), endpoint: z.string().optional() })),
 });
 const waitsRowSchema = z.object({ job: z.string(), waits: z.record(z.string(), z.number()) });
-/** Accepts a line about one step and a line with rows about several. */
+/** Accepts a line about the wait of one step, or one with rows about several steps; both become a list of rows. */
 const waitsSchema = z.union([
   waitsRowSchema.transform((row) => [row]),
   z.object({ rows: z.array(waitsRowSchema) }).transform(({ rows }) => rows),
@@ -139,7 +139,7 @@
   });
 };
 
-/** Handles the line on a late or failed end; creates the history when the logs hold no other line about the job. */
+/** Records the end and the logged path of a late or failed job. Creates its history when no earlier line did. */
 const handleEndedLate: LineHandler = (histories, line, at, takeOvers) => {
   const parsed = endedLateSchema.safeParse(line).data;
   if (parsed === undefined) {
@@ -154,7 +154,7 @@
   history.loggedPath = toLoggedPath(path, history.endedAt);
 };
 
-/** Logged by a leader that has taken over. */
+/** Message of the line that a leader logs when it has taken over. */
 const TAKEOVER_MESSAGE = 'Leading.';
 
 /** Handlers of the lines about a job, by their message. */
@@ -168,7 +168,10 @@
   'Job ended late.': handleEndedLate,
 };
 
-/** Reads the logs of all boxes into one history per job, in the order in which the jobs were accepted. */
+/**
+ * Reads the log lines of all boxes into one history per job: first the jobs with a logged acceptance, in order of time, then those known
+ * only by the line on their late or failed end. Lines about a job without a history yet are otherwise ignored.
+ */
 export const readJobHistories = (texts: Iterable<string>): readonly JobHistory[] => {
   const lines: { readonly line: LogLine; readonly at: number }[] = [];
   const takeOvers: number[] = [];
--- a/packages/ledger/readSamplingLevel.ts
+++ b/packages/ledger/readSamplingLevel.ts
@@ -5,8 +5,8 @@
 const sampledOutSchema = z.object({ share: z.string().regex(/^1\/\d+$/u) });
 
 /**
- * Reads the highest sampling level that any of the logs reports: one in 2^n jobs was logged completely. Returns 0 when no line was sampled
- * out.
+ * Reads the highest sampling level that the log lines report; at level n, one in 2^n jobs was logged completely. Returns 0 when no line
+ * reports that lines were sampled out.
  */
 export const readSamplingLevel = (texts: Iterable<string>): number => {
   let samplingLevel = 0;
--- a/packages/ledger/toRunKey.ts
+++ b/packages/ledger/toRunKey.ts
@@ -1,3 +1,3 @@
-/** Returns a key that is unique among the runs of a job. */
+/** Returns the map key of a run, `TASK#NUMBER`. */
 export const toRunKey = ({ task, run }: { readonly task: string; readonly run: number }): string =>
   `${task}#${run}`;
--- a/packages/standins/EndpointFault.ts
+++ b/packages/standins/EndpointFault.ts
@@ -11,7 +11,7 @@
   | 'cross'
   /** Writes a second response after the first one on the connection. */
   | 'double'
-  /** Runs tasks ten times as long. */
+  /** Runs new tasks ten times as long as requested. */
   | 'slow'
   /** Closes the connection at once and keeps running the task. */
   | 'dropAndRunOn'
--- a/packages/standins/EndpointStandin.ts
+++ b/packages/standins/EndpointStandin.ts
@@ -24,7 +24,7 @@
   private peakConnectionCount = 0;
   private connectionCount = 0;
   private fault: EndpointFault = 'none';
-  /** Highest fencing token seen; requests with a lower one are rejected. */
+  /** Highest fencing token seen; runs and fence requests with a lower one are rejected. */
   private highestToken = 0;
   private server: Server | undefined;
 
@@ -51,7 +51,7 @@
     this.server?.closeAllConnections();
   }
 
-  /** Creates the report of running tasks that a worker sends to the platform. */
+  /** Returns a report of the running tasks and the remaining time of their leases, in the form that workers send to the platform. */
   createReport(): StandinReport {
     const now = performance.now();
     const tasks = [...this.runningTasks.values()].map((task) => ({
@@ -126,7 +126,7 @@
     this.scheduleLeaseEnd(task);
   }
 
-  /** Applies the fencing token of a request and returns whether it is current. Requests without one always pass. */
+  /** Returns false for a fencing token below the highest one seen; otherwise records it. A request without a token passes. */
   private applyFencingToken(request: IncomingMessage): boolean {
     const token = Number(request.headers['x-owner-token'] ?? this.highestToken);
     if (token < this.highestToken) {
@@ -136,6 +136,7 @@
     return true;
   }
 
+  /** Responds with the running tasks, or rejects an outdated fencing token. */
   private handleFence(request: IncomingMessage, response: ServerResponse): void {
     if (this.applyFencingToken(request)) {
       sendJson(response, 200, { tasks: this.createReport().tasks });
@@ -166,7 +167,7 @@
     return task;
   }
 
-  /** Stops a task when its lease ends; a renewal postpones the check. */
+  /** Stops the task when its lease has ended, otherwise schedules the next check for the end of the lease. */
   private scheduleLeaseEnd(task: StandinTask): void {
     const remainingMs = task.leaseEndsAt - performance.now();
     if (remainingMs <= 0) {
@@ -176,6 +177,7 @@
     task.timers.push(setTimeout(() => this.scheduleLeaseEnd(task), remainingMs + 1));
   }
 
+  /** Raises the peak demand, for each resource on its own, to the sum over the running tasks. */
   private recordPeak(): void {
     let sum = demandMath.NOTHING;
     for (const task of this.runningTasks.values()) {
--- a/packages/standins/PlatformStandin.ts
+++ b/packages/standins/PlatformStandin.ts
@@ -37,7 +37,7 @@
   private server: Server | undefined;
   private appendCount = 0;
   private readCount = 0;
-  /** Number of requests received apart from control requests, with or without a response. */
+  /** Number of requests received, other than control requests, whether they got a response or not. */
   private requestCount = 0;
 
   private readonly handlers: Readonly<Record<string, RequestHandler>> = {
@@ -158,7 +158,7 @@
     sendJson(response, 200, { appends: this.appendCount, reads: this.readCount, calls: this.requestCount });
   }
 
-  /** Makes a new box list visible after the configured delay. */
+  /** Makes a new box list and its version visible to readers after the configured delay. */
   private updateBoxes(boxes: readonly StandinBox[]): void {
     this.boxes = boxes;
     setTimeout(() => {
--- a/packages/standins/StandinStream.ts
+++ b/packages/standins/StandinStream.ts
@@ -1,5 +1,7 @@
 interface StreamPage {
+  /** Offset of the oldest record that the stream keeps. */
   readonly first: number;
+  /** Offset of the next record to be appended. */
   readonly tail: number;
   readonly records: readonly { readonly offset: number; readonly value: unknown }[];
 }
@@ -10,7 +12,7 @@
   private firstOffset = 0;
   private waiters: (() => void)[] = [];
 
-  /** Appends a record and returns its offset. */
+  /** Appends a record, resolves all waits for one, and returns its offset. */
   appendValue(value: unknown): number {
     this.values.push(value);
     const waiters = this.waiters;
@@ -21,7 +23,7 @@
     return this.firstOffset + this.values.length - 1;
   }
 
-  /** Waits until there is a record at offset `from`, for at most `waitMs`. */
+  /** Waits for the next append, for at most `waitMs`; returns at once when a record at or after `from` exists. */
   async waitForRecord(from: number, waitMs: number): Promise<void> {
     if (from < this.firstOffset + this.values.length || waitMs === 0) {
       return;
@@ -35,7 +37,7 @@
     });
   }
 
-  /** Returns up to `limit` records from an offset on. */
+  /** Returns up to `limit` records from the offset `from` on, or from the oldest kept record when `from` is older. */
   getPage(from: number, limit: number): StreamPage {
     const start = Math.max(from, this.firstOffset);
     const values = this.values.slice(start - this.firstOffset, start - this.firstOffset + limit);
--- a/packages/standins/platform/AdviceStandin.ts
+++ b/packages/standins/platform/AdviceStandin.ts
@@ -5,7 +5,7 @@
 import { BlackholedConnections } from './BlackholedConnections';
 import { ticketTexts } from './ticketTexts';
 
-/** Stands in for the advice service. It approves all endpoints for all steps, except for the rejected ones. */
+/** Stands in for the advice service. Returns a ticket for every requested endpoint that is not set as rejected, for all steps alike. */
 export class AdviceStandin {
   private server: Server | undefined;
   private requestCount = 0;
--- a/packages/standins/platform/BlackholedConnections.ts
+++ b/packages/standins/platform/BlackholedConnections.ts
@@ -6,7 +6,7 @@
   private readonly openSockets = new Set<Socket>();
   private readonly blackholedSockets = new Set<Socket>();
 
-  /** Tracks the connections of a server. */
+  /** Tracks the connections that a server accepts from now on, until they close. */
   addServer(server: Server): void {
     server.on('connection', (socket: Socket) => {
       this.openSockets.add(socket);
--- a/packages/standins/platform/ExecutorStandin.ts
+++ b/packages/standins/platform/ExecutorStandin.ts
@@ -11,7 +11,7 @@
 
 interface ExecutorStandinOptions {
   readonly id: string;
-  /** Start of the incarnation in Unix milliseconds, returned with lists of runs. Without it an id has only one incarnation. */
+  /** Start of the incarnation in Unix milliseconds, included in responses to polls. Undefined: the responses name no incarnation. */
   readonly bornAtMs?: number;
   readonly address: string;
   readonly runChecker: RunChecker;
@@ -34,8 +34,9 @@
 type EndRow = [number: number, task: string, run: number, how: string, saved: string];
 type CommandHandler = (body: CommandBody, response: ServerResponse) => Promise<void> | void;
 
+/** Delay of starts with the fault `lateStarts`. */
 const START_DELAY_MS = 1500;
-/** Longer than the maximum timeout of a command. */
+/** Delay of responses with the fault `lateAnswers`; longer than the maximum timeout of a command. */
 const RESPONSE_DELAY_MS = 700;
 const SLOW_FACTOR = 4;
 const ENDLESS_SPEC = 'lasts';
@@ -55,15 +56,15 @@
   private readonly endedRunNumbers = new Map<string, number>();
   private unacknowledgedEnds: EndRow[] = [];
   private endCount = 0;
-  /** Number of the last end before the latest expiry of the lease. */
+  /** Number of the last end recorded before the lease last expired; acknowledgements up to it don't reach the run checker. */
   private lastEndBeforeExpiry = 0;
-  /** Highest fencing token seen. */
+  /** Highest fencing token seen; requests with a lower one are rejected. */
   private highestToken = 0;
   /** Time at which the lease expires, by the clock of this incarnation; Infinity before the first lease. */
   private leaseExpiresAt = Infinity;
   private leaseTimer: NodeJS.Timeout | undefined;
   private fault: ExecutorFault = 'none';
-  /** Set by the stop, since connections that were still being accepted may deliver requests after it. */
+  /** True after `stop`; requests that connections still deliver after it are dropped. */
   private isStopped = false;
   private expiredTicketCount = 0;
   private server: Server | undefined;
@@ -95,6 +96,7 @@
     await startListening(this.server, this.options.address);
   }
 
+  /** Ends the incarnation: records its runs as lost with it, and closes its server and connections. */
   async stop(): Promise<void> {
     this.isStopped = true;
     clearTimeout(this.leaseTimer);
@@ -169,7 +171,7 @@
     }
   }
 
-  /** Starts a run. Returns the reason when it rejects the command, otherwise undefined. */
+  /** Starts a run and renews the lease. Returns the reason for a rejection, undefined when the run was started or the task already runs. */
   private startRun(body: CommandBody): string | undefined {
     const { task, run, spec } = body;
     if (this.isStopped) {
@@ -219,6 +221,7 @@
     this.sendResponse(response, 200, {});
   }
 
+  /** Handles a poll: acknowledges ends, renews the lease, and responds with the runs and ends, if need be after waiting for an end. */
   private async handlePoll(body: CommandBody, response: ServerResponse): Promise<void> {
     const lastSeen = body['last-seen'] ?? 0;
     this.handleAcknowledgement(lastSeen);
@@ -241,7 +244,7 @@
     this.sendResponse(response, 200, { ...born, running, 'end-time': this.unacknowledgedEnds });
   }
 
-  /** Removes the ends up to a number, which the leader has acknowledged. */
+  /** Handles the leader's acknowledgement of all ends up to a number: reports them to the run checker and removes them. */
   private handleAcknowledgement(lastSeen: number): void {
     for (const [number, task, run, how] of this.unacknowledgedEnds) {
       if (number <= lastSeen && number > this.lastListedEndNumber) {
@@ -254,14 +257,14 @@
     this.unacknowledgedEnds = this.unacknowledgedEnds.filter((end) => end[0] > lastSeen);
   }
 
-  /** Returns the progress of a run. */
+  /** Computes the progress of a run from 0 to 100, by its duration; 100 for an endless run. */
   private computeProgressPercent(run: ExecutorRun): number {
     return run.runMs === Infinity
       ? FULL_PERCENT
       : Math.min(FULL_PERCENT, Math.floor(((this.getClockMs() - run.startedAt) * FULL_PERCENT) / run.runMs));
   }
 
-  /** Extends the lease; an earlier expiry is ignored. All runs end when it expires. */
+  /** Extends the lease to a later time; an earlier one is ignored. When it expires, all runs end as `lapsed`. */
   private renewLease(expiresMs: number | undefined): void {
     if (expiresMs === undefined || (this.leaseExpiresAt !== Infinity && expiresMs <= this.leaseExpiresAt)) {
       return;
@@ -279,6 +282,9 @@
     );
   }
 
+  /**
+   * Ends the run of a task, lists the end in responses until it is acknowledged, and releases waiting polls. Ignores a task without a run.
+   */
   private recordEnd(task: string, how: string): void {
     const run = this.runs.get(task);
     if (run === undefined) {
--- a/packages/standins/platform/KeyedTopic.ts
+++ b/packages/standins/platform/KeyedTopic.ts
@@ -27,7 +27,10 @@
 const LENGTH_BYTES = 4;
 const MAX_RESULTS_PER_PRODUCER = 5;
 
-/** Keyed topic of the stand-in for the platform's log. Checks the epochs and sequence numbers of producers, and keeps the newest record by key. */
+/**
+ * Keyed topic of the stand-in for the platform's log. Checks the epochs and sequence numbers of producers, and keeps the newest record by
+ * key.
+ */
 export class KeyedTopic {
   private readonly records: StoredRecord[] = [];
   private readonly newestOffsets = new Map<string, number>();
@@ -36,7 +39,10 @@
   /** Offset of the first record that can still be read. */
   private firstOffset = 0;
 
-  /** Appends records. Repeats the earlier result for a sequence number that the producer has used, and rejects outdated epochs and gaps. */
+  /**
+   * Appends records and returns the response. Repeats a recent result for a repeated sequence number, and rejects outdated epochs and other
+   * numbers than the next.
+   */
   append(frames: Buffer, writer: AppendWriter | undefined): AppendResponse {
     const state = writer === undefined ? undefined : this.updateProducerState(writer);
     if (writer !== undefined && state !== undefined) {
@@ -61,7 +67,7 @@
     return { status: 200, body: result };
   }
 
-  /** Returns the response body of a read from an offset on; undefined when the offset has been removed. */
+  /** Returns the response body of a read from an offset on; undefined when the offset is before the first readable one. */
   getReadBody(fromOffset: number): Buffer | undefined {
     if (fromOffset < this.firstOffset) {
       return undefined;
@@ -94,12 +100,12 @@
     return this.waiters.waitForRelease(waitMs);
   }
 
-  /** Removes all records but the newest one of each key. */
+  /** Makes all present records unreadable by offset, as after compaction; the newest of each key stays in `listNewest`. */
   runCompaction(): void {
     this.firstOffset = this.records.length;
   }
 
-  /** Returns the state of a producer, which begins anew with each higher epoch. */
+  /** Returns the state of a writer's producer, replaced by an empty one when the producer is new or the epoch is higher. */
   private updateProducerState(writer: AppendWriter): ProducerState {
     const current = this.producers.get(writer.producer);
     if (current !== undefined && current.epoch >= writer.epoch) {
@@ -110,6 +116,7 @@
     return created;
   }
 
+  /** Records the result of an append for its repetition, and drops the oldest kept result. */
   private recordResult(
     state: ProducerState,
     writer: AppendWriter,
@@ -120,6 +127,7 @@
     state.results.delete(writer.sequence - MAX_RESULTS_PER_PRODUCER);
   }
 
+  /** Adds the records of length-prefixed frames. A record with an empty value removes its key from the newest ones. */
   private addFrames(frames: Buffer): void {
     let position = 0;
     while (position < frames.length) {
--- a/packages/standins/platform/LogStandin.ts
+++ b/packages/standins/platform/LogStandin.ts
@@ -28,9 +28,9 @@
   private readonly servers: Server[] = [];
   private readonly faultsByListener = new Map<string, LogFault>();
   private readonly linksByListener = new Map<string, RateLimitedLink>();
-  /** Listener of each request in progress, by its response. */
+  /** Name of the listener of each request in progress, by its response; without an entry, a long poll ends without a response. */
   private readonly pendingResponses = new Map<ServerResponse, string>();
-  /** Duration of an append, and minimum duration of a read, in milliseconds. */
+  /** Time that a topic takes for an append, and delay of each read from an offset, in milliseconds. */
   private latencyMs = 0;
   /** Monotonic time until which each topic is busy; a topic processes its appends one after the other. */
   private readonly topicsBusyUntil = new Map<string, number>();
@@ -62,7 +62,7 @@
     }
   }
 
-  /** Sets the fault of one listener, or of all. With `silent`, pending long polls get no response either. */
+  /** Sets the fault of one listener, or of all without a name. With `silent`, their pending long polls get no response either. */
   setFault(fault: LogFault, listener?: string): void {
     for (const name of listener === undefined ? [...this.faultsByListener.keys()] : [listener]) {
       this.faultsByListener.set(name, fault);
@@ -85,7 +85,10 @@
     this.linksByListener.forEach((link) => link.setRate(megabits));
   }
 
-  /** Sets the duration of each append and read in milliseconds. A topic processes one append at a time, and rejects appends while its queue is too long. */
+  /**
+   * Sets the milliseconds that an append takes and that a read from an offset is delayed. A topic processes one append at a time, and
+   * rejects appends while its queue is too long.
+   */
   setLatency(latencyMs: number): void {
     this.latencyMs = latencyMs;
   }
@@ -169,7 +172,7 @@
     }
   }
 
-  /** Waits until the topic has had time for all earlier appends and this one. Returns false when its queue is too long. */
+  /** Waits until the topic has had time for all earlier appends and this one. Returns false at once when its queue is too long. */
   private async waitForTopic(topic: string): Promise<boolean> {
     if (this.latencyMs === 0) {
       return true;
--- a/packages/standins/platform/RateLimitedLink.ts
+++ b/packages/standins/platform/RateLimitedLink.ts
@@ -7,6 +7,7 @@
 
 /** Network link with a limited rate, which requests and responses share chunk by chunk. */
 export class RateLimitedLink {
+  /** Monotonic time at which the link has transferred everything queued so far, in milliseconds. */
   private freeAt = 0;
   private bytesPerMs = Infinity;
 
@@ -15,7 +16,7 @@
     this.bytesPerMs = (megabits * BITS_PER_MS) / BITS_PER_BYTE;
   }
 
-  /** Waits until the link has transferred a number of bytes. */
+  /** Waits until the link has transferred all bytes queued before and these; returns at once without a limit. */
   async waitForTransfer(bytes: number): Promise<void> {
     if (this.bytesPerMs === Infinity) {
       return;
--- a/packages/standins/platform/RunChecker.ts
+++ b/packages/standins/platform/RunChecker.ts
@@ -12,8 +12,9 @@
   private readonly runningByTask = new Map<string, ObservedRun[]>();
   /** Run number of the first completed run of each task. */
   private readonly firstDoneRunNumbers = new Map<string, number>();
-  /** Starts after a completed run, by the key of that run. They are violations once its end has been acknowledged. */
+  /** Description of the last start after a completed run, by that run's key; a violation once the end of the run is acknowledged. */
   private readonly startsAfterCompletion = new Map<string, string>();
+  /** Keys of the runs whose end was acknowledged. */
   private readonly runsWithAcknowledgedEnd = new Set<string>();
   private readonly startCountsByTask = new Map<string, number>();
   private readonly runCountsByEndpoint = new Map<string, number>();
@@ -21,9 +22,10 @@
   private readonly startCountsAfterLosses = new Map<string, number>();
   private readonly violations: string[] = [];
 
-  /** `maxRuns` is the number of tasks that fit on one endpoint. */
+  /** `maxRunsPerEndpoint` is the number of parallel runs that fit on one endpoint. */
   constructor(private readonly maxRunsPerEndpoint: number) {}
 
+  /** Records a start. Parallel runs of a task and too many runs on an endpoint are violations. */
   recordStart(endpoint: string, task: string, run: number): void {
     const parallelRuns = this.runningByTask.get(task) ?? [];
     if (parallelRuns.length > 0) {
@@ -49,6 +51,7 @@
     }
   }
 
+  /** Records an end. `gone` counts as a loss of the endpoint, and the first `done` completes the task. */
   recordEnd(endpoint: string, task: string, run: number, how: string): void {
     const remaining = (this.runningByTask.get(task) ?? []).filter(
       (other) => other.endpoint !== endpoint || other.runNumber !== run,
@@ -63,12 +66,12 @@
     }
   }
 
-  /** Records that the end of a run was acknowledged before a response had listed it. */
+  /** Records as a violation that the end of a run was acknowledged before a response had listed it. */
   recordEarlyAcknowledgement(endpoint: string, task: string, run: number): void {
     this.violations.push(`${task} run ${run} on ${endpoint}: end acknowledged before it was listed`);
   }
 
-  /** Records that the end of a run was acknowledged before its endpoint's lease expired. */
+  /** Records the acknowledged end of a completed run. A start of the task after its completion is then a violation. */
   recordAcknowledgedEnd(task: string, run: number): void {
     const key = `${task}#${run}`;
     this.runsWithAcknowledgedEnd.add(key);
@@ -80,6 +83,7 @@
     return this.violations;
   }
 
+  /** Returns how many runs of the task have started. */
   countStarts(task: string): number {
     return this.startCountsByTask.get(task) ?? 0;
   }
@@ -100,10 +104,12 @@
     return this.startCountsAfterLosses.get(task) ?? 0;
   }
 
+  /** Returns how many runs of all tasks have started. */
   countAllStarts(): number {
     return [...this.startCountsByTask.values()].reduce((sum, count) => sum + count, 0);
   }
 
+  /** Records a violation, once, when the task started again after this run and the end of the run is acknowledged. */
   private checkStartAfterCompletion(key: string): void {
     const violation = this.startsAfterCompletion.get(key);
     if (violation !== undefined && this.runsWithAcknowledgedEnd.has(key)) {
--- a/packages/standins/platform/Waiters.ts
+++ b/packages/standins/platform/Waiters.ts
@@ -2,7 +2,7 @@
 export class Waiters {
   private readonly releaseCallbacks = new Set<() => void>();
 
-  /** Resolves when `releaseAll` is called, or after a timeout. */
+  /** Adds a wait that resolves at the next `releaseAll`, or after `waitMs`. */
   waitForRelease(waitMs: number): Promise<void> {
     return new Promise((resolve) => {
       const release = (): void => {
@@ -15,7 +15,7 @@
     });
   }
 
-  /** Resolves all waits. */
+  /** Resolves and removes all current waits. */
   releaseAll(): void {
     for (const release of [...this.releaseCallbacks]) {
       release();
--- a/packages/standins/platform/ticketTexts.ts
+++ b/packages/standins/platform/ticketTexts.ts
@@ -1,7 +1,7 @@
 /** Validity of a ticket; must match `validity-ms` in the configuration of the test cell. */
 const TICKET_VALIDITY_MS = 2500;
 
-/** Formats and checks the tickets of the advice stand-in, which contain their time of expiry. */
+/** Formats the tickets of the advice stand-in, and checks the monotonic time of expiry that each contains. */
 export const ticketTexts = {
   format: (step: string, endpoint: string): string =>
     `${step} ${endpoint} ${Math.round(performance.now()) + TICKET_VALIDITY_MS}`,
--- a/packages/timeline/Timeline.ts
+++ b/packages/timeline/Timeline.ts
@@ -7,10 +7,11 @@
 interface TimelineOptions {
   readonly box: BoxId;
   readonly clock: HybridClock;
-  /** Maximum number of request events, and separately of other events. */
+  /** Maximum number of events in each of the two rings. */
   readonly capacity: number;
 }
 
+/** Event to record, without its time and box. An entry without a request goes to the ring of other events. */
 interface TimelineEntry {
   readonly part: string;
   readonly kind: string;
@@ -21,12 +22,12 @@
 /** Bounded history of the events of one process. Request events have a ring buffer of their own, so that they can't evict rarer events. */
 export class Timeline {
   private readonly rings = { request: [] as TimelineEvent[], other: [] as TimelineEvent[] };
-  /** Index of the oldest event of each full ring. */
+  /** Index of the oldest event in each ring; 0 until the ring is full. */
   private readonly oldestIndexes = { request: 0, other: 0 };
 
   constructor(private readonly options: TimelineOptions) {}
 
-  /** Records an event with a new timestamp, and drops the oldest event of a full ring. */
+  /** Records an event with a new timestamp, in place of the oldest event when its ring is full. */
   recordEvent(entry: TimelineEntry): void {
     const name = entry.request === undefined ? 'other' : 'request';
     const ring = this.rings[name];
@@ -44,7 +45,7 @@
     this.oldestIndexes[name] = (this.oldestIndexes[name] + 1) % this.options.capacity;
   }
 
-  /** Returns the kept events of a request, or without one all events that belong to no request, in order of time. */
+  /** Returns the retained events of a request, or without an argument those that belong to no request, in order of hybrid time. */
   listEvents(request?: RequestId): readonly TimelineEvent[] {
     const events =
       request === undefined
--- a/packages/timeline/parseLogLine.ts
+++ b/packages/timeline/parseLogLine.ts
@@ -1,7 +1,9 @@
 import { parseJson } from '../common/parseJson';
 import type { LogLine } from './LogLine';
 
-/** Parses one line of a process's log, with or without a prefix that a log collector adds. Returns undefined for any other text. */
+/**
+ * Parses a JSON log line, after any prefix of a log collector. Returns undefined for text without an object that has a time and a message.
+ */
 export const parseLogLine = (text: string): LogLine | undefined => {
   const start = text.indexOf('{"time"');
   const value = start < 0 ? undefined : (parseJson(text.slice(start)) as Partial<LogLine> | undefined);
--- a/packages/timeline/readJobLines.ts
+++ b/packages/timeline/readJobLines.ts
@@ -1,21 +1,23 @@
 import type { LogLine } from './LogLine';
 import { parseLogLine } from './parseLogLine';
 
-/** Components whose lines concern all jobs: changes of leader, availability of the log, and lines that were sampled out. */
+/** Components whose lines may concern every job, such as changes of leader and the availability of the log. */
 const CLUSTER_WIDE_PARTS = new Set(['leadership', 'serve', 'sight']);
 
+/** Lists the endpoints that a line, its placements and its rows name. */
 const listEndpoints = ({ endpoint, placed = [], rows = [] }: LogLine): readonly string[] => [
   ...(endpoint === undefined ? [] : [endpoint]),
   ...placed.map((row) => row.endpoint),
   ...rows.flatMap((row) => row.endpoint ?? []),
 ];
 
-/** Removes the rows about other jobs from a line. */
+/** Returns the line without its rows about other jobs; unchanged when no row is about the job. */
 const removeRowsOfOtherJobs = (line: LogLine, job: string): LogLine => {
   const rows = line.rows?.filter((row) => row.job === job);
   return rows === undefined || rows.length === 0 ? line : { ...line, rows };
 };
 
+/** Returns whether a line, its task or one of its rows names the job. */
 const isAboutJob = (line: LogLine, job: string): boolean =>
   line.job === job ||
   line.task?.startsWith(`${job}.`) === true ||
@@ -23,7 +25,8 @@
 
 /**
  * Returns the log lines that explain what happened to a job, in order of time: lines about the job, and between the first and the last of
- * these the lines about its endpoints and the lines that concern all jobs.
+ * these the lines that name one of its endpoints and no other job, and the lines of cluster-wide components. Returns none for an unknown
+ * job.
  */
 export const readJobLines = (texts: Iterable<string>, job: string): readonly LogLine[] => {
   const lines = [...texts].map(parseLogLine).filter((line) => line !== undefined);
