--- a/packages/cli/OperatorClient.ts
+++ b/packages/cli/OperatorClient.ts
@@ -3,7 +3,7 @@
 import { formatError } from '../common/formatError';
 import type { Settings } from '../settings/Settings';
 
-/** Response of one box, or the error of the request. */
+/** Response body of one box, or the error of the request to it. */
 interface BoxResponse<Body> {
   readonly box: string;
   readonly answer: Result<Body, string>;
--- a/packages/cli/explainJobCommand.ts
+++ b/packages/cli/explainJobCommand.ts
@@ -5,11 +5,11 @@
 import { writeError } from './writeError';
 import { writeLine } from './writeLine';
 
-const HIDDEN_FIELDS = new Set(['time', 'level', 'box', 'part', 'message', 'job']);
+const HIDDEN_LINE_FIELDS = new Set(['time', 'level', 'box', 'part', 'message', 'job']);
 
 const formatFields = (line: object): string =>
   Object.entries(line)
-    .filter(([name]) => !HIDDEN_FIELDS.has(name))
+    .filter(([name]) => !HIDDEN_LINE_FIELDS.has(name))
     .map(([name, value]) => `${name}=${typeof value === 'string' ? value : JSON.stringify(value)}`)
     .join(' ');
 
--- a/packages/ledger/createLedger.ts
+++ b/packages/ledger/createLedger.ts
@@ -32,7 +32,7 @@
   /** Sums of the queue's ended jobs. */
   readonly sums: CauseSums;
   /** Number of the queue's jobs without a logged end. */
-  readonly openCount: number;
+  readonly openJobCount: number;
   /** Sums by time of acceptance, earliest window first; windows without ended jobs are left out. */
   readonly windows: readonly LedgerWindow[];
 }
@@ -75,7 +75,7 @@
   const sums = new CauseSums();
   jobs.forEach(({ path }) => sums.addPath(path));
   const windows = createWindows(jobs, firstAcceptedAt, windowMs);
-  return { queue, sums, openCount: histories.length - jobs.length, windows };
+  return { queue, sums, openJobCount: histories.length - jobs.length, windows };
 };
 
 const toLedgerJob = (history: JobHistory): LedgerJob => {
--- a/packages/ledger/readJobHistories.ts
+++ b/packages/ledger/readJobHistories.ts
@@ -124,7 +124,7 @@
   }
 };
 
-const isCause = (text: string): text is LedgerCause => ledgerCauses.some((cause) => cause === text);
+const isLedgerCause = (text: string): text is LedgerCause => ledgerCauses.some((cause) => cause === text);
 
 /** Converts the rows of a logged path, which hold only durations, to spans, the last of which ends at `endedAt`. */
 const toLoggedPath = (
@@ -133,7 +133,7 @@
 ): readonly LedgerSpan[] => {
   let from = endedAt - rows.reduce((sum, { ms }) => sum + ms, 0);
   return rows.map(({ cause, ms, run = '' }) => {
-    const span = { cause: isCause(cause) ? cause : 'unknown', from, to: from + ms, run };
+    const span = { cause: isLedgerCause(cause) ? cause : 'unknown', from, to: from + ms, run };
     from = span.to;
     return span;
   });
--- a/packages/standins/EndpointStandin.ts
+++ b/packages/standins/EndpointStandin.ts
@@ -10,7 +10,7 @@
 import type { StandinTask } from './StandinTask';
 import { startListening } from './startListening';
 
-const SLOW_FACTOR = 10;
+const SLOW_RUN_FACTOR = 10;
 const DEFAULT_RUN_MS = 20;
 
 /**
@@ -116,7 +116,7 @@
     }
     const task = this.startTask(row, request, response);
     const runMs =
-      Number(request.headers['x-run-ms'] ?? DEFAULT_RUN_MS) * (fault === 'slow' ? SLOW_FACTOR : 1);
+      Number(request.headers['x-run-ms'] ?? DEFAULT_RUN_MS) * (fault === 'slow' ? SLOW_RUN_FACTOR : 1);
     if (fault !== 'silent' && Number.isFinite(runMs)) {
       task.timers.push(setTimeout(() => this.handleTaskEnd(task, body, fault), runMs));
     }
--- a/packages/standins/PlatformStandin.ts
+++ b/packages/standins/PlatformStandin.ts
@@ -20,6 +20,7 @@
 
 interface StoredReport {
   readonly report: StandinReport;
+  /** Monotonic time at which the report arrived, in milliseconds. */
   readonly storedAt: number;
 }
 
--- a/packages/standins/platform/ExecutorRun.ts
+++ b/packages/standins/platform/ExecutorRun.ts
@@ -4,6 +4,8 @@
   readonly runNumber: number;
   readonly spec: string;
   readonly startedAt: number;
+  /** Duration of the run; Infinity when it runs until it is stopped. */
   readonly runMs: number;
+  /** Timer of the end; undefined for an endless run. */
   readonly timer: NodeJS.Timeout | undefined;
 }
--- a/packages/standins/platform/ExecutorStandin.ts
+++ b/packages/standins/platform/ExecutorStandin.ts
@@ -31,14 +31,14 @@
   readonly ticket?: string;
 }
 
-type EndRow = [number: number, task: string, run: number, how: string, saved: string];
+type RunEndRow = [number: number, task: string, run: number, how: string, saved: string];
 type CommandHandler = (body: CommandBody, response: ServerResponse) => Promise<void> | void;
 
 /** Delay of starts with the fault `lateStarts`. */
 const START_DELAY_MS = 1500;
 /** Delay of responses with the fault `lateAnswers`; longer than the maximum timeout of a command. */
 const RESPONSE_DELAY_MS = 700;
-const SLOW_FACTOR = 4;
+const SLOW_RUN_FACTOR = 4;
 const ENDLESS_SPEC = 'lasts';
 const CRASHING_SPEC = 'crashes';
 const CRASH_DELAY_MS = 10;
@@ -54,7 +54,7 @@
   private readonly runs = new Map<string, ExecutorRun>();
   /** Highest run number of each task that has ended or was stopped; start commands up to it are rejected. */
   private readonly endedRunNumbers = new Map<string, number>();
-  private unacknowledgedEnds: EndRow[] = [];
+  private unacknowledgedEnds: RunEndRow[] = [];
   private endCount = 0;
   /** Number of the last end recorded before the lease last expired; acknowledgements up to it don't reach the run checker. */
   private lastEndBeforeExpiry = 0;
@@ -199,7 +199,7 @@
       setTimeout(() => this.handleCrash(), CRASH_DELAY_MS);
     }
     const isEndless = spec === ENDLESS_SPEC || spec === CRASHING_SPEC || this.fault === 'hanging';
-    const runMs = isEndless ? Infinity : Number(spec) * (this.fault === 'slow' ? SLOW_FACTOR : 1);
+    const runMs = isEndless ? Infinity : Number(spec) * (this.fault === 'slow' ? SLOW_RUN_FACTOR : 1);
     const how = this.fault === 'failing' ? 'failed' : 'done';
     const timer = runMs === Infinity ? undefined : setTimeout(() => this.recordEnd(task, how), runMs);
     this.runs.set(task, { task, runNumber: run, spec, startedAt: this.getClockMs(), runMs, timer });
--- a/packages/standins/platform/KeyedTopic.ts
+++ b/packages/standins/platform/KeyedTopic.ts
@@ -3,11 +3,13 @@
 interface StoredRecord {
   readonly key: string;
   readonly value: Buffer;
+  /** Record as it was appended: length, key and value. */
   readonly frame: Buffer;
 }
 
 interface ProducerState {
   epoch: number;
+  /** Sequence number of the last append of the epoch; -1 before the first. */
   sequence: number;
   /** Results of the newest appends, by sequence number. */
   readonly results: Map<number, { readonly offset: number; readonly end: number }>;
@@ -24,7 +26,7 @@
   readonly sequence: number;
 }
 
-const LENGTH_BYTES = 4;
+const FRAME_LENGTH_BYTES = 4;
 const MAX_RESULTS_PER_PRODUCER = 5;
 
 /**
@@ -131,11 +133,11 @@
   private addFrames(frames: Buffer): void {
     let position = 0;
     while (position < frames.length) {
-      const end = position + LENGTH_BYTES + frames.readUInt32BE(position);
+      const end = position + FRAME_LENGTH_BYTES + frames.readUInt32BE(position);
       const frame = Buffer.from(frames.subarray(position, end));
-      const keyLength = frame.readUInt8(LENGTH_BYTES);
-      const key = frame.toString('utf8', LENGTH_BYTES + 1, LENGTH_BYTES + 1 + keyLength);
-      const value = frame.subarray(LENGTH_BYTES + 1 + keyLength);
+      const keyLength = frame.readUInt8(FRAME_LENGTH_BYTES);
+      const key = frame.toString('utf8', FRAME_LENGTH_BYTES + 1, FRAME_LENGTH_BYTES + 1 + keyLength);
+      const value = frame.subarray(FRAME_LENGTH_BYTES + 1 + keyLength);
       if (value.length === 0) {
         this.newestOffsets.delete(key);
       } else {
--- a/packages/standins/platform/LogStandin.ts
+++ b/packages/standins/platform/LogStandin.ts
@@ -11,6 +11,7 @@
   readonly url: URL;
   readonly request: IncomingMessage;
   readonly response: ServerResponse;
+  /** True when an append is applied but gets no response. */
   readonly isResponseLost: boolean;
   /** Link of the box that sent the request. */
   readonly link: RateLimitedLink;
@@ -19,7 +20,7 @@
 type RequestHandler = (logRequest: LogRequest) => Promise<void>;
 
 const MAX_PAGE_ITEMS = 500;
-const LENGTH_BYTES = 4;
+const FRAME_LENGTH_BYTES = 4;
 const MAX_APPEND_WAIT_MS = 2000;
 
 /** Stands in for the platform's log over HTTP: keyed topics of one partition, with the paths and bodies that the platform documents. */
@@ -113,9 +114,9 @@
   writeRecord(topic: string, key: string, value: unknown): void {
     const keyBytes = Buffer.from(key);
     const valueBytes = Buffer.from(value === '' ? '' : JSON.stringify(value));
-    const frame = Buffer.alloc(LENGTH_BYTES + 1);
+    const frame = Buffer.alloc(FRAME_LENGTH_BYTES + 1);
     frame.writeUInt32BE(1 + keyBytes.length + valueBytes.length, 0);
-    frame.writeUInt8(keyBytes.length, LENGTH_BYTES);
+    frame.writeUInt8(keyBytes.length, FRAME_LENGTH_BYTES);
     this.getTopic(topic).append(Buffer.concat([frame, keyBytes, valueBytes]), undefined);
   }
 
--- a/packages/standins/platform/RunChecker.ts
+++ b/packages/standins/platform/RunChecker.ts
@@ -5,7 +5,7 @@
 }
 
 /** Number of lost endpoints after which starts of a task are counted separately. */
-const LOSS_THRESHOLD = 3;
+const ENDPOINT_LOSS_THRESHOLD = 3;
 
 /** Observes the starts and ends of runs on all endpoint stand-ins, and collects violations of the scheduler's guarantees. */
 export class RunChecker {
@@ -41,7 +41,7 @@
     }
     this.runningByTask.set(task, [...parallelRuns, { endpoint, task, runNumber: run }]);
     this.startCountsByTask.set(task, (this.startCountsByTask.get(task) ?? 0) + 1);
-    if (this.countLosses(task) >= LOSS_THRESHOLD) {
+    if (this.countLosses(task) >= ENDPOINT_LOSS_THRESHOLD) {
       this.startCountsAfterLosses.set(task, this.countStartsAfterLosses(task) + 1);
     }
     const count = (this.runCountsByEndpoint.get(endpoint) ?? 0) + 1;
