--- a/packages/ledger/formatLedger.ts
+++ b/packages/ledger/formatLedger.ts
@@ -26,11 +26,7 @@
 /** Formats a ledger as text: mean milliseconds per job by queue, then by window of acceptance, then the jobs that took longest. */
 export const formatLedger = ({ queues, lateQueues, samplingLevel, slowestJobs }: Ledger): string => {
   const headers = ['jobs', 'total', ...ledgerCauses];
-  const totals = queues.map(({ queue, openJobCount: openCount, sums }) => [
-    queue,
-    openCount,
-    ...toMeanCells(sums),
-  ]);
+  const totals = queues.map(({ queue, openJobCount, sums }) => [queue, openJobCount, ...toMeanCells(sums)]);
   const late = lateQueues.map(({ queue, sums }) => [queue, ...toMeanCells(sums)]);
   const sampleNote =
     samplingLevel === 0 ? '' : `, of one in ${2 ** samplingLevel} jobs: lines of others were left out`;
--- a/tests/ledger.test.ts
+++ b/tests/ledger.test.ts
@@ -94,7 +94,7 @@
     const histories = readJobHistories([...lines].reverse());
     const ledger = createLedger(histories, { windowMs: 2000, slowestCount: 1 });
     const { queues, slowestJobs } = ledger;
-    const shown = queues.map(({ queue, openJobCount: openCount, windows }) => [queue, openCount, windows.length]);
+    const shown = queues.map(({ queue, openJobCount, windows }) => [queue, openJobCount, windows.length]);
     expect(shown).toEqual([
       ['jobs', 0, 2],
       ['lasting', 1, 0],
