--- a/packages/cli/serveCommand.ts
+++ b/packages/cli/serveCommand.ts
@@ -18,8 +18,8 @@
 import { writeError } from './writeError';
 
 const LOG_LINES_PER_SECOND = 400;
-/** Interval of checks whether the counts of suppressed log lines are due. */
-const LOG_TICK_MS = 1000;
+/** Interval at which the log checks whether counts of suppressed lines are due. */
+const SUPPRESSED_COUNT_CHECK_MS = 1000;
 
 /** Waits for SIGTERM or SIGINT and for the graceful stop; SIGHUP reloads the settings. */
 const waitForStop = (serve: ServeProcess): Promise<void> =>
@@ -74,7 +74,7 @@
       getWallMs: () => Date.now(),
       maxLinesPerSecond: LOG_LINES_PER_SECOND,
     });
-    setInterval(() => decisionLog.logSuppressedWhenDue(), LOG_TICK_MS).unref();
+    setInterval(() => decisionLog.logSuppressedWhenDue(), SUPPRESSED_COUNT_CHECK_MS).unref();
     const createPartLogger = (part: string): Logger => decisionLog.createLogger(part);
     const clock = createMachineClock(createPartLogger('clock'));
     const serve = new ServeProcess({
--- a/packages/cli/tableCommand.ts
+++ b/packages/cli/tableCommand.ts
@@ -16,15 +16,17 @@
 
 interface TableResponse {
   readonly offset: number;
+  /** True when the table comes from the log or a peer, false when from the settings alone. */
   readonly isShared: boolean;
+  /** Workloads of the operators' table. */
   readonly rows: readonly Row[];
   readonly teams: readonly Team[];
 }
 
-type Action = (client: OperatorClient, input: CommandInput) => Promise<number>;
+type TableAction = (client: OperatorClient, input: CommandInput) => Promise<number>;
 
 /** Parses a value as JSON, or returns the text itself when it is not JSON. */
-const parseValue = (text: string): CellValue => {
+const parseCellValue = (text: string): CellValue => {
   try {
     return JSON.parse(text) as CellValue;
   } catch {
@@ -32,7 +34,10 @@
   }
 };
 
-/** Returns the login name in the form that operators' names have. */
+/**
+ * Returns the login name in the form of an operator's name: lower case, other characters as dashes, and a prefix unless it begins with a
+ * letter.
+ */
 const getOperatorName = (): string => {
   const name = userInfo()
     .username.toLowerCase()
@@ -40,7 +45,7 @@
   return /^[a-z]/.test(name) ? name : `op-${name}`;
 };
 
-const writeTable: Action = async (client, input) => {
+const writeTable: TableAction = async (client, input) => {
   const response = await client.requestFromAny<TableResponse>('/table');
   if (!response.ok) {
     writeError(`No entry box responds: ${response.error}.`);
@@ -70,7 +75,7 @@
   return exitCodes.done;
 };
 
-const writeHistory: Action = async (client, input) => {
+const writeHistory: TableAction = async (client, input) => {
   const response = await client.requestFromAny<{ history: readonly AppliedEdit[] }>('/table/history');
   if (!response.ok) {
     writeError(`No entry box responds: ${response.error}.`);
@@ -120,7 +125,7 @@
   return exitCodes.done;
 };
 
-const sendEdit: Action = async (client, input) => {
+const sendEdit: TableAction = async (client, input) => {
   const [, cell, text] = input.positionals;
   if (cell === undefined || text === undefined) {
     writeError('table set: expected CELL and VALUE, for example: table set row/video-render/weight 2');
@@ -129,7 +134,7 @@
   const basedOn = input.values['based-on'];
   const body = {
     cell,
-    value: parseValue(text),
+    value: parseCellValue(text),
     operator: typeof input.values['operator'] === 'string' ? input.values['operator'] : getOperatorName(),
     ...(typeof basedOn === 'string' ? { basedOn: Number(basedOn) } : {}),
   };
@@ -148,7 +153,11 @@
   return writeEditResult(response.value);
 };
 
-const ACTIONS: Readonly<Record<string, Action>> = { show: writeTable, set: sendEdit, history: writeHistory };
+const TABLE_ACTIONS: Readonly<Record<string, TableAction>> = {
+  show: writeTable,
+  set: sendEdit,
+  history: writeHistory,
+};
 
 /** `stairline table`: shows and edits the operators' table. */
 export const tableCommand: Command = {
@@ -165,7 +174,7 @@
     },
   },
   run: async (input) => {
-    const action = ACTIONS[input.positionals[0] ?? ''];
+    const action = TABLE_ACTIONS[input.positionals[0] ?? ''];
     if (action === undefined) {
       writeError('table: expected show, set or history.');
       return exitCodes.usage;
--- a/packages/ledger/createLedger.ts
+++ b/packages/ledger/createLedger.ts
@@ -5,53 +5,57 @@
 import { chooseCriticalPath } from './chooseCriticalPath';
 
 interface LedgerOptions {
+  /** Width of the windows that jobs are grouped by, by time of acceptance. */
   readonly windowMs: number;
-  readonly worstCount: number;
-  /** Highest sampling level of the logs. */
+  /** Maximum number of slowest jobs to list. */
+  readonly slowestCount: number;
+  /** Level n at which only one in 2^n jobs was logged completely; 0 (the default) when all were. */
   readonly samplingLevel?: number;
 }
 
 interface LedgerJob {
-  readonly account: JobHistory;
+  readonly history: JobHistory;
   readonly path: readonly LedgerSpan[];
-  /** Time from the caller's request to the end of the job. */
+  /** Duration of the critical path in milliseconds: from the caller's request to the end of the job. */
   readonly totalMs: number;
 }
 
 interface LedgerWindow {
   /** Start of the window, in milliseconds since the first job was accepted. */
   readonly fromMs: number;
+  /** Sums of the ended jobs that were accepted in the window. */
   readonly sums: CauseSums;
 }
 
 interface LedgerQueue {
   readonly queue: string;
+  /** Sums of the queue's ended jobs. */
   readonly sums: CauseSums;
-  /** Number of jobs without a logged end. */
-  readonly openCount: number;
-  /** Windows of the time of acceptance, in order. */
+  /** Number of the queue's jobs without a logged end. */
+  readonly openJobCount: number;
+  /** Sums by time of acceptance, earliest window first; windows without ended jobs are left out. */
   readonly windows: readonly LedgerWindow[];
 }
 
 interface Ledger {
-  /** Sums of all jobs, or of those in the sample that was logged completely. */
+  /** Sums of the jobs in the sample of `samplingLevel`, whose logs are complete; of all jobs at level 0. */
   readonly queues: readonly LedgerQueue[];
-  /** Sums of all jobs that a leader logged as failed or late, in the sample or not. */
+  /** Sums of the jobs that a leader logged as failed or late, in the sample or not. */
   readonly lateQueues: readonly LedgerQueue[];
   /** `queues` holds the sums of one in 2^n jobs. */
   readonly samplingLevel: number;
-  /** Jobs that took longest. */
-  readonly worst: readonly LedgerJob[];
+  /** Jobs that took longest, in the sample or not, longest first. */
+  readonly slowestJobs: readonly LedgerJob[];
 }
 
 const createWindows = (
   jobs: readonly LedgerJob[],
-  startedAt: number,
+  firstAcceptedAt: number,
   windowMs: number,
 ): readonly LedgerWindow[] => {
   const windows = new Map<number, CauseSums>();
-  for (const { account, path } of jobs) {
-    const fromMs = Math.floor((account.acceptedAt - startedAt) / windowMs) * windowMs;
+  for (const { history, path } of jobs) {
+    const fromMs = Math.floor((history.acceptedAt - firstAcceptedAt) / windowMs) * windowMs;
     const sums = windows.get(fromMs) ?? new CauseSums();
     sums.addPath(path);
     windows.set(fromMs, sums);
@@ -61,58 +65,61 @@
     .sort((left, right) => left.fromMs - right.fromMs);
 };
 
-const createQueue = (
+const createLedgerQueue = (
   queue: string,
-  accounts: readonly JobHistory[],
+  histories: readonly JobHistory[],
   jobs: readonly LedgerJob[],
-  startedAt: number,
+  firstAcceptedAt: number,
   windowMs: number,
 ): LedgerQueue => {
   const sums = new CauseSums();
   jobs.forEach(({ path }) => sums.addPath(path));
-  const windows = createWindows(jobs, startedAt, windowMs);
-  return { queue, sums, openCount: accounts.length - jobs.length, windows };
+  const windows = createWindows(jobs, firstAcceptedAt, windowMs);
+  return { queue, sums, openJobCount: histories.length - jobs.length, windows };
 };
 
-const toLedgerJob = (account: JobHistory): LedgerJob => {
-  const path = chooseCriticalPath(account);
-  return { account, path, totalMs: path.reduce((sum, { from, to }) => sum + to - from, 0) };
+const toLedgerJob = (history: JobHistory): LedgerJob => {
+  const path = chooseCriticalPath(history);
+  return { history, path, totalMs: path.reduce((sum, { from, to }) => sum + to - from, 0) };
 };
 
-const createQueues = (
-  accounts: readonly JobHistory[],
+const createLedgerQueues = (
+  histories: readonly JobHistory[],
   jobs: readonly LedgerJob[],
-  startedAt: number,
+  firstAcceptedAt: number,
   windowMs: number,
 ): readonly LedgerQueue[] => {
-  const names = [...new Set(accounts.map(({ queue }) => queue))].sort();
+  const names = [...new Set(histories.map(({ queue }) => queue))].sort();
   return names.map((queue) =>
-    createQueue(
+    createLedgerQueue(
       queue,
-      accounts.filter((account) => account.queue === queue),
-      jobs.filter(({ account }) => account.queue === queue),
-      startedAt,
+      histories.filter((history) => history.queue === queue),
+      jobs.filter(({ history }) => history.queue === queue),
+      firstAcceptedAt,
       windowMs,
     ),
   );
 };
 
 /**
- * Creates the sums of job time by queue, window of acceptance and cause, and lists the jobs that took longest. The sums by queue cover only
- * the sample of jobs that was logged completely, since late jobs are logged outside of it too and would bias the means.
+ * Creates the sums of job time by queue, window of acceptance and cause, and the list of the jobs that took longest. Jobs outside of the
+ * sample are left out of the sums in `queues`: of those only late and failed jobs are logged, which would bias the means.
  */
 export const createLedger = (
-  accounts: readonly JobHistory[],
-  { windowMs, worstCount, samplingLevel = 0 }: LedgerOptions,
+  histories: readonly JobHistory[],
+  { windowMs, slowestCount, samplingLevel = 0 }: LedgerOptions,
 ): Ledger => {
-  const startedAt = accounts.reduce((earliest, { acceptedAt }) => Math.min(earliest, acceptedAt), Infinity);
+  const firstAcceptedAt = histories.reduce(
+    (earliest, { acceptedAt }) => Math.min(earliest, acceptedAt),
+    Infinity,
+  );
   const isSampled = ({ job }: JobHistory): boolean => computeJobSamplingLevel(job) >= samplingLevel;
   const isLate = ({ loggedPath }: JobHistory): boolean => loggedPath !== undefined;
-  const ended = accounts.filter(({ endedAt }) => endedAt !== undefined).map(toLedgerJob);
-  const sampled = ended.filter(({ account }) => isSampled(account));
-  const late = ended.filter(({ account }) => isLate(account));
-  const queues = createQueues(accounts.filter(isSampled), sampled, startedAt, windowMs);
-  const lateQueues = createQueues(accounts.filter(isLate), late, startedAt, windowMs);
-  const worst = [...ended].sort((left, right) => right.totalMs - left.totalMs).slice(0, worstCount);
-  return { queues, lateQueues, samplingLevel, worst };
+  const ended = histories.filter(({ endedAt }) => endedAt !== undefined).map(toLedgerJob);
+  const sampled = ended.filter(({ history }) => isSampled(history));
+  const late = ended.filter(({ history }) => isLate(history));
+  const queues = createLedgerQueues(histories.filter(isSampled), sampled, firstAcceptedAt, windowMs);
+  const lateQueues = createLedgerQueues(histories.filter(isLate), late, firstAcceptedAt, windowMs);
+  const slowestJobs = [...ended].sort((left, right) => right.totalMs - left.totalMs).slice(0, slowestCount);
+  return { queues, lateQueues, samplingLevel, slowestJobs };
 };
--- a/packages/serve/BoxJobService.ts
+++ b/packages/serve/BoxJobService.ts
@@ -127,7 +127,7 @@
     if (outcome === 'unknown') {
       metrics.recordCount('unknown');
       this.options.admission.recordUncertainJob(id);
-      this.logDecision('The log did not answer: the job may be accepted.', id, queue.name, { tookMs });
+      this.logDecision('The log did not respond: the job may be accepted.', id, queue.name, { tookMs });
       return { kind: 'unknown' };
     }
     metrics.recordCount('accepted');
--- a/packages/standins/platform/ExecutorStandin.ts
+++ b/packages/standins/platform/ExecutorStandin.ts
@@ -11,7 +11,7 @@
 
 interface ExecutorStandinOptions {
   readonly id: string;
-  /** Start of the incarnation in Unix milliseconds, returned with lists of runs. Without it an id has only one incarnation. */
+  /** Start of the incarnation in Unix milliseconds, included in responses to polls. Undefined: the responses name no incarnation. */
   readonly bornAtMs?: number;
   readonly address: string;
   readonly runChecker: RunChecker;
@@ -31,17 +31,18 @@
   readonly ticket?: string;
 }
 
-type EndRow = [number: number, task: string, run: number, how: string, saved: string];
-type Handler = (body: CommandBody, response: ServerResponse) => Promise<void> | void;
+type RunEndRow = [number: number, task: string, run: number, how: string, saved: string];
+type CommandHandler = (body: CommandBody, response: ServerResponse) => Promise<void> | void;
 
-const LATE_START_MS = 1500;
-/** Longer than the maximum timeout of a command. */
-const LATE_RESPONSE_MS = 700;
-const SLOW_FACTOR = 4;
+/** Delay of starts with the fault `lateStarts`. */
+const START_DELAY_MS = 1500;
+/** Delay of responses with the fault `lateAnswers`; longer than the maximum timeout of a command. */
+const RESPONSE_DELAY_MS = 700;
+const SLOW_RUN_FACTOR = 4;
 const ENDLESS_SPEC = 'lasts';
 const CRASHING_SPEC = 'crashes';
-const CRASH_AFTER_MS = 10;
-const HUNDRED = 100;
+const CRASH_DELAY_MS = 10;
+const FULL_PERCENT = 100;
 
 /**
  * Stands in for one incarnation of an endpoint, with the commands that the platform documents. It doesn't check its capacity, rejects
@@ -52,33 +53,33 @@
 export class ExecutorStandin {
   private readonly runs = new Map<string, ExecutorRun>();
   /** Highest run number of each task that has ended or was stopped; start commands up to it are rejected. */
-  private readonly endedRuns = new Map<string, number>();
-  private ends: EndRow[] = [];
+  private readonly endedRunNumbers = new Map<string, number>();
+  private unacknowledgedEnds: RunEndRow[] = [];
   private endCount = 0;
-  /** Number of the last end before the latest expiry of the lease. */
-  private lastExpiredEnd = 0;
-  /** Highest fencing token seen. */
+  /** Number of the last end recorded before the lease last expired; acknowledgements up to it don't reach the run checker. */
+  private lastEndBeforeExpiry = 0;
+  /** Highest fencing token seen; requests with a lower one are rejected. */
   private highestToken = 0;
   /** Time at which the lease expires, by the clock of this incarnation; Infinity before the first lease. */
   private leaseExpiresAt = Infinity;
   private leaseTimer: NodeJS.Timeout | undefined;
   private fault: ExecutorFault = 'none';
-  /** Set by the stop, since connections that were still being accepted may deliver requests after it. */
+  /** True after `stop`; requests that connections still deliver after it are dropped. */
   private isStopped = false;
   private expiredTicketCount = 0;
   private server: Server | undefined;
-  private readonly waiters = new Waiters();
+  private readonly pollWaiters = new Waiters();
   private readonly startedAt = performance.now();
   /** Id of this incarnation in the records of the run checker. */
   private readonly incarnation: string;
   /** Number of the last end that a response has listed. */
-  private lastListedEnd = 0;
+  private lastListedEndNumber = 0;
   private readonly connections = new BlackholedConnections();
 
-  private readonly handlers: Readonly<Record<string, Handler>> = {
+  private readonly handlers: Readonly<Record<string, CommandHandler>> = {
     '/run-start': (body, response) => this.handleStart(body, response),
     '/run-stop': (body, response) => this.handleStop(body, response),
-    '/hold': (body, response) => this.handleHold(body, response),
+    '/hold': (body, response) => this.handlePoll(body, response),
     '/pace': (_body, response) => this.sendResponse(response, 200, {}),
   };
 
@@ -95,12 +96,13 @@
     await startListening(this.server, this.options.address);
   }
 
+  /** Ends the incarnation: records its runs as lost with it, and closes its server and connections. */
   async stop(): Promise<void> {
     this.isStopped = true;
     clearTimeout(this.leaseTimer);
     for (const run of this.runs.values()) {
       clearTimeout(run.timer);
-      this.options.runChecker.recordEnd(this.incarnation, run.task, run.run, 'gone');
+      this.options.runChecker.recordEnd(this.incarnation, run.task, run.runNumber, 'gone');
     }
     this.runs.clear();
     this.server?.closeAllConnections();
@@ -156,20 +158,20 @@
 
   private handleStart(body: CommandBody, response: ServerResponse): void {
     if (this.fault === 'lateStarts') {
-      setTimeout(() => this.startRun(body), LATE_START_MS);
+      setTimeout(() => this.startRun(body), START_DELAY_MS);
       return;
     }
     const reason = this.startRun(body);
     const sendResult = (): void =>
       this.sendResponse(response, reason === undefined ? 200 : 409, reason === undefined ? {} : { reason });
     if (this.fault === 'lateAnswers') {
-      setTimeout(sendResult, LATE_RESPONSE_MS);
+      setTimeout(sendResult, RESPONSE_DELAY_MS);
     } else {
       sendResult();
     }
   }
 
-  /** Starts a run. Returns the reason when it rejects the command, otherwise undefined. */
+  /** Starts a run and renews the lease. Returns the reason for a rejection, undefined when the run was started or the task already runs. */
   private startRun(body: CommandBody): string | undefined {
     const { task, run, spec } = body;
     if (this.isStopped) {
@@ -179,7 +181,7 @@
     if ((body['fencing-token'] ?? 0) < this.highestToken) {
       return 'fence';
     }
-    if ((this.endedRuns.get(task) ?? 0) >= run) {
+    if ((this.endedRunNumbers.get(task) ?? 0) >= run) {
       return 'old';
     }
     if ((body['expires-ms'] ?? Infinity) <= this.getClockMs()) {
@@ -194,13 +196,13 @@
     }
     this.renewLease(body['expires-ms']);
     if (spec === CRASHING_SPEC) {
-      setTimeout(() => this.handleCrash(), CRASH_AFTER_MS);
+      setTimeout(() => this.handleCrash(), CRASH_DELAY_MS);
     }
     const isEndless = spec === ENDLESS_SPEC || spec === CRASHING_SPEC || this.fault === 'hanging';
-    const runMs = isEndless ? Infinity : Number(spec) * (this.fault === 'slow' ? SLOW_FACTOR : 1);
+    const runMs = isEndless ? Infinity : Number(spec) * (this.fault === 'slow' ? SLOW_RUN_FACTOR : 1);
     const how = this.fault === 'failing' ? 'failed' : 'done';
     const timer = runMs === Infinity ? undefined : setTimeout(() => this.recordEnd(task, how), runMs);
-    this.runs.set(task, { task, run, spec, startedAt: this.getClockMs(), runMs, timer });
+    this.runs.set(task, { task, runNumber: run, spec, startedAt: this.getClockMs(), runMs, timer });
     this.options.runChecker.recordStart(this.incarnation, task, run);
     return undefined;
   }
@@ -212,55 +214,57 @@
   }
 
   private handleStop(body: CommandBody, response: ServerResponse): void {
-    this.endedRuns.set(body.task, Math.max(this.endedRuns.get(body.task) ?? 0, body.run));
-    if (this.runs.get(body.task)?.run === body.run) {
+    this.endedRunNumbers.set(body.task, Math.max(this.endedRunNumbers.get(body.task) ?? 0, body.run));
+    if (this.runs.get(body.task)?.runNumber === body.run) {
       this.recordEnd(body.task, 'stopped');
     }
     this.sendResponse(response, 200, {});
   }
 
-  private async handleHold(body: CommandBody, response: ServerResponse): Promise<void> {
+  /** Handles a poll: acknowledges ends, renews the lease, and responds with the runs and ends, if need be after waiting for an end. */
+  private async handlePoll(body: CommandBody, response: ServerResponse): Promise<void> {
     const lastSeen = body['last-seen'] ?? 0;
-    this.recordAcknowledged(lastSeen);
+    this.handleAcknowledgement(lastSeen);
     this.renewLease(body['expires-ms']);
     const waitMs = body['wait-ms'] ?? 0;
-    if (waitMs > 0 && this.ends.length === 0) {
-      await this.waiters.waitForRelease(waitMs);
+    if (waitMs > 0 && this.unacknowledgedEnds.length === 0) {
+      await this.pollWaiters.waitForRelease(waitMs);
     }
     const running = [...this.runs.values()].map((run) => [
       run.task,
-      run.run,
+      run.runNumber,
       '',
-      this.computePercent(run),
+      this.computeProgressPercent(run),
       0,
     ]);
     const { bornAtMs } = this.options;
     const born = bornAtMs === undefined ? {} : { born: bornAtMs };
-    this.lastListedEnd = this.ends[this.ends.length - 1]?.[0] ?? this.lastListedEnd;
-    this.sendResponse(response, 200, { ...born, running, 'end-time': this.ends });
+    this.lastListedEndNumber =
+      this.unacknowledgedEnds[this.unacknowledgedEnds.length - 1]?.[0] ?? this.lastListedEndNumber;
+    this.sendResponse(response, 200, { ...born, running, 'end-time': this.unacknowledgedEnds });
   }
 
-  /** Removes the ends up to a number, which the leader has acknowledged. */
-  private recordAcknowledged(lastSeen: number): void {
-    for (const [number, task, run, how] of this.ends) {
-      if (number <= lastSeen && number > this.lastListedEnd) {
+  /** Handles the leader's acknowledgement of all ends up to a number: reports them to the run checker and removes them. */
+  private handleAcknowledgement(lastSeen: number): void {
+    for (const [number, task, run, how] of this.unacknowledgedEnds) {
+      if (number <= lastSeen && number > this.lastListedEndNumber) {
         this.options.runChecker.recordEarlyAcknowledgement(this.incarnation, task, run);
       }
-      if (number <= lastSeen && number > this.lastExpiredEnd && how === 'done') {
-        this.options.runChecker.recordAcknowledged(task, run);
+      if (number <= lastSeen && number > this.lastEndBeforeExpiry && how === 'done') {
+        this.options.runChecker.recordAcknowledgedEnd(task, run);
       }
     }
-    this.ends = this.ends.filter((end) => end[0] > lastSeen);
+    this.unacknowledgedEnds = this.unacknowledgedEnds.filter((end) => end[0] > lastSeen);
   }
 
-  /** Returns the progress of a run. */
-  private computePercent(run: ExecutorRun): number {
+  /** Computes the progress of a run from 0 to 100, by its duration; 100 for an endless run. */
+  private computeProgressPercent(run: ExecutorRun): number {
     return run.runMs === Infinity
-      ? HUNDRED
-      : Math.min(HUNDRED, Math.floor(((this.getClockMs() - run.startedAt) * HUNDRED) / run.runMs));
+      ? FULL_PERCENT
+      : Math.min(FULL_PERCENT, Math.floor(((this.getClockMs() - run.startedAt) * FULL_PERCENT) / run.runMs));
   }
 
-  /** Extends the lease; an earlier expiry is ignored. All runs end when it expires. */
+  /** Extends the lease to a later time; an earlier one is ignored. When it expires, all runs end as `lapsed`. */
   private renewLease(expiresMs: number | undefined): void {
     if (expiresMs === undefined || (this.leaseExpiresAt !== Infinity && expiresMs <= this.leaseExpiresAt)) {
       return;
@@ -269,7 +273,7 @@
     clearTimeout(this.leaseTimer);
     this.leaseTimer = setTimeout(
       () => {
-        this.lastExpiredEnd = this.endCount;
+        this.lastEndBeforeExpiry = this.endCount;
         for (const task of [...this.runs.keys()]) {
           this.recordEnd(task, 'lapsed');
         }
@@ -278,6 +282,9 @@
     );
   }
 
+  /**
+   * Ends the run of a task, lists the end in responses until it is acknowledged, and releases waiting polls. Ignores a task without a run.
+   */
   private recordEnd(task: string, how: string): void {
     const run = this.runs.get(task);
     if (run === undefined) {
@@ -285,11 +292,11 @@
     }
     clearTimeout(run.timer);
     this.runs.delete(task);
-    this.endedRuns.set(task, Math.max(this.endedRuns.get(task) ?? 0, run.run));
+    this.endedRunNumbers.set(task, Math.max(this.endedRunNumbers.get(task) ?? 0, run.runNumber));
     this.endCount += 1;
-    this.ends.push([this.endCount, task, run.run, how, '']);
-    this.options.runChecker.recordEnd(this.incarnation, task, run.run, how);
-    this.waiters.releaseAll();
+    this.unacknowledgedEnds.push([this.endCount, task, run.runNumber, how, '']);
+    this.options.runChecker.recordEnd(this.incarnation, task, run.runNumber, how);
+    this.pollWaiters.releaseAll();
   }
 
   /** Returns the milliseconds since the incarnation started. */
--- a/packages/standins/platform/KeyedTopic.ts
+++ b/packages/standins/platform/KeyedTopic.ts
@@ -3,11 +3,13 @@
 interface StoredRecord {
   readonly key: string;
   readonly value: Buffer;
+  /** Record as it was appended: length, key and value. */
   readonly frame: Buffer;
 }
 
 interface ProducerState {
   epoch: number;
+  /** Sequence number of the last append of the epoch; -1 before the first. */
   sequence: number;
   /** Results of the newest appends, by sequence number. */
   readonly results: Map<number, { readonly offset: number; readonly end: number }>;
@@ -24,21 +26,27 @@
   readonly sequence: number;
 }
 
-const LENGTH_BYTES = 4;
-const MAX_KEPT_RESULTS = 5;
+const FRAME_LENGTH_BYTES = 4;
+const MAX_RESULTS_PER_PRODUCER = 5;
 
-/** Keyed topic of the stand-in for the platform's log. Checks the epochs and sequence numbers of producers, and keeps the newest record by key. */
+/**
+ * Keyed topic of the stand-in for the platform's log. Checks the epochs and sequence numbers of producers, and keeps the newest record by
+ * key.
+ */
 export class KeyedTopic {
   private readonly records: StoredRecord[] = [];
-  private readonly newest = new Map<string, number>();
+  private readonly newestOffsets = new Map<string, number>();
   private readonly producers = new Map<string, ProducerState>();
   private readonly waiters = new Waiters();
   /** Offset of the first record that can still be read. */
   private firstOffset = 0;
 
-  /** Appends records. Repeats the earlier result for a sequence number that the producer has used, and rejects outdated epochs and gaps. */
+  /**
+   * Appends records and returns the response. Repeats a recent result for a repeated sequence number, and rejects outdated epochs and other
+   * numbers than the next.
+   */
   append(frames: Buffer, writer: AppendWriter | undefined): AppendResponse {
-    const state = writer === undefined ? undefined : this.getProducer(writer);
+    const state = writer === undefined ? undefined : this.updateProducerState(writer);
     if (writer !== undefined && state !== undefined) {
       if (writer.epoch < state.epoch) {
         return { status: 409, body: { reason: 'fenced' } };
@@ -52,7 +60,7 @@
       }
     }
     const offset = this.records.length;
-    this.recordFrames(frames);
+    this.addFrames(frames);
     const result = { offset, end: this.records.length };
     if (writer !== undefined && state !== undefined) {
       this.recordResult(state, writer, result);
@@ -61,8 +69,8 @@
     return { status: 200, body: result };
   }
 
-  /** Returns the response body of a read from an offset on; undefined when the offset has been removed. */
-  getFrames(fromOffset: number): Buffer | undefined {
+  /** Returns the response body of a read from an offset on; undefined when the offset is before the first readable one. */
+  getReadBody(fromOffset: number): Buffer | undefined {
     if (fromOffset < this.firstOffset) {
       return undefined;
     }
@@ -83,7 +91,7 @@
 
   /** Returns the newest record of each key greater than `afterKey`, sorted by key. */
   listNewest(afterKey: string): readonly { key: string; value: Buffer; offset: number }[] {
-    return [...this.newest]
+    return [...this.newestOffsets]
       .filter(([key]) => key > afterKey)
       .sort(([left], [right]) => (left < right ? -1 : 1))
       .map(([key, offset]) => ({ key, value: this.records[offset]!.value, offset }));
@@ -94,13 +102,13 @@
     return this.waiters.waitForRelease(waitMs);
   }
 
-  /** Removes all records but the newest one of each key. */
+  /** Makes all present records unreadable by offset, as after compaction; the newest of each key stays in `listNewest`. */
   runCompaction(): void {
     this.firstOffset = this.records.length;
   }
 
-  /** Returns the state of a producer, which begins anew with each higher epoch. */
-  private getProducer(writer: AppendWriter): ProducerState {
+  /** Returns the state of a writer's producer, replaced by an empty one when the producer is new or the epoch is higher. */
+  private updateProducerState(writer: AppendWriter): ProducerState {
     const current = this.producers.get(writer.producer);
     if (current !== undefined && current.epoch >= writer.epoch) {
       return current;
@@ -110,6 +118,7 @@
     return created;
   }
 
+  /** Records the result of an append for its repetition, and drops the oldest kept result. */
   private recordResult(
     state: ProducerState,
     writer: AppendWriter,
@@ -117,21 +126,22 @@
   ): void {
     state.sequence = writer.sequence;
     state.results.set(writer.sequence, result);
-    state.results.delete(writer.sequence - MAX_KEPT_RESULTS);
+    state.results.delete(writer.sequence - MAX_RESULTS_PER_PRODUCER);
   }
 
-  private recordFrames(frames: Buffer): void {
+  /** Adds the records of length-prefixed frames. A record with an empty value removes its key from the newest ones. */
+  private addFrames(frames: Buffer): void {
     let position = 0;
     while (position < frames.length) {
-      const end = position + LENGTH_BYTES + frames.readUInt32BE(position);
+      const end = position + FRAME_LENGTH_BYTES + frames.readUInt32BE(position);
       const frame = Buffer.from(frames.subarray(position, end));
-      const keyLength = frame.readUInt8(LENGTH_BYTES);
-      const key = frame.toString('utf8', LENGTH_BYTES + 1, LENGTH_BYTES + 1 + keyLength);
-      const value = frame.subarray(LENGTH_BYTES + 1 + keyLength);
+      const keyLength = frame.readUInt8(FRAME_LENGTH_BYTES);
+      const key = frame.toString('utf8', FRAME_LENGTH_BYTES + 1, FRAME_LENGTH_BYTES + 1 + keyLength);
+      const value = frame.subarray(FRAME_LENGTH_BYTES + 1 + keyLength);
       if (value.length === 0) {
-        this.newest.delete(key);
+        this.newestOffsets.delete(key);
       } else {
-        this.newest.set(key, this.records.length);
+        this.newestOffsets.set(key, this.records.length);
       }
       this.records.push({ key, value, frame });
       position = end;
--- a/packages/standins/platform/LogStandin.ts
+++ b/packages/standins/platform/LogStandin.ts
@@ -11,36 +11,37 @@
   readonly url: URL;
   readonly request: IncomingMessage;
   readonly response: ServerResponse;
+  /** True when an append is applied but gets no response. */
   readonly isResponseLost: boolean;
   /** Link of the box that sent the request. */
   readonly link: RateLimitedLink;
 }
 
-type Handler = (logRequest: LogRequest) => Promise<void>;
+type RequestHandler = (logRequest: LogRequest) => Promise<void>;
 
-const PAGE_ITEMS = 500;
-const LENGTH_BYTES = 4;
+const MAX_PAGE_ITEMS = 500;
+const FRAME_LENGTH_BYTES = 4;
 const MAX_APPEND_WAIT_MS = 2000;
 
 /** Stands in for the platform's log over HTTP: keyed topics of one partition, with the paths and bodies that the platform documents. */
 export class LogStandin {
   private readonly topics = new Map<string, KeyedTopic>();
   private readonly servers: Server[] = [];
-  private readonly faults = new Map<string, LogFault>();
-  private readonly links = new Map<string, RateLimitedLink>();
-  /** Listener of each request in progress, by its response. */
-  private readonly pending = new Map<ServerResponse, string>();
-  /** Duration of an append, and minimum duration of a read, in milliseconds. */
+  private readonly faultsByListener = new Map<string, LogFault>();
+  private readonly linksByListener = new Map<string, RateLimitedLink>();
+  /** Name of the listener of each request in progress, by its response; without an entry, a long poll ends without a response. */
+  private readonly pendingResponses = new Map<ServerResponse, string>();
+  /** Time that a topic takes for an append, and delay of each read from an offset, in milliseconds. */
   private latencyMs = 0;
   /** Monotonic time until which each topic is busy; a topic processes its appends one after the other. */
-  private readonly busyUntil = new Map<string, number>();
+  private readonly topicsBusyUntil = new Map<string, number>();
   private requestCount = 0;
   private readonly connections = new BlackholedConnections();
 
-  private readonly handlers: Readonly<Record<string, Handler>> = {
+  private readonly handlers: Readonly<Record<string, RequestHandler>> = {
     'POST /log-append': (logRequest) => this.handleAppend(logRequest),
     'GET /log-read': (logRequest) => this.handleRead(logRequest),
-    'GET /log-newest': (logRequest) => this.handleNewest(logRequest),
+    'GET /log-newest': (logRequest) => this.handleReadNewest(logRequest),
   };
 
   /** Starts a listener. Each box gets a listener of its own, so that a fault can be injected for one box. */
@@ -50,8 +51,8 @@
     });
     this.servers.push(server);
     this.connections.addServer(server);
-    this.faults.set(name, 'none');
-    this.links.set(name, new RateLimitedLink());
+    this.faultsByListener.set(name, 'none');
+    this.linksByListener.set(name, new RateLimitedLink());
     await startListening(server, address);
   }
 
@@ -62,14 +63,14 @@
     }
   }
 
-  /** Sets the fault of one listener, or of all. With `silent`, pending long polls get no response either. */
+  /** Sets the fault of one listener, or of all without a name. With `silent`, their pending long polls get no response either. */
   setFault(fault: LogFault, listener?: string): void {
-    for (const name of listener === undefined ? [...this.faults.keys()] : [listener]) {
-      this.faults.set(name, fault);
+    for (const name of listener === undefined ? [...this.faultsByListener.keys()] : [listener]) {
+      this.faultsByListener.set(name, fault);
     }
-    for (const [response, name] of fault === 'silent' ? [...this.pending] : []) {
+    for (const [response, name] of fault === 'silent' ? [...this.pendingResponses] : []) {
       if (listener === undefined || listener === name) {
-        this.pending.delete(response);
+        this.pendingResponses.delete(response);
       }
     }
   }
@@ -77,15 +78,18 @@
   /** Blackholes all connections that are open now, with their pending long polls. New connections work. */
   applyBlackhole(): void {
     this.connections.applyBlackhole();
-    this.pending.clear();
+    this.pendingResponses.clear();
   }
 
   /** Sets the rate of each box's link in megabits per second; Infinity for no limit. */
   setLinkRate(megabits: number): void {
-    this.links.forEach((link) => link.setRate(megabits));
+    this.linksByListener.forEach((link) => link.setRate(megabits));
   }
 
-  /** Sets the duration of each append and read in milliseconds. A topic processes one append at a time, and rejects appends while its queue is too long. */
+  /**
+   * Sets the milliseconds that an append takes and that a read from an offset is delayed. A topic processes one append at a time, and
+   * rejects appends while its queue is too long.
+   */
   setLatency(latencyMs: number): void {
     this.latencyMs = latencyMs;
   }
@@ -110,9 +114,9 @@
   writeRecord(topic: string, key: string, value: unknown): void {
     const keyBytes = Buffer.from(key);
     const valueBytes = Buffer.from(value === '' ? '' : JSON.stringify(value));
-    const frame = Buffer.alloc(LENGTH_BYTES + 1);
+    const frame = Buffer.alloc(FRAME_LENGTH_BYTES + 1);
     frame.writeUInt32BE(1 + keyBytes.length + valueBytes.length, 0);
-    frame.writeUInt8(keyBytes.length, LENGTH_BYTES);
+    frame.writeUInt8(keyBytes.length, FRAME_LENGTH_BYTES);
     this.getTopic(topic).append(Buffer.concat([frame, keyBytes, valueBytes]), undefined);
   }
 
@@ -122,7 +126,7 @@
     response: ServerResponse,
   ): Promise<void> {
     this.requestCount += 1;
-    const fault = this.faults.get(listener);
+    const fault = this.faultsByListener.get(listener);
     if (fault === 'silent' || this.connections.isBlackholed(request)) {
       return;
     }
@@ -136,10 +140,10 @@
       sendJson(response, 404, {});
       return;
     }
-    this.pending.set(response, listener);
-    const link = this.links.get(listener) ?? new RateLimitedLink();
+    this.pendingResponses.set(response, listener);
+    const link = this.linksByListener.get(listener) ?? new RateLimitedLink();
     await handler({ url, request, response, isResponseLost: fault === 'loseAnswers', link });
-    this.pending.delete(response);
+    this.pendingResponses.delete(response);
   }
 
   private async handleAppend({ url, request, response, isResponseLost, link }: LogRequest): Promise<void> {
@@ -159,7 +163,7 @@
             sequence: Number(searchParams.get('call-seq')),
           };
     const topic = searchParams.get('topic') ?? '';
-    if (!(await this.waitForAppend(topic))) {
+    if (!(await this.waitForTopic(topic))) {
       sendJson(response, 503, {});
       return;
     }
@@ -169,17 +173,17 @@
     }
   }
 
-  /** Waits until the topic has had time for all earlier appends and this one. Returns false when its queue is too long. */
-  private async waitForAppend(topic: string): Promise<boolean> {
+  /** Waits until the topic has had time for all earlier appends and this one. Returns false at once when its queue is too long. */
+  private async waitForTopic(topic: string): Promise<boolean> {
     if (this.latencyMs === 0) {
       return true;
     }
     const now = performance.now();
-    const startsAt = Math.max(now, this.busyUntil.get(topic) ?? 0);
+    const startsAt = Math.max(now, this.topicsBusyUntil.get(topic) ?? 0);
     if (startsAt - now > MAX_APPEND_WAIT_MS) {
       return false;
     }
-    this.busyUntil.set(topic, startsAt + this.latencyMs);
+    this.topicsBusyUntil.set(topic, startsAt + this.latencyMs);
     await waitForDelay(startsAt + this.latencyMs - now);
     return true;
   }
@@ -191,11 +195,11 @@
     const waitMs = Number(url.searchParams.get('wait-ms') ?? 0);
     if (topic.getEndOffset() <= from && waitMs > 0) {
       await topic.waitForAppend(waitMs);
-      if (!this.pending.has(response)) {
+      if (!this.pendingResponses.has(response)) {
         return;
       }
     }
-    const frames = topic.getFrames(from);
+    const frames = topic.getReadBody(from);
     if (frames === undefined) {
       sendJson(response, 410, { first: topic.getFirstOffset() });
       return;
@@ -203,10 +207,10 @@
     await link.sendResponse(response, frames, 'application/octet-stream');
   }
 
-  private async handleNewest({ url, response, link }: LogRequest): Promise<void> {
+  private async handleReadNewest({ url, response, link }: LogRequest): Promise<void> {
     const topic = this.getTopic(url.searchParams.get('topic') ?? '');
     const all = topic.listNewest(url.searchParams.get('depends-on') ?? '');
-    const items = all.slice(0, PAGE_ITEMS).map(({ key, value, offset }) => ({
+    const items = all.slice(0, MAX_PAGE_ITEMS).map(({ key, value, offset }) => ({
       'private-key': key,
       value: value.toString('base64'),
       offset,
--- a/tests/helpers/SimulatedIncarnation.ts
+++ b/tests/helpers/SimulatedIncarnation.ts
@@ -91,7 +91,7 @@
         runChecker.recordEarlyAcknowledgement(incarnation, task, run);
       }
       if (number <= acknowledgedUpTo && number > this.lastExpiredEnd && how === 'done') {
-        runChecker.recordAcknowledged(task, run);
+        runChecker.recordAcknowledgedEnd(task, run);
       }
     }
     this.ends = this.ends.filter(({ number }) => number > acknowledgedUpTo);
