--- a/packages/dispatch/Dispatcher.ts
+++ b/packages/dispatch/Dispatcher.ts
@@ -98,7 +98,7 @@
   private readonly adviceRequester: AdviceRequester;
   private readonly adviceStats = new AdviceStats();
   private readonly adviceMetrics: AdviceMetrics;
-  private readonly candidateSelector: CandidateSelector;
+  private readonly adviceCandidateSelector: CandidateSelector;
   private readonly runMover: RunMover;
   private readonly preemptor: Preemptor;
   private readonly endpointQuarantine: EndpointQuarantine;
@@ -149,7 +149,8 @@
       jobs: this.jobs,
       reservations,
       preemptionRules: stopPolicy.preemptionRules,
-      handlePreempted: (endpoint, run, step, estimate) => this.handlePreempted(endpoint, run, step, estimate),
+      handleRunPreempted: (endpoint, run, step, estimate) =>
+        this.handlePreempted(endpoint, run, step, estimate),
     });
     const { preemptor } = this;
     const limiter = new StepLimiter(this.customerUsage, options.getCustomerLimit ?? (() => undefined));
@@ -168,20 +169,20 @@
     this.endpointPreference = endpointPreference;
     const { capacityView, adviceStats } = this;
     const advicePolicy = advicePolicies[policies.turnChoice];
-    const candidateSelector = advicePolicy.createSelector({
+    const adviceCandidateSelector = advicePolicy.createSelector({
       capacityView,
       preemptor,
       stats: adviceStats,
       preference: endpointPreference,
     });
-    this.candidateSelector = candidateSelector;
+    this.adviceCandidateSelector = adviceCandidateSelector;
     this.adviceMetrics = new AdviceMetrics((name, amount) => sendEffect({ kind: 'count', name, amount }));
     this.adviceRequester = new AdviceRequester({
       endpoints: this.endpoints,
       capacityView,
       limiter,
       policy: advicePolicy,
-      selector: candidateSelector,
+      selector: adviceCandidateSelector,
       stats: adviceStats,
       metrics: this.adviceMetrics,
       sendEffect,
@@ -202,7 +203,7 @@
       jobs: this.jobs,
       stopPolicy,
       estimateRunTime: (queue, shape) => runTimes.getEstimate(queue, shape),
-      handleRunMove: (candidate) => this.handleMove(candidate),
+      handleRunMove: (candidate) => this.handleRunMove(candidate),
     });
     this.runLearner = new RunLearner({
       endpoints: this.endpoints,
@@ -430,7 +431,7 @@
     this.runCommands.handleStartResult(incarnation, task, runNumber, result, now);
   }
 
-  /** Records a response to a stop command, or ends the incarnation if the result is that it is gone. Ignores other results. */
+  /** Records a response to a stop command, or ends the incarnation if the result is `gone`. Ignores other results. */
   handleStopResult(
     incarnation: EndpointIncarnation,
     task: TaskName,
@@ -451,7 +452,7 @@
     const [id, repetition, index] = step.split('.');
     const job = this.jobs.get(id as JobId);
     this.adviceStats.recordResponse(job?.definition.queue.name ?? '', requested, tickets?.size);
-    this.candidateSelector.recordResponse(step, requested);
+    this.adviceCandidateSelector.recordResponse(step, requested);
     const validityMs = job?.definition.queue.advice?.validityMs ?? 0;
     const advice = job?.getAdvice(Number(repetition), Number(index));
     const tookMs = advice === undefined ? 0 : now - advice.getLastRequestedAt();
@@ -574,7 +575,7 @@
   }
 
   /** Logs and stops a run that is moved, and records a failure there for its step, so that its next run prefers other endpoints. */
-  private handleMove({ endpoint: endpoint, run, reason, gainMs }: MoveCandidate): void {
+  private handleRunMove({ endpoint, run, reason, gainMs }: MoveCandidate): void {
     const { incarnation } = endpoint.getProfile();
     this.jobs.get(run.job)?.recordFailureOn(run.address.repetition, run.address.step, incarnation);
     this.runTracker.sendLogLine('Run is moved.', {
@@ -617,7 +618,7 @@
       // Without a record the endpoint may still be running the task, until its lease expires.
       const profile = createDeregisteredProfile(task.endpoint, definition.queue.service);
       endpoint = new EndpointState(profile, this.options.earlierLeasesEndAt, this.customerUsage);
-      // Its record may have been deleted before this leader read the records, by a drain or a crash.
+      // The endpoint's record may have been deleted, by a drain or a crash, before this leader read the records.
       endpoint.recordDeregistration();
       this.endpoints.set(task.endpoint, endpoint);
     }
--- a/packages/dispatch/LeaderController.ts
+++ b/packages/dispatch/LeaderController.ts
@@ -130,7 +130,7 @@
       getDefinition: (id) => replica.getDefinition(id),
       getCustomerLimit: options.getCustomerLimit,
     });
-    this.roundThrottle = new RoundThrottle({ clock, runSchedulingRound: () => this.runRound() });
+    this.roundThrottle = new RoundThrottle({ clock, runSchedulingRound: () => this.runSchedulingRound() });
     this.slowRoundLogger = new SlowRoundLogger({
       logger: options.logger,
       countJobs: () => this.dispatcher.countJobs(),
@@ -237,7 +237,7 @@
     this.stop();
   }
 
-  /** Adds a newly accepted job and queues a round. Ignored before the takeover, which adds all known jobs. */
+  /** Adds a newly accepted job and queues a round. Does nothing before the takeover, which adds all known jobs. */
   handleJob(definition: JobDefinition): void {
     if (this.hasTakenOver) {
       const { id, queue, steps } = definition;
@@ -399,9 +399,10 @@
   }
 
   /**
-   * Runs a scheduling round, or only requests advice while starts are held, and carries out the effects. Skipped while inactive.
+   * Runs a scheduling round, or only requests advice while starts are held, and carries out the effects. Does nothing while
+   * this leader is inactive.
    */
-  private runRound(): void {
+  private runSchedulingRound(): void {
     if (!this.isActive()) {
       return;
     }
--- a/packages/dispatch/advice/AdviceMetrics.ts
+++ b/packages/dispatch/advice/AdviceMetrics.ts
@@ -5,9 +5,9 @@
 interface AnsweredRequest {
   /** Time from the request to its response, in milliseconds. */
   readonly responseMs: number;
-  /** Monotonic time at which its tickets expire. */
+  /** Monotonic time at which the tickets of the response expire. */
   readonly expiresAt: number;
-  /** Whether a start has used one of its tickets. */
+  /** Whether a start has used one of these tickets. */
   isUsed: boolean;
 }
 
@@ -37,7 +37,8 @@
   }
 
   /**
-   * Records a response whose tickets expire at a monotonic time. Returns the request, which its tickets refer to for `recordTicketUse`.
+   * Records a response whose tickets expire at a monotonic time. Returns the request, to be passed to
+   * `recordTicketUse` when a start uses one of these tickets.
    */
   recordResponse(responseMs: number, expiresAt: number): AnsweredRequest {
     const request = { responseMs, expiresAt, isUsed: false };
--- a/packages/dispatch/advice/AdvicePolicy.ts
+++ b/packages/dispatch/advice/AdvicePolicy.ts
@@ -22,7 +22,7 @@
    * Returns whether the requests of a queue count as long, by its advice times and by whether it is the most urgent one. Long ones do
    * not use the channels that are reserved for short ones.
    */
-  readonly isLong: (advice: NonNullable<JobQueue['advice']>, isMostUrgent: boolean) => boolean;
+  readonly isLongRequest: (advice: NonNullable<JobQueue['advice']>, isMostUrgent: boolean) => boolean;
   /** Creates the selector of the endpoints that requests ask about. */
   readonly createSelector: (dependencies: SelectorDependencies) => CandidateSelector;
 }
--- a/packages/dispatch/advice/AdviceRequester.ts
+++ b/packages/dispatch/advice/AdviceRequester.ts
@@ -69,14 +69,14 @@
     if (!isEarly) {
       this.options.selector.recordStep(step, missing);
     }
-    if (advice === undefined || stepAdvice.isDeferred(now)) {
+    if (advice === undefined || stepAdvice.isRequestDeferred(now)) {
       return 'room';
     }
     if (!stepAdvice.canRequest(now)) {
       return 'answer';
     }
     const { capacityView, policy, selector } = this.options;
-    const isLong = policy.isLong(advice, capacityView.isMostUrgentQueue(step.job.definition.queue));
+    const isLong = policy.isLongRequest(advice, capacityView.isMostUrgentQueue(step.job.definition.queue));
     if (!this.hasSlot(isLong)) {
       return 'turn';
     }
@@ -118,7 +118,7 @@
     return endpoints.every((endpoint) => advice.hasBeenAllowed(endpoint)) ? 'again' : 'more';
   }
 
-  /** Counts the request that got the step's ticket for an endpoint as used, when a task starts there. No effect without a ticket. */
+  /** Counts the request that got the step's ticket for an endpoint as used, when a task starts there. Does nothing without a ticket. */
   recordTicketUse({ job, repetition, step }: WaitingStep, endpoint: EndpointIncarnation): void {
     const request = job.getAdvice(repetition, step).getTicketRequest(endpoint);
     if (request !== undefined) {
@@ -127,7 +127,7 @@
   }
 
   /** Returns the expected time from a request for the step to the starts that use its response, in milliseconds; 0 without advice. */
-  estimateResponseMs({ job }: WaitingStep): number {
+  estimateRequestToStartMs({ job }: WaitingStep): number {
     const { advice } = job.definition.queue;
     return advice === undefined
       ? 0
--- a/packages/dispatch/advice/CapacityClaims.ts
+++ b/packages/dispatch/advice/CapacityClaims.ts
@@ -2,7 +2,7 @@
 import type { EndpointIncarnation } from '../../jobs/EndpointIncarnation';
 import type { TaskDemand } from '../../jobs/TaskDemand';
 
-interface Claim {
+interface CapacityClaim {
   /** Name of the step that the request is for (see `toStepName`). */
   readonly stepName: string;
   /** Priority of the step's queue; lower values are more urgent. */
@@ -15,9 +15,9 @@
  * occupied. Claims do not restrict starts.
  */
 export class CapacityClaims {
-  private readonly claims = new Map<EndpointIncarnation, Claim[]>();
+  private readonly claims = new Map<EndpointIncarnation, CapacityClaim[]>();
 
-  addClaim(endpoint: EndpointIncarnation, claim: Claim): void {
+  addClaim(endpoint: EndpointIncarnation, claim: CapacityClaim): void {
     this.claims.set(endpoint, [...(this.claims.get(endpoint) ?? []), claim]);
   }
 
--- a/packages/dispatch/advice/EagerCandidateSelector.ts
+++ b/packages/dispatch/advice/EagerCandidateSelector.ts
@@ -11,7 +11,7 @@
 /** Number of task places expected to be allowed for each missing task; above 1 since other steps take some before the response. */
 const PLACES_PER_TASK = 2;
 /** Minimum number of candidates, if there are as many, since the fixed cost of a request exceeds their cost. */
-const MIN_CANDIDATES = 5;
+const MIN_REQUEST_CANDIDATES = 5;
 
 const computeSum = (counts: readonly number[]): number => counts.reduce((sum, count) => sum + count, 0);
 
@@ -25,15 +25,15 @@
   ) {}
 
   startRound(): void {
-    // There is no state of a round.
+    // Does nothing: this selector keeps nothing per round.
   }
 
   recordStep(): void {
-    // Earlier steps are not considered.
+    // Does nothing: this selector does not consider the other steps of a round.
   }
 
   recordResponse(): void {
-    // There is no state of requests.
+    // Does nothing: this selector keeps nothing per request.
   }
 
   chooseEndpoints(
@@ -91,7 +91,7 @@
     const wanted = (missing * PLACES_PER_TASK) / this.stats.getAllowedShare(step.job.definition.queue.name);
     let fitCount = 0;
     let count = 0;
-    while (count < ranked.length && (fitCount < wanted || count < MIN_CANDIDATES)) {
+    while (count < ranked.length && (fitCount < wanted || count < MIN_REQUEST_CANDIDATES)) {
       fitCount += this.capacityView.countFittingTasks(ranked[count]!.getFreeCapacity(), step.shape);
       count += 1;
     }
@@ -140,7 +140,8 @@
   private isAdviceMissing(step: WaitingStep, endpoint: EndpointState, neededUntil: number): boolean {
     const advice = step.job.getAdvice(step.repetition, step.step);
     const { incarnation } = endpoint.getProfile();
-    const isKnown = advice.isRefused(incarnation) || advice.getTicket(incarnation, neededUntil) !== undefined;
+    const isKnown =
+      advice.isEndpointRefused(incarnation) || advice.getTicket(incarnation, neededUntil) !== undefined;
     return !isKnown && !this.capacityView.hasMaxTasksOfStep(step, endpoint);
   }
 
--- a/packages/dispatch/advice/HedgingBalancer.ts
+++ b/packages/dispatch/advice/HedgingBalancer.ts
@@ -13,22 +13,22 @@
 type Tickets = ReadonlyMap<EndpointIncarnation, string> | undefined;
 
 /** A request as sent over one channel. */
-interface Attempt {
+interface RequestAttempt {
   readonly channelState: ChannelState;
   /** Resolves to the tickets of its response; to undefined when there was none. */
   readonly response: Promise<Tickets>;
 }
 
 /** Time by which a response may exceed its expected response time before the attempt fails. */
-const TIMEOUT_MARGIN_MS = 1200;
+const RESPONSE_TIMEOUT_MARGIN_MS = 1200;
 /** Duration of a channel's quarantine after a late or missing response; a late response ends it. */
-const QUARANTINE_MS = 2500;
+const CHANNEL_QUARANTINE_MS = 2500;
 /** Maximum number of attempts for a request. It is above 2 since the second channel may be in the same unreachable hall. */
-const MAX_ATTEMPTS = 3;
+const MAX_REQUEST_ATTEMPTS = 3;
 /** Lower bound on the hedge delay, as a share of the expected response time. */
 const MIN_HEDGE_DELAY_SHARE = 0.5;
 /** Minimum time from a failed attempt to the next probe of the service while all channels are quarantined. */
-const PROBE_INTERVAL_MS = 100;
+const MIN_SERVICE_PROBE_DELAY_MS = 100;
 
 /**
  * Sends short requests over the fastest free channel, and long ones over the fastest that is not reserved for short ones. As many channels
@@ -71,11 +71,11 @@
   }
 
   /**
-   * Resolves to the first response, and starts another attempt each time the latest one is late or all have failed, up to `MAX_ATTEMPTS`
-   * and while a channel is free. Late channels are quarantined. Resolves to undefined once all attempts have failed or the balancer is
-   * stopped.
+   * Resolves to the first response, and starts another attempt each time the latest one is late or all have failed, up to
+   * `MAX_REQUEST_ATTEMPTS` and while a channel is free. Late channels are quarantined. Resolves to undefined once all attempts have failed
+   * or the balancer is stopped.
    */
-  private async waitForResponse(request: AdviceRequest, first: Attempt): Promise<Tickets> {
+  private async waitForResponse(request: AdviceRequest, first: RequestAttempt): Promise<Tickets> {
     const attempts = [first];
     for (let latest = first; ;) {
       const lateMs = request.expectedResponseMs + this.computeHedgeDelayMs(request, latest);
@@ -83,8 +83,8 @@
       if (tickets !== undefined || this.isStopped) {
         return tickets ?? undefined;
       }
-      latest.channelState.recordLateResponse(this.options.clock.getNow() + QUARANTINE_MS);
-      const next = attempts.length < MAX_ATTEMPTS ? this.startAttempt(request) : undefined;
+      latest.channelState.recordLateResponse(this.options.clock.getNow() + CHANNEL_QUARANTINE_MS);
+      const next = attempts.length < MAX_REQUEST_ATTEMPTS ? this.startAttempt(request) : undefined;
       if (next === undefined) {
         return this.waitForFirstResponse(attempts);
       }
@@ -94,7 +94,10 @@
   }
 
   /** Returns how far an attempt may exceed its expected response time before it is hedged, in milliseconds; more for long requests. */
-  private computeHedgeDelayMs({ expectedResponseMs }: AdviceRequest, { channelState }: Attempt): number {
+  private computeHedgeDelayMs(
+    { expectedResponseMs }: AdviceRequest,
+    { channelState }: RequestAttempt,
+  ): number {
     return Math.max(
       channelState.computeHedgeDelayMs(this.overallState.computeHedgeDelayMs()),
       expectedResponseMs * MIN_HEDGE_DELAY_SHARE,
@@ -102,7 +105,7 @@
   }
 
   /** Resolves to the first response; to undefined once all attempts have failed. */
-  private async waitForFirstResponse(attempts: readonly Attempt[]): Promise<Tickets> {
+  private async waitForFirstResponse(attempts: readonly RequestAttempt[]): Promise<Tickets> {
     const responses = attempts.map(
       async (attempt) => (await attempt.response) ?? Promise.reject(new Error('no answer')),
     );
@@ -110,7 +113,7 @@
   }
 
   /** Sends the request over the fastest free channel, if it is long the fastest unreserved one; undefined if no channel is free. */
-  private startAttempt(request: AdviceRequest): Attempt | undefined {
+  private startAttempt(request: AdviceRequest): RequestAttempt | undefined {
     const free = this.listFreeChannels();
     const index = request.isLongRequest ? Math.min(this.countReservedChannels(), free.length - 1) : 0;
     const channel = free[index];
@@ -133,10 +136,14 @@
     const { clock } = this.options;
     const requestedAt = clock.getNow();
     channelState.recordRequest(request.isLongRequest);
-    const tickets = await sendAdviceRequest(channel, request, request.expectedResponseMs + TIMEOUT_MARGIN_MS);
+    const tickets = await sendAdviceRequest(
+      channel,
+      request,
+      request.expectedResponseMs + RESPONSE_TIMEOUT_MARGIN_MS,
+    );
     const now = clock.getNow();
     if (tickets === undefined) {
-      channelState.recordFailure(now + QUARANTINE_MS);
+      channelState.recordFailure(now + CHANNEL_QUARANTINE_MS);
       this.lastFailedAt = now;
     } else {
       // If all channels were quarantined, the service had failed and not the channels.
@@ -164,7 +171,7 @@
       );
     const healthy = free.filter((channel) => !this.getState(channel).isQuarantined(now));
     const isServiceFailing = free.length === channels.length && healthy.length === 0;
-    const isProbeDue = isServiceFailing && now - this.lastFailedAt >= PROBE_INTERVAL_MS;
+    const isProbeDue = isServiceFailing && now - this.lastFailedAt >= MIN_SERVICE_PROBE_DELAY_MS;
     return isProbeDue ? free.slice(0, 1) : healthy;
   }
 
--- a/packages/dispatch/advice/PlannedCandidateSelector.ts
+++ b/packages/dispatch/advice/PlannedCandidateSelector.ts
@@ -22,7 +22,7 @@
 }
 
 /** An endpoint that a request may ask about. */
-interface Candidate {
+interface PlannedCandidate {
   readonly endpoint: EndpointState;
   /** Number of the step's tasks that fit. */
   readonly taskCount: number;
@@ -48,11 +48,11 @@
   /** Number of tasks that fit on the endpoints with such a ticket. */
   ticketedTaskCount: number;
   /** Endpoints without such a ticket, with free capacity that no request at least as urgent claims. */
-  readonly available: Candidate[];
+  readonly available: PlannedCandidate[];
   /** Endpoints without such a ticket and without free capacity, but large enough for a task. */
-  readonly full: Candidate[];
+  readonly full: PlannedCandidate[];
   /** Endpoints with such a ticket, which expires soon, where a task fits. */
-  readonly expiring: Candidate[];
+  readonly expiring: PlannedCandidate[];
 }
 
 /** Time in which half of the free capacity is expected to be taken by other steps. */
@@ -79,7 +79,7 @@
 const MIN_REMAINING_VALIDITY_SHARE = 0.6;
 
 /** Returns how many tasks fit on the candidates together. */
-const countTasks = (candidates: readonly Candidate[]): number =>
+const countTasks = (candidates: readonly PlannedCandidate[]): number =>
   candidates.reduce((sum, { taskCount }) => sum + taskCount, 0);
 
 /**
@@ -130,7 +130,11 @@
   }
 
   /** Returns the candidates of a request for the needed tasks, the most useful first; for a gang also those whose tickets expire soon. */
-  private chooseCandidates(step: WaitingStep, groups: CandidateGroups, needed: number): readonly Candidate[] {
+  private chooseCandidates(
+    step: WaitingStep,
+    groups: CandidateGroups,
+    needed: number,
+  ): readonly PlannedCandidate[] {
     const { isGang } = step.shape;
     const { decisionMs, perEndpointMs } = step.job.definition.queue.advice!;
     const available = this.sortCandidates(groups.available);
@@ -172,7 +176,7 @@
   }
 
   /** Returns the candidates by descending usable chance, then by cost, pending requests, fitting tasks (most first) and free capacity. */
-  private sortCandidates(candidates: readonly Candidate[]): readonly Candidate[] {
+  private sortCandidates(candidates: readonly PlannedCandidate[]): readonly PlannedCandidate[] {
     return [...candidates].sort(
       (left, right) =>
         right.usableChance - left.usableChance ||
@@ -184,7 +188,7 @@
   }
 
   /** Returns how many pending requests of all steps have the candidate's endpoint. */
-  private countPendingRequests({ endpoint }: Candidate): number {
+  private countPendingRequests({ endpoint }: PlannedCandidate): number {
     return this.options.stats.countPendingRequests(endpoint.getProfile().incarnation);
   }
 
@@ -209,7 +213,7 @@
     const groups: CandidateGroups = { ticketedTaskCount: 0, available: [], full: [], expiring: [] };
     for (const endpoint of eligible) {
       const { incarnation, capacity } = endpoint.getProfile();
-      if (advice.isRefused(incarnation) || capacityView.hasMaxTasksOfStep(step, endpoint)) {
+      if (advice.isEndpointRefused(incarnation) || capacityView.hasMaxTasksOfStep(step, endpoint)) {
         continue;
       }
       const taskCount = this.countFittingTasks(step, endpoint, canPreempt, now);
@@ -311,7 +315,7 @@
   }
 
   /** Claims capacity for the needed tasks on the chosen candidates, in proportion to how many tasks fit on each. */
-  private addClaims(step: WaitingStep, chosen: readonly Candidate[], needed: number): void {
+  private addClaims(step: WaitingStep, chosen: readonly PlannedCandidate[], needed: number): void {
     const demand = toReservedDemand(step.shape);
     const share = Math.min(1, needed / Math.max(1, countTasks(chosen)));
     const { priority } = step.job.definition.queue;
--- a/packages/dispatch/advice/StepAdvice.ts
+++ b/packages/dispatch/advice/StepAdvice.ts
@@ -16,7 +16,7 @@
 /** Assumed time from the record of a start in the log until it arrives at the endpoint; a part of `START_LATENCY_MS`. */
 const SEND_LATENCY_MS = 100;
 /** Delay before a request without a response is repeated. */
-const RETRY_DELAY_MS = 120;
+const REQUEST_RETRY_DELAY_MS = 120;
 
 /** Advice received for one step: tickets, which expire, and refusals, which are final; and the state of its requests. */
 export class StepAdvice {
@@ -47,7 +47,7 @@
   }
 
   /** Returns whether the service has refused the endpoint for the step, which is final. */
-  isRefused(endpoint: EndpointIncarnation): boolean {
+  isEndpointRefused(endpoint: EndpointIncarnation): boolean {
     return this.refusedEndpoints.has(endpoint);
   }
 
@@ -72,7 +72,7 @@
   }
 
   /** Returns whether requests are deferred at `now`, after one would not have been useful. */
-  isDeferred(now: number): boolean {
+  isRequestDeferred(now: number): boolean {
     return now < this.deferredUntil;
   }
 
@@ -122,7 +122,7 @@
   ): void {
     this.hasPendingRequest = false;
     if (tickets === undefined) {
-      this.retryAt = now + RETRY_DELAY_MS;
+      this.retryAt = now + REQUEST_RETRY_DELAY_MS;
       return;
     }
     this.lastRespondedAt = now;
--- a/packages/dispatch/advice/advicePolicies.ts
+++ b/packages/dispatch/advice/advicePolicies.ts
@@ -19,14 +19,15 @@
   asked: {
     maxCandidates: BUDGETED_CANDIDATES,
     computeDeferralMs: () => 0,
-    isLong: (advice) => advice.decisionMs + advice.perEndpointMs * BUDGETED_CANDIDATES > MAX_SHORT_REQUEST_MS,
+    isLongRequest: (advice) =>
+      advice.decisionMs + advice.perEndpointMs * BUDGETED_CANDIDATES > MAX_SHORT_REQUEST_MS,
     createSelector: ({ capacityView, preemptor, stats, preference }) =>
       new EagerCandidateSelector(capacityView, preemptor, stats, preference),
   },
   planned: {
     maxCandidates: MAX_CANDIDATES,
     computeDeferralMs: ({ decisionMs }) => Math.max(MIN_DEFERRAL_MS, decisionMs * DEFERRAL_DECISION_SHARE),
-    isLong: (advice, isMostUrgent) =>
+    isLongRequest: (advice, isMostUrgent) =>
       !isMostUrgent || advice.decisionMs + advice.perEndpointMs * BUDGETED_CANDIDATES > MAX_SHORT_REQUEST_MS,
     createSelector: (dependencies) => new PlannedCandidateSelector(dependencies),
   },
--- a/packages/dispatch/advice/chooseRequestSize.ts
+++ b/packages/dispatch/advice/chooseRequestSize.ts
@@ -1,5 +1,5 @@
 /** An endpoint that the request may include. */
-interface Candidate {
+interface RequestCandidate {
   /** Number of the step's tasks that fit on the endpoint. */
   readonly taskCount: number;
   /** Probability that the endpoint is allowed and that the tasks fit there when the response arrives. */
@@ -30,7 +30,7 @@
  * less likely, than it adds.
  */
 export const chooseRequestSize = (
-  candidates: readonly Candidate[],
+  candidates: readonly RequestCandidate[],
   needed: number,
   costs: RequestCosts,
 ): number => {
--- a/packages/dispatch/placing/CapacityView.ts
+++ b/packages/dispatch/placing/CapacityView.ts
@@ -83,7 +83,7 @@
     const ampleCount = indexes.length * AMPLE_CAPACITY_FACTOR;
     let count = 0;
     for (const endpoint of eligible) {
-      count += advice.isRefused(endpoint.getProfile().incarnation)
+      count += advice.isEndpointRefused(endpoint.getProfile().incarnation)
         ? 0
         : this.countFittingTasks(endpoint.getFreeCapacity(), shape);
       if (count >= ampleCount) {
--- a/packages/dispatch/placing/Preemptor.ts
+++ b/packages/dispatch/placing/Preemptor.ts
@@ -17,7 +17,7 @@
   readonly reservations: EndpointReservations;
   readonly preemptionRules: PreemptionRules;
   /** Called for each run that is to be stopped for the step. */
-  readonly handlePreempted: (
+  readonly handleRunPreempted: (
     endpoint: EndpointState,
     run: PlacedRun,
     step: WaitingStep,
@@ -79,7 +79,7 @@
    * schedules the next attempt.
    */
   startPreemption(step: WaitingStep, allowed: readonly EndpointState[], now: number): void {
-    const { reservations, handlePreempted } = this.options;
+    const { reservations, handleRunPreempted: handlePreempted } = this.options;
     if (
       reservations.hasReservationFor(step) ||
       now < step.job.getPreemptionRetryAt(step.repetition, step.step)
--- a/packages/dispatch/placing/StepPlacer.ts
+++ b/packages/dispatch/placing/StepPlacer.ts
@@ -119,7 +119,7 @@
       return;
     }
     const { adviceRequester } = this.options;
-    const neededUntil = now + adviceRequester.estimateResponseMs(step);
+    const neededUntil = now + adviceRequester.estimateRequestToStartMs(step);
     const placements = this.choosePlacements(step, eligible, neededUntil);
     this.tentativePlacements.push(...placements);
     if (placements.length < step.indexes.length) {
--- a/packages/dispatch/runs/GangMonitor.ts
+++ b/packages/dispatch/runs/GangMonitor.ts
@@ -15,7 +15,8 @@
   ) {}
 
   /**
-   * Calls the handler for each placed member of every gang that is incomplete, so that it can be stopped and restart as a whole.
+   * Calls the handler for each placed member of every gang of which another member waits, so that the gang can be stopped and restart
+   * as a whole.
    */
   checkAllGangs(): void {
     for (const job of this.jobs.values()) {
--- a/packages/dispatch/runs/PlacedRun.ts
+++ b/packages/dispatch/runs/PlacedRun.ts
@@ -26,7 +26,7 @@
   readonly address: TaskAddress;
   /** Number of the run among the runs of its task. */
   readonly run: number;
-  /** Capacity that it takes on its endpoint; fillers take no processor time. */
+  /** Capacity that the run takes on its endpoint; fillers take no processor time. */
   readonly demand: TaskDemand;
   /** Owner of the job; undefined for jobs without a customer. */
   readonly customer: CustomerName | undefined;
@@ -36,24 +36,25 @@
   /** True for a run of a long-running task that is not a filler. */
   readonly isServing: boolean;
   readonly priority: number;
-  /** True if its task was suspected of having crashed an endpoint when the run was placed. */
+  /** True if the task was suspected of having crashed an endpoint when the run was placed, or recovered by this leader. */
   readonly isCrashSuspect: boolean;
-  /** True if this leader placed it without a checkpoint to resume from; false for recovered and orphan runs. */
+  /** True if this leader placed the run without a checkpoint to resume from; false for recovered and orphan runs. */
   readonly isFromStart: boolean;
   stage: RunStage;
-  /** True once a poll of its current incarnation has listed it as running, so that it has certainly started there. */
+  /** True once a poll of the endpoint's current incarnation has listed the run as running, so that it has certainly started there. */
   hasBeenListed: boolean;
   /**
-   * Incarnation that the start was sent to, if the run was transferred to the next one; undefined once a poll has listed it there.
+   * Incarnation that the start was sent to, if the run was transferred to the next one; undefined if it was not, and once a poll of the
+   * next one has listed it.
    */
   transferredFrom: EndpointIncarnation | undefined;
-  /** How long its task waited before the placement, by cause; undefined for recovered and orphan runs. */
+  /** How long the run's task waited before the placement, by cause; undefined for recovered and orphan runs. */
   waitTimes: WaitTimes | undefined;
   /** Monotonic time of the placement, or at which a recovered or orphan run was added. */
   placedAt: number;
-  /** Monotonic time at which the record of its placement became durable; `placedAt` until then. */
+  /** Monotonic time at which the record of the placement became durable; `placedAt` until then. */
   recordedAt: number;
-  /** Monotonic time at which a response or the first poll that listed it confirmed the start; `recordedAt` until then. */
+  /** Monotonic time at which a response or the first poll that listed the run confirmed the start; `recordedAt` until then. */
   startConfirmedAt: number;
   /** Monotonic time at which the start command timed out; undefined if it did not, and once a poll has listed the run. */
   startTimedOutAt: number | undefined;
@@ -62,15 +63,15 @@
    * retry. Undefined before that check.
    */
   stopRetryTimedFrom: number | undefined;
-  /** Reason for the stop; undefined while it is not being stopped. */
+  /** Reason for the stop; undefined while the run is not being stopped. */
   stopCause: StopCause | undefined;
   /** True once the stop command has been sent again. */
   isStopRepeated: boolean;
   /** Monotonic time of the first response to a stop command; undefined until then. */
   stopRespondedAt: number | undefined;
-  /** Highest progress that a poll has listed. */
+  /** Highest progress of the run that a poll has listed, in percent. */
   percent: number;
-  /** Monotonic time of the newest poll that listed it; `placedAt` before the first. */
+  /** Monotonic time of the newest poll that listed the run; `placedAt` before the first. */
   lastListedAt: number;
   /** Monotonic time at which `percent` last increased; `placedAt` before. */
   lastProgressAt: number;
--- a/packages/dispatch/runs/RunCommands.ts
+++ b/packages/dispatch/runs/RunCommands.ts
@@ -29,7 +29,7 @@
   constructor(private readonly options: RunCommandsOptions) {}
 
   /**
-   * Called once a start's record is durable. Returns true, and marks the run as ordered, when the start command is to be sent. The
+   * Called once a start's record is durable. Returns true, and marks the run as ordered, if the start command is to be sent. The
    * job, the endpoint and the ticket are checked again, since they may have changed while the record was written: if one does not
    * permit the start any more, ends the run as not sent and returns false. Returns false too for a run that has ended already.
    */
@@ -93,13 +93,13 @@
     now: number,
   ): void {
     const found = this.findRun(incarnation, task, runNumber);
-    // Outdated if a status or a stop was applied before it.
+    // The result is outdated if a status or a stop was applied before it.
     if (found !== undefined && found.run.stage === 'ordered') {
       this.applyStartResult(found.endpoint, found.run, result, now);
     }
   }
 
-  /** Records the time of the first response to a stop command, done or rejected; ends the incarnation if the result is that it is gone. */
+  /** Records the time of the first response to a stop command, done or rejected; ends the incarnation if the result is `gone`. */
   handleStopResult(
     incarnation: EndpointIncarnation,
     task: TaskName,
@@ -149,7 +149,7 @@
         endpoint.recordRunOutcome(true, now);
         // No more starts until a poll succeeds: on a partitioned endpoint each one would wait for its lease to expire.
         endpoint.recordUnreachable(now);
-        // The run may have started with only the response late. A poll shows that, while a stop would lose its work.
+        // The run may have started with only the response late. A poll shows that, while a stop would lose the run's work.
         run.startTimedOutAt = now;
         runTracker.sendPoll(endpoint);
         return;
--- a/packages/dispatch/runs/RunMover.ts
+++ b/packages/dispatch/runs/RunMover.ts
@@ -22,12 +22,12 @@
 }
 
 /** A task that was moved this often, for any reason, is not moved as a straggler again. */
-const MAX_TASK_MOVES = 2;
+const MAX_MOVES_FOR_STRAGGLER_MOVE = 2;
 /** Time from the stop of a run until the task's next run makes progress, without the time for an advice request. */
 const MOVE_OVERHEAD_MS = 300;
 /** Time from the confirmed start of a run to the newest poll that listed it, below which the run is not moved as a straggler. */
 const MIN_OBSERVED_RUN_MS = 250;
-/** Factor by which a caller's estimate of the run time is multiplied for the baseline, since it may be too low. */
+/** Factor by which a caller's estimate of the run time is multiplied for the baseline, since the estimate may be too low. */
 const MAX_ESTIMATE_ERROR_RATIO = 3;
 /** Pace above which a run counts as slow, as a multiple of the baseline pace. */
 const SLOW_PACE_RATIO = 2.5;
@@ -78,8 +78,9 @@
   }
 
   /**
-   * Returns the run as a candidate for a move, with the reason and the expected gain; undefined if it is not to be moved. On a
-   * draining endpoint, only a run that would be cut off is moved; on any other, only a straggler.
+   * Returns the run as a candidate for a move, with the reason and the expected gain; undefined if it is not to be moved, if its
+   * step is unknown, or if the endpoint is unreachable. On a draining endpoint with a minimum drain time, only a run that would be cut
+   * off is moved; on any other, only a straggler.
    */
   private toMoveCandidate(endpoint: EndpointState, run: PlacedRun, now: number): MoveCandidate | undefined {
     const shape = this.getStep(run);
@@ -92,8 +93,8 @@
         ? { endpoint, run, priority, reason: 'endpointLeaves', gainMs: 0 }
         : undefined;
     }
-    const isMoveLimitReached = (this.moveCountsByTask.get(run.task) ?? 0) >= MAX_TASK_MOVES;
-    // Up to the newest poll, to which `percent` belongs.
+    const isMoveLimitReached = (this.moveCountsByTask.get(run.task) ?? 0) >= MAX_MOVES_FOR_STRAGGLER_MOVE;
+    // Only the time up to the newest poll counts, since that poll reported `percent`.
     const observedMs = run.lastListedAt - run.startConfirmedAt;
     // A task with crash records is not moved: its run shows whether it crashes an endpoint again.
     const hasCrashed = (this.getJob(run)?.progress.getTask(run.address)?.crashes.length ?? 0) > 0;
@@ -110,7 +111,7 @@
     if (baseline.baselinePace === 0) {
       return undefined;
     }
-    // No object spread, which is slow; this runs for each run on each tick.
+    // An object spread would be slow here, since this code runs for each run on each tick.
     const input: SlowRunInput = {
       baselinePace: baseline.baselinePace,
       slowPace: baseline.slowPace,
--- a/packages/dispatch/runs/RunTracker.ts
+++ b/packages/dispatch/runs/RunTracker.ts
@@ -42,7 +42,7 @@
     private readonly endpoints: Map<EndpointIncarnation, EndpointState>,
     private readonly jobs: ReadonlyMap<JobId, LiveJob>,
     private readonly callbacks: RunTrackerCallbacks,
-    /** True if a checkpoint that an ended member leaves is recorded for its whole gang. */
+    /** True if a checkpoint that an ended gang member leaves is recorded for the whole gang. */
     private readonly isSharingGangCheckpoints = false,
   ) {}
 
@@ -113,9 +113,9 @@
   }
 
   /**
-   * Transfers a run from an ended incarnation to the next one, which may have received its start command, and records that in the
-   * job's progress. If it was being stopped, sends the stop command there too; else it becomes unconfirmed, until a poll shows
-   * whether it runs.
+   * Transfers a run from an ended incarnation to the next one, which may have received the run's start command, and records that in
+   * the job's progress. If the run was being stopped, sends the stop command to the next incarnation too; else the run becomes
+   * unconfirmed, until a poll shows whether it runs.
    */
   recordRunTransfer(from: EndpointState, to: EndpointState, run: PlacedRun): void {
     from.removeRun(run);
@@ -186,7 +186,7 @@
     }
   }
 
-  /** Sends a stop command and marks the run as stopping. Does nothing if it is stopping or its start was not sent yet. */
+  /** Sends a stop command and marks the run as stopping. Does nothing if the run is stopping or its start was not sent yet. */
   sendStop(endpoint: EndpointState, run: PlacedRun, cause: StopCause): void {
     // A run whose record is still being written is ended by `handleStartRecorded` if its job has ended.
     if (run.stage === 'stopping' || run.stage === 'recording') {
@@ -249,7 +249,7 @@
     });
   }
 
-  /** Removes the state of an endpoint that has no address, since no record of it is known, if it has no runs. */
+  /** Removes the state of an endpoint that has no runs and, since no record of the endpoint is known, no address. */
   removeUnusedEndpoint(endpoint: EndpointState): void {
     if (endpoint.getProfile().address === '' && endpoint.countRuns() === 0) {
       this.endpoints.delete(endpoint.getProfile().incarnation);
--- a/packages/dispatch/runs/createOrphanRun.ts
+++ b/packages/dispatch/runs/createOrphanRun.ts
@@ -4,7 +4,7 @@
 import type { PlacedRun } from './PlacedRun';
 import type { RunningTaskStatus } from '../endpoints/RunningTaskStatus';
 
-/** Creates the state of a run that an endpoint lists and whose job is unknown. It has no job, and its demand counts as zero. */
+/** Creates the state of a run that an endpoint lists and whose job is unknown. The run has no job, and its demand counts as zero. */
 export const createOrphanRun = (status: RunningTaskStatus, now: number): PlacedRun => ({
   task: status.task,
   job: toId<JobId>(''),
--- a/packages/dispatch/runs/createPlacedRun.ts
+++ b/packages/dispatch/runs/createPlacedRun.ts
@@ -4,7 +4,8 @@
 import { toTaskName } from '../../jobs/toTaskName';
 import type { PlacedRun } from './PlacedRun';
 
-interface RunHistory {
+/** Flags of a new run; false by default. */
+interface PlacedRunFlags {
   /** True if there is no checkpoint to resume from. */
   readonly isFromStart?: boolean;
   /** True if the task is suspected of having crashed an endpoint. */
@@ -17,7 +18,7 @@
   address: TaskAddress,
   runNumber: number,
   now: number,
-  { isFromStart = false, isCrashSuspect = false }: RunHistory = {},
+  { isFromStart = false, isCrashSuspect = false }: PlacedRunFlags = {},
 ): PlacedRun => {
   const shape = definition.steps[address.step]!;
   return {
--- a/packages/dispatch/runs/estimateRemainingMs.ts
+++ b/packages/dispatch/runs/estimateRemainingMs.ts
@@ -4,7 +4,8 @@
 const MIN_PERCENT_FOR_SPEED = 5;
 
 /**
- * Estimates the time until a run ends, in milliseconds, from its speed so far; early in the run, from `estimatedMs` for all of it.
+ * Estimates the time until a run ends, in milliseconds, from its speed so far; below `MIN_PERCENT_FOR_SPEED`, from
+ * `estimatedMs` for the whole run.
  */
 export const estimateRemainingMs = (run: PlacedRun, estimatedMs: number, now: number): number => {
   const ageMs = now - run.placedAt;
--- a/packages/dispatch/speeds/EndpointSpeeds.ts
+++ b/packages/dispatch/speeds/EndpointSpeeds.ts
@@ -9,7 +9,7 @@
 
 type SpeedSample = Parameters<SpeedEstimator['addSample']>[0];
 
-/** What is known of the speed of one incarnation. */
+/** Speed of one incarnation, by its own samples and its groups. */
 interface EndpointSpeed {
   /** Estimator by the endpoint's own samples. */
   readonly ownEstimator: SpeedEstimator;
@@ -42,7 +42,7 @@
 /** Natural logarithm of the factor to whose powers significant ratios are rounded, so that similar endpoints compare equal. */
 const LOG_RATIO_STEP = Math.log(1.1);
 
-/** What the estimate of an endpoint's speed depends on; without an own estimator it is that of its groups. */
+/** Inputs of the estimate of an endpoint's speed; without an own estimator the estimate is that of the groups. */
 type SpeedQuery = Pick<EndpointSpeed, 'service' | 'groups'> & { readonly ownEstimator?: SpeedEstimator };
 
 /** Returns the names of the groups of an endpoint: its labels and its hall. */
@@ -58,7 +58,7 @@
   /** Group priors and baseline of each service. */
   private readonly groupsByService = new Map<ServiceName, SpeedGroups>();
 
-  /** Adds a sample of how long a run took on an endpoint, and updates the endpoint's significant ratio. */
+  /** Adds the ratio of a run's time to its baseline time as a sample of an endpoint, and updates the endpoint's significant ratio. */
   recordRun(profile: EndpointProfile, sample: SpeedSample, now: number): void {
     const speed = this.getOrCreateSpeed(profile);
     speed.ownEstimator.addSample(sample, this.getServiceGroups(speed.service).choosePrior(speed.groups), now);
@@ -66,8 +66,8 @@
   }
 
   /**
-   * Adds a sample of how long a gang took. A gang runs at the speed of its slowest member, so the sample counts for the members estimated
-   * to be the slowest, and for those estimated to be slower than the gang was; not for faster ones.
+   * Adds the ratio of a gang's run time to its baseline time as a sample. A gang runs at the speed of its slowest member, so the sample
+   * counts for the members estimated to be the slowest, and for those estimated to be slower than the gang was; not for faster ones.
    */
   recordGang(members: readonly EndpointProfile[], sample: SpeedSample, now: number): void {
     const logRatios = members.map((member) => Math.log(this.getEstimate(member).ratio));
--- a/packages/dispatch/speeds/RunLearner.ts
+++ b/packages/dispatch/speeds/RunLearner.ts
@@ -24,7 +24,7 @@
 }
 
 /** A run whose time is informative, with its job, the definition of its step, and its endpoint. */
-interface Measurement {
+interface MeasurableRun {
   readonly endpoint: EndpointState;
   readonly run: PlacedRun;
   readonly job: LiveJob;
@@ -32,30 +32,30 @@
 }
 
 /** Minimum time since the confirmation of a running task for its pace to be recorded. */
-const MIN_RUN_AGE_MS = 250;
+const MIN_PACE_RUN_AGE_MS = 250;
 /** Minimum progress of a run for its time to be extrapolated, from which the rounding to whole percents matters little. */
-const MIN_PROGRESS_PERCENT = 4;
+const MIN_EXTRAPOLATION_PERCENT = 4;
 /** Maximum number of tasks of a step whose times are added to the run times of its kind. */
-const MAX_STEP_SAMPLES = 2;
+const MAX_SAMPLED_TASKS_PER_STEP = 2;
 /**
  * Minimum number of other endpoints with run times of a step for the deviations of its tasks to be recorded, and also for their speed
  * samples while the distribution of its run times is not learnt.
  */
-const MIN_SIBLINGS = 2;
+const MIN_SIBLING_ENDPOINTS = 2;
 /** Minimum progress for the time of a gang's run to be extrapolated; higher since members are confirmed one by one but start together. */
-const MIN_GANG_PROGRESS_PERCENT = 20;
+const MIN_GANG_EXTRAPOLATION_PERCENT = 20;
 const FULL_PERCENT = 100;
 /** Upper bound on the ratio that counts as an endpoint's normal speed, so that much slower endpoints count as degraded. */
-const MAX_OWN_RATIO = 3;
+const MAX_OWN_SPEED_RATIO = 3;
 /** Minimum interval between refreshes of the speeds. */
-const REFRESH_INTERVAL_MS = 500;
+const MIN_SPEED_REFRESH_INTERVAL_MS = 500;
 /** Maximum number of log lines about changed speeds in one refresh; the rest follow in the next. */
-const MAX_LOG_LINES = 5;
+const MAX_SPEED_LOG_LINES = 5;
 
 /** Learns the run times of tasks and the speeds of endpoints from the progress and completion of runs. */
 export class RunLearner {
-  /** Runs whose time has been recorded, or found not to be at the baseline pace. */
-  private readonly measuredRuns = new WeakSet<PlacedRun>();
+  /** Runs whose time has been recorded, or found not positive or not at the baseline pace. */
+  private readonly processedRuns = new WeakSet<PlacedRun>();
   /** Monotonic time of the latest refresh of the speeds. */
   private lastRefreshedAt = -Infinity;
 
@@ -67,18 +67,18 @@
    */
   recordProgress(endpoint: EndpointState, run: PlacedRun, now: number): void {
     const ageMs = now - run.startConfirmedAt;
-    const measurement = ageMs >= MIN_RUN_AGE_MS ? this.createMeasurement(endpoint, run) : undefined;
-    if (measurement === undefined) {
+    const measurableRun = ageMs >= MIN_PACE_RUN_AGE_MS ? this.toMeasurableRun(endpoint, run) : undefined;
+    if (measurableRun === undefined) {
       return;
     }
-    this.recordPace(measurement, ageMs / Math.max(1, run.percent), now);
+    this.recordPace(measurableRun, ageMs / Math.max(1, run.percent), now);
     if (
       run.stage === 'running' &&
-      !this.measuredRuns.has(run) &&
-      this.isTimePredictable(measurement, ageMs)
+      !this.processedRuns.has(run) &&
+      this.isRunTimePredictable(measurableRun, ageMs)
     ) {
       // Polls report whole percents, rounded down.
-      this.recordRunTime(measurement, (ageMs * FULL_PERCENT) / (run.percent + 0.5), now);
+      this.recordRunTime(measurableRun, (ageMs * FULL_PERCENT) / (run.percent + 0.5), now);
     }
   }
 
@@ -87,28 +87,28 @@
    * Ignores runs whose time is not informative.
    */
   recordCompletion(endpoint: EndpointState, run: PlacedRun, now: number): void {
-    const measurement = this.createMeasurement(endpoint, run);
-    if (measurement === undefined) {
+    const measurableRun = this.toMeasurableRun(endpoint, run);
+    if (measurableRun === undefined) {
       return;
     }
     const runMs = now - run.startConfirmedAt;
-    this.recordPace(measurement, runMs / FULL_PERCENT, now);
-    this.recordKindPace(measurement, runMs / FULL_PERCENT);
-    if (!this.measuredRuns.has(run)) {
-      this.recordRunTime(measurement, runMs, now);
+    this.recordPace(measurableRun, runMs / FULL_PERCENT, now);
+    this.recordKindPace(measurableRun, runMs / FULL_PERCENT);
+    if (!this.processedRuns.has(run)) {
+      this.recordRunTime(measurableRun, runMs, now);
     }
   }
 
   /** Refreshes the speeds of endpoints and logs changes of their speed classes, if the latest refresh is long enough ago. */
   handleTick(now: number): void {
-    if (now - this.lastRefreshedAt < REFRESH_INTERVAL_MS) {
+    if (now - this.lastRefreshedAt < MIN_SPEED_REFRESH_INTERVAL_MS) {
       return;
     }
     this.lastRefreshedAt = now;
     const { speeds, endpoints } = this.options;
     speeds.handleTick(now, (incarnation) => endpoints.has(incarnation));
     for (const { endpoint, speedClass, estimate, sampleCount, lastSampleAt } of speeds.takeChanges(
-      MAX_LOG_LINES,
+      MAX_SPEED_LOG_LINES,
     )) {
       const profile = endpoints.get(endpoint)?.getProfile();
       this.options.sendLogLine("Endpoint's speed has changed.", {
@@ -129,7 +129,7 @@
    * median pace, if there is one.
    */
   private recordPace(
-    { endpoint, run, job, stepDefinition }: Measurement,
+    { endpoint, run, job, stepDefinition }: MeasurableRun,
     msPerPercent: number,
     now: number,
   ): void {
@@ -146,14 +146,16 @@
     }
   }
 
-  /** Returns the significant ratio of the endpoint, at most `MAX_OWN_RATIO`; 1 under speed policies other than `endpoints`. */
+  /** Returns the significant ratio of the endpoint, at most `MAX_OWN_SPEED_RATIO`; 1 under speed policies other than `endpoints`. */
   private getOwnRatio(profile: EndpointProfile): number {
     const { speeds, speedPolicy } = this.options;
-    return speedPolicy === 'endpoints' ? Math.min(MAX_OWN_RATIO, speeds.getSignificantRatio(profile)) : 1;
+    return speedPolicy === 'endpoints'
+      ? Math.min(MAX_OWN_SPEED_RATIO, speeds.getSignificantRatio(profile))
+      : 1;
   }
 
   /** Records the pace of a run that is done, relative to its step's median pace, for the kind of its endpoint; nothing without a median. */
-  private recordKindPace({ endpoint, run, job }: Measurement, msPerPercent: number): void {
+  private recordKindPace({ endpoint, run, job }: MeasurableRun, msPerPercent: number): void {
     const median = job.getSpeeds(run.address.repetition, run.address.step).getMedianPace();
     if (median !== undefined && median > 0) {
       this.options.kindSpeeds.recordRunSlowdown(endpoint.getProfile().labels, msPerPercent / median);
@@ -161,31 +163,31 @@
   }
 
   /** Returns whether the run's time can be extrapolated: it has made enough progress or, unless it is a gang's, exceeds the median time. */
-  private isTimePredictable({ run, job, stepDefinition }: Measurement, ageMs: number): boolean {
+  private isRunTimePredictable({ run, job, stepDefinition }: MeasurableRun, ageMs: number): boolean {
     if (stepDefinition.isGang) {
-      return run.percent >= MIN_GANG_PROGRESS_PERCENT;
+      return run.percent >= MIN_GANG_EXTRAPOLATION_PERCENT;
     }
     return (
-      run.percent >= MIN_PROGRESS_PERCENT ||
+      run.percent >= MIN_EXTRAPOLATION_PERCENT ||
       ageMs >= this.options.runTimes.getEstimate(job.definition.queue.name, stepDefinition).medianMs
     );
   }
 
   /**
-   * Records the time of a run as a sample for its step, kind and endpoint; once for all members of a gang. Only marks the run as measured
+   * Records the time of a run as a sample for its step, kind and endpoint; once for all members of a gang. Only marks the run as processed
    * if its pace may not be the baseline one.
    */
-  private recordRunTime(measurement: Measurement, runMs: number, now: number): void {
-    const { run, job, stepDefinition } = measurement;
+  private recordRunTime(measurableRun: MeasurableRun, runMs: number, now: number): void {
+    const { run, job, stepDefinition } = measurableRun;
     const stepTimes = job.getRunTimes(run.address.repetition, run.address.step);
-    this.measuredRuns.add(run);
-    if (runMs <= 0 || !this.isAtBaselinePace(measurement)) {
+    this.processedRuns.add(run);
+    if (runMs <= 0 || !this.isAtBaselinePace(measurableRun)) {
       return;
     }
     if (!stepDefinition.isGang) {
-      this.recordTaskTime(measurement, stepTimes, Math.log(runMs), now);
+      this.recordTaskTime(measurableRun, stepTimes, Math.log(runMs), now);
     } else if (stepTimes.claimGangRun(run.run)) {
-      this.recordGangTime(measurement, Math.log(runMs), now);
+      this.recordGangTime(measurableRun, Math.log(runMs), now);
     }
   }
 
@@ -194,7 +196,7 @@
    * well enough, to the run times of its kind for the first tasks of a step, and to the deviations if enough other endpoints have times.
    */
   private recordTaskTime(
-    { endpoint, run, job, stepDefinition }: Measurement,
+    { endpoint, run, job, stepDefinition }: MeasurableRun,
     stepTimes: StepRunTimes,
     logMs: number,
     now: number,
@@ -208,7 +210,7 @@
     );
     const stepTime = estimateStepTime(distribution, siblings);
     stepTimes.recordTime(run.address.index, profile.incarnation, logMs);
-    if (distribution.isLearnt || siblings.length >= MIN_SIBLINGS) {
+    if (distribution.isLearnt || siblings.length >= MIN_SIBLING_ENDPOINTS) {
       // The tasks of a step on one endpoint share the error of the step's estimate, so together they weigh little more than one.
       const sharedVariance = stepTime.variance * stepTimes.countTasksOn(profile.incarnation) ** 2;
       const variance = distribution.taskSpread ** 2 + sharedVariance;
@@ -219,10 +221,10 @@
       );
     }
     const logBaselineMs = logMs - Math.log(speeds.getEstimate(profile).ratio);
-    if (stepTimes.countTasks() <= MAX_STEP_SAMPLES) {
+    if (stepTimes.countTasks() <= MAX_SAMPLED_TASKS_PER_STEP) {
       runTimes.recordRun(queue, stepDefinition, logBaselineMs);
     }
-    if (siblings.length >= MIN_SIBLINGS) {
+    if (siblings.length >= MIN_SIBLING_ENDPOINTS) {
       runTimes.recordDeviation(queue, stepDefinition, logBaselineMs - stepTime.logMs);
     }
   }
@@ -231,7 +233,7 @@
    * Records the time of a gang for the run times of its kind and, if their distribution is learnt, for the speeds of its members. Does
    * nothing if the endpoint of a member is unknown.
    */
-  private recordGangTime({ run, job, stepDefinition }: Measurement, logMs: number, now: number): void {
+  private recordGangTime({ run, job, stepDefinition }: MeasurableRun, logMs: number, now: number): void {
     const { speeds, runTimes, endpoints } = this.options;
     const queue = job.definition.queue.name;
     const distribution = runTimes.getDistribution(queue, stepDefinition);
@@ -259,7 +261,7 @@
   }
 
   /** Returns whether the run is not slowed down by distance: it is in the rack of its data, if any, and its step needs no common rack. */
-  private isAtBaselinePace({ endpoint, stepDefinition }: Measurement): boolean {
+  private isAtBaselinePace({ endpoint, stepDefinition }: MeasurableRun): boolean {
     const isNearData =
       stepDefinition.dataRack === '' || endpoint.getProfile().labels.includes(stepDefinition.dataRack);
     return isNearData && !stepDefinition.isSameRack;
@@ -269,7 +271,7 @@
    * Returns the run with its job and the definition of its step; undefined if its time is not informative, as for fillers, servers,
    * long-running steps and runs that continue from a checkpoint, or if its job is unknown.
    */
-  private createMeasurement(endpoint: EndpointState, run: PlacedRun): Measurement | undefined {
+  private toMeasurableRun(endpoint: EndpointState, run: PlacedRun): MeasurableRun | undefined {
     if (run.isFiller || run.isServing || !run.isFromStart) {
       return undefined;
     }
--- a/packages/dispatch/speeds/RunTimeDistribution.ts
+++ b/packages/dispatch/speeds/RunTimeDistribution.ts
@@ -1,4 +1,4 @@
-/** Log-normal distribution of the run time of one task on a baseline endpoint. */
+/** Log-normal distribution of the run time of one task, or of a whole gang, on a baseline endpoint. */
 export interface RunTimeDistribution {
   /** Natural logarithm of the median run time in milliseconds. */
   readonly logMs: number;
--- a/packages/dispatch/speeds/RunTimes.ts
+++ b/packages/dispatch/speeds/RunTimes.ts
@@ -3,8 +3,8 @@
 import { SampleWindow } from './SampleWindow';
 import type { RunTimeDistribution } from './RunTimeDistribution';
 
-/** Latest run times of the tasks of one kind of step. Values are natural logarithms of ratios. */
-interface KindTimes {
+/** Latest run time ratios of the tasks of one kind of step, as natural logarithms. */
+interface KindRunTimeRatios {
   /** Ratios of run times on a baseline endpoint to the caller's estimate. */
   readonly logRatios: SampleWindow;
   /** Ratios of a task's run time on a baseline endpoint to the estimated one of its step. */
@@ -14,7 +14,7 @@
 /** Minimum number of samples in a window for its kind to be used. */
 const MIN_WINDOW_SAMPLES = 16;
 /** Maximum number of kinds of steps; the least recently updated one is evicted. */
-const MAX_KINDS = 200;
+const MAX_STEP_KINDS = 200;
 /** Standard deviation of the logarithm of run times around callers' estimates, before enough samples are known. */
 const DEFAULT_SPREAD = 0.6;
 /** Standard deviation of the logarithm of run times within a step, before enough samples are known. */
@@ -37,8 +37,8 @@
  * has an estimate, and whether it is a gang, which runs as long as its longest member.
  */
 export class RunTimes {
-  /** Run times by key of the kind, the least recently updated first. */
-  private readonly kinds = new Map<string, KindTimes>();
+  /** Run time ratios by key of the kind, the least recently updated first. */
+  private readonly kinds = new Map<string, KindRunTimeRatios>();
 
   /** Records the run time of a task or a whole gang on a baseline endpoint, as the natural logarithm of milliseconds. */
   recordRun(queue: string, step: JobStep, logMs: number): void {
@@ -95,7 +95,7 @@
   private findWindow(
     queue: string,
     step: JobStep,
-    getWindow: (kind: KindTimes) => SampleWindow,
+    getWindow: (kind: KindRunTimeRatios) => SampleWindow,
   ): SampleWindow | undefined {
     for (const key of this.listKindKeys(queue, step)) {
       const kind = this.kinds.get(key);
@@ -107,12 +107,12 @@
     return undefined;
   }
 
-  /** Returns the run times of a kind, created if needed, and marks it as the latest updated. May evict another one, see `MAX_KINDS`. */
-  private getOrCreateKind(key: string): KindTimes {
+  /** Returns the ratios of a kind, created if needed, and marks the kind as the latest updated; may evict another, see `MAX_STEP_KINDS`. */
+  private getOrCreateKind(key: string): KindRunTimeRatios {
     const kind = this.kinds.get(key) ?? { logRatios: new SampleWindow(), logDeviations: new SampleWindow() };
     this.kinds.delete(key);
     const [oldest] = this.kinds.keys();
-    if (oldest !== undefined && this.kinds.size >= MAX_KINDS) {
+    if (oldest !== undefined && this.kinds.size >= MAX_STEP_KINDS) {
       this.kinds.delete(oldest);
     }
     this.kinds.set(key, kind);
--- a/packages/dispatch/speeds/SampleWindow.ts
+++ b/packages/dispatch/speeds/SampleWindow.ts
@@ -3,7 +3,7 @@
 import { sortAscending } from '../../common/sortAscending';
 
 /** Maximum number of values; the oldest is replaced beyond it. */
-const MAX_VALUES = 96;
+const MAX_WINDOW_VALUES = 96;
 
 /** The latest values of a quantity, and their quantiles. */
 export class SampleWindow {
@@ -16,12 +16,12 @@
   /** Adds a value, in place of the oldest one if the window is full. */
   addValue(value: number): void {
     this.sorted = undefined;
-    if (this.values.length < MAX_VALUES) {
+    if (this.values.length < MAX_WINDOW_VALUES) {
       this.values.push(value);
       return;
     }
     this.values[this.nextIndex] = value;
-    this.nextIndex = (this.nextIndex + 1) % MAX_VALUES;
+    this.nextIndex = (this.nextIndex + 1) % MAX_WINDOW_VALUES;
   }
 
   countValues(): number {
--- a/packages/dispatch/speeds/SpeedEstimator.ts
+++ b/packages/dispatch/speeds/SpeedEstimator.ts
@@ -1,6 +1,6 @@
 import type { SpeedPrior } from './SpeedPrior';
 
-/** How long a run took on an endpoint. */
+/** Ratio of one run's time on an endpoint to its baseline time, with its variance. */
 interface SpeedSample {
   /** Natural logarithm of the ratio of a run's time to its baseline time. */
   readonly logRatio: number;
@@ -21,9 +21,9 @@
 /** Deviation from the estimate at which samples are clipped, in standard deviations, since single runs may take very long. */
 const CLIP_DEVIATIONS = 2;
 /** Deviation from the estimate, in standard deviations, beyond which a sample may indicate a change of the endpoint's speed. */
-const CHANGE_DEVIATIONS = 2.5;
-/** Number of consecutive steps beyond `CHANGE_DEVIATIONS` to one side that count as a change of speed. */
-const MIN_CHANGE_STREAK = 2;
+const SPEED_CHANGE_DEVIATIONS = 2.5;
+/** Number of consecutive steps beyond `SPEED_CHANGE_DEVIATIONS` to one side that count as a change of speed. */
+const MIN_SPEED_CHANGE_STREAK = 2;
 /** Deviation of an endpoint's own estimate from its group's, in standard deviations, beyond which it is an outlier. */
 const OUTLIER_DEVIATIONS = 3.5;
 /** Minimum variance of the prior that is used for outliers. */
@@ -42,7 +42,7 @@
   private sampleCount = 0;
   /** Number of steps with samples since the latest change of speed. */
   private stableStepCount = 0;
-  /** Number of latest consecutive steps that deviated beyond `CHANGE_DEVIATIONS` to one side; negative if faster than estimated. */
+  /** Number of latest consecutive steps that deviated beyond `SPEED_CHANGE_DEVIATIONS` to one side; negative if faster than estimated. */
   private deviationStreak = 0;
   /** Key of the latest sample's step. */
   private lastStepKey = '';
@@ -77,7 +77,7 @@
     const isNewStep = stepKey !== this.lastStepKey;
     this.lastStepKey = stepKey;
     this.deviationStreak = isNewStep ? this.computeStreak(deviation / expected) : this.deviationStreak;
-    const isChanged = isNewStep && Math.abs(this.deviationStreak) >= MIN_CHANGE_STREAK;
+    const isChanged = isNewStep && Math.abs(this.deviationStreak) >= MIN_SPEED_CHANGE_STREAK;
     if (isChanged) {
       this.totalWeight = 0;
       this.weightedSum = 0;
@@ -127,7 +127,7 @@
 
   /** Returns the streak after a step with a deviation in standard deviations: 0 if it is small, otherwise one longer or begun anew. */
   private computeStreak(deviations: number): number {
-    if (Math.abs(deviations) <= CHANGE_DEVIATIONS) {
+    if (Math.abs(deviations) <= SPEED_CHANGE_DEVIATIONS) {
       return 0;
     }
     const side = Math.sign(deviations);
--- a/packages/dispatch/speeds/SpeedGroups.ts
+++ b/packages/dispatch/speeds/SpeedGroups.ts
@@ -6,9 +6,9 @@
 
 /** An endpoint with enough samples for its own estimate. */
 interface GroupMember {
-  /** Labels and hall of an endpoint. */
+  /** Labels and hall of the endpoint. */
   readonly groups: readonly string[];
-  /** Mean of the natural logarithm of its run time ratio, by its own samples. */
+  /** Mean of the natural logarithm of the endpoint's run time ratio, by its own samples. */
   readonly mean: number;
   /** Variance of that logarithm. */
   readonly variance: number;
--- a/packages/dispatch/speeds/StepRunTimes.ts
+++ b/packages/dispatch/speeds/StepRunTimes.ts
@@ -11,7 +11,7 @@
   readonly logMs: number;
 }
 
-/** Run times of the tasks of one step. */
+/** Latest run time of each task of one step, with the endpoint it ran on. */
 export class StepRunTimes {
   /** Latest run time of each task, by its index. */
   private readonly taskTimes = new Map<number, TaskTime>();
