--- a/tests/endpointSpeeds.test.ts
+++ b/tests/endpointSpeeds.test.ts
@@ -292,10 +292,10 @@
     const indexes = Array.from({ length: steps[0]!.count }, (_, index) => index);
     const step = { job, repetition: 0, step: 0, shape: steps[0]!, indexes, objectiveAtMs: leftMs };
     const sources = {
-      speeds: { getSignificantRatio: ({ id }: { id: string }) => ratios[id]! },
-      times: new RunTimes(),
-      capacity: {
-        isMostUrgent: () => isMostUrgent,
+      endpointSpeeds: { getSignificantRatio: ({ id }: { id: string }) => ratios[id]! },
+      runTimes: new RunTimes(),
+      capacityView: {
+        isMostUrgentQueue: () => isMostUrgent,
         countFittingTasks: (free: { cpuMillis: number }) => Math.floor(free.cpuMillis / 1000),
       },
     } as unknown as SpeedSources;
