--- a/packages/dispatch/Dispatcher.ts
+++ b/packages/dispatch/Dispatcher.ts
@@ -574,7 +574,10 @@
     }
   }
 
-  /** Logs and stops a run that is moved, and records a failure there for its step, so that its next run prefers other endpoints. */
+  /**
+   * Logs and stops a run that is moved, and records a failure of the run's step on the endpoint, so that the task's next run prefers
+   * others.
+   */
   private handleRunMove({ endpoint, run, reason, gainMs }: MoveCandidate): void {
     const { incarnation } = endpoint.getProfile();
     this.jobs.get(run.job)?.recordFailureOn(run.address.repetition, run.address.step, incarnation);
--- a/packages/dispatch/LeaderController.ts
+++ b/packages/dispatch/LeaderController.ts
@@ -110,7 +110,7 @@
   /** Services of all known jobs, whose endpoints are needed even when the configuration no longer names them. */
   private readonly jobServices = new Set<ServiceName>();
   private hasReadJobs = false;
-  /** True once the jobs of earlier leaders were added to the dispatcher; false again while it stops gracefully. */
+  /** True once the jobs of earlier leaders were added to the dispatcher; false again once this leader stops gracefully. */
   private hasTakenOver = false;
   /** True while rounds only request advice, since starts cannot be recorded. */
   private isHoldingStarts = false;
@@ -336,7 +336,7 @@
     }
   }
 
-  /** Counts the newly reported ends of a poll's status, carries out the effects of applying it, and queues a round. */
+  /** Counts the ends that a poll's status newly reported, carries out the effects of applying the status, and queues a round. */
   private handleStatusApplied(newEndCount: number): void {
     this.options.recordCount('ends', newEndCount);
     this.sendEffects();
--- a/packages/dispatch/advice/AdviceMetrics.ts
+++ b/packages/dispatch/advice/AdviceMetrics.ts
@@ -1,7 +1,7 @@
 import type { DispatchCounterName } from '../DispatchCounterName';
 import type { AdviceRequestReason } from './AdviceRequestReason';
 
-/** A request that has had a response, kept until a start uses one of its tickets or they expire. */
+/** A request that has had a response, kept until a start uses one of its tickets or the tickets expire. */
 interface AnsweredRequest {
   /** Time from the request to its response, in milliseconds. */
   readonly responseMs: number;
--- a/packages/dispatch/advice/AdvicePolicy.ts
+++ b/packages/dispatch/advice/AdvicePolicy.ts
@@ -19,7 +19,7 @@
   /** Returns how long no request is considered for a step after a round in which one would not have been useful, in milliseconds. */
   readonly computeDeferralMs: (advice: NonNullable<JobQueue['advice']>) => number;
   /**
-   * Returns whether the requests of a queue count as long, by its advice times and by whether it is the most urgent one. Long ones do
+   * Returns whether requests of a queue count as long, by its advice times and by whether the queue is the most urgent one. Long ones do
    * not use the channels that are reserved for short ones.
    */
   readonly isLongRequest: (advice: NonNullable<JobQueue['advice']>, isMostUrgent: boolean) => boolean;
--- a/packages/dispatch/advice/PlannedCandidateSelector.ts
+++ b/packages/dispatch/advice/PlannedCandidateSelector.ts
@@ -28,7 +28,7 @@
   readonly taskCount: number;
   /** Probability that the service allows the step to use the endpoint. */
   readonly allowedChance: number;
-  /** Probability that it is allowed and has free capacity for the tasks when the response arrives. */
+  /** Probability that the endpoint is allowed and has free capacity for the tasks when the response arrives. */
   readonly usableChance: number;
   /** Cost of placing a task of the step there; lower is better. */
   readonly cost: number;
@@ -83,8 +83,8 @@
   candidates.reduce((sum, { taskCount }) => sum + taskCount, 0);
 
 /**
- * Selects candidates only when the expected starts justify a request, and so many that another request is unlikely. Claims their capacity
- * until the request ends, so that requests that are not more urgent do not count on it.
+ * Selects candidates only when the expected starts justify a request, and so many that another request is unlikely. Claims the
+ * capacity of the candidates until the request ends, so that requests that are not more urgent do not count on it.
  */
 export class PlannedCandidateSelector implements CandidateSelector {
   /** Capacity that pending requests count on. */
--- a/packages/dispatch/advice/StepAdvice.ts
+++ b/packages/dispatch/advice/StepAdvice.ts
@@ -5,7 +5,7 @@
 
 interface Ticket {
   readonly text: string;
-  /** Monotonic time until which a start may be chosen with it; earlier than its expiry by `START_LATENCY_MS`. */
+  /** Monotonic time until which a start may be chosen with the ticket; earlier than the ticket's expiry by `START_LATENCY_MS`. */
   readonly usableUntil: number;
   /** The request whose response contained the ticket, for the metrics; undefined if these are not kept. */
   readonly request: AnsweredRequest | undefined;
@@ -71,7 +71,7 @@
     return this.tickets.size > 0 || this.refusedEndpoints.size > 0;
   }
 
-  /** Returns whether requests are deferred at `now`, after one would not have been useful. */
+  /** Returns whether requests for the step are deferred at `now`, after one would not have been useful. */
   isRequestDeferred(now: number): boolean {
     return now < this.deferredUntil;
   }
--- a/packages/dispatch/runs/RunMover.ts
+++ b/packages/dispatch/runs/RunMover.ts
@@ -17,7 +17,7 @@
   readonly stopPolicy: StopPolicy;
   /** Estimates the run time of a task from learned run times of such steps of the queue, else from the caller's estimate. */
   readonly estimateRunTime: (queue: string, shape: JobStep) => RunTimeEstimate;
-  /** Called with each run to move; has to stop it. */
+  /** Called with each run to move; has to stop the run. */
   readonly handleRunMove: (candidate: MoveCandidate) => void;
 }
 
@@ -70,7 +70,7 @@
       .forEach((candidate) => this.recordMove(candidate));
   }
 
-  /** Counts the move of a task, and has it carried out. */
+  /** Counts the move of a task, and calls the handler that carries the move out. */
   private recordMove(candidate: MoveCandidate): void {
     const { run } = candidate;
     this.moveCountsByTask.set(run.task, (this.moveCountsByTask.get(run.task) ?? 0) + 1);
--- a/packages/dispatch/runs/RunTracker.ts
+++ b/packages/dispatch/runs/RunTracker.ts
@@ -28,7 +28,7 @@
 const FIRST_STOP_RETRY_DELAY_MS = 200;
 /** Lost work of a run, in core-milliseconds, below which the loss is counted but not logged. */
 const MIN_LOGGED_LOST_CORE_MS = 1000;
-/** Time from the timeout of a start command until the run is stopped, unless a poll lists it before. */
+/** Time from the timeout of a start command until the run is stopped, unless a poll lists the run before. */
 const TIMED_OUT_START_GRACE_MS = 300;
 /** Delay between later retries of a stop command, whose timeout is longer. */
 const LATER_STOP_RETRY_DELAY_MS = 600;
@@ -141,7 +141,7 @@
   }
 
   /**
-   * Applies an ended run's outcome to its job. A failure marks the endpoint as failed for the step, and fails the job when it was the
+   * Applies an ended run's outcome to its job. A failure marks the endpoint as failed for the step, and fails the job if that was the
    * task's last attempt, unless the task is long-running. A done member completes its gang. Ends the job when all tasks are done.
    */
   applyRunOutcome(
@@ -228,7 +228,7 @@
     this.callbacks.sendEffect({ kind: 'look', endpoint: endpoint.getProfile().incarnation });
   }
 
-  /** Logs an account of the job's time if it failed, or completed after its objective. */
+  /** Logs an account of the job's time if the job failed, or completed after its objective. */
   private logLateJob(job: LiveJob, ending: JobEndKind, wallMs: number): void {
     const { definition, trace } = job;
     const lateMs = wallMs - job.getObjectiveAtMs(definition.times - 1);
--- a/packages/dispatch/runs/findStragglerReason.ts
+++ b/packages/dispatch/runs/findStragglerReason.ts
@@ -16,7 +16,7 @@
 
 /** Default of `slowPace`, as a multiple of `baselinePace`. */
 const SLOW_PACE_RATIO = 2.5;
-/** Remaining time of a slow run above which it is moved, as a multiple of the time that a move and the new run take. */
+/** Remaining time above which a slow run is moved, as a multiple of the time that a move and the new run take. */
 const MIN_REMAINING_TO_RESTART_RATIO = 1.3;
 /** A run without progress for at most this time is not stalled. */
 const MIN_STALL_MS = 900;
@@ -25,8 +25,8 @@
 const ALL_PERCENT = 100;
 
 /**
- * Returns `stalled` if the run has made no progress for too long, and `slow` if its pace exceeds the limit and a new run is expected to
- * end clearly sooner; else undefined.
+ * Returns `stalled` if the run has made no progress for longer than `MIN_STALL_MS` and the time of `STALL_BASELINE_PERCENT`; else `slow`
+ * if its pace exceeds `slowPace` and a new run is expected to end clearly sooner; else undefined.
  */
 export const findStragglerReason = (input: StragglerInput): 'stalled' | 'slow' | undefined => {
   if (input.stalledMs > Math.max(MIN_STALL_MS, STALL_BASELINE_PERCENT * input.baselinePace)) {
--- a/packages/dispatch/speeds/SampleWindow.ts
+++ b/packages/dispatch/speeds/SampleWindow.ts
@@ -2,7 +2,7 @@
 import { computeQuantile } from '../../common/computeQuantile';
 import { sortAscending } from '../../common/sortAscending';
 
-/** Maximum number of values; the oldest is replaced beyond it. */
+/** Maximum number of values in a window; the next value replaces the oldest. */
 const MAX_WINDOW_VALUES = 96;
 
 /** The latest values of a quantity, and their quantiles. */
--- a/packages/dispatch/speeds/SpeedEstimator.ts
+++ b/packages/dispatch/speeds/SpeedEstimator.ts
@@ -24,7 +24,7 @@
 const SPEED_CHANGE_DEVIATIONS = 2.5;
 /** Number of consecutive steps beyond `SPEED_CHANGE_DEVIATIONS` to one side that count as a change of speed. */
 const MIN_SPEED_CHANGE_STREAK = 2;
-/** Deviation of an endpoint's own estimate from its group's, in standard deviations, beyond which it is an outlier. */
+/** Deviation of an endpoint's own estimate from its group's, in standard deviations, beyond which the endpoint is an outlier. */
 const OUTLIER_DEVIATIONS = 3.5;
 /** Minimum variance of the prior that is used for outliers. */
 const MIN_OUTLIER_PRIOR_VARIANCE = 0.35 ** 2;
--- a/packages/dispatch/speeds/SpeedGroups.ts
+++ b/packages/dispatch/speeds/SpeedGroups.ts
@@ -29,7 +29,7 @@
 const computeSamplingVariance = (members: readonly GroupMember[]): number =>
   members.reduce((sum, { variance }) => sum + variance, 0) / members.length;
 
-/** Returns the median of the members, and the variance between them without the chance in their samples. */
+/** Returns the median of the members, and the variance between them without the sampling variance, at least `MIN_GROUP_VARIANCE`. */
 const computePrior = (members: readonly GroupMember[]): SpeedPrior => {
   const means = sortAscending(members.map(({ mean }) => mean));
   const spread = computeSpread(means);
