--- a/packages/dispatch/LeaderController.ts
+++ b/packages/dispatch/LeaderController.ts
@@ -110,7 +110,7 @@
   /** Services of all known jobs, whose endpoints are needed even when the configuration no longer names them. */
   private readonly jobServices = new Set<ServiceName>();
   private hasReadJobs = false;
-  /** True once the jobs of earlier leaders were added to the dispatcher; false again while it stops gracefully. */
+  /** True once the jobs of earlier leaders were added to the dispatcher; false again once this leader stops gracefully. */
   private hasTakenOver = false;
   /** True while rounds only request advice, since starts cannot be recorded. */
   private isHoldingStarts = false;
@@ -130,7 +130,7 @@
       getDefinition: (id) => replica.getDefinition(id),
       getCustomerLimit: options.getCustomerLimit,
     });
-    this.roundThrottle = new RoundThrottle({ clock, runSchedulingRound: () => this.runRound() });
+    this.roundThrottle = new RoundThrottle({ clock, runSchedulingRound: () => this.runSchedulingRound() });
     this.slowRoundLogger = new SlowRoundLogger({
       logger: options.logger,
       countJobs: () => this.dispatcher.countJobs(),
@@ -237,7 +237,7 @@
     this.stop();
   }
 
-  /** Adds a newly accepted job and queues a round. Ignored before the takeover, which adds all known jobs. */
+  /** Adds a newly accepted job and queues a round. Does nothing before the takeover, which adds all known jobs. */
   handleJob(definition: JobDefinition): void {
     if (this.hasTakenOver) {
       const { id, queue, steps } = definition;
@@ -336,7 +336,7 @@
     }
   }
 
-  /** Counts the newly reported ends of a poll's status, carries out the effects of applying it, and queues a round. */
+  /** Counts the ends that a poll's status newly reported, carries out the effects of applying the status, and queues a round. */
   private handleStatusApplied(newEndCount: number): void {
     this.options.recordCount('ends', newEndCount);
     this.sendEffects();
@@ -399,9 +399,10 @@
   }
 
   /**
-   * Runs a scheduling round, or only requests advice while starts are held, and carries out the effects. Skipped while inactive.
+   * Runs a scheduling round, or only requests advice while starts are held, and carries out the effects. Does nothing while
+   * this leader is inactive.
    */
-  private runRound(): void {
+  private runSchedulingRound(): void {
     if (!this.isActive()) {
       return;
     }
