--- a/dev/bench/customersSection.ts
+++ b/dev/bench/customersSection.ts
@@ -114,7 +114,7 @@
       isDraining: false,
       minDrainMs: 0,
     });
-    dispatcher.handleStatus({ endpoint: life, running: [], ended: [], sentAt: 0 }, 0, 0);
+    dispatcher.handleStatus({ endpoint: life, running: [], ended: [], pollSentAt: 0 }, 0, 0);
   }
   for (let number = 0; number < JOBS; number += 1) {
     const job = createJob(number, customerCount);
--- a/packages/customers/CallerCheck.ts
+++ b/packages/customers/CallerCheckResult.ts
@@ -7,7 +7,7 @@
  * - `refused`: the key is missing or wrong, and a retry with it will not succeed.
  * - `stale`: the configuration of this box is too old to decide; another box may be able to.
  */
-export type CallerCheck =
+export type CallerCheckResult =
   | { readonly kind: 'admitted'; readonly customer: CustomerPolicy | undefined }
   | { readonly kind: 'refused'; readonly reason: 'no key' | 'malformed key' | 'unknown key' }
   | { readonly kind: 'stale' };
--- a/packages/customers/checkCaller.ts
+++ b/packages/customers/checkCaller.ts
@@ -1,4 +1,4 @@
-import type { CallerCheck } from './CallerCheck';
+import type { CallerCheckResult } from './CallerCheckResult';
 import type { CallerKey } from './CallerKey';
 import type { CustomerDirectory } from './CustomerDirectory';
 
@@ -11,7 +11,7 @@
   readonly isConfigFresh: boolean;
 }
 
-const toRefusal = (key: CallerKey): CallerCheck => ({
+const toRefusal = (key: CallerKey): CallerCheckResult => ({
   kind: 'refused',
   reason: key.kind === 'none' ? 'no key' : key.kind === 'malformed' ? 'malformed key' : 'unknown key',
 });
@@ -20,7 +20,12 @@
  * Checks whether a request may use a queue, and for which customer. An open queue admits every request; any other needs a fresh
  * configuration and a known key.
  */
-export const checkCaller = ({ key, isOpen, customers, isConfigFresh }: CallerCheckInput): CallerCheck => {
+export const checkCaller = ({
+  key,
+  isOpen,
+  customers,
+  isConfigFresh,
+}: CallerCheckInput): CallerCheckResult => {
   const customer = key.kind === 'given' ? customers.findByKey(key.key) : undefined;
   if (isOpen) {
     return { kind: 'admitted', customer };
--- a/packages/dispatch/Dispatcher.ts
+++ b/packages/dispatch/Dispatcher.ts
@@ -21,7 +21,7 @@
 import { EndpointLossHandler } from './endpoints/EndpointLossHandler';
 import { createDeregisteredProfile } from './endpoints/createDeregisteredProfile';
 import type { EndpointProfile } from './endpoints/EndpointProfile';
-import { KindSpeeds } from './placing/KindSpeeds';
+import { LabelSlowdowns } from './placing/LabelSlowdowns';
 import { StepLimiter } from './placing/StepLimiter';
 import { LiveJob } from './waiting/LiveJob';
 import type { CommandResult } from './endpoints/CommandResult';
@@ -153,12 +153,12 @@
     });
     const { preemptor } = this;
     const limiter = new StepLimiter(this.customerUsage, options.getCustomerLimit ?? (() => undefined));
-    const kindSpeeds = new KindSpeeds();
+    const labelSlowdowns = new LabelSlowdowns();
     const { endpointSpeeds } = this;
     const runTimes = new RunTimes();
     const { speedChoice, hallChoice } = policies;
     const endpointPreference = new EndpointPreference({
-      kindSpeeds,
+      labelSlowdowns,
       endpointSpeeds,
       runTimes,
       capacityView: this.capacityView,
@@ -207,7 +207,7 @@
     this.runLearner = new RunLearner({
       endpoints: this.endpoints,
       jobs: this.jobs,
-      kindSpeeds,
+      labelSlowdowns,
       speeds: endpointSpeeds,
       runTimes,
       speedPolicy: speedChoice,
@@ -453,7 +453,7 @@
     this.adviceStats.recordResponse(job?.definition.queue.name ?? '', requested, tickets?.size);
     this.candidateSelector.recordResponse(step, requested);
     const validityMs = job?.definition.queue.advice?.validityMs ?? 0;
-    const advice = job?.getAdvice(Number(repetition), Number(index));
+    const advice = job?.getStepAdvice(Number(repetition), Number(index));
     const tookMs = advice === undefined ? 0 : now - advice.getLastRequestedAt();
     if (tickets === undefined) {
       this.adviceMetrics.recordFailure(tookMs);
@@ -574,9 +574,9 @@
   }
 
   /** Logs and stops a run that is moved, and records a failure there for its step, so that its next run prefers other endpoints. */
-  private handleMove({ endpoint: endpoint, run, reason, gainMs }: MoveCandidate): void {
+  private handleMove({ endpoint, run, reason, gainMs }: MoveCandidate): void {
     const { incarnation } = endpoint.getProfile();
-    this.jobs.get(run.job)?.recordFailureOn(run.address.repetition, run.address.step, incarnation);
+    this.jobs.get(run.job)?.recordStepFailureOn(run.address.repetition, run.address.step, incarnation);
     this.runTracker.sendLogLine('Run is moved.', {
       job: run.job,
       task: run.task,
--- a/packages/dispatch/advice/AdviceRequester.ts
+++ b/packages/dispatch/advice/AdviceRequester.ts
@@ -65,7 +65,7 @@
     isEarly = false,
   ): WaitCause {
     const { advice } = step.job.definition.queue;
-    const stepAdvice = step.job.getAdvice(step.repetition, step.step);
+    const stepAdvice = step.job.getStepAdvice(step.repetition, step.step);
     if (!isEarly) {
       this.options.selector.recordStep(step, missing);
     }
@@ -120,7 +120,7 @@
 
   /** Counts the request that got the step's ticket for an endpoint as used, when a task starts there. No effect without a ticket. */
   recordTicketUse({ job, repetition, step }: WaitingStep, endpoint: EndpointIncarnation): void {
-    const request = job.getAdvice(repetition, step).getTicketRequest(endpoint);
+    const request = job.getStepAdvice(repetition, step).getTicketRequest(endpoint);
     if (request !== undefined) {
       this.options.metrics.recordTicketUse(request);
     }
@@ -160,7 +160,7 @@
     ) {
       for (const [step, shape] of definition.steps.entries()) {
         const isLater = shape.dependsOn.length > 0 && !progress.isStepReady(repetition, step);
-        if (!isLater || job.getAdvice(repetition, step).isRequestPending()) {
+        if (!isLater || job.getStepAdvice(repetition, step).isRequestPending()) {
           continue;
         }
         const leadMs = advice.decisionMs + advice.perEndpointMs * BUDGETED_CANDIDATES + EARLY_MARGIN_MS;
--- a/packages/dispatch/advice/EagerCandidateSelector.ts
+++ b/packages/dispatch/advice/EagerCandidateSelector.ts
@@ -138,13 +138,15 @@
 
   /** Returns whether the step may run another task on the endpoint, but has neither a refusal nor a ticket valid until `neededUntil`. */
   private isAdviceMissing(step: WaitingStep, endpoint: EndpointState, neededUntil: number): boolean {
-    const advice = step.job.getAdvice(step.repetition, step.step);
+    const advice = step.job.getStepAdvice(step.repetition, step.step);
     const { incarnation } = endpoint.getProfile();
     const isKnown = advice.isRefused(incarnation) || advice.getTicket(incarnation, neededUntil) !== undefined;
     return !isKnown && !this.capacityView.hasMaxTasksOfStep(step, endpoint);
   }
 
   private hasBeenAllowed(step: WaitingStep, endpoint: EndpointState): boolean {
-    return step.job.getAdvice(step.repetition, step.step).hasBeenAllowed(endpoint.getProfile().incarnation);
+    return step.job
+      .getStepAdvice(step.repetition, step.step)
+      .hasBeenAllowed(endpoint.getProfile().incarnation);
   }
 }
--- a/packages/dispatch/advice/PlannedCandidateSelector.ts
+++ b/packages/dispatch/advice/PlannedCandidateSelector.ts
@@ -159,7 +159,7 @@
       (sum, { taskCount, allowedChance }) => sum + taskCount * allowedChance,
       0,
     );
-    const advice = step.job.getAdvice(step.repetition, step.step);
+    const advice = step.job.getStepAdvice(step.repetition, step.step);
     const { decisionMs, validityMs } = step.job.definition.queue.advice!;
     if (step.shape.isGang) {
       // After a long deferral the request is sent although refusals are expected, since the expected share may be wrong for this step.
@@ -197,7 +197,7 @@
     const { capacityView, stats, preference } = this.options;
     const { queue } = step.job.definition;
     const { decisionMs, perEndpointMs, validityMs } = queue.advice!;
-    const advice = step.job.getAdvice(step.repetition, step.step);
+    const advice = step.job.getStepAdvice(step.repetition, step.step);
     const responseMs = decisionMs + perEndpointMs * MAX_CANDIDATES_WITHOUT_GANG;
     const usedAt = Math.max(neededUntil, now + responseMs + START_DELAY_MS);
     const stayChance = 0.5 ** (responseMs / CAPACITY_HALF_LIFE_MS);
--- a/packages/dispatch/crashes/CrashHistory.ts
+++ b/packages/dispatch/crashes/CrashHistory.ts
@@ -21,7 +21,7 @@
   private readonly implicatedTasks = new Map<EndpointIncarnation, readonly ImplicatedTask[]>();
   /** Monotonic time of the newest endpoint crash on each machine, by address. */
   private readonly machineCrashedAt = new Map<string, number>();
-  /** Jobs with a task over the crash limit, with the monotonic time at which it was found to be. */
+  /** Jobs with a task over the crash limit, with the monotonic time at which the task was found to be over the limit. */
   private readonly jobsOverLimit = new Map<JobId, number>();
   /** Incarnations whose crash is explained by a job with a task over the crash limit. */
   private readonly explainedCrashes = new Set<EndpointIncarnation>();
@@ -58,7 +58,7 @@
     }
   }
 
-  /** Records that a job has a task over the crash limit. This explains all crashes that any of its tasks is to blame for, since they are alike. */
+  /** Records that a job has a task over the crash limit. This explains all crashes that any task of the job is to blame for, since its tasks are alike. */
   recordJobOverLimit(jobOverLimit: JobId, now: number): void {
     this.jobsOverLimit.set(jobOverLimit, now);
     for (const [endpoint, tasks] of this.implicatedTasks) {
@@ -69,7 +69,7 @@
   }
 
   /**
-   * Returns true while there are recent crashes that no task over the crash limit explains, and for which no task is, or still is, to blame.
+   * Returns true while there are recent crashes that no task over the crash limit explains, and that no task is to blame for, or none any more.
    * `hasCrashRecord` tells whether a task still has its record of a crash.
    */
   hasUnexplainedCrashes(
--- a/packages/dispatch/crashes/CrashTracker.ts
+++ b/packages/dispatch/crashes/CrashTracker.ts
@@ -30,7 +30,7 @@
 type CrashRemovalReason =
   'left by plan' | 'heard again' | 'explained by a task that was given up' | 'its run began on the next life';
 
-/** Highest number of tasks listed in one log line; its field `count` counts all. */
+/** Highest number of tasks listed in one log line; the field `count` of the line has the number of all tasks. */
 const MAX_LOGGED_TASKS = 20;
 
 /**
@@ -47,7 +47,7 @@
   constructor(private readonly options: CrashTrackerOptions) {}
 
   /**
-   * Applies the crash records of a task that earlier leaders left in its job's progress: its backoff starts again, and crashes with unproved blame
+   * Applies the crash records of a task that earlier leaders left in its job's progress: the task's backoff starts again, and crashes with unproved blame
    * stay unconfirmed until the endpoint is reachable or has ended.
    */
   applyRecoveredCrashes(job: LiveJob, address: TaskAddress, now: number): void {
@@ -84,7 +84,7 @@
 
   /**
    * Handles the end of an incarnation on which `runs` were, or may have been. Records a crash of their tasks, and confirms the unconfirmed ones.
-   * If its removal was planned, removes the unconfirmed ones and their records instead.
+   * If its removal was planned, removes its unconfirmed crashes and their records instead.
    */
   handleIncarnationEnd(endpoint: EndpointState, runs: readonly PlacedRun[], now: number): void {
     const { incarnation, address } = endpoint.getProfile();
@@ -107,7 +107,7 @@
 
   /**
    * Handles the expiry of an unreachable endpoint's lease, which has ended `runs`. Notes unconfirmed crashes of their tasks, as the endpoint has
-   * crashed or is partitioned. Those to blame, and those one record below the crash limit, get a record with unproved blame at once. Does nothing
+   * crashed or is partitioned. Tasks to blame, and tasks one record below the crash limit, get a record with unproved blame at once. Does nothing
    * when the removal was planned.
    */
   handleLeaseExpiry(endpoint: EndpointState, runs: readonly PlacedRun[], now: number): void {
@@ -149,7 +149,7 @@
     this.removeCrashRecords(id, this.unconfirmedCrashes.takeCrashesOf(id), 'heard again', now);
   }
 
-  /** Clears the task of a run that was sent to an earlier incarnation, but began on the next one, of the crash of the earlier. */
+  /** Clears the task of a run that was sent to an earlier incarnation, but began on the next one, of the crash of the earlier incarnation. */
   handleTransferConfirmed(
     { job, address }: PlacedRun,
     previousIncarnation: EndpointIncarnation,
@@ -193,7 +193,7 @@
     return this.crashHistory.hasCrashedRecently(address, now);
   }
 
-  /** Returns true while there are recent crashes that no task over the crash limit explains, and for which no task is, or still is, to blame. */
+  /** Returns true while there are recent crashes that no task over the crash limit explains, and that no task is to blame for, or none any more. */
   private hasUnexplainedCrashes(now: number): boolean {
     return this.crashHistory.hasUnexplainedCrashes(now, (task, endpoint) =>
       this.hasCrashRecord(task, endpoint),
@@ -205,13 +205,13 @@
     return this.listCrashRecords(task).some(({ endpoint }) => endpoint === crashed);
   }
 
-  /** Returns the crash records of a task; none when it has none, or its job is unknown. */
+  /** Returns the crash records of a task; an empty list when the task has none, or its job is unknown. */
   private listCrashRecords({ job, address }: TaskRef): readonly TaskCrash[] {
     return this.options.jobs.get(job)?.progress.getTask(address)?.crashes ?? [];
   }
 
   /**
-   * Fails the jobs with a task over the crash limit, and clears other tasks of the crashes that it explains. Removes outdated crashes, and unconfirmed
+   * Fails the jobs with a task over the crash limit, and clears other tasks of the crashes that such a task explains. Removes outdated crashes, and unconfirmed
    * ones that can't be confirmed any more.
    */
   applyCrashLimits(now: number, wallMs: number): void {
@@ -245,8 +245,8 @@
   }
 
   /**
-   * Clears other tasks of the crashes that a task over the limit explains by its sole or shared blame. Those whose runs were in their startup keep a
-   * record with the blame `present`, since several tasks may crash the same endpoints. Those with the sole blame for some crash keep all records.
+   * Clears other tasks of the crashes that a task over the limit explains by its sole or shared blame. Tasks whose runs were in their startup keep a
+   * record with the blame `present`, since several tasks may crash the same endpoints. Tasks with the sole blame for some crash keep all records.
    */
   private removeExplainedCrashes(taskOverLimit: TaskRef, crashes: readonly TaskCrash[], now: number): void {
     for (const { endpoint, blame } of crashes) {
@@ -264,7 +264,7 @@
   }
 
   /**
-   * Reduces the blame in a task's record of a crash to `present`. Returns false, and changes nothing, when it has no such record or the run was past
+   * Reduces the blame in a task's record of a crash to `present`. Returns false, and changes nothing, when the task has no such record or the run was past
    * its startup.
    */
   private setBlamePresent(
@@ -307,7 +307,7 @@
     });
   }
 
-  /** Returns the age of a run when a status last listed it, in milliseconds; an assumed one for an unconfirmed run of an earlier leader. */
+  /** Returns the age of a run when a status last listed it, in milliseconds; an assumed age for an unconfirmed run of an earlier leader. */
   private getListedAgeMs(run: PlacedRun): number {
     return run.stage === 'unconfirmed'
       ? crashLimits.unknownAgeMs
@@ -329,7 +329,7 @@
     }
   }
 
-  /** Removes a task's record of a crash, confirmed or not. Returns false when it has none. */
+  /** Removes a task's record of a crash, confirmed or not. Returns false when the task has no record of that crash. */
   private removeCrashRecord(
     { job: id, address }: TaskRef,
     crashed: EndpointIncarnation,
@@ -345,7 +345,7 @@
     return true;
   }
 
-  /** Adds crash records to their tasks; counts and logs those that were added. */
+  /** Adds crash records to their tasks; counts and logs the added records. */
   private recordCrashes(endpoint: EndpointIncarnation, records: readonly CrashRecord[], now: number): void {
     const recorded = records.filter((record) => this.recordCrash(record, now));
     if (recorded.length === 0) {
--- a/packages/dispatch/crashes/OutageDetector.ts
+++ b/packages/dispatch/crashes/OutageDetector.ts
@@ -6,7 +6,7 @@
 interface UnreachableEvent {
   /** Monotonic time of the first poll without a response. */
   readonly unreachableAt: number;
-  /** True when a run was in its startup there, which may be the cause. */
+  /** True when a run on the endpoint was in its startup, which may be the cause. */
   readonly hasStartingRun: boolean;
 }
 
@@ -45,8 +45,8 @@
   }
 
   /**
-   * Returns true when the endpoint became unreachable in an outage: together with another one on which no run was in its startup. Returns false
-   * while it responds, or when it has never responded to this leader.
+   * Returns true when the endpoint became unreachable in an outage: together with another endpoint on which no run was in its startup. Returns false
+   * while the endpoint responds, or when it has never responded to this leader.
    */
   isPartOfOutage(endpoint: EndpointState): boolean {
     const { incarnation } = endpoint.getProfile();
--- a/packages/dispatch/crashes/computeBackoffMs.ts
+++ b/packages/dispatch/crashes/computeBackoffMs.ts
@@ -2,7 +2,7 @@
 import { crashLimits } from './crashLimits';
 
 /**
- * Computes the backoff before a task's next start, in milliseconds, from the crashes that it has the sole blame for: it doubles with each, up to a
+ * Computes the backoff before a task's next start, in milliseconds, from the crashes that the task has the sole blame for: the backoff doubles with each, up to a
  * limit. Returns 0 without such crashes.
  */
 export const computeBackoffMs = (crashes: readonly TaskCrash[]): number => {
--- a/packages/dispatch/crashes/computeRunBlames.ts
+++ b/packages/dispatch/crashes/computeRunBlames.ts
@@ -20,7 +20,7 @@
 
 /**
  * Computes the degree of blame of each run for the crash of its endpoint. A task that crashes its endpoint usually does so during startup: the
- * crash suspects among the starting runs are to blame, or all starting runs when there is no suspect among them. All others, and in an
+ * crash suspects among the starting runs are to blame, or all starting runs when there is no suspect among them. All other runs, and in an
  * outage all runs, only count as present. The blame is sole for a single task or gang, otherwise shared; for a run of an earlier leader that no
  * status has confirmed, it is inherited.
  */
--- a/packages/dispatch/crashes/crashLimits.ts
+++ b/packages/dispatch/crashes/crashLimits.ts
@@ -2,7 +2,7 @@
 export const crashLimits = {
   /** Number of crashes with sole blame at which a task is over the crash limit. */
   maxSoleCrashes: 2,
-  /** The same while there are unexplained crashes, which may coincide with starts of a healthy task. */
+  /** The preceding limit while there are unexplained crashes, which may coincide with starts of a healthy task. */
   maxSoleDuringUnexplained: 3,
   /** Time after a crash that no task is to blame for during which there are unexplained crashes, in milliseconds. */
   unexplainedCrashMs: 30_000,
@@ -21,7 +21,7 @@
    * its endpoints does so at about the same age.
    */
   clearedAgeFactor: 2,
-  /** Added to that multiple, in milliseconds. */
+  /** Time added to the multiple in `clearedAgeFactor`, in milliseconds. */
   clearedAgeOffsetMs: 1000,
   /** Age at which a run clears its task of all crashes, in milliseconds. */
   maxClearedAgeMs: 60_000,
--- a/packages/dispatch/endpoints/EndedTaskStatus.ts
+++ b/packages/dispatch/endpoints/EndedTaskStatus.ts
@@ -13,8 +13,8 @@
 
 /**
  * How a run ended.
- * - `lapsed`: its lease expired.
- * - `broken`: it was ended because another member of its gang had ended.
- * - `alone`: it was ended because its gang was never complete.
+ * - `lapsed`: the lease of the endpoint expired.
+ * - `broken`: the run was ended because another member of its gang had ended.
+ * - `alone`: the run was ended because its gang was never complete.
  */
 type EndKind = 'done' | 'failed' | 'stopped' | 'lapsed' | 'broken' | 'alone';
--- a/packages/dispatch/endpoints/EndpointClient.ts
+++ b/packages/dispatch/endpoints/EndpointClient.ts
@@ -17,7 +17,7 @@
    * has listed. The result is `disconnected` when that connection is closed.
    */
   readonly isSameConnectionOnly?: boolean;
-  /** True for a poll that is sent beside the poll loop, and acknowledges nothing. */
+  /** True for a poll that is sent outside of the poll loop, and acknowledges nothing. */
   readonly isExtra?: boolean;
 }
 
--- a/packages/dispatch/endpoints/EndpointFence.ts
+++ b/packages/dispatch/endpoints/EndpointFence.ts
@@ -1,4 +1,4 @@
-/** Number of tokens that each leader has for one endpoint, one for each incarnation. Those of the next leader are all higher. */
+/** Number of tokens that each leader has for one endpoint, one for each incarnation. The tokens of the next leader are all higher. */
 const TOKENS_PER_EPOCH = 1_000_000;
 
 /**
--- a/packages/dispatch/endpoints/EndpointSession.ts
+++ b/packages/dispatch/endpoints/EndpointSession.ts
@@ -34,11 +34,11 @@
 
 /** Longest time that an endpoint may delay its response to a poll until a run ends. */
 const POLL_WAIT_MS = 400;
-/** The same while no task runs on the endpoint. */
+/** Longest time that an endpoint may delay its response to a poll while no task runs on it. */
 const IDLE_POLL_WAIT_MS = 1000;
 /** Time limit for a response, in addition to the time that the endpoint may delay it. */
 const RESPONSE_TIMEOUT_MS = 300;
-/** Upper bound of that limit, which doubles with each failed poll in sequence. */
+/** Upper bound of the time limit for a response, which doubles with each consecutive failed poll. */
 const MAX_RESPONSE_TIMEOUT_MS = 1200;
 const RETRY_DELAY_MS = 100;
 const MAX_RETRY_DELAY_MS = 500;
--- a/packages/dispatch/endpoints/EndpointSessions.ts
+++ b/packages/dispatch/endpoints/EndpointSessions.ts
@@ -331,7 +331,7 @@
   private handleStatus(
     incarnation: EndpointIncarnation,
     result: StatusResult,
-    sentAt: number,
+    pollSentAt: number,
     newEndCount: number,
   ): Promise<void> {
     const { clock, dispatcher, logger, handleStatusApplied, waitForFlush } = this.options;
@@ -346,7 +346,7 @@
         ended: result.ended.length,
       });
     }
-    const status = { endpoint: incarnation, running: result.running, ended: result.ended, sentAt };
+    const status = { endpoint: incarnation, running: result.running, ended: result.ended, pollSentAt };
     dispatcher.handleStatus(status, clock.getNow(), clock.getWallTime());
     handleStatusApplied(newEndCount);
     // An earlier status may have brought the same ends, whose records may not be durable yet.
--- a/packages/dispatch/endpoints/EndpointState.ts
+++ b/packages/dispatch/endpoints/EndpointState.ts
@@ -223,9 +223,9 @@
     return 1 + (this.slowdown - 1) * 0.5 ** ((now - this.slowdownAt) / SLOWDOWN_HALF_LIFE_MS);
   }
 
-  /** Returns true when the run failure rate or the slowdown exceeds its limit for a healthy endpoint. */
+  /** Returns true when the run failure rate has reached `MIN_FAILING_RATE` or the slowdown exceeds `MAX_HEALTHY_SLOWDOWN`. */
   isDegraded(now: number): boolean {
-    return this.isFailing(now) || this.computeSlowdown(now) > MAX_HEALTHY_SLOWDOWN;
+    return this.hasHighRunFailureRate(now) || this.computeSlowdown(now) > MAX_HEALTHY_SLOWDOWN;
   }
 
   /** Returns the monotonic time until which a draining endpoint certainly runs. The first call counts as the begin of the drain. */
@@ -235,7 +235,7 @@
   }
 
   /** Returns true when the run failure rate has reached its limit. */
-  isFailing(now: number): boolean {
+  hasHighRunFailureRate(now: number): boolean {
     return this.computeRunFailureRate(now) >= MIN_FAILING_RATE;
   }
 }
--- a/packages/dispatch/endpoints/EndpointStatus.ts
+++ b/packages/dispatch/endpoints/EndpointStatus.ts
@@ -8,5 +8,5 @@
   readonly running: readonly RunningTaskStatus[];
   readonly ended: readonly EndedTaskStatus[];
   /** Monotonic time at which the poll was sent. */
-  readonly sentAt: number;
+  readonly pollSentAt: number;
 }
--- a/packages/dispatch/endpoints/StatusReconciler.ts
+++ b/packages/dispatch/endpoints/StatusReconciler.ts
@@ -35,7 +35,7 @@
   alone: 'interrupted',
 };
 const NOT_LISTED: RunEnd = { outcome: 'interrupted', evidence: 'notListed', checkpoint: '' };
-const ENDED_WITH_INCARNATION: RunEnd = { outcome: 'interrupted', evidence: 'lifeOver', checkpoint: '' };
+const INCARNATION_ENDED: RunEnd = { outcome: 'interrupted', evidence: 'lifeOver', checkpoint: '' };
 /** Highest number of ends in one status; a list of this length may be incomplete. */
 const MAX_LISTED_ENDS = 500;
 
@@ -58,7 +58,7 @@
       listed.add(this.applyRunningTask(endpoint, row, now));
     }
     if (status.ended.length < MAX_LISTED_ENDS) {
-      this.checkUnlistedRuns(endpoint, listed, status.sentAt, now);
+      this.checkUnlistedRuns(endpoint, listed, status.pollSentAt, now);
     }
   }
 
@@ -203,7 +203,7 @@
     tracker.recordRunEnd(
       endpoint,
       run,
-      run.transferredFrom === undefined ? NOT_LISTED : ENDED_WITH_INCARNATION,
+      run.transferredFrom === undefined ? NOT_LISTED : INCARNATION_ENDED,
       now,
     );
   }
--- a/packages/dispatch/placing/CapacityView.ts
+++ b/packages/dispatch/placing/CapacityView.ts
@@ -79,7 +79,7 @@
     { job, repetition, step, shape, indexes }: WaitingStep,
     eligible: readonly EndpointState[],
   ): boolean {
-    const advice = job.getAdvice(repetition, step);
+    const advice = job.getStepAdvice(repetition, step);
     const ampleCount = indexes.length * AMPLE_CAPACITY_FACTOR;
     let count = 0;
     for (const endpoint of eligible) {
--- a/packages/dispatch/placing/KindSpeeds.ts
+++ b/packages/dispatch/placing/LabelSlowdowns.ts
@@ -13,10 +13,10 @@
 const MAX_RUN_SLOWDOWN = 3;
 
 /**
- * Learns how many times longer runs take on each kind of endpoint than is usual. The label of an endpoint with the most runs is taken
- * as its kind, since a kind is shared by more endpoints than a rack.
+ * Learns how many times longer runs take than usual on endpoints with each label. Of an endpoint's labels, the one with the most recorded
+ * runs counts, which names its kind of machine: more endpoints share a kind than a rack.
  */
-export class KindSpeeds {
+export class LabelSlowdowns {
   private readonly slowdownsByLabel = new Map<string, LabelSlowdown>();
 
   /** Adds the slowdown of one run, at most `MAX_RUN_SLOWDOWN`, to the means of all labels of its endpoint. */
@@ -30,7 +30,7 @@
     }
   }
 
-  /** Returns the mean slowdown of the label with the most runs; 1 while it has fewer than `MIN_RUN_COUNT`. */
+  /** Returns the mean slowdown of the label with the most runs; 1 while that label has fewer than `MIN_RUN_COUNT`, or without labels. */
   getSlowdown(labels: readonly string[]): number {
     let kind: LabelSlowdown | undefined;
     for (const label of labels) {
--- a/packages/dispatch/placing/Preemptor.ts
+++ b/packages/dispatch/placing/Preemptor.ts
@@ -28,7 +28,7 @@
 /** Runs to preempt on one endpoint, and the number of tasks that can then start there. */
 interface PreemptionPlan {
   /** Capacity left free after the victims have ended and the tasks have started. */
-  readonly freeCapacity: TaskDemand;
+  readonly remainingCapacity: TaskDemand;
   readonly victims: readonly PlacedRun[];
   /** Sum of the costs of the victims by the preemption rules. */
   readonly totalCost: number;
@@ -41,7 +41,7 @@
 const MIN_REMAINING_MS = 700;
 /** Time after which a preemption that wasn't worthwhile is considered again. */
 const PREEMPTION_RECHECK_MS = 200;
-const MAX_PERCENT = 100;
+const FULL_PERCENT = 100;
 
 /**
  * Preempts less urgent runs, of steps that write checkpoints, so that a waiting step can start. Runs are preempted only where this lets
@@ -82,7 +82,7 @@
     const { reservations, handlePreempted } = this.options;
     if (
       reservations.hasReservationFor(step) ||
-      now < step.job.getPreemptionRetryAt(step.repetition, step.step)
+      now < step.job.getStepPreemptionRetryAt(step.repetition, step.step)
     ) {
       return;
     }
@@ -93,10 +93,10 @@
     }
     const estimate = this.estimatePreemption(step, allowed, plans, now);
     if (!this.options.preemptionRules.isWorthwhile(estimate)) {
-      step.job.recordPreemptionBackoff(step.repetition, step.step, now + PREEMPTION_RECHECK_MS);
+      step.job.recordStepPreemptionBackoff(step.repetition, step.step, now + PREEMPTION_RECHECK_MS);
       return;
     }
-    step.job.recordPreemptionAttempt(
+    step.job.recordStepPreemption(
       step.repetition,
       step.step,
       now,
@@ -109,7 +109,7 @@
         now + this.options.preemptionRules.reservationMs,
       );
       for (const run of victims) {
-        this.options.jobs.get(run.job)?.recordPreemption(run.task);
+        this.options.jobs.get(run.job)?.recordTaskPreemption(run.task);
         handlePreempted(endpoint, run, step, estimate);
       }
     }
@@ -167,8 +167,8 @@
     if (job === undefined || shape === undefined || shape.isLongRunning) {
       return Infinity;
     }
-    const median = job.getSpeeds(run.address.repetition, run.address.step).getMedianPace();
-    return estimateRemainingByPaceMs(run, median ?? shape.estimatedMs / MAX_PERCENT, now);
+    const median = job.getStepSpeeds(run.address.repetition, run.address.step).getMedianPace();
+    return estimateRemainingByPaceMs(run, median ?? shape.estimatedMs / FULL_PERCENT, now);
   }
 
   /** Returns the properties of a run on which the cost of its preemption depends. */
@@ -217,7 +217,7 @@
     before: PreemptionPlan | undefined,
     now: number,
   ): PreemptionPlan | undefined {
-    let free = before?.freeCapacity ?? endpoint.getFreeCapacity();
+    let free = before?.remainingCapacity ?? endpoint.getFreeCapacity();
     const earlier = before?.victims ?? [];
     let added: PlacedRun[] = [];
     if (!resourceMath.isWithin(demand, free)) {
@@ -243,7 +243,12 @@
       before?.totalCost ?? 0,
     );
     const startableCount = (before?.startableCount ?? 0) + 1;
-    return { freeCapacity: resourceMath.computeDifference(free, demand), victims, totalCost, startableCount };
+    return {
+      remainingCapacity: resourceMath.computeDifference(free, demand),
+      victims,
+      totalCost,
+      startableCount,
+    };
   }
 
   /** Returns the victims without those that needn't be preempted, since the others free enough, and the capacity that is then free. */
@@ -283,7 +288,7 @@
       return false;
     }
     const isExcluded = shape.isGang || shape.isLongRunning || shape.isFiller;
-    const preemptions = job.countPreemptions(run.task);
+    const preemptions = job.countTaskPreemptions(run.task);
     const hasWorkedEnough =
       preemptions === 0 || now - run.startConfirmedAt >= this.options.preemptionRules.minWorkAfterRestartMs;
     return !isExcluded && preemptions < MAX_PREEMPTIONS && hasWorkedEnough && !this.isEndingSoon(run, now);
@@ -292,6 +297,6 @@
   /** Returns whether the run, by its progress so far, ends within `MIN_REMAINING_MS`; false before any progress. */
   private isEndingSoon(run: PlacedRun, now: number): boolean {
     const workedMs = now - run.startConfirmedAt;
-    return run.percent > 0 && (workedMs * (MAX_PERCENT - run.percent)) / run.percent < MIN_REMAINING_MS;
+    return run.percent > 0 && (workedMs * (FULL_PERCENT - run.percent)) / run.percent < MIN_REMAINING_MS;
   }
 }
--- a/packages/dispatch/placing/StepPlacer.ts
+++ b/packages/dispatch/placing/StepPlacer.ts
@@ -91,7 +91,7 @@
     }
     if (placements.length > 0) {
       this.placeTasks(step, placements, now);
-      step.job.recordPlacement(
+      step.job.recordStepPlacement(
         step.repetition,
         step.step,
         now,
@@ -171,7 +171,7 @@
     if (step.job.definition.queue.advice === undefined) {
       return eligible;
     }
-    const advice = this.getAdvice(step);
+    const advice = this.getStepAdvice(step);
     return eligible.filter(
       (endpoint) => advice.getTicket(endpoint.getProfile().incarnation, until) !== undefined,
     );
@@ -197,7 +197,7 @@
     now: number,
   ): Placement[] {
     const placements: Placement[] = [];
-    const advice = step.job.definition.queue.advice === undefined ? undefined : this.getAdvice(step);
+    const advice = step.job.definition.queue.advice === undefined ? undefined : this.getStepAdvice(step);
     const allowed = this.listAllowedEndpoints(step, eligible, now);
     if (allowed.length === 0) {
       return placements;
@@ -294,8 +294,8 @@
     return 1 + Math.max(0, ...job.progress.listTasks(repetition, step).map((task) => task.runNumber));
   }
 
-  private getAdvice({ job, repetition, step }: WaitingStep): ReturnType<LiveJob['getAdvice']> {
-    return job.getAdvice(repetition, step);
+  private getStepAdvice({ job, repetition, step }: WaitingStep): ReturnType<LiveJob['getStepAdvice']> {
+    return job.getStepAdvice(repetition, step);
   }
 
   private releasePlacement({ endpoint, run }: Placement): void {
--- a/packages/dispatch/placing/SuspectCosts.ts
+++ b/packages/dispatch/placing/SuspectCosts.ts
@@ -8,13 +8,13 @@
 import type { PlacedRun } from '../runs/PlacedRun';
 import type { WaitingStep } from '../waiting/WaitingStep';
 
-/** Cost of an endpoint for a suspect for each run there in its startup, since a crash couldn't be attributed to one of the two. */
+/** Cost of an endpoint for a suspect, for each run there in its startup: a crash couldn't be attributed to one of the two runs. */
 const STARTING_NEIGHBOUR_COST = 2000;
-/** Cost for a suspect, of an endpoint at whose address there was a crash recently. */
+/** Cost of an endpoint for a suspect, if there was a crash at the endpoint's address recently. */
 const RECENT_CRASH_COST = 1500;
-/** Cost of an endpoint for a suspect for each serving run there, and for each other run. */
+/** Cost of an endpoint for a suspect, for each serving run there, and for each run there that isn't serving. */
 const SERVING_NEIGHBOUR_COST = 300;
-const OTHER_NEIGHBOUR_COST = 30;
+const NON_SERVING_NEIGHBOUR_COST = 30;
 /** Cost of an endpoint with a suspect in its startup, for a task that isn't a suspect. */
 const SUSPECT_NEIGHBOUR_COST = 1500;
 
@@ -55,8 +55,8 @@
 
   /**
    * Returns the cost of placing a task on an endpoint. It is Infinity beside another suspect in its startup, if the task is a suspect or
-   * was present at so many crashes that one more could bring it over the crash limit. For a suspect, each run on the endpoint and a recent
-   * crash at its address add to the cost.
+   * was present at so many crashes that one more could bring it over the crash limit. For any other task, a suspect in its startup there
+   * adds a finite cost. For a suspect, each run on the endpoint and a recent crash at the endpoint's address add to the cost.
    */
   computeSuspectCost(
     step: WaitingStep,
@@ -84,7 +84,7 @@
   /** Returns the cost for a suspect of one run that is on the endpoint. */
   private computeNeighbourCost(step: WaitingStep, run: PlacedRun): number {
     const startupCost = isPastStartup(run) || this.isSameGang(step, run) ? 0 : STARTING_NEIGHBOUR_COST;
-    return startupCost + (run.isServing ? SERVING_NEIGHBOUR_COST : OTHER_NEIGHBOUR_COST);
+    return startupCost + (run.isServing ? SERVING_NEIGHBOUR_COST : NON_SERVING_NEIGHBOUR_COST);
   }
 
   /** Returns whether the endpoint has a suspect in its startup that isn't a member of the gang to be placed. */
--- a/packages/dispatch/placing/rankingRules.ts
+++ b/packages/dispatch/placing/rankingRules.ts
@@ -17,7 +17,7 @@
   endpoint: EndpointState,
   now: number,
 ): number => {
-  const failedHere = job.hasFailureOn(repetition, step, endpoint.getProfile().incarnation)
+  const failedHere = job.hasStepFailureOn(repetition, step, endpoint.getProfile().incarnation)
     ? FAILED_ON_ENDPOINT_COST
     : 0;
   return failedHere + (endpoint.isDegraded(now) ? DEGRADED_ENDPOINT_COST : 0);
--- a/packages/dispatch/placing/speedPolicies.ts
+++ b/packages/dispatch/placing/speedPolicies.ts
@@ -18,10 +18,10 @@
 const SLOWDOWN_ROUNDING_STEP = 0.1;
 
 /** Creates a cost function by which the most urgent queue prefers fast kinds of endpoints, and all others slow kinds. */
-const createKindCost: CostFunctionFactory = (step, { kindSpeeds, capacityView }) => {
+const createKindSlowdownCost: CostFunctionFactory = (step, { labelSlowdowns, capacityView }) => {
   const isMostUrgent = capacityView.isMostUrgentQueue(step.job.definition.queue);
   return (endpoint) => {
-    const slowdown = kindSpeeds.getSlowdown(endpoint.getProfile().labels);
+    const slowdown = labelSlowdowns.getSlowdown(endpoint.getProfile().labels);
     const cost =
       DOUBLE_SLOWDOWN_COST * SLOWDOWN_ROUNDING_STEP * Math.round((slowdown - 1) / SLOWDOWN_ROUNDING_STEP);
     return isMostUrgent ? cost : -cost;
@@ -31,6 +31,6 @@
 /** Functions that create the speed cost function of a step, from the endpoints that may run it and the wall clock time; by policy. */
 export const speedPolicies: Readonly<Record<SpeedPolicyName, CostFunctionFactory>> = {
   blind: () => () => 0,
-  kinds: createKindCost,
+  kinds: createKindSlowdownCost,
   endpoints: createCompletionTimeCost,
 };
--- a/packages/dispatch/runs/RunCommands.ts
+++ b/packages/dispatch/runs/RunCommands.ts
@@ -62,7 +62,7 @@
     now: number,
   ): boolean {
     const { repetition, step } = run.address;
-    return command.ticket === '' || job.getAdvice(repetition, step).hasSendableTicket(endpoint, now);
+    return command.ticket === '' || job.getStepAdvice(repetition, step).hasSendableTicket(endpoint, now);
   }
 
   /** Ends the runs whose start records are not durable yet as not sent, so that their tasks wait again. */
@@ -158,7 +158,10 @@
         return;
       case 'rejected':
         if (result.reason === 'ticket') {
-          jobs.get(run.job)?.getAdvice(run.address.repetition, run.address.step).removeTicket(incarnation);
+          jobs
+            .get(run.job)
+            ?.getStepAdvice(run.address.repetition, run.address.step)
+            .removeTicket(incarnation);
         }
         jobs.get(run.job)?.recordStartRejected(run.address, now);
         runTracker.recordRunEnd(endpoint, run, REJECTED_END, now);
--- a/packages/dispatch/runs/RunMover.ts
+++ b/packages/dispatch/runs/RunMover.ts
@@ -33,7 +33,7 @@
 const SLOW_PACE_RATIO = 2.5;
 /** Lower bound of the run time above which a run counts as slow by learned run times, as a multiple of their 90th percentile. */
 const SLOW_P90_RATIO = 1.3;
-const ALL_PERCENT = 100;
+const FULL_PERCENT = 100;
 
 const isStragglerCause = (cause: StopCause): boolean => cause === 'slow' || cause === 'stalled';
 
@@ -122,7 +122,7 @@
     };
     const reason = this.options.stopPolicy.findMoveReason(input);
     const gainMs =
-      input.pace * (ALL_PERCENT - input.percent) - input.baselinePace * ALL_PERCENT - input.moveMs;
+      input.pace * (FULL_PERCENT - input.percent) - input.baselinePace * FULL_PERCENT - input.moveMs;
     return reason === undefined ? undefined : { endpoint, run, priority, reason, gainMs };
   }
 
@@ -135,7 +135,7 @@
     shape: JobStep,
   ): Pick<SlowRunInput, 'baselinePace' | 'slowPace'> {
     const job = this.getJob(run);
-    const median = job?.getSpeeds(run.address.repetition, run.address.step).getMedianPace();
+    const median = job?.getStepSpeeds(run.address.repetition, run.address.step).getMedianPace();
     if (median !== undefined) {
       return { baselinePace: median, slowPace: SLOW_PACE_RATIO * median };
     }
@@ -144,9 +144,9 @@
     const estimate = isEstimateUsed ? estimateRunTime(job.definition.queue.name, shape) : undefined;
     if (estimate?.isLearnt === true) {
       const slowMs = Math.max(SLOW_PACE_RATIO * estimate.medianMs, SLOW_P90_RATIO * estimate.p90Ms);
-      return { baselinePace: estimate.medianMs / ALL_PERCENT, slowPace: slowMs / ALL_PERCENT };
+      return { baselinePace: estimate.medianMs / FULL_PERCENT, slowPace: slowMs / FULL_PERCENT };
     }
-    const baselinePace = (shape.estimatedMs * MAX_ESTIMATE_ERROR_RATIO) / ALL_PERCENT;
+    const baselinePace = (shape.estimatedMs * MAX_ESTIMATE_ERROR_RATIO) / FULL_PERCENT;
     return { baselinePace, slowPace: SLOW_PACE_RATIO * baselinePace };
   }
 
@@ -171,8 +171,8 @@
   /** Estimates the time until the run ends, from its pace, or from the caller's estimate while it has no progress. */
   private estimateRemainingMs(run: PlacedRun, shape: JobStep): number {
     const observedMs = run.lastListedAt - run.startConfirmedAt;
-    const pace = run.percent > 0 ? observedMs / run.percent : shape.estimatedMs / ALL_PERCENT;
-    return pace * (ALL_PERCENT - run.percent);
+    const pace = run.percent > 0 ? observedMs / run.percent : shape.estimatedMs / FULL_PERCENT;
+    return pace * (FULL_PERCENT - run.percent);
   }
 
   /** Returns true if another endpoint of the service is schedulable, not degraded, and has free capacity for the run. */
--- a/packages/dispatch/runs/RunTracker.ts
+++ b/packages/dispatch/runs/RunTracker.ts
@@ -64,7 +64,7 @@
     }
     if (job?.progress.recordRunEnd(run.address, run.run, outcome, newestCheckpoint) === true) {
       job.changedAt = now;
-      job.trace.recordRun(run, endpoint.getProfile(), end, now);
+      job.trace.recordRunEnd(run, endpoint.getProfile(), end, now);
       this.callbacks.handleProgressChanged(run.job);
       this.sendLogLine('Run ended.', {
         job: run.job,
@@ -154,7 +154,7 @@
     const { repetition, step, index } = run.address;
     const shape = job.definition.steps[step]!;
     if (outcome === 'failed') {
-      job.recordFailureOn(repetition, step, incarnation);
+      job.recordStepFailureOn(repetition, step, incarnation);
       const failures = job.countFailures(repetition, step, index);
       if (!shape.isLongRunning && failures >= job.definition.queue.attempts) {
         this.recordJobEnd(job, 'failed', wallMs);
--- a/packages/dispatch/runs/findStragglerReason.ts
+++ b/packages/dispatch/runs/findStragglerReason.ts
@@ -22,7 +22,7 @@
 const MIN_STALL_MS = 900;
 /** A run is stalled after no progress for the time that the baseline pace gives for this many percent. */
 const STALL_BASELINE_PERCENT = 25;
-const ALL_PERCENT = 100;
+const FULL_PERCENT = 100;
 
 /**
  * Returns `stalled` if the run has made no progress for too long, and `slow` if its pace exceeds the limit and a new run is expected to
@@ -32,8 +32,8 @@
   if (input.stalledMs > Math.max(MIN_STALL_MS, STALL_BASELINE_PERCENT * input.baselinePace)) {
     return 'stalled';
   }
-  const remainingMs = input.pace * (ALL_PERCENT - input.percent);
-  const { baselinePace, slowPace = SLOW_PACE_RATIO * baselinePace, restartPercent = ALL_PERCENT } = input;
+  const remainingMs = input.pace * (FULL_PERCENT - input.percent);
+  const { baselinePace, slowPace = SLOW_PACE_RATIO * baselinePace, restartPercent = FULL_PERCENT } = input;
   const restartMs = baselinePace * restartPercent + input.moveMs;
   const isSlow = input.pace > slowPace;
   return isSlow && remainingMs > MIN_REMAINING_TO_RESTART_RATIO * restartMs ? 'slow' : undefined;
--- a/packages/dispatch/speeds/RunLearner.ts
+++ b/packages/dispatch/speeds/RunLearner.ts
@@ -3,7 +3,7 @@
 import type { JobStep } from '../../jobs/JobStep';
 import type { EndpointState } from '../endpoints/EndpointState';
 import type { EndpointProfile } from '../endpoints/EndpointProfile';
-import type { KindSpeeds } from '../placing/KindSpeeds';
+import type { LabelSlowdowns } from '../placing/LabelSlowdowns';
 import type { SpeedPolicyName } from '../placing/SpeedPolicyName';
 import type { PlacedRun } from '../runs/PlacedRun';
 import type { LiveJob } from '../waiting/LiveJob';
@@ -15,8 +15,8 @@
 interface RunLearnerOptions {
   readonly endpoints: ReadonlyMap<EndpointIncarnation, EndpointState>;
   readonly jobs: ReadonlyMap<JobId, LiveJob>;
-  /** Slowdown of the kinds of endpoints, by label. */
-  readonly kindSpeeds: KindSpeeds;
+  /** Learnt slowdowns of endpoints, by label. */
+  readonly labelSlowdowns: LabelSlowdowns;
   readonly speeds: EndpointSpeeds;
   readonly runTimes: RunTimes;
   readonly speedPolicy: SpeedPolicyName;
@@ -133,7 +133,7 @@
     msPerPercent: number,
     now: number,
   ): void {
-    const stepSpeeds = job.getSpeeds(run.address.repetition, run.address.step);
+    const stepSpeeds = job.getStepSpeeds(run.address.repetition, run.address.step);
     const profile = endpoint.getProfile();
     // The members of a gang run at one pace on all endpoints.
     const ownRatio = stepDefinition.isGang ? 1 : this.getOwnRatio(profile);
@@ -141,7 +141,8 @@
     const median = stepSpeeds.getNormalizedMedianPace();
     if (median !== undefined) {
       // An endpoint that is always slow, or of a slow kind, is not degraded.
-      const baselineRatio = ownRatio === 1 ? this.options.kindSpeeds.getSlowdown(profile.labels) : ownRatio;
+      const baselineRatio =
+        ownRatio === 1 ? this.options.labelSlowdowns.getSlowdown(profile.labels) : ownRatio;
       endpoint.recordSlowdown(msPerPercent / median / baselineRatio, now);
     }
   }
@@ -154,9 +155,9 @@
 
   /** Records the pace of a run that is done, relative to its step's median pace, for the kind of its endpoint; nothing without a median. */
   private recordKindPace({ endpoint, run, job }: Measurement, msPerPercent: number): void {
-    const median = job.getSpeeds(run.address.repetition, run.address.step).getMedianPace();
+    const median = job.getStepSpeeds(run.address.repetition, run.address.step).getMedianPace();
     if (median !== undefined && median > 0) {
-      this.options.kindSpeeds.recordRunSlowdown(endpoint.getProfile().labels, msPerPercent / median);
+      this.options.labelSlowdowns.recordRunSlowdown(endpoint.getProfile().labels, msPerPercent / median);
     }
   }
 
@@ -177,7 +178,7 @@
    */
   private recordRunTime(measurement: Measurement, runMs: number, now: number): void {
     const { run, job, stepDefinition } = measurement;
-    const stepTimes = job.getRunTimes(run.address.repetition, run.address.step);
+    const stepTimes = job.getStepRunTimes(run.address.repetition, run.address.step);
     this.measuredRuns.add(run);
     if (runMs <= 0 || !this.isAtBaselinePace(measurement)) {
       return;
--- a/packages/dispatch/stops/estimateRemainingByPaceMs.ts
+++ b/packages/dispatch/stops/estimateRemainingByPaceMs.ts
@@ -1,6 +1,6 @@
 import type { PlacedRun } from '../runs/PlacedRun';
 
-const MAX_PERCENT = 100;
+const FULL_PERCENT = 100;
 
 /**
  * Returns the estimated time until a run ends, in milliseconds, at least 0. It uses the pace of the run up to the newest poll; for a run
@@ -10,5 +10,5 @@
   const workedMs = run.lastListedAt - run.startConfirmedAt;
   const hasPace = run.isFromStart && run.percent > 0 && workedMs > 0;
   const pace = hasPace ? workedMs / run.percent : baselinePace;
-  return Math.max(0, pace * (MAX_PERCENT - run.percent) - (now - run.lastListedAt));
+  return Math.max(0, pace * (FULL_PERCENT - run.percent) - (now - run.lastListedAt));
 };
--- a/packages/dispatch/stops/lossCauses.ts
+++ b/packages/dispatch/stops/lossCauses.ts
@@ -13,9 +13,9 @@
 
 /**
  * Causes of lost runs: the causes of stops by the leader, and these.
- * - `alone`: its gang was never complete.
- * - `lapsed`: the endpoint stopped it since its lease had expired.
- * - `endpointLost`: its endpoint crashed or left, or was unreachable until its lease had expired.
+ * - `alone`: the run's gang was never complete.
+ * - `lapsed`: the endpoint stopped the run since the endpoint's lease had expired.
+ * - `endpointLost`: the endpoint crashed or left, or was unreachable until its lease had expired.
  */
 export const lossCauses = [
   ...(Object.keys(STOP_CAUSES) as StopCause[]),
--- a/packages/dispatch/stops/stopPolicies.ts
+++ b/packages/dispatch/stops/stopPolicies.ts
@@ -5,10 +5,10 @@
 import type { StopPolicyName } from './StopPolicyName';
 import type { StopPolicy } from './StopPolicy';
 
-const MAX_PERCENT = 100;
+const FULL_PERCENT = 100;
 /** Time before the drain deadline at which `ranked` evicts runs that write a checkpoint when they are stopped. */
 const EVICTION_MARGIN_MS = 700;
-/** The same for `priced`: time for the longest stop that the platform allows, and for a repeated stop command. */
+/** Eviction margin of `priced`: time for the longest stop that the platform allows, and for a repeated stop command. */
 const LONG_EVICTION_MARGIN_MS = 1300;
 /** Longest time for a stop, the poll that reports the end, and a round of placement. */
 const MAX_STOP_AND_PLACE_MS = 1200;
@@ -45,7 +45,7 @@
     findMoveReason: (input) =>
       findStragglerReason({
         ...input,
-        restartPercent: input.isSavingOnStop ? MAX_PERCENT - input.percent : MAX_PERCENT,
+        restartPercent: input.isSavingOnStop ? FULL_PERCENT - input.percent : FULL_PERCENT,
       }),
     preemptionRules: {
       computeVictimCost: computeStopCost,
--- a/packages/dispatch/waiting/LiveJob.ts
+++ b/packages/dispatch/waiting/LiveJob.ts
@@ -24,7 +24,7 @@
   readonly failedOnEndpoints: Set<EndpointIncarnation>;
   /** Newest checkpoint that an ended member left; undefined when none is known, or when the step is no gang. */
   gangCheckpoint: GangCheckpoint | undefined;
-  /** Number of preemptions for the step since its last placement, and the monotonic time from which the next is allowed. */
+  /** Number of preemptions for the step since its last placement, and the monotonic time from which the next preemption is allowed. */
   preemptionAttempts: { readonly count: number; readonly retryAt: number };
   /** Wait since the last placement; undefined while no round has found tasks of the step waiting. */
   wait: StepWait | undefined;
@@ -36,7 +36,7 @@
 interface CachedWaitingSteps {
   readonly steps: readonly WaitingStep[];
   readonly progressVersion: number;
-  /** First wall clock time for which the steps are valid, and that from which they aren't, when the next repetition falls due. */
+  /** Wall clock time from which the steps are valid, and the one at which the next repetition falls due, which ends their validity. */
   readonly validFromMs: number;
   readonly validUntilMs: number;
 }
@@ -54,9 +54,9 @@
   private readonly jobCriticalPathMs: number;
   private cachedWaitingSteps: CachedWaitingSteps | undefined;
   /** Number of preemptions, by task. */
-  private readonly preemptionCounts = new Map<TaskName, number>();
+  private readonly taskPreemptionCounts = new Map<TaskName, number>();
   /** Number of starts that endpoints rejected since the last accepted one, by task. */
-  private readonly startRejectionCounts = new Map<TaskName, number>();
+  private readonly taskStartRejectionCounts = new Map<TaskName, number>();
   /** Monotonic time before which a task isn't started again, by task. */
   private readonly retryAt = new Map<TaskName, number>();
   isCancelled = false;
@@ -120,15 +120,15 @@
     return steps;
   }
 
-  getAdvice(repetition: number, step: number): StepAdvice {
+  getStepAdvice(repetition: number, step: number): StepAdvice {
     return this.getStepState(repetition, step).advice;
   }
 
-  getSpeeds(repetition: number, step: number): StepSpeeds {
+  getStepSpeeds(repetition: number, step: number): StepSpeeds {
     return this.getStepState(repetition, step).speeds;
   }
 
-  getRunTimes(repetition: number, step: number): StepRunTimes {
+  getStepRunTimes(repetition: number, step: number): StepRunTimes {
     return this.getStepState(repetition, step).runTimes;
   }
 
@@ -148,7 +148,7 @@
    * Records that tasks of a step have been placed. Resets its preemption attempts and ends its wait; begins a new one at `now` if
    * `hasMore` tasks wait.
    */
-  recordPlacement(repetition: number, step: number, now: number, hasMore: boolean): void {
+  recordStepPlacement(repetition: number, step: number, now: number, hasMore: boolean): void {
     this.getStepState(repetition, step).preemptionAttempts = NO_PREEMPTION_ATTEMPTS;
     this.getStepState(repetition, step).wait = hasMore ? new StepWait(now) : undefined;
   }
@@ -172,43 +172,43 @@
   }
 
   /** Returns the monotonic time from which runs may be preempted for a step again; -Infinity when nothing delays it. */
-  getPreemptionRetryAt(repetition: number, step: number): number {
+  getStepPreemptionRetryAt(repetition: number, step: number): number {
     return this.getStepState(repetition, step).preemptionAttempts.retryAt;
   }
 
   /** Records a preemption for a step. Delays the next one by `retryMs`, doubled with each one since the last placement of the step. */
-  recordPreemptionAttempt(repetition: number, step: number, now: number, retryMs: number): void {
+  recordStepPreemption(repetition: number, step: number, now: number, retryMs: number): void {
     const state = this.getStepState(repetition, step);
     const { count } = state.preemptionAttempts;
     state.preemptionAttempts = { count: count + 1, retryAt: now + retryMs * 2 ** count };
   }
 
   /** Allows no preemption for a step until a monotonic time, without counting an attempt. */
-  recordPreemptionBackoff(repetition: number, step: number, until: number): void {
+  recordStepPreemptionBackoff(repetition: number, step: number, until: number): void {
     const state = this.getStepState(repetition, step);
     state.preemptionAttempts = { ...state.preemptionAttempts, retryAt: until };
   }
 
   /** Returns whether a run of the step failed on the endpoint, or was moved away from it. */
-  hasFailureOn(repetition: number, step: number, endpoint: EndpointIncarnation): boolean {
+  hasStepFailureOn(repetition: number, step: number, endpoint: EndpointIncarnation): boolean {
     return this.getStepState(repetition, step).failedOnEndpoints.has(endpoint);
   }
 
   /** Records that a run of the step failed on the endpoint, or was moved away from it. */
-  recordFailureOn(repetition: number, step: number, endpoint: EndpointIncarnation): void {
+  recordStepFailureOn(repetition: number, step: number, endpoint: EndpointIncarnation): void {
     this.getStepState(repetition, step).failedOnEndpoints.add(endpoint);
   }
 
   /** Returns how often the task was preempted under this leader. */
-  countPreemptions(task: TaskName): number {
-    return this.preemptionCounts.get(task) ?? 0;
+  countTaskPreemptions(task: TaskName): number {
+    return this.taskPreemptionCounts.get(task) ?? 0;
   }
 
-  recordPreemption(task: TaskName): void {
-    this.preemptionCounts.set(task, this.countPreemptions(task) + 1);
+  recordTaskPreemption(task: TaskName): void {
+    this.taskPreemptionCounts.set(task, this.countTaskPreemptions(task) + 1);
   }
 
-  /** Delays the next start of a task until a monotonic time, or longer if an earlier backoff lasts longer. */
+  /** Delays the next start of a task until a monotonic time; keeps an earlier backoff that lasts longer. */
   recordTaskBackoff(address: TaskAddress, until: number): void {
     const task = toTaskName(this.definition.id, address);
     this.retryAt.set(task, Math.max(until, this.retryAt.get(task) ?? until));
@@ -217,8 +217,8 @@
   /** Records that an endpoint rejected a start of the task. From the second consecutive one, delays the next start exponentially. */
   recordStartRejected(address: TaskAddress, now: number): void {
     const task = toTaskName(this.definition.id, address);
-    const count = (this.startRejectionCounts.get(task) ?? 0) + 1;
-    this.startRejectionCounts.set(task, count);
+    const count = (this.taskStartRejectionCounts.get(task) ?? 0) + 1;
+    this.taskStartRejectionCounts.set(task, count);
     if (count > 1) {
       const backoffMs = Math.min(MAX_REJECTION_BACKOFF_MS, INITIAL_REJECTION_BACKOFF_MS * 2 ** (count - 2));
       this.recordTaskBackoff(address, now + backoffMs);
@@ -227,8 +227,8 @@
 
   /** Records that an endpoint accepted a start of the task, which resets the count of its rejected starts. */
   recordStartAccepted(address: TaskAddress): void {
-    if (this.startRejectionCounts.size > 0) {
-      this.startRejectionCounts.delete(toTaskName(this.definition.id, address));
+    if (this.taskStartRejectionCounts.size > 0) {
+      this.taskStartRejectionCounts.delete(toTaskName(this.definition.id, address));
     }
   }
 
--- a/packages/dispatch/waiting/StepSpeeds.ts
+++ b/packages/dispatch/waiting/StepSpeeds.ts
@@ -12,7 +12,7 @@
   private readonly normalizedPaces = new Map<number, number>();
   /** Cached median of `paces`; undefined until it is computed after the last recorded pace. */
   private medianPace: number | undefined;
-  /** The same for `normalizedPaces`. */
+  /** Cached median of `normalizedPaces`; undefined until it is computed after the last recorded pace. */
   private normalizedMedianPace: number | undefined;
 
   /** Replaces the pace of a task, and the pace that it would have on a baseline endpoint, which is the same by default. */
--- a/packages/dispatch/waiting/sortByHeldShares.ts
+++ b/packages/dispatch/waiting/sortByHeldShares.ts
@@ -119,21 +119,21 @@
   Math.floor(wallMs / TIME_SLICE_MS) % EXPIRED_FIRST_SLICE_INTERVAL === 0;
 
 /** Compares by priority, then by timeliness, then by latest start time. */
-const compareByStartTime = (left: RankedStep, right: RankedStep): number =>
+const compareByUrgency = (left: RankedStep, right: RankedStep): number =>
   left.priority - right.priority || left.timeliness - right.timeliness || left.startByMs - right.startByMs;
 
-/** Compares as `compareByStartTime`, but puts steps over their share last before it compares the latest start time. */
-const compareByShare = (left: RankedStep, right: RankedStep): number =>
+/** Compares as `compareByUrgency`, but puts steps over their share last before it compares the latest start time. */
+const compareByUrgencyAndShare = (left: RankedStep, right: RankedStep): number =>
   left.priority - right.priority ||
   left.timeliness - right.timeliness ||
   Number(left.isOverShare) - Number(right.isOverShare) ||
   left.startByMs - right.startByMs;
 
-/** Compares as `compareByShare`, but puts expired steps first within a priority. */
+/** Compares as `compareByUrgencyAndShare`, but puts expired steps first within a priority. */
 const compareExpiredFirst = (left: RankedStep, right: RankedStep): number =>
   left.priority - right.priority ||
   Number(right.timeliness === TIMELINESS.expired) - Number(left.timeliness === TIMELINESS.expired) ||
-  compareByShare(left, right);
+  compareByUrgencyAndShare(left, right);
 
 /**
  * Sorts waiting steps by priority, then by whether they can be in time or still useful, then by whether their customer is over its fair
@@ -144,8 +144,8 @@
   input: PlacementOrderInput,
 ): readonly WaitingStep[] => {
   const capacity = input.getTotalCapacity();
-  const ranked = waiting.map((step) => createRankedStep(step, capacity, input)).sort(compareByStartTime);
+  const ranked = waiting.map((step) => createRankedStep(step, capacity, input)).sort(compareByUrgency);
   updateOverShareFlags(ranked, input, capacity);
-  ranked.sort(isExpiredFirstSlice(input.wallMs) ? compareExpiredFirst : compareByShare);
+  ranked.sort(isExpiredFirstSlice(input.wallMs) ? compareExpiredFirst : compareByUrgencyAndShare);
   return ranked.map(({ step }) => step);
 };
--- a/packages/gateway/CallerAuthorizer.ts
+++ b/packages/gateway/CallerAuthorizer.ts
@@ -1,4 +1,4 @@
-import type { CallerCheck } from '../customers/CallerCheck';
+import type { CallerCheckResult } from '../customers/CallerCheckResult';
 import type { CallerKey } from '../customers/CallerKey';
 import { checkCaller } from '../customers/checkCaller';
 import type { QueueRoute } from './QueueRoute';
@@ -16,7 +16,7 @@
 export class CallerAuthorizer {
   constructor(private readonly options: CallerGateOptions) {}
 
-  checkCall({ queue, isOpen }: QueueRoute, key: CallerKey): CallerCheck {
+  checkCall({ queue, isOpen }: QueueRoute, key: CallerKey): CallerCheckResult {
     const { router, isFresh, handleRejected: handleRefused } = this.options;
     const customers = router.getCustomers();
     const check = checkCaller({ key, isOpen, customers, isConfigFresh: isFresh() });
--- a/packages/jobs/CrashBlame.ts
+++ b/packages/jobs/CrashBlame.ts
@@ -1,9 +1,9 @@
 /**
  * How likely it is that a task caused the crash of the endpoint it ran on.
- * - `sole`: its run was the only one there in startup.
- * - `shared`: its run was one of several in startup.
- * - `inherited`: its run was placed by an earlier leader, and it is unknown whether it was in startup.
- * - `present`: its run was past startup.
- * - `unproved`: the endpoint became unreachable and has not responded since; it may only be partitioned.
+ * - `sole`: the task's run was the only one on the endpoint in startup.
+ * - `shared`: the task's run was one of several on the endpoint in startup.
+ * - `inherited`: the task's run was placed by an earlier leader, and it is unknown whether the run was in startup.
+ * - `present`: the task's run was on the endpoint, but other runs or an outage are taken for the cause.
+ * - `unproved`: the endpoint became unreachable and has not responded since: it may have crashed, or only be partitioned.
  */
 export type CrashBlame = 'sole' | 'shared' | 'inherited' | 'present' | 'unproved';
--- a/packages/jobs/JobProgress.ts
+++ b/packages/jobs/JobProgress.ts
@@ -131,7 +131,7 @@
     return true;
   }
 
-  /** Records that all tasks of a gang are done, including those whose own end was not reported. */
+  /** Records that all tasks of a gang are done, including tasks whose own end was not reported. */
   recordGangDone(repetition: number, step: number): void {
     for (const [index, task] of this.listTasks(repetition, step).entries()) {
       if (task.phase !== 'done') {
@@ -211,7 +211,7 @@
     return true;
   }
 
-  /** Records the outcome of the job and the wall clock of its end, in Unix milliseconds. Ignored when it has an outcome. */
+  /** Records the outcome of the job and the wall clock of its end, in Unix milliseconds. Ignored when the job has an outcome already. */
   recordJobEnd(ending: 'completed' | 'failed' | 'cancelled', atMs: number): void {
     if (this.finalState === undefined) {
       this.finalState = ending;
--- a/packages/jobs/JobReplica.ts
+++ b/packages/jobs/JobReplica.ts
@@ -46,7 +46,7 @@
     return { accepted, cancelled, invalid };
   }
 
-  /** Adds a job whose record is in the log. Returns false when its id is known already. */
+  /** Adds a job whose record is in the log. Returns false when the job's id is known already. */
   recordDefinition(definition: JobDefinition): boolean {
     if (this.definitions.has(definition.id)) {
       return false;
@@ -55,7 +55,7 @@
     return true;
   }
 
-  /** Adds a cancellation whose record is in the log. Returns false when it is known already. */
+  /** Adds a cancellation whose record is in the log. Returns false when the cancellation is known already. */
   recordCancel(id: JobId): boolean {
     if (this.cancelledIds.has(id)) {
       return false;
@@ -110,7 +110,7 @@
   }
 
   /**
-   * Returns the state as callers see it: `cancelled` from the cancellation on, unless completed or failed; undefined for an unknown job.
+   * Returns the state as callers see it: `cancelled` from the cancellation on, unless the job has completed or failed; undefined for an unknown job.
    */
   getState(id: JobId): JobState | undefined {
     if (!this.definitions.has(id)) {
--- a/packages/jobs/TaskProgress.ts
+++ b/packages/jobs/TaskProgress.ts
@@ -13,8 +13,8 @@
   readonly endpoint: EndpointIncarnation;
   /** Newest checkpoint; empty for none and for a done task. */
   readonly checkpoint: string;
-  /** Confirmed crashes of endpoints under the task that are put down to it. */
+  /** Confirmed crashes of endpoints that ran the task, which are put down to the task. */
   readonly crashes: readonly TaskCrash[];
-  /** Crashes of endpoints that became unreachable under the task and have not been confirmed. */
+  /** Crashes, not confirmed yet, of endpoints that became unreachable while they ran the task. */
   readonly unconfirmedCrashes: readonly TaskCrash[];
 }
--- a/packages/jobs/checkDefinition.ts
+++ b/packages/jobs/checkDefinition.ts
@@ -18,7 +18,7 @@
     if (unknown !== undefined) {
       return `steps[${number}]: waits for step ${unknown}, which does not exist`;
     }
-    // Dependencies on earlier steps only rule out cycles.
+    // A step may depend only on earlier steps, which rules out cycles.
     const later = step.dependsOn.find((earlier) => earlier >= number);
     if (later !== undefined) {
       return `steps[${number}]: waits for step ${later}, which is not an earlier step`;
--- a/packages/leadership/Leadership.ts
+++ b/packages/leadership/Leadership.ts
@@ -41,7 +41,7 @@
 const ENDED_CLAIM_JITTER_MS = 250;
 /** Additional delay of claims by a box that knows stronger boxes, so that these claim first. */
 const OUTRANKED_CLAIM_DELAY_MS = 350;
-/** The same delay after a heartbeat timeout, which the stronger boxes may notice later by a read cycle. */
+/** Delay of a claim per rank after a heartbeat timeout, which the stronger boxes may notice later by a read cycle. */
 const OUTRANKED_TIMEOUT_DELAY_MS = 900;
 
 type ClaimReason =
@@ -69,7 +69,7 @@
   private endedLeaderEpoch: number | undefined;
   private endedClaimReason: ClaimReason = 'the leader handed over';
   /** Monotonic time at which this process noticed that the process of the leader had ended. */
-  private endNoticedAt = -Infinity;
+  private leaderEndNoticedAt = -Infinity;
   private readonly leaseHistory = new LeaseHistory();
   /** Monotonic time at which a read first showed the heartbeat timeout of the leader; undefined without a timeout. */
   private timeoutSeenAt: number | undefined;
@@ -105,8 +105,8 @@
   }
 
   /**
-   * Handles the announcement of a leader, whose record this process may not have read from the log yet. Counts as its activity. Returns
-   * false, without effect, when its epoch is not newer than the known one.
+   * Handles the announcement of a leader, whose record this process may not have read from the log yet. Counts as activity of the leader.
+   * Returns false, without effect, when the announced epoch is not newer than the known one.
    */
   handleAnnouncement(record: LeaderRecord): boolean {
     if (record.epoch <= (this.leaderRecord?.epoch ?? 0)) {
@@ -130,11 +130,13 @@
     this.handleTick();
   }
 
-  /** Handles the probable end of a process. If it is that of the leader, `handleTick` claims leadership after a random delay. */
+  /** Handles the probable end of a process. If the leader runs in that process, `handleTick` claims leadership after a random delay. */
   handleLeaderEnded(process: string): void {
     if (this.leaderRecord?.process === process) {
-      this.endNoticedAt =
-        this.endedLeaderEpoch === this.leaderRecord.epoch ? this.endNoticedAt : this.options.clock.getNow();
+      this.leaderEndNoticedAt =
+        this.endedLeaderEpoch === this.leaderRecord.epoch
+          ? this.leaderEndNoticedAt
+          : this.options.clock.getNow();
       this.endedLeaderEpoch = this.leaderRecord.epoch;
       this.endedClaimReason = 'the leader process has ended';
     }
@@ -159,7 +161,7 @@
     }
   }
 
-  /** Handles that this process no longer leads. Counts as activity of the leader, so that it does not claim again at once. */
+  /** Handles that this process no longer leads. Counts as activity of the leader, so that this process does not claim again at once. */
   handleLeadershipLost(): void {
     this.isLeading = false;
     this.leaderActiveAt = this.options.clock.getNow();
@@ -186,7 +188,7 @@
     }
   }
 
-  /** Returns why this process should claim leadership now; undefined when it should not, or the log is not read up to date. */
+  /** Returns why this process should claim leadership now; undefined when this process should not, or when it has not read the log up to its end. */
   private findClaimReason(): ClaimReason | undefined {
     const { follower, clock, process, box } = this.options;
     if (this.logReadableSince === undefined || !follower.isUpToDate()) {
@@ -207,7 +209,7 @@
       }
       // All boxes notice the end at the same time: a random delay from then on keeps their claims apart, and lets stronger boxes claim
       // first. The last activity may be older and is no base for the delay.
-      const elapsedMs = now - Math.max(this.endNoticedAt, this.leaderActiveAt);
+      const elapsedMs = now - Math.max(this.leaderEndNoticedAt, this.leaderActiveAt);
       return elapsedMs > this.claimJitter * ENDED_CLAIM_JITTER_MS + rankDelayMs
         ? this.endedClaimReason
         : undefined;
--- a/packages/leadership/LeaseHistory.ts
+++ b/packages/leadership/LeaseHistory.ts
@@ -36,7 +36,7 @@
   }
 
   /**
-   * Records the message of the leader of an epoch that it has stopped renewing leases. Counts as activity. Ignored for other epochs than
+   * Records the message of the leader of an epoch that it has stopped renewing leases. Counts as activity. Ignored for epochs other than
    * the newest.
    */
   recordLeaderStopped(epoch: number, now: number): void {
--- a/packages/load/CustomerLoad.ts
+++ b/packages/load/CustomerLoad.ts
@@ -4,7 +4,7 @@
 export interface CustomerLoad {
   readonly customer: CustomerName;
   readonly waitingTasks: number;
-  /** Share of the resource of which it uses the largest part, 0 to 1. */
+  /** Share of the resource of which the customer uses the largest part, 0 to 1. */
   readonly dominantShare: number;
   /** Weighted fair share of the endpoints under the current demand, 0 to 1. */
   readonly fairShare: number;
--- a/packages/load/KnownLoad.ts
+++ b/packages/load/KnownLoad.ts
@@ -3,6 +3,6 @@
 /** A load digest that is fresh enough for decisions. */
 export interface KnownLoad {
   readonly digest: LoadDigest;
-  /** Age in milliseconds, by the clock that makes it older. */
+  /** Age of the digest in milliseconds: since its receipt or its creation, whichever is longer. */
   readonly ageMs: number;
 }
--- a/packages/load/LoadDigest.ts
+++ b/packages/load/LoadDigest.ts
@@ -2,11 +2,11 @@
 import type { QueueLoad } from './QueueLoad';
 
 /**
- * Summary of a leader's load, published to all boxes with its heartbeats and bounded in size. It covers the endpoints and jobs of that
+ * Summary of a leader's load, published to all boxes with its heartbeats and bounded in size. The digest covers the endpoints and jobs of that
  * leader only.
  */
 export interface LoadDigest {
-  /** Epoch of the leader that created it. */
+  /** Epoch of the leader that created the digest. */
   readonly epoch: number;
   /** Increases with each digest of an epoch. */
   readonly sequence: number;
--- a/packages/load/LoadSnapshot.ts
+++ b/packages/load/LoadSnapshot.ts
@@ -6,9 +6,9 @@
 interface CustomerSnapshot {
   readonly weight: number;
   readonly waitingTasks: number;
-  /** Total demand of its waiting tasks. */
+  /** Total demand of the customer's waiting tasks. */
   readonly waitingDemand: TaskDemand;
-  /** Resources of its runs. */
+  /** Resources that the customer's runs take. */
   readonly usedResources: TaskDemand;
 }
 
--- a/packages/load/LoadView.ts
+++ b/packages/load/LoadView.ts
@@ -4,7 +4,7 @@
 import { loadKeys } from './loadKeys';
 import { parseDigest } from './parseDigest';
 
-/** Clocks and leadership of a box when it reads the load. */
+/** Times of both clocks, and the newest known leader epoch, when a box reads the load. */
 interface LoadMoment {
   readonly now: number;
   readonly wallMs: number;
--- a/packages/load/chooseAdmission.ts
+++ b/packages/load/chooseAdmission.ts
@@ -7,7 +7,7 @@
 
 /** Minimum time after which a refused caller is told to retry: one publish interval of digests. */
 const MIN_RETRY_AFTER_MS = 1000;
-/** Maximum jitter of the retry time, as a share of it. Spreads the retries of callers that were refused together. */
+/** Maximum jitter of the retry time, as a share of the retry time. Spreads the retries of callers that were refused together. */
 const MAX_JITTER_SHARE = 0.5;
 /** Number of digits of a job's id that determine its jitter. */
 const JITTER_DIGITS = 6;
@@ -42,7 +42,7 @@
   return load.fairShare === 0 ? 1 : Math.min(1, load.dominantShare / load.fairShare);
 };
 
-/** Returns the jitter of a job, 0 to 1, from the last digits of its id. It is the same on every box. */
+/** Returns the jitter of a job, 0 to 1, from the last digits of its id. The jitter is the same on every box. */
 const computeJitter = ({ id }: AdmissionRequest): number =>
   parseInt(id.slice(-JITTER_DIGITS), 16) / 16 ** JITTER_DIGITS;
 
@@ -55,7 +55,7 @@
 };
 
 /**
- * Admits a job, unless its first tasks do not fit into the free capacity and its expected wait is longer than it may wait. Admits it when
+ * Admits a job, unless its first tasks do not fit into the free capacity and its expected wait is longer than the job may wait. Admits the job when
  * the load of its queue is unknown.
  */
 export const chooseAdmission = (
--- a/packages/logging/JobTrace.ts
+++ b/packages/logging/JobTrace.ts
@@ -20,7 +20,7 @@
     this.newestEndAt = addedAt;
   }
 
-  recordRun(
+  recordRunEnd(
     run: PlacedRun,
     { incarnation, hall }: EndpointProfile,
     { outcome, reportedEnd }: RunEnd,
--- a/packages/logging/getLineClass.ts
+++ b/packages/logging/getLineClass.ts
@@ -4,7 +4,10 @@
 import type { LineLevel } from './LineLevel';
 import { findLineJob } from './findLineJob';
 
-/** Returns the class of a line before sampling, by its level, its message and whether it names a job. */
+/**
+ * Returns the class of a line before sampling: `error` for an error, `vital` for a warning, and for an info line the class by its message
+ * and by whether it names a job.
+ */
 export const getLineClass = (
   level: LineLevel,
   message: string,
--- a/packages/logging/lineClasses.ts
+++ b/packages/logging/lineClasses.ts
@@ -1,8 +1,6 @@
 import type { LineClass } from './LineClass';
 
-/**
- * Classes of lines by message. Any other line is `story` if it names a job, and `vital` if it names none.
- */
+/** Classes of info lines by message. Any other info line is `story` if it names a job, and `vital` if it names none. */
 export const lineClasses: Readonly<Record<string, Extract<LineClass, 'vital' | 'notable'>>> = {
   'Call refused for its key.': 'vital',
   'Charges of a crash are taken back.': 'vital',
--- a/packages/store/ExclusiveWriter.ts
+++ b/packages/store/ExclusiveWriter.ts
@@ -50,7 +50,7 @@
 
   /**
    * Queues the newest value of a key. `formatValue` is called when the append is sent. `handleWritten` is called once the value is
-   * durable, and never if it does not become so.
+   * durable, and never if the value does not become durable.
    */
   queueWrite(key: string, formatValue: () => string, handleWritten?: () => void): void {
     if (this.isStopped) {
@@ -108,7 +108,7 @@
     await waitForDelay(this.options.lingerMs);
     while (this.pendingValues.size > 0 && !this.isStopped) {
       const writes = this.createBatch();
-      // Handlers wait until no change is left for the next append, since theirs may be among those left.
+      // Handlers are called only after the append that leaves no queued values: until then, their values may not have been sent.
       const handlers = this.pendingValues.size === 0 ? this.queuedHandlers.splice(0) : [];
       const isWritten = await this.sendBatch(writes);
       if (!isWritten) {
--- a/packages/store/LogFollower.ts
+++ b/packages/store/LogFollower.ts
@@ -171,7 +171,10 @@
     return this.nextRefresh;
   }
 
-  /** Reads the records after the known ones at once, beside the loop. Resolves to false when the read fails or the topic is not known. */
+  /**
+   * Reads the newest records at once, independently of the read loop. Resolves to false when the read fails, or when the whole topic has
+   * not been read yet.
+   */
   private async readLatest(timeoutMs: number): Promise<boolean> {
     const { client, topic } = this.options;
     while (this.nextOffset !== undefined) {
@@ -197,7 +200,7 @@
         return page.error;
       }
       this.recordResponse();
-      // Unless a concurrent read has set it.
+      // A concurrent read may have set the offset already.
       this.nextOffset ??= page.value.endOffset;
       this.options.handleRecords(page.value.records);
     }
@@ -214,7 +217,7 @@
     if (!response.ok) {
       return response.error;
     }
-    // Unless a refresh or a later start has advanced it.
+    // Skipped when a refresh or a later start has advanced the offset.
     if (this.nextOffset === offset) {
       this.applyRecords(response.value.records);
     }
--- a/packages/store/LogWriter.ts
+++ b/packages/store/LogWriter.ts
@@ -77,7 +77,7 @@
     while (this.queuedWrites.length > 0) {
       const isWritten = await this.sendBatch(this.createBatch());
       if (!isWritten) {
-        // These have not been sent, so that they certainly have no effect.
+        // Queued writes have not been sent, so that they certainly have no effect.
         this.queuedWrites.splice(0).forEach(({ resolve }) => resolve('refused'));
       }
     }
--- a/tests/adviceQuestions.test.ts
+++ b/tests/adviceQuestions.test.ts
@@ -29,7 +29,7 @@
       const id = toId<EndpointIncarnation>(`i-${index}`);
       const capacity = { cpuMillis: 1000, memoryMb: 10_000, accelerators: 0 };
       dispatcher.handleEndpointProfile(createProfile(id, { capacity }));
-      dispatcher.handleStatus({ endpoint: id, running: [], ended: [], sentAt: 0 }, 0, 0);
+      dispatcher.handleStatus({ endpoint: id, running: [], ended: [], pollSentAt: 0 }, 0, 0);
     }
   });
 
--- a/tests/crashCharges.test.ts
+++ b/tests/crashCharges.test.ts
@@ -48,7 +48,7 @@
       percent: 1,
       load: 0,
     }));
-    dispatcher.handleStatus({ endpoint: id, running, ended: [], sentAt: now }, now, now);
+    dispatcher.handleStatus({ endpoint: id, running, ended: [], pollSentAt: now }, now, now);
   };
 
   /** Places the waiting tasks, and confirms each start. */
--- a/tests/customerLimits.test.ts
+++ b/tests/customerLimits.test.ts
@@ -29,7 +29,7 @@
     PROFILES.forEach((profile) => dispatcher.handleEndpointProfile(profile));
     if (isSynced) {
       PROFILES.forEach(({ incarnation: endpoint }) =>
-        dispatcher.handleStatus({ endpoint, running: [], ended: [], sentAt: 0 }, 1, 1),
+        dispatcher.handleStatus({ endpoint, running: [], ended: [], pollSentAt: 0 }, 1, 1),
       );
     }
   };
@@ -77,7 +77,7 @@
     );
     const running = others.map((other) => ({ ...other, percent: 10, load: 0 }));
     const ended = [{ number: 1, task, run, how: 'done', checkpoint: '' } as const];
-    dispatcher.handleStatus({ endpoint: start.endpoint, running, ended, sentAt: now }, now, now);
+    dispatcher.handleStatus({ endpoint: start.endpoint, running, ended, pollSentAt: now }, now, now);
   };
 
   it('runs a wide step in waves, without effect on other customers', () => {
@@ -125,7 +125,7 @@
     );
     expect(placeAll(120)).toEqual([]);
     PROFILES.forEach(({ incarnation: endpoint }) =>
-      dispatcher.handleStatus({ endpoint, running: [], ended: [], sentAt: 130 }, 131, 131),
+      dispatcher.handleStatus({ endpoint, running: [], ended: [], pollSentAt: 130 }, 131, 131),
     );
     expect(placeAll(132)).toHaveLength(3);
   });
@@ -147,7 +147,7 @@
     handleJob(createJob(2, [createStep({ count: 1 })]));
     // Other endpoints have free capacity and respond.
     PROFILES.forEach(({ incarnation: endpoint }) =>
-      dispatcher.handleStatus({ endpoint, running: [], ended: [], sentAt: 60 }, 61, 61),
+      dispatcher.handleStatus({ endpoint, running: [], ended: [], pollSentAt: 60 }, 61, 61),
     );
     expect(placeAll(62)).toEqual([]);
   });
@@ -163,7 +163,7 @@
     handleJob(createJob(2, [createStep({ count: 1 })]));
     const reachable = PROFILES.slice(0, 2);
     reachable.forEach(({ incarnation: endpoint }) =>
-      dispatcher.handleStatus({ endpoint, running: [], ended: [], sentAt: 2 }, 3, 3),
+      dispatcher.handleStatus({ endpoint, running: [], ended: [], pollSentAt: 2 }, 3, 3),
     );
     dispatcher.handleTick(4000);
     expect(placeAll(4000)).toEqual([]);
--- a/tests/dispatch.test.ts
+++ b/tests/dispatch.test.ts
@@ -380,7 +380,7 @@
       load: 0,
     }));
     const ended = [...endpoint.ends];
-    const status = { endpoint: id, running, ended, sentAt: this.now };
+    const status = { endpoint: id, running, ended, pollSentAt: this.now };
     if (this.mutation === 'ackBeforeRecord') {
       endpoint.lastSeen = endpoint.endCount;
       this.removeAcknowledged(endpoint);
@@ -516,7 +516,7 @@
     const [first, second] = [createProfile('i-0'), createProfile('i-1')];
     const definition = createJob(1, [createStep({ count: 1, isLongRunning: true, missAllowed: 1 })]);
     dispatcher.handleEndpointProfile(first);
-    dispatcher.handleStatus({ endpoint: first.incarnation, running: [], ended: [], sentAt: 0 }, 1, 1);
+    dispatcher.handleStatus({ endpoint: first.incarnation, running: [], ended: [], pollSentAt: 0 }, 1, 1);
     dispatcher.handleJob(definition, new JobProgress(definition), 1);
     dispatcher.placeWaiting(2, 2);
     const start = dispatcher.takeEffects().find((effect) => effect.kind === 'start') as Extract<
@@ -526,7 +526,7 @@
     dispatcher.handleStartRecorded(start, 3);
     dispatcher.handleStartResult(first.incarnation, start.command.task, 1, { kind: 'done' }, 4);
     dispatcher.handleEndpointProfile(second);
-    dispatcher.handleStatus({ endpoint: second.incarnation, running: [], ended: [], sentAt: 5 }, 6, 6);
+    dispatcher.handleStatus({ endpoint: second.incarnation, running: [], ended: [], pollSentAt: 5 }, 6, 6);
     return { dispatcher, first, second };
   };
 
--- a/tests/hallPolicies.test.ts
+++ b/tests/hallPolicies.test.ts
@@ -33,7 +33,7 @@
     hallByEndpoint.set(profile.incarnation, hall);
     dispatcher.handleEndpointProfile(profile);
     if (usableHalls.includes(hall)) {
-      dispatcher.handleStatus({ endpoint: profile.incarnation, running: [], ended: [], sentAt: 0 }, 1, 1);
+      dispatcher.handleStatus({ endpoint: profile.incarnation, running: [], ended: [], pollSentAt: 0 }, 1, 1);
     }
   }
   const demand = { cpuMillis: 4500, memoryMb: 6400, accelerators: 0 };
--- a/tests/heldStarts.test.ts
+++ b/tests/heldStarts.test.ts
@@ -35,7 +35,7 @@
     dispatcher = new Dispatcher({ getDefinition: () => undefined, earlierLeasesEndAt: 0 });
     const capacity = { cpuMillis: CAPACITY * 1000, memoryMb: 10_000, accelerators: 0 };
     dispatcher.handleEndpointProfile(createProfile(ENDPOINT, { capacity }));
-    dispatcher.handleStatus({ endpoint: ENDPOINT, running: [], ended: [], sentAt: 0 }, 0, 0);
+    dispatcher.handleStatus({ endpoint: ENDPOINT, running: [], ended: [], pollSentAt: 0 }, 0, 0);
   });
 
   const addJob = (definition: JobDefinition, now: number): void =>
--- a/tests/helpers/AdviceSimulation.ts
+++ b/tests/helpers/AdviceSimulation.ts
@@ -141,7 +141,7 @@
     const capacity = { cpuMillis: 64_000, memoryMb: 128_000, accelerators: 0 };
     for (const endpoint of this.running.keys()) {
       dispatcher.handleEndpointProfile(createProfile(endpoint, { capacity }));
-      dispatcher.handleStatus({ endpoint, running: [], ended: [], sentAt: -1 }, this.now, this.now);
+      dispatcher.handleStatus({ endpoint, running: [], ended: [], pollSentAt: -1 }, this.now, this.now);
     }
     return dispatcher;
   }
@@ -294,6 +294,6 @@
     }));
     const ended = this.ended.get(endpoint) ?? [];
     this.ended.delete(endpoint);
-    this.dispatcher.handleStatus({ endpoint, running, ended, sentAt: this.now }, this.now, this.now);
+    this.dispatcher.handleStatus({ endpoint, running, ended, pollSentAt: this.now }, this.now, this.now);
   }
 }
--- a/tests/helpers/CrashSimulation.ts
+++ b/tests/helpers/CrashSimulation.ts
@@ -339,7 +339,7 @@
     }));
     const ended = incarnation.ends;
     incarnation.ends = [];
-    this.dispatcher.handleStatus({ endpoint: id, running, ended, sentAt: this.now }, this.now, this.now);
+    this.dispatcher.handleStatus({ endpoint: id, running, ended, pollSentAt: this.now }, this.now, this.now);
     this.dispatcher.getEndpointState(id)?.recordLease(this.now + MAX_LEASE_MS);
   }
 
--- a/tests/helpers/HeterogeneousSimulation.ts
+++ b/tests/helpers/HeterogeneousSimulation.ts
@@ -277,6 +277,10 @@
       percent: Math.floor((100 * (this.now - startedAt)) / Math.max(wholeMs, endsAt - startedAt)),
       load: 0,
     }));
-    this.dispatcher.handleStatus({ endpoint, running: rows, ended, sentAt: this.now }, this.now, this.now);
+    this.dispatcher.handleStatus(
+      { endpoint, running: rows, ended, pollSentAt: this.now },
+      this.now,
+      this.now,
+    );
   }
 }
--- a/tests/helpers/ShareSimulation.ts
+++ b/tests/helpers/ShareSimulation.ts
@@ -158,7 +158,7 @@
       const capacity = { cpuMillis: CORES * 1000, memoryMb: 128_000, accelerators: 0 };
       const { incarnation } = createProfile(`i-${number}`);
       this.dispatcher.handleEndpointProfile(createProfile(`i-${number}`, { capacity }));
-      this.dispatcher.handleStatus({ endpoint: incarnation, running: [], ended: [], sentAt: 0 }, 0, 0);
+      this.dispatcher.handleStatus({ endpoint: incarnation, running: [], ended: [], pollSentAt: 0 }, 0, 0);
       this.running.set(incarnation, []);
     }
   }
@@ -266,7 +266,7 @@
         const remaining = runs.filter(({ endsAt }) => endsAt > now);
         this.running.set(endpoint, remaining);
         const rows = remaining.map(({ task, run }) => ({ task, run, checkpoint: '', percent: 50, load: 0 }));
-        this.dispatcher.handleStatus({ endpoint, running: rows, ended, sentAt: now }, now, now);
+        this.dispatcher.handleStatus({ endpoint, running: rows, ended, pollSentAt: now }, now, now);
       }
     }
   }
--- a/tests/helpers/StopSimulation.ts
+++ b/tests/helpers/StopSimulation.ts
@@ -213,7 +213,7 @@
     const { incarnation } = endpoint.profile;
     this.dispatcher.getEndpointState(incarnation)?.recordLease(this.now + 10_000);
     this.dispatcher.handleStatus(
-      { endpoint: incarnation, running, ended, sentAt: this.now },
+      { endpoint: incarnation, running, ended, pollSentAt: this.now },
       this.now,
       this.now,
     );
--- a/tests/kindSpeeds.test.ts
+++ b/tests/kindSpeeds.test.ts
@@ -3,7 +3,7 @@
 import type { DispatchEffect } from '../packages/dispatch/DispatchEffect';
 import { Dispatcher } from '../packages/dispatch/Dispatcher';
 import type { EndedTaskStatus } from '../packages/dispatch/endpoints/EndedTaskStatus';
-import { KindSpeeds } from '../packages/dispatch/placing/KindSpeeds';
+import { LabelSlowdowns } from '../packages/dispatch/placing/LabelSlowdowns';
 import type { SpeedPolicyName } from '../packages/dispatch/placing/SpeedPolicyName';
 import type { EndpointIncarnation } from '../packages/jobs/EndpointIncarnation';
 import type { JobId } from '../packages/jobs/JobId';
@@ -15,7 +15,7 @@
 
 describe('the slowdown of a kind of endpoint', () => {
   it('is that of the most widely shared label, once enough runs are known', () => {
-    const kinds = new KindSpeeds();
+    const kinds = new LabelSlowdowns();
     const record = (labels: readonly string[], slowdown: number, count: number): void => {
       Array.from({ length: count }).forEach(() => kinds.recordRunSlowdown(labels, slowdown));
     };
@@ -30,7 +30,7 @@
   });
 
   it('is not affected by single very slow runs, and follows a change', () => {
-    const kinds = new KindSpeeds();
+    const kinds = new LabelSlowdowns();
     for (let run = 0; run < 1000; run += 1) {
       kinds.recordRunSlowdown(['a'], run % 50 === 0 ? 40 : 1);
     }
@@ -89,7 +89,7 @@
       labels: [isSlow ? 'b' : 'a', `rack-${number % 5}`],
     });
     dispatcher.handleEndpointProfile(profile);
-    dispatcher.handleStatus({ endpoint: profile.incarnation, running: [], ended: [], sentAt: 0 }, 0, 0);
+    dispatcher.handleStatus({ endpoint: profile.incarnation, running: [], ended: [], pollSentAt: 0 }, 0, 0);
     running.set(profile.incarnation, []);
     if (isSlow) {
       slow.add(profile.incarnation);
@@ -135,7 +135,7 @@
           percent: Math.floor((100 * (now - startedAt)) / (endsAt - startedAt)),
           load: 0,
         }));
-        dispatcher.handleStatus({ endpoint, running: rows, ended, sentAt: now }, now, now);
+        dispatcher.handleStatus({ endpoint, running: rows, ended, pollSentAt: now }, now, now);
       }
     }
   };
--- a/tests/lateJobs.test.ts
+++ b/tests/lateJobs.test.ts
@@ -88,7 +88,7 @@
     const narrow = ['n-1', 'n-2'].map((id) => createProfile(id, { service: NARROW }));
     for (const profile of [...wide, ...narrow]) {
       this.dispatcher.handleEndpointProfile(profile);
-      const status = { endpoint: profile.incarnation, running: [], ended: [], sentAt: 0 };
+      const status = { endpoint: profile.incarnation, running: [], ended: [], pollSentAt: 0 };
       this.dispatcher.handleStatus(status, 0, WALL_MS);
       this.running.set(profile.incarnation, []);
     }
@@ -187,7 +187,7 @@
           percent: Math.floor((100 * (this.now - startedAt)) / (endsAt - startedAt)),
           load: 0,
         }));
-        const status = { endpoint, running: rows, ended, sentAt: this.now };
+        const status = { endpoint, running: rows, ended, pollSentAt: this.now };
         this.dispatcher.handleStatus(status, this.now, this.now + WALL_MS);
       }
     }
@@ -270,7 +270,7 @@
   dispatcher.handleEndpointProfile(createProfile('i-1'));
   dispatcher.handleJob(definition, progress, leaderAt);
   const row = { number: 1, task: toId<TaskName>(`${definition.id}.0.0.0`), run: 1, checkpoint: '' };
-  const status = { endpoint, running: [], ended: [{ ...row, how: 'done' as const }], sentAt: endsAt };
+  const status = { endpoint, running: [], ended: [{ ...row, how: 'done' as const }], pollSentAt: endsAt };
   dispatcher.handleStatus(status, endsAt, endsAt);
   const tell = dispatcher
     .takeEffects()
@@ -337,7 +337,7 @@
     for (let index = 0; index < 500; index += 1) {
       const run = createPlacedRun(definition, { repetition: 0, step: 0, index }, 1, 10);
       const end = { outcome: 'done', evidence: 'listed', reportedEnd: 'done', checkpoint: '' } as const;
-      trace.recordRun(run, createProfile(`i-${index}`), end, 1000 + index);
+      trace.recordRunEnd(run, createProfile(`i-${index}`), end, 1000 + index);
     }
     const account = trace.createHistory(definition, 'completed', 1499);
     expect(account.runs.size).toBe(48);
--- a/tests/loadDigest.test.ts
+++ b/tests/loadDigest.test.ts
@@ -105,7 +105,7 @@
     const dispatcher = new Dispatcher({ getDefinition: () => undefined, earlierLeasesEndAt: 0 });
     dispatcher.handleEndpointProfile(createProfile('i-1'));
     const endpoint = createProfile('i-1').incarnation;
-    dispatcher.handleStatus({ endpoint, running: [], ended: [], sentAt: 0 }, 0, 0);
+    dispatcher.handleStatus({ endpoint, running: [], ended: [], pollSentAt: 0 }, 0, 0);
     const owner = createCustomer('owner', {}, 2);
     const definition = { ...createJobDefinition(1, [createStep({ count: 6 })]), customer: owner };
     dispatcher.handleJob(definition, new JobProgress(definition), 0);
--- a/tests/longWaitLogger.test.ts
+++ b/tests/longWaitLogger.test.ts
@@ -12,7 +12,7 @@
   const dispatcher = new Dispatcher({ getDefinition: () => undefined, earlierLeasesEndAt: 0 });
   const profile = createProfile('i-1');
   dispatcher.handleEndpointProfile(profile);
-  dispatcher.handleStatus({ endpoint: profile.incarnation, running: [], ended: [], sentAt: 0 }, 0, 0);
+  dispatcher.handleStatus({ endpoint: profile.incarnation, running: [], ended: [], pollSentAt: 0 }, 0, 0);
   const demand = { cpuMillis, memoryMb: 100, accelerators: 0 };
   const definition = createJobDefinition(1, [createStep({ count: 1, demand })]);
   dispatcher.handleJob(definition, new JobProgress(definition), 0);
--- a/tests/lostRuns.test.ts
+++ b/tests/lostRuns.test.ts
@@ -19,7 +19,7 @@
   beforeEach(() => {
     dispatcher = new Dispatcher({ getDefinition: () => undefined, earlierLeasesEndAt: 0 });
     dispatcher.handleEndpointProfile(createProfile(ENDPOINT));
-    dispatcher.handleStatus({ endpoint: ENDPOINT, running: [], ended: [], sentAt: 0 }, 0, 0);
+    dispatcher.handleStatus({ endpoint: ENDPOINT, running: [], ended: [], pollSentAt: 0 }, 0, 0);
     dispatcher.handleJob(JOB, new JobProgress(JOB), 0);
     dispatcher.placeWaiting(0, 0);
     for (const effect of dispatcher.takeEffects()) {
--- a/tests/preemption.test.ts
+++ b/tests/preemption.test.ts
@@ -123,7 +123,7 @@
       percent: 10,
       load: 0,
     }));
-    this.dispatcher.handleStatus({ endpoint, running, ended, sentAt: this.now }, this.now, this.now);
+    this.dispatcher.handleStatus({ endpoint, running, ended, pollSentAt: this.now }, this.now, this.now);
   }
 }
 
--- a/tests/rejectedStarts.test.ts
+++ b/tests/rejectedStarts.test.ts
@@ -31,7 +31,7 @@
       const running = [...(dispatcher.getEndpointState(id)?.getRuns() ?? [])]
         .filter(({ stage }) => stage === 'running')
         .map(({ task, run }) => ({ task, run, checkpoint: '', percent: 1, load: 0 }));
-      dispatcher.handleStatus({ endpoint: id, running, ended: [], sentAt: now }, now, now);
+      dispatcher.handleStatus({ endpoint: id, running, ended: [], pollSentAt: now }, now, now);
     }
     dispatcher.handleTick(now);
     dispatcher.placeWaiting(now, now);
--- a/tests/shrinkingCapacity.test.ts
+++ b/tests/shrinkingCapacity.test.ts
@@ -51,7 +51,7 @@
       how: 'done' as const,
       checkpoint: '',
     }));
-    dispatcher.handleStatus({ endpoint: id, running, ended: rows, sentAt: now }, now, now);
+    dispatcher.handleStatus({ endpoint: id, running, ended: rows, pollSentAt: now }, now, now);
   };
 
   const sendJob = (definition: JobDefinition): void =>
@@ -150,7 +150,7 @@
       percent: 10,
       load: 0,
     }));
-    dispatcher.handleStatus({ endpoint: ENDPOINT, running, ended: [], sentAt: now }, now, now);
+    dispatcher.handleStatus({ endpoint: ENDPOINT, running, ended: [], pollSentAt: now }, now, now);
     expect(placeTasks()).toEqual([]);
   });
 });
--- a/tests/stops.test.ts
+++ b/tests/stops.test.ts
@@ -349,7 +349,7 @@
     });
     const capacity = { cpuMillis: 2000, memoryMb: 4000, accelerators: 0 };
     dispatcher.handleEndpointProfile(createProfile(ENDPOINT, { capacity }));
-    dispatcher.handleStatus({ endpoint: ENDPOINT, running: [], ended: [], sentAt: 0 }, 0, 0);
+    dispatcher.handleStatus({ endpoint: ENDPOINT, running: [], ended: [], pollSentAt: 0 }, 0, 0);
     dispatcher.handleJob(job, new JobProgress(job), 0);
     dispatcher.placeWaiting(10, 10);
     const start = dispatcher.takeEffects().find((effect) => effect.kind === 'start');
@@ -360,7 +360,7 @@
   };
 
   const sendStatus = (dispatcher: Dispatcher, rows: typeof running, sentAt: number, now: number): void =>
-    dispatcher.handleStatus({ endpoint: ENDPOINT, running: rows, ended: [], sentAt }, now, now);
+    dispatcher.handleStatus({ endpoint: ENDPOINT, running: rows, ended: [], pollSentAt: sentAt }, now, now);
 
   const listEffectKinds = (dispatcher: Dispatcher): readonly string[] => {
     const kinds = dispatcher.takeEffects().map(({ kind }) => kind);
--- a/tests/timedOutStarts.test.ts
+++ b/tests/timedOutStarts.test.ts
@@ -26,10 +26,14 @@
     const running = isRunning
       ? [{ task: start.command.task, run: 1, checkpoint: '', percent: 1, load: 0 }]
       : [];
-    dispatcher.handleStatus({ endpoint: ENDPOINT, running, ended: [], sentAt }, sentAt + 5, sentAt + 5);
+    dispatcher.handleStatus(
+      { endpoint: ENDPOINT, running, ended: [], pollSentAt: sentAt },
+      sentAt + 5,
+      sentAt + 5,
+    );
   };
   const takeEffectKinds = (): readonly Kind[] => dispatcher.takeEffects().map(({ kind }) => kind);
-  dispatcher.handleStatus({ endpoint: ENDPOINT, running: [], ended: [], sentAt: 0 }, 0, 0);
+  dispatcher.handleStatus({ endpoint: ENDPOINT, running: [], ended: [], pollSentAt: 0 }, 0, 0);
   const job = createJobDefinition(1, [createStep({ count: 1 })]);
   dispatcher.handleJob(job, new JobProgress(job), 0);
   dispatcher.placeWaiting(0, 0);
