--- a/packages/dispatch/crashes/crashLimits.ts
+++ b/packages/dispatch/crashes/crashLimits.ts
@@ -17,11 +17,11 @@
   /** Age of a run, as listed by a poll, from which it is past its startup, in milliseconds. */
   startupMs: 300,
   /**
-   * A run clears its task of a crash once its age is this many times the age of the run in that crash, plus `clearedAgeMs`: a task that crashes
+   * A run clears its task of a crash once its age is this many times the age of the run in that crash, plus `clearedAgeOffsetMs`: a task that crashes
    * its endpoints does so at about the same age.
    */
   clearedAgeFactor: 2,
-  /** Time added to the multiple in `clearedAgeFactor`, in milliseconds. */
+  /** Time added to the age in the crash multiplied by `clearedAgeFactor`, in milliseconds. */
   clearedAgeOffsetMs: 1000,
   /** Age at which a run clears its task of all crashes, in milliseconds. */
   maxClearedAgeMs: 60_000,
--- a/packages/dispatch/endpoints/EndpointSession.ts
+++ b/packages/dispatch/endpoints/EndpointSession.ts
@@ -59,7 +59,7 @@
   private lastReceivedEnd = 0;
   private isStopped = false;
   private isExtraPollPending = false;
-  /** Polls in sequence with no response, or one from another incarnation. */
+  /** Number of consecutive polls with no response, or with a response from another incarnation. */
   private failedPollCount = 0;
   /** True when this incarnation responded to the newest poll of the loop: the connection leads to it. */
   private isConnected = false;
@@ -67,7 +67,7 @@
   constructor(private readonly options: EndpointSessionOptions) {}
 
   /**
-   * Sends one poll beside the loop, which renews no lease and acknowledges nothing, and applies the status: the response to the pending poll of the
+   * Sends one poll outside of the loop, which renews no lease and acknowledges nothing, and applies the status: the response to the pending poll of the
    * loop may not show the newest changes. Does nothing while another such poll is pending, or once the session has stopped.
    */
   async sendExtraPoll(): Promise<void> {
@@ -117,8 +117,8 @@
   }
 
   /**
-   * Sends one poll of the loop and handles its result. It renews the lease only while the endpoint responds and this leader may grant leases, and
-   * may be delayed by the endpoint only while it responds.
+   * Sends one poll of the loop and handles its result. The poll renews the lease only while the endpoint responds and this leader may grant leases.
+   * Only while the endpoint responds may it delay its response until a run ends.
    */
   private async runPoll(): Promise<void> {
     const { client, clock, endpoint, canGrantLeases } = this.options;
@@ -146,7 +146,7 @@
     }
   }
 
-  /** Records a lease that is sent to the endpoint at `sentAt`: it is assumed to arrive, and its end allows for clock drift. */
+  /** Records a lease that is sent to the endpoint at `sentAt`: the lease is assumed to arrive, and its recorded end allows for clock drift. */
   recordLease(sentAt: number): void {
     const { leaseMs, clockDriftShare, marginMs } = leaderTimings;
     this.options.endpoint.recordLease(sentAt + leaseMs * (1 + clockDriftShare) + marginMs);
--- a/packages/dispatch/endpoints/EndpointState.ts
+++ b/packages/dispatch/endpoints/EndpointState.ts
@@ -28,7 +28,7 @@
   /** Moving average of failed runs, 0 to 1, at `runFailureRateAt`. */
   private runFailureRate = 0;
   private runFailureRateAt = 0;
-  /** Moving average, at `slowdownAt`, of how many times longer runs take there than the same step's runs elsewhere; 1 is normal. */
+  /** Moving average, at `slowdownAt`, of how many times longer runs take on this endpoint than the same step's runs elsewhere; 1 is normal. */
   private slowdown = 1;
   private slowdownAt = 0;
   /** Monotonic time at which the drain was noticed; undefined before. */
@@ -36,7 +36,7 @@
   /** True once the endpoint has responded to this leader, so that it rejects commands of earlier leaders. */
   private synced = false;
   private registered = true;
-  /** True when the endpoint has responded to a poll after its record was removed, and before another came. */
+  /** True when the endpoint has responded to a poll after its record was removed and before a new record came. */
   private hasRespondedDeregistered = false;
   /** Runs of crash suspects that are not past their startup. */
   private readonly startingSuspects = new Set<PlacedRun>();
@@ -45,7 +45,7 @@
   private unreachableSince: number | undefined;
   /** Monotonic time of the newest response to a poll; undefined before the first. */
   private respondedAt: number | undefined;
-  /** Monotonic time by which all leases that were given there have expired. */
+  /** Monotonic time by which all leases of the endpoint have expired. */
   private leasedUntil: number;
 
   constructor(
@@ -73,7 +73,7 @@
     this.registered = false;
   }
 
-  /** Returns a run of a task by its number; undefined when the endpoint has none such. */
+  /** Returns a run of a task by its number; undefined when the endpoint has no such run. */
   getRun(task: TaskName, run: number): PlacedRun | undefined {
     return this.runs.get(`${task}#${run}`);
   }
@@ -189,7 +189,7 @@
     this.leasedUntil = Math.max(this.leasedUntil, until);
   }
 
-  /** Returns the monotonic time by which all leases that were given there have expired. */
+  /** Returns the monotonic time by which all leases of the endpoint have expired. */
   getLeasedUntil(): number {
     return this.leasedUntil;
   }
@@ -201,7 +201,7 @@
     this.runFailureRateAt = now;
   }
 
-  /** Returns the recent sequence of failed runs there. */
+  /** Returns the consecutive failed runs of the endpoint. */
   getFailureStreak(): FailureStreak {
     return this.failureStreak;
   }
@@ -211,7 +211,7 @@
     return this.runFailureRate * 0.5 ** ((now - this.runFailureRateAt) / FAILURE_HALF_LIFE_MS);
   }
 
-  /** Updates the slowdown with the ratio of a run's time to that of the same step's runs elsewhere. */
+  /** Updates the slowdown with the ratio of a run's time to the time of the same step's runs elsewhere. */
   recordSlowdown(ratio: number, now: number): void {
     const current = this.computeSlowdown(now);
     this.slowdown = current + SLOWDOWN_WEIGHT * (Math.min(MAX_RECORDED_SLOWDOWN, ratio) - current);
--- a/packages/dispatch/endpoints/StatusReconciler.ts
+++ b/packages/dispatch/endpoints/StatusReconciler.ts
@@ -44,7 +44,7 @@
   constructor(private readonly options: StatusReconcilerOptions) {}
 
   /**
-   * Applies a status, and records that the endpoint is reachable: first come its ended tasks, then the running ones, then the known runs that it
+   * Applies a status, and records that the endpoint is reachable: first come its ended tasks, then the running ones, then the known runs that the status
    * doesn't list, unless its list of ends may be incomplete.
    */
   applyStatus(endpoint: EndpointState, status: EndpointStatus, now: number, wallMs: number): void {
@@ -124,7 +124,7 @@
     return run;
   }
 
-  /** Logs that a run whose start command had no response is confirmed, with the time since that. */
+  /** Logs that a run whose start command had no response is confirmed, with the time since the start command timed out. */
   private logLateConfirmation(message: string, endpoint: EndpointState, run: PlacedRun, now: number): void {
     this.options.tracker.sendLogLine(message, {
       job: run.job,
@@ -135,7 +135,7 @@
     });
   }
 
-  /** Records the end of a run in the endpoint's failure streak, and logs when that begins or ends. */
+  /** Records the end of a run in the endpoint's failure streak, and logs when the streak begins or ceases to count as failing. */
   private updateFailureStreak(endpoint: EndpointState, outcome: RunOutcome, now: number): void {
     const streak = endpoint.getFailureStreak();
     const wasFailing = streak.isFailing();
--- a/packages/dispatch/placing/Preemptor.ts
+++ b/packages/dispatch/placing/Preemptor.ts
@@ -209,7 +209,10 @@
     return plans;
   }
 
-  /** Returns the plan `before` extended by one task; undefined when the task doesn't fit even after all possible preemptions. */
+  /**
+   * Returns the plan `before`, or an empty plan, extended by one task; undefined when the task doesn't fit even after all possible
+   * preemptions.
+   */
   private createExtendedPlan(
     step: WaitingStep,
     endpoint: EndpointState,
@@ -251,7 +254,7 @@
     };
   }
 
-  /** Returns the victims without those that needn't be preempted, since the others free enough, and the capacity that is then free. */
+  /** Returns as `added` the victims that are needed for the demand to fit, and as `free` the capacity that is free once they have ended. */
   private computeNeededVictims(
     victims: readonly PlacedRun[],
     free: TaskDemand,
--- a/packages/dispatch/placing/StepLimiter.ts
+++ b/packages/dispatch/placing/StepLimiter.ts
@@ -9,7 +9,7 @@
 export class StepLimiter {
   constructor(
     private readonly customerUsage: CustomerUsage,
-    /** Returns the configured limit of a customer; undefined if none is known, when the limit in the job definition applies. */
+    /** Returns the configured limit of a customer; undefined if none is known: then the limit in the job definition applies. */
     private readonly getCustomerLimit: (customer: CustomerName) => TaskDemand | undefined,
   ) {}
 
--- a/packages/dispatch/placing/StepPlacer.ts
+++ b/packages/dispatch/placing/StepPlacer.ts
@@ -61,8 +61,8 @@
   }
 
   /**
-   * Places as many tasks of a step as possible. For the rest requests advice and records what they wait for; starts preemption if none was
-   * placed while capacity is scarce. Returns whether any was placed.
+   * Places as many tasks of a step as possible. Requests advice for tasks that found no endpoint, and records why tasks are left waiting.
+   * Starts preemption if no task was placed and capacity is scarce. Returns whether any task was placed.
    */
   placeStep(waitingStep: WaitingStep, now: number): boolean {
     const wait = waitingStep.job.getStepWait(waitingStep.repetition, waitingStep.step);
@@ -105,7 +105,7 @@
   }
 
   /**
-   * Requests the tickets that the step will lack by the time of the response, without placing tasks. The capacity that it would use stays
+   * Requests the tickets that the step will lack by the time of the response, without placing tasks. The capacity that the step would use stays
    * taken until `releaseTentativePlacements`, so that requests for less urgent steps are for the remaining capacity.
    */
   requestAdviceAhead(waitingStep: WaitingStep, now: number): void {
@@ -188,8 +188,8 @@
   }
 
   /**
-   * Chooses endpoints task by task and takes capacity there. Stops when the processor capacity outside the reserve is used up, or at the
-   * first task that fits nowhere.
+   * Chooses endpoints task by task and takes capacity there. Stops when the processor capacity outside the reserve is used up, which
+   * doesn't limit fillers, or at the first task without crashes that fits nowhere; a task with crashes that fits nowhere is skipped.
    */
   private chooseTaskPlacements(
     step: WaitingStep,
@@ -343,8 +343,8 @@
   }
 
   /**
-   * Returns the checkpoint that all members of a gang start from: the newest known, else one of the progress; '' for none. The checkpoint
-   * of any member is valid for all.
+   * Returns the checkpoint that all members of a gang start from: the newest that a member left under this leader, else one recorded in the
+   * progress; '' for none. The checkpoint of any member is valid for all.
    */
   private getGangCheckpoint({ job, repetition, step }: WaitingStep): string {
     const saved = job.progress.listTasks(repetition, step).find((task) => task.checkpoint !== '');
--- a/packages/dispatch/placing/rankingRules.ts
+++ b/packages/dispatch/placing/rankingRules.ts
@@ -7,7 +7,7 @@
 /** Cost of a degraded endpoint. */
 const DEGRADED_ENDPOINT_COST = 500;
 /** Cost of an endpoint outside of the rack that has the data of the step. */
-const OTHER_RACK_COST = 100;
+const OUTSIDE_DATA_RACK_COST = 100;
 /** Cost of an endpoint for a filler for each serving run there. */
 const SERVING_NEIGHBOUR_COST = 50;
 
@@ -25,7 +25,9 @@
 
 /** Returns the cost of an endpoint outside of the rack that has the data of the step; 0 for a step without such a rack. */
 const computeDataLocalityCost = ({ shape }: WaitingStep, endpoint: EndpointState): number =>
-  shape.dataRack !== '' && !endpoint.getProfile().labels.includes(shape.dataRack) ? OTHER_RACK_COST : 0;
+  shape.dataRack !== '' && !endpoint.getProfile().labels.includes(shape.dataRack)
+    ? OUTSIDE_DATA_RACK_COST
+    : 0;
 
 const computeShare = (free: number, whole: number): number => (whole === 0 ? 1 : free / whole);
 
--- a/packages/dispatch/stops/EndpointQuarantine.ts
+++ b/packages/dispatch/stops/EndpointQuarantine.ts
@@ -32,8 +32,8 @@
   }
 
   /**
-   * Returns whether a task may be placed on the endpoint: either the endpoint isn't quarantined, or the task may be its probe. It may if it
-   * has no failures, isn't in a gang, the backoff has passed, and no earlier probe is active.
+   * Returns whether a task may be placed on the endpoint: either the endpoint isn't quarantined, or the task may be its probe. A task may
+   * be the probe if it has no failures and isn't in a gang, the backoff has passed, and no earlier probe is active.
    */
   canAcceptTask(candidate: TaskToPlace, endpoint: EndpointState, now: number): boolean {
     const streak = endpoint.getFailureStreak();
--- a/packages/dispatch/stops/computeStopCost.ts
+++ b/packages/dispatch/stops/computeStopCost.ts
@@ -4,7 +4,10 @@
 const EXPECTED_RESTART_MS = 500;
 const CPU_MILLIS_PER_CORE = 1000;
 
-/** Returns the work that a stop of a run loses, in core-milliseconds: that of the restart, and that since its checkpoint unless saved. */
+/**
+ * Returns the work that a stop of a run loses, in core-milliseconds: the work of the restart time and, unless the run writes a checkpoint
+ * when it is stopped, the work since its last checkpoint.
+ */
 export const computeStopCost: PreemptionRules['computeVictimCost'] = ({
   cpuMillis,
   sinceCheckpointMs,
--- a/packages/dispatch/stops/estimateCapacityWaitMs.ts
+++ b/packages/dispatch/stops/estimateCapacityWaitMs.ts
@@ -2,7 +2,7 @@
 import type { TaskDemand } from '../../jobs/TaskDemand';
 import type { CapacityHolder } from './CapacityHolder';
 
-/** Capacity of an endpoint that may run the tasks: what is free, and the runs that take the rest. */
+/** An endpoint that may run the tasks: its free capacity, and the runs that take the rest of its capacity. */
 interface OccupiedEndpoint {
   readonly freeCapacity: TaskDemand;
   readonly capacityHolders: readonly CapacityHolder[];
@@ -34,7 +34,7 @@
 
 /**
  * Returns the estimated time until `count` tasks fit on the endpoints together as runs end by themselves, in milliseconds; Infinity when
- * they never do. At most `mostPerEndpoint` tasks go on one endpoint; 0 means no limit.
+ * they never fit. At most `mostPerEndpoint` tasks go on one endpoint; 0 means no limit.
  */
 export const estimateCapacityWaitMs = (
   endpoints: readonly OccupiedEndpoint[],
--- a/packages/dispatch/stops/getGangCheckpoint.ts
+++ b/packages/dispatch/stops/getGangCheckpoint.ts
@@ -3,8 +3,8 @@
 import type { GangCheckpoint } from './GangCheckpoint';
 
 /**
- * Returns the checkpoint that an ended member leaves to its gang; undefined for none. That of a stopped member holds its work up to its
- * end, that of any other up to the time at which the checkpoint was written or last known.
+ * Returns the checkpoint that an ended member leaves to its gang; undefined for none. The checkpoint of a stopped member holds
+ * the member's work up to its end, the checkpoint of any other member up to the time at which it was written or last known.
  */
 export const getGangCheckpoint = (
   run: PlacedRun,
--- a/packages/dispatch/stops/getLossCause.ts
+++ b/packages/dispatch/stops/getLossCause.ts
@@ -14,8 +14,9 @@
 };
 
 /**
- * Returns the cause by which an interrupted run was lost: that of the leader's stop, else by the reported end, else the loss of its
- * endpoint. Returns undefined for a run that completed or failed, or that never started.
+ * Returns the cause by which an interrupted run was lost: the cause of the leader's stop, else the cause by the reported end, else
+ * `endpointLost` if the incarnation has ended or the lease has expired. Returns undefined for a run that completed or failed, or for which
+ * none of these holds, such as one that never started.
  */
 export const getLossCause = (
   run: PlacedRun,
--- a/packages/dispatch/waiting/sortByHeldShares.ts
+++ b/packages/dispatch/waiting/sortByHeldShares.ts
@@ -18,7 +18,7 @@
   readonly startByMs: number;
   /** Dominant share of the total capacity that its waiting tasks demand; 1 for all of it. */
   readonly demandedShare: number;
-  /** Its customer is over its fair share before the step is counted. Set by `updateOverShareFlags`. */
+  /** The customer has reached its fair share already without this step. Set by `updateOverShareFlags`. */
   isOverShare: boolean;
 }
 
@@ -63,7 +63,7 @@
 };
 
 /**
- * Returns the fair share of each weighted customer with waiting steps. They share the capacity that isn't used by customers without
+ * Returns the fair share of each weighted customer with waiting steps. These customers share the capacity that isn't used by customers without
  * waiting steps; `usedShares` is the dominant share that each customer uses now.
  */
 const computeCustomerShares = (
@@ -79,12 +79,12 @@
       demandsByCustomer.set(customer.name, { weight: customer.weight, demandedShare: before + share });
     }
   }
-  const otherUsedShare = [...usedShares].reduce(
+  const nonWaitingUsedShare = [...usedShares].reduce(
     (sum, [name, share]) => sum + (demandsByCustomer.has(name) ? 0 : share),
     0,
   );
   const demands = [...demandsByCustomer].map(([customer, demand]) => ({ customer, ...demand }));
-  return computeFairShares(demands, Math.max(0, 1 - otherUsedShare));
+  return computeFairShares(demands, Math.max(0, 1 - nonWaitingUsedShare));
 };
 
 /**
--- a/packages/leadership/Leadership.ts
+++ b/packages/leadership/Leadership.ts
@@ -41,7 +41,7 @@
 const ENDED_CLAIM_JITTER_MS = 250;
 /** Additional delay of claims by a box that knows stronger boxes, so that these claim first. */
 const OUTRANKED_CLAIM_DELAY_MS = 350;
-/** Delay of a claim per rank after a heartbeat timeout, which the stronger boxes may notice later by a read cycle. */
+/** Additional delay of claims by such a box after a heartbeat timeout, which the stronger boxes may notice later by a read cycle. */
 const OUTRANKED_TIMEOUT_DELAY_MS = 900;
 
 type ClaimReason =
