--- a/packages/dispatch/endpoints/EndpointLossHandler.ts
+++ b/packages/dispatch/endpoints/EndpointLossHandler.ts
@@ -23,8 +23,8 @@
 
   /**
    * Handles the end of an incarnation: records its crash, ends its runs and removes its state. When `next` is known, runs that no status has listed
-   * are transferred to `next` instead: their start commands may have reached that incarnation, or may still do, until a poll with the new fencing token shows whether
-   * they run. Does nothing for an unknown incarnation.
+   * are transferred to `next` instead: their start commands may have reached that incarnation, or may still do, until a poll with the new fencing
+   * token shows whether they run. Does nothing for an unknown incarnation.
    */
   handleIncarnationEnd(incarnation: EndpointIncarnation, now: number, next?: EndpointIncarnation): void {
     const { endpoints, tracker, crashes } = this.options;
@@ -59,8 +59,8 @@
   }
 
   /**
-   * Ends the runs of an endpoint that is unreachable, or not yet synced, once its lease has expired, and records that the endpoint may have crashed. Runs whose
-   * start command was not sent go on. Does nothing while the endpoint responds or its lease is valid.
+   * Ends the runs of an endpoint that is unreachable, or not yet synced, once its lease has expired, and records that the endpoint may have crashed.
+   * Runs whose start command was not sent go on. Does nothing while the endpoint responds or its lease is valid.
    */
   handleLeaseExpiry(endpoint: EndpointState, now: number): void {
     const isUnreachable = endpoint.getUnreachableSince() !== undefined || !endpoint.isSynced();
--- a/packages/dispatch/endpoints/EndpointSession.ts
+++ b/packages/dispatch/endpoints/EndpointSession.ts
@@ -67,8 +67,8 @@
   constructor(private readonly options: EndpointSessionOptions) {}
 
   /**
-   * Sends one poll outside of the loop, which renews no lease and acknowledges nothing, and applies the status: the response to the pending poll of the
-   * loop may not show the newest changes. Does nothing while another such poll is pending, or once the session has stopped.
+   * Sends one poll outside of the loop, which renews no lease and acknowledges nothing, and applies the status: the response to the pending poll of
+   * the loop may not show the newest changes. Does nothing while another such poll is pending, or once the session has stopped.
    */
   async sendExtraPoll(): Promise<void> {
     if (this.isStopped || this.isExtraPollPending) {
--- a/packages/dispatch/endpoints/StatusReconciler.ts
+++ b/packages/dispatch/endpoints/StatusReconciler.ts
@@ -44,8 +44,8 @@
   constructor(private readonly options: StatusReconcilerOptions) {}
 
   /**
-   * Applies a status, and records that the endpoint is reachable: first come its ended tasks, then the running ones, then the known runs that the status
-   * doesn't list, unless its list of ends may be incomplete.
+   * Applies a status, and records that the endpoint is reachable: first come its ended tasks, then the running ones, then the known runs that the
+   * status doesn't list, unless its list of ends may be incomplete.
    */
   applyStatus(endpoint: EndpointState, status: EndpointStatus, now: number, wallMs: number): void {
     endpoint.recordResponse(now);
