--- a/packages/dispatch/speeds/RunLearner.ts
+++ b/packages/dispatch/speeds/RunLearner.ts
@@ -15,7 +15,7 @@
 interface RunLearnerOptions {
   readonly endpoints: ReadonlyMap<EndpointIncarnation, EndpointState>;
   readonly jobs: ReadonlyMap<JobId, LiveJob>;
-  /** Learnt slowdowns of endpoints, by label. */
+  /** Slowdown of the kinds of endpoints, by label. */
   readonly labelSlowdowns: LabelSlowdowns;
   readonly speeds: EndpointSpeeds;
   readonly runTimes: RunTimes;
