--- a/packages/dispatch/Dispatcher.ts
+++ b/packages/dispatch/Dispatcher.ts
@@ -21,7 +21,7 @@
 import { EndpointLossHandler } from './endpoints/EndpointLossHandler';
 import { createDeregisteredProfile } from './endpoints/createDeregisteredProfile';
 import type { EndpointProfile } from './endpoints/EndpointProfile';
-import { KindSpeeds } from './placing/KindSpeeds';
+import { LabelSlowdowns } from './placing/LabelSlowdowns';
 import { StepLimiter } from './placing/StepLimiter';
 import { LiveJob } from './waiting/LiveJob';
 import type { CommandResult } from './endpoints/CommandResult';
@@ -154,12 +154,12 @@
     });
     const { preemptor } = this;
     const limiter = new StepLimiter(this.customerUsage, options.getCustomerLimit ?? (() => undefined));
-    const kindSpeeds = new KindSpeeds();
+    const labelSlowdowns = new LabelSlowdowns();
     const { endpointSpeeds } = this;
     const runTimes = new RunTimes();
     const { speedChoice, hallChoice } = policies;
     const endpointPreference = new EndpointPreference({
-      kindSpeeds,
+      labelSlowdowns,
       endpointSpeeds,
       runTimes,
       capacityView: this.capacityView,
@@ -208,7 +208,7 @@
     this.runLearner = new RunLearner({
       endpoints: this.endpoints,
       jobs: this.jobs,
-      kindSpeeds,
+      labelSlowdowns,
       speeds: endpointSpeeds,
       runTimes,
       speedPolicy: speedChoice,
@@ -454,7 +454,7 @@
     this.adviceStats.recordResponse(job?.definition.queue.name ?? '', requested, tickets?.size);
     this.adviceCandidateSelector.recordResponse(step, requested);
     const validityMs = job?.definition.queue.advice?.validityMs ?? 0;
-    const advice = job?.getAdvice(Number(repetition), Number(index));
+    const advice = job?.getStepAdvice(Number(repetition), Number(index));
     const tookMs = advice === undefined ? 0 : now - advice.getLastRequestedAt();
     if (tickets === undefined) {
       this.adviceMetrics.recordFailure(tookMs);
@@ -580,7 +580,7 @@
    */
   private handleRunMove({ endpoint, run, reason, gainMs }: MoveCandidate): void {
     const { incarnation } = endpoint.getProfile();
-    this.jobs.get(run.job)?.recordFailureOn(run.address.repetition, run.address.step, incarnation);
+    this.jobs.get(run.job)?.recordStepFailureOn(run.address.repetition, run.address.step, incarnation);
     this.runTracker.sendLogLine('Run moved.', {
       job: run.job,
       task: run.task,
--- a/packages/dispatch/advice/EagerCandidateSelector.ts
+++ b/packages/dispatch/advice/EagerCandidateSelector.ts
@@ -138,7 +138,7 @@
 
   /** Returns whether the step may run another task on the endpoint, but has neither a refusal nor a ticket valid until `neededUntil`. */
   private isAdviceMissing(step: WaitingStep, endpoint: EndpointState, neededUntil: number): boolean {
-    const advice = step.job.getAdvice(step.repetition, step.step);
+    const advice = step.job.getStepAdvice(step.repetition, step.step);
     const { incarnation } = endpoint.getProfile();
     const isKnown =
       advice.isEndpointRefused(incarnation) || advice.getTicket(incarnation, neededUntil) !== undefined;
@@ -146,6 +146,8 @@
   }
 
   private hasBeenAllowed(step: WaitingStep, endpoint: EndpointState): boolean {
-    return step.job.getAdvice(step.repetition, step.step).hasBeenAllowed(endpoint.getProfile().incarnation);
+    return step.job
+      .getStepAdvice(step.repetition, step.step)
+      .hasBeenAllowed(endpoint.getProfile().incarnation);
   }
 }
--- a/packages/dispatch/endpoints/EndpointSession.ts
+++ b/packages/dispatch/endpoints/EndpointSession.ts
@@ -34,11 +34,11 @@
 
 /** Longest time that an endpoint may delay its response to a poll until a run ends. */
 const POLL_WAIT_MS = 400;
-/** The same while no task runs on the endpoint. */
+/** Longest time that an endpoint may delay its response to a poll while no task runs on it. */
 const IDLE_POLL_WAIT_MS = 1000;
 /** Time limit for a response, in addition to the time that the endpoint may delay it. */
 const RESPONSE_TIMEOUT_MS = 300;
-/** Upper bound of that limit, which doubles with each failed poll in sequence. */
+/** Upper bound of the time limit for a response, which doubles with each consecutive failed poll. */
 const MAX_RESPONSE_TIMEOUT_MS = 1200;
 const RETRY_DELAY_MS = 100;
 const MAX_RETRY_DELAY_MS = 500;
@@ -59,7 +59,7 @@
   private lastReceivedEnd = 0;
   private isStopped = false;
   private isExtraPollPending = false;
-  /** Polls in sequence with no response, or one from another incarnation. */
+  /** Number of consecutive polls with no response, or with a response from another incarnation. */
   private failedPollCount = 0;
   /** True when this incarnation responded to the newest poll of the loop: the connection leads to it. */
   private isConnected = false;
@@ -67,8 +67,8 @@
   constructor(private readonly options: EndpointSessionOptions) {}
 
   /**
-   * Sends one poll beside the loop, which renews no lease and acknowledges nothing, and applies the status: the response to the pending poll of the
-   * loop may not show the newest changes. Does nothing while another such poll is pending, or once the session has stopped.
+   * Sends one poll outside of the loop, which renews no lease and acknowledges nothing, and applies the status: the response to the pending poll of
+   * the loop may not show the newest changes. Does nothing while another such poll is pending, or once the session has stopped.
    */
   async sendExtraPoll(): Promise<void> {
     if (this.isStopped || this.isExtraPollPending) {
@@ -117,8 +117,8 @@
   }
 
   /**
-   * Sends one poll of the loop and handles its result. It renews the lease only while the endpoint responds and this leader may grant leases, and
-   * may be delayed by the endpoint only while it responds.
+   * Sends one poll of the loop and handles its result. The poll renews the lease only while the endpoint responds and this leader may grant leases.
+   * Only while the endpoint responds may it delay its response until a run ends.
    */
   private async runPoll(): Promise<void> {
     const { client, clock, endpoint, canGrantLeases } = this.options;
@@ -146,7 +146,7 @@
     }
   }
 
-  /** Records a lease that is sent to the endpoint at `sentAt`: it is assumed to arrive, and its end allows for clock drift. */
+  /** Records a lease that is sent to the endpoint at `sentAt`: the lease is assumed to arrive, and its recorded end allows for clock drift. */
   recordLease(sentAt: number): void {
     const { leaseMs, clockDriftShare, marginMs } = leaderTimings;
     this.options.endpoint.recordLease(sentAt + leaseMs * (1 + clockDriftShare) + marginMs);
--- a/packages/dispatch/endpoints/StatusReconciler.ts
+++ b/packages/dispatch/endpoints/StatusReconciler.ts
@@ -35,7 +35,7 @@
   alone: 'interrupted',
 };
 const NOT_LISTED: RunEnd = { outcome: 'interrupted', evidence: 'notListed', checkpoint: '' };
-const ENDED_WITH_INCARNATION: RunEnd = { outcome: 'interrupted', evidence: 'lifeOver', checkpoint: '' };
+const INCARNATION_ENDED: RunEnd = { outcome: 'interrupted', evidence: 'lifeOver', checkpoint: '' };
 /** Highest number of ends in one status; a list of this length may be incomplete. */
 const MAX_LISTED_ENDS = 500;
 
@@ -44,8 +44,8 @@
   constructor(private readonly options: StatusReconcilerOptions) {}
 
   /**
-   * Applies a status, and records that the endpoint is reachable: first come its ended tasks, then the running ones, then the known runs that it
-   * doesn't list, unless its list of ends may be incomplete.
+   * Applies a status, and records that the endpoint is reachable: first come its ended tasks, then the running ones, then the known runs that the
+   * status doesn't list, unless its list of ends may be incomplete.
    */
   applyStatus(endpoint: EndpointState, status: EndpointStatus, now: number, wallMs: number): void {
     endpoint.recordResponse(now);
@@ -58,7 +58,7 @@
       listed.add(this.applyRunningTask(endpoint, row, now));
     }
     if (status.ended.length < MAX_LISTED_ENDS) {
-      this.checkUnlistedRuns(endpoint, listed, status.sentAt, now);
+      this.checkUnlistedRuns(endpoint, listed, status.pollSentAt, now);
     }
   }
 
@@ -124,7 +124,7 @@
     return run;
   }
 
-  /** Logs that a run whose start command had no response is confirmed, with the time since that. */
+  /** Logs that a run whose start command had no response is confirmed, with the time since the start command timed out. */
   private logLateConfirmation(message: string, endpoint: EndpointState, run: PlacedRun, now: number): void {
     this.options.tracker.sendLogLine(message, {
       job: run.job,
@@ -135,7 +135,7 @@
     });
   }
 
-  /** Records the end of a run in the endpoint's failure streak, and logs when that begins or ends. */
+  /** Records the end of a run in the endpoint's failure streak, and logs when the streak begins or ceases to count as failing. */
   private updateFailureStreak(endpoint: EndpointState, outcome: RunOutcome, now: number): void {
     const streak = endpoint.getFailureStreak();
     const wasFailing = streak.isFailing();
@@ -203,7 +203,7 @@
     tracker.recordRunEnd(
       endpoint,
       run,
-      run.transferredFrom === undefined ? NOT_LISTED : ENDED_WITH_INCARNATION,
+      run.transferredFrom === undefined ? NOT_LISTED : INCARNATION_ENDED,
       now,
     );
   }
--- a/packages/dispatch/placing/StepPlacer.ts
+++ b/packages/dispatch/placing/StepPlacer.ts
@@ -61,8 +61,8 @@
   }
 
   /**
-   * Places as many tasks of a step as possible. For the rest requests advice and records what they wait for; starts preemption if none was
-   * placed while capacity is scarce. Returns whether any was placed.
+   * Places as many tasks of a step as possible. Requests advice for tasks that found no endpoint, and records why tasks are left waiting.
+   * Starts preemption if no task was placed and capacity is scarce. Returns whether any task was placed.
    */
   placeStep(waitingStep: WaitingStep, now: number): boolean {
     const wait = waitingStep.job.getStepWait(waitingStep.repetition, waitingStep.step);
@@ -91,7 +91,7 @@
     }
     if (placements.length > 0) {
       this.placeTasks(step, placements, now);
-      step.job.recordPlacement(
+      step.job.recordStepPlacement(
         step.repetition,
         step.step,
         now,
@@ -105,7 +105,7 @@
   }
 
   /**
-   * Requests the tickets that the step will lack by the time of the response, without placing tasks. The capacity that it would use stays
+   * Requests the tickets that the step will lack by the time of the response, without placing tasks. The capacity that the step would use stays
    * taken until `releaseTentativePlacements`, so that requests for less urgent steps are for the remaining capacity.
    */
   requestAdviceAhead(waitingStep: WaitingStep, now: number): void {
@@ -171,7 +171,7 @@
     if (step.job.definition.queue.advice === undefined) {
       return eligible;
     }
-    const advice = this.getAdvice(step);
+    const advice = this.getStepAdvice(step);
     return eligible.filter(
       (endpoint) => advice.getTicket(endpoint.getProfile().incarnation, until) !== undefined,
     );
@@ -188,8 +188,8 @@
   }
 
   /**
-   * Chooses endpoints task by task and takes capacity there. Stops when the processor capacity outside the reserve is used up, or at the
-   * first task that fits nowhere.
+   * Chooses endpoints task by task and takes capacity there. Stops when the processor capacity outside the reserve is used up, which
+   * doesn't limit fillers, or at the first task without crashes that fits nowhere; a task with crashes that fits nowhere is skipped.
    */
   private chooseTaskPlacements(
     step: WaitingStep,
@@ -197,7 +197,7 @@
     now: number,
   ): Placement[] {
     const placements: Placement[] = [];
-    const advice = step.job.definition.queue.advice === undefined ? undefined : this.getAdvice(step);
+    const advice = step.job.definition.queue.advice === undefined ? undefined : this.getStepAdvice(step);
     const allowed = this.listAllowedEndpoints(step, eligible, now);
     if (allowed.length === 0) {
       return placements;
@@ -294,8 +294,8 @@
     return 1 + Math.max(0, ...job.progress.listTasks(repetition, step).map((task) => task.runNumber));
   }
 
-  private getAdvice({ job, repetition, step }: WaitingStep): ReturnType<LiveJob['getAdvice']> {
-    return job.getAdvice(repetition, step);
+  private getStepAdvice({ job, repetition, step }: WaitingStep): ReturnType<LiveJob['getStepAdvice']> {
+    return job.getStepAdvice(repetition, step);
   }
 
   private releasePlacement({ endpoint, run }: Placement): void {
@@ -343,8 +343,8 @@
   }
 
   /**
-   * Returns the checkpoint that all members of a gang start from: the newest known, else one of the progress; '' for none. The checkpoint
-   * of any member is valid for all.
+   * Returns the checkpoint that all members of a gang start from: the newest that a member left under this leader, else one recorded in the
+   * progress; '' for none. The checkpoint of any member is valid for all.
    */
   private getGangCheckpoint({ job, repetition, step }: WaitingStep): string {
     const saved = job.progress.listTasks(repetition, step).find((task) => task.checkpoint !== '');
--- a/packages/dispatch/waiting/sortByHeldShares.ts
+++ b/packages/dispatch/waiting/sortByHeldShares.ts
@@ -18,7 +18,7 @@
   readonly startByMs: number;
   /** Dominant share of the total capacity that its waiting tasks demand; 1 for all of it. */
   readonly demandedShare: number;
-  /** Its customer is over its fair share before the step is counted. Set by `updateOverShareFlags`. */
+  /** The customer has reached its fair share already without this step. Set by `updateOverShareFlags`. */
   isOverShare: boolean;
 }
 
@@ -63,7 +63,7 @@
 };
 
 /**
- * Returns the fair share of each weighted customer with waiting steps. They share the capacity that isn't used by customers without
+ * Returns the fair share of each weighted customer with waiting steps. These customers share the capacity that isn't used by customers without
  * waiting steps; `usedShares` is the dominant share that each customer uses now.
  */
 const computeCustomerShares = (
@@ -79,12 +79,12 @@
       demandsByCustomer.set(customer.name, { weight: customer.weight, demandedShare: before + share });
     }
   }
-  const otherUsedShare = [...usedShares].reduce(
+  const nonWaitingUsedShare = [...usedShares].reduce(
     (sum, [name, share]) => sum + (demandsByCustomer.has(name) ? 0 : share),
     0,
   );
   const demands = [...demandsByCustomer].map(([customer, demand]) => ({ customer, ...demand }));
-  return computeFairShares(demands, Math.max(0, 1 - otherUsedShare));
+  return computeFairShares(demands, Math.max(0, 1 - nonWaitingUsedShare));
 };
 
 /**
@@ -119,21 +119,21 @@
   Math.floor(wallMs / TIME_SLICE_MS) % EXPIRED_FIRST_SLICE_INTERVAL === 0;
 
 /** Compares by priority, then by timeliness, then by latest start time. */
-const compareByStartTime = (left: RankedStep, right: RankedStep): number =>
+const compareByUrgency = (left: RankedStep, right: RankedStep): number =>
   left.priority - right.priority || left.timeliness - right.timeliness || left.startByMs - right.startByMs;
 
-/** Compares as `compareByStartTime`, but puts steps over their share last before it compares the latest start time. */
-const compareByShare = (left: RankedStep, right: RankedStep): number =>
+/** Compares as `compareByUrgency`, but puts steps over their share last before it compares the latest start time. */
+const compareByUrgencyAndShare = (left: RankedStep, right: RankedStep): number =>
   left.priority - right.priority ||
   left.timeliness - right.timeliness ||
   Number(left.isOverShare) - Number(right.isOverShare) ||
   left.startByMs - right.startByMs;
 
-/** Compares as `compareByShare`, but puts expired steps first within a priority. */
+/** Compares as `compareByUrgencyAndShare`, but puts expired steps first within a priority. */
 const compareExpiredFirst = (left: RankedStep, right: RankedStep): number =>
   left.priority - right.priority ||
   Number(right.timeliness === TIMELINESS.expired) - Number(left.timeliness === TIMELINESS.expired) ||
-  compareByShare(left, right);
+  compareByUrgencyAndShare(left, right);
 
 /**
  * Sorts waiting steps by priority, then by whether they can be in time or still useful, then by whether their customer is over its fair
@@ -144,8 +144,8 @@
   input: PlacementOrderInput,
 ): readonly WaitingStep[] => {
   const capacity = input.getTotalCapacity();
-  const ranked = waiting.map((step) => createRankedStep(step, capacity, input)).sort(compareByStartTime);
+  const ranked = waiting.map((step) => createRankedStep(step, capacity, input)).sort(compareByUrgency);
   updateOverShareFlags(ranked, input, capacity);
-  ranked.sort(isExpiredFirstSlice(input.wallMs) ? compareExpiredFirst : compareByShare);
+  ranked.sort(isExpiredFirstSlice(input.wallMs) ? compareExpiredFirst : compareByUrgencyAndShare);
   return ranked.map(({ step }) => step);
 };
