--- a/packages/dispatch/advice/FirstFreeBalancer.ts
+++ b/packages/dispatch/advice/FirstFreeBalancer.ts
@@ -31,8 +31,11 @@
     const channels = this.options.listChannels();
     const free = channels.filter((channel) => this.isChannelFree(channel));
     // The own box takes long requests too while all others are quarantined or there are none.
-    const hasOthers = channels.some(({ box, isOwnBox }) => !isOwn && !this.isChannelQuarantined(box));
-    return { all: free.length, long: hasOthers ? free.filter(({ isOwnBox }) => !isOwn).length : free.length };
+    const hasOthers = channels.some(({ box, isOwnBox }) => !isOwnBox && !this.isChannelQuarantined(box));
+    return {
+      all: free.length,
+      long: hasOthers ? free.filter(({ isOwnBox }) => !isOwnBox).length : free.length,
+    };
   }
 
   async sendRequest(request: AdviceRequest): Promise<void> {
