--- a/packages/customers/CustomerMetrics.ts
+++ b/packages/customers/CustomerMetrics.ts
@@ -4,9 +4,9 @@
 /** Values of one customer in the metrics. */
 export interface CustomerMetrics {
   readonly name: CustomerName;
-  /** Resources of runs that may be in progress. */
+  /** Resources of runs that are in progress, including those whose end is not yet certain. */
   readonly usedResources: TaskDemand;
-  /** Number of runs that may be in progress. */
+  /** Number of runs that are in progress, including those whose end is not yet certain. */
   readonly runCount: number;
   /** Number of tasks that are ready and wait for a start. */
   readonly waitingTaskCount: number;
--- a/packages/dispatch/LeaderController.ts
+++ b/packages/dispatch/LeaderController.ts
@@ -263,7 +263,10 @@
     return !this.isStopped && this.getLogOutageMs() === 0 && this.journal.hasAckedWriteWithin(MAX_ACK_AGE_MS);
   }
 
-  /** Retries calls to the log that have failed, since the log responded to a call that was sent at the monotonic time `sentAt`. */
+  /**
+   * Retries failed appends, and the pending read of the endpoints' topic if it failed or was sent before `sentAt`, as the log has responded to
+   * a call sent then.
+   */
   retryPendingLogCalls(sentAt: number): void {
     this.journal.retryPendingAppends();
     this.endpointSessions.retryPendingRead(sentAt);
--- a/packages/dispatch/advice/HedgingBalancer.ts
+++ b/packages/dispatch/advice/HedgingBalancer.ts
@@ -112,7 +112,10 @@
     return Promise.any(responses).catch(() => undefined);
   }
 
-  /** Sends the request over the fastest free channel, if it is long the fastest unreserved one; undefined if no channel is free. */
+  /**
+   * Sends the request over the fastest free channel; a long one skips the reserved channels, and takes the slowest free one if all are
+   * reserved. Returns undefined if no channel is free.
+   */
   private startAttempt(request: AdviceRequest): RequestAttempt | undefined {
     const free = this.listFreeChannels();
     const index = request.isLongRequest ? Math.min(this.countReservedChannels(), free.length - 1) : 0;
--- a/packages/dispatch/advice/PlannedCandidateSelector.ts
+++ b/packages/dispatch/advice/PlannedCandidateSelector.ts
@@ -45,13 +45,13 @@
 
 /** Eligible endpoints of a step, by whether they have free capacity and a ticket that is valid until a response could be used. */
 interface CandidateGroups {
-  /** Number of tasks that fit on the endpoints with such a ticket. */
+  /** Number of tasks that fit on the endpoints whose ticket is valid until a response could be used. */
   ticketedTaskCount: number;
-  /** Endpoints without such a ticket, with free capacity that no request at least as urgent claims. */
+  /** Endpoints without a ticket valid until then, with free capacity that no request at least as urgent claims. */
   readonly available: PlannedCandidate[];
-  /** Endpoints without such a ticket and without free capacity, but large enough for a task. */
+  /** Endpoints without a ticket valid until then and without free capacity, but large enough for a task. */
   readonly full: PlannedCandidate[];
-  /** Endpoints with such a ticket, which expires soon, where a task fits. */
+  /** Endpoints whose ticket is valid until then but expires soon, and where a task fits. */
   readonly expiring: PlannedCandidate[];
 }
 
--- a/packages/dispatch/endpoints/EndpointSessions.ts
+++ b/packages/dispatch/endpoints/EndpointSessions.ts
@@ -277,7 +277,10 @@
     return previousIncarnation === undefined;
   }
 
-  /** Makes an incarnation the current one of its endpoint, raises the fencing token, and ends the other incarnations that the dispatcher knows. */
+  /**
+   * Makes an incarnation the current one of its endpoint and starts its session; raises the fencing token if another was current, and ends
+   * the others that the dispatcher knows.
+   */
   private applyNewIncarnation(
     known: KnownEndpoint,
     profile: EndpointProfile,
--- a/packages/dispatch/speeds/createCompletionTimeCost.ts
+++ b/packages/dispatch/speeds/createCompletionTimeCost.ts
@@ -7,7 +7,10 @@
 const LATE_COST = 80;
 /** Cost of a run time longer by a factor of e, for the most urgent queue, which benefits from completion before the objective too. */
 const URGENT_SLOWDOWN_COST = 8;
-/** Cost of a run time shorter by a factor of e, for other queues, which leave fast endpoints to the most urgent one. */
+/**
+ * Cost of a run time shorter by a factor of e, for queues that are not the most urgent, and for gang members on endpoints faster than the
+ * gang's ratio.
+ */
 const FAST_ENDPOINT_COST = 14;
 
 /** Returns how many members of a gang fit in the free capacity of the endpoints of each significant ratio, the fastest first. */
--- a/packages/dispatch/stops/EndpointQuarantine.ts
+++ b/packages/dispatch/stops/EndpointQuarantine.ts
@@ -22,7 +22,7 @@
 
   constructor(
     private readonly endpoints: ReadonlyMap<EndpointIncarnation, EndpointState>,
-    /** False when no endpoint is quarantined. */
+    /** False if the stop policy turns quarantine off, so that no endpoint is ever quarantined. */
     private readonly isEnabled: boolean,
   ) {}
 
--- a/packages/dispatch/waiting/sortByHeldShares.ts
+++ b/packages/dispatch/waiting/sortByHeldShares.ts
@@ -26,7 +26,7 @@
 const TIMELINESS = { inTime: 0, late: 1, expired: 2 } as const;
 /** Share of callers' estimates that is used as a lower bound, so that a step isn't treated as late because of a long estimate. */
 const CERTAIN_ESTIMATE_SHARE = 0.1;
-/** Expired steps go first in every time slice whose number is a multiple of this, so that newer work doesn't starve them. */
+/** Expired steps go first in one of this many time slices, so that they still start while newer steps keep coming. */
 const EXPIRED_FIRST_SLICE_INTERVAL = 8;
 /** Length of a time slice: longer than a round of placement, and short compared to objectives. */
 const TIME_SLICE_MS = 100;
--- a/packages/jobs/JobProgress.ts
+++ b/packages/jobs/JobProgress.ts
@@ -53,7 +53,7 @@
     return this.tasks[repetition]?.[step] ?? [];
   }
 
-  /** Returns a number that increases with each change of a task. */
+  /** Returns a number that increases with each change of any task of the job. */
   getVersion(): number {
     return this.version;
   }
--- a/packages/load/admissionModes.ts
+++ b/packages/load/admissionModes.ts
@@ -6,7 +6,7 @@
   readonly canRefuseJobs: boolean;
 }
 
-/** Rules of each admission mode. */
+/** Whether load digests are published and jobs may be refused, by admission mode. */
 export const admissionModes: Readonly<Record<AdmissionMode, AdmissionRules>> = {
   open: { isLoadPublished: false, canRefuseJobs: false },
   watch: { isLoadPublished: true, canRefuseJobs: false },
