--- a/packages/customers/CustomerMetrics.ts
+++ b/packages/customers/CustomerMetrics.ts
@@ -3,7 +3,7 @@
 
 /** Values of one customer in the metrics. */
 export interface CustomerMetrics {
-  readonly name: CustomerName;
+  readonly customer: CustomerName;
   /** Resources of runs that are in progress, including those whose end is not yet certain. */
   readonly usedResources: TaskDemand;
   /** Number of runs that are in progress, including those whose end is not yet certain. */
--- a/packages/customers/formatCustomerMetrics.ts
+++ b/packages/customers/formatCustomerMetrics.ts
@@ -27,7 +27,7 @@
   const lines = Object.entries(METRIC_GETTERS).flatMap(([name, getValue]) =>
     shown.map(
       (metrics) =>
-        `stairline_customer_${name}{customer="${toLabelValue(metrics.name)}"} ${getValue(metrics)}`,
+        `stairline_customer_${name}{customer="${toLabelValue(metrics.customer)}"} ${getValue(metrics)}`,
     ),
   );
   return lines.map((line) => `${line}\n`).join('');
--- a/packages/dispatch/advice/AdviceRequester.ts
+++ b/packages/dispatch/advice/AdviceRequester.ts
@@ -164,7 +164,7 @@
           continue;
         }
         const leadMs = advice.decisionMs + advice.perEndpointMs * BUDGETED_CANDIDATES + EARLY_MARGIN_MS;
-        if (this.estimateReadyInMs(job, repetition, step, now) <= leadMs) {
+        if (this.estimateStepReadyInMs(job, repetition, step, now) <= leadMs) {
           const indexes = progress.listTasks(repetition, step).map((_task, index) => index);
           this.sendEarlyRequest(
             { job, repetition, step, shape, indexes, objectiveAtMs: job.getObjectiveAtMs(repetition) },
@@ -188,7 +188,7 @@
    * Returns the estimated time until a dependent step becomes ready, in milliseconds: the longest remaining time of the placed tasks that
    * it depends on; Infinity while one of them waits.
    */
-  private estimateReadyInMs(job: LiveJob, repetition: number, step: number, now: number): number {
+  private estimateStepReadyInMs(job: LiveJob, repetition: number, step: number, now: number): number {
     let readyInMs = 0;
     for (const earlier of job.definition.steps[step]!.dependsOn) {
       for (const [index, task] of job.progress.listTasks(repetition, earlier).entries()) {
--- a/packages/dispatch/advice/PlannedCandidateSelector.ts
+++ b/packages/dispatch/advice/PlannedCandidateSelector.ts
@@ -60,7 +60,7 @@
 /** Assumed probability that capacity is freed on a full endpoint while its ticket is valid. */
 const CAPACITY_FREED_CHANCE = 0.3;
 /** Expected delay from a response to the starts that use it. */
-const START_DELAY_MS = 120;
+const RESPONSE_TO_START_MS = 120;
 /** Assumed time of a request beyond the response time of the service. */
 const REQUEST_OVERHEAD_MS = 30;
 /** Maximum number of candidates for a step that is not a gang, whose first tasks can start before all have tickets. */
@@ -68,7 +68,7 @@
 /** Maximum number of endpoints that the service accepts in one request. */
 const MAX_CANDIDATES = 100;
 /** Maximum number of tasks on one endpoint for which capacity after preemption is computed. */
-const MAX_PREEMPTION_TASKS = 3;
+const MAX_PREEMPTION_TASKS_PER_ENDPOINT = 3;
 /** Minimum share of a gang's missing tasks that are expected to be allowed on available endpoints, for a request to be sent. */
 const MIN_EXPECTED_GANG_SHARE = 0.4;
 /** Decision time of the service that one expected start justifies. */
@@ -203,7 +203,7 @@
     const { decisionMs, perEndpointMs, validityMs } = queue.advice!;
     const advice = step.job.getStepAdvice(step.repetition, step.step);
     const responseMs = decisionMs + perEndpointMs * MAX_CANDIDATES_WITHOUT_GANG;
-    const usedAt = Math.max(neededUntil, now + responseMs + START_DELAY_MS);
+    const usedAt = Math.max(neededUntil, now + responseMs + RESPONSE_TO_START_MS);
     const stayChance = 0.5 ** (responseMs / CAPACITY_HALF_LIFE_MS);
     const renewUntil = now + validityMs * MIN_REMAINING_VALIDITY_SHARE;
     const demand = toReservedDemand(step.shape);
@@ -261,7 +261,7 @@
       this.computeStoppingDemand(endpoint),
     );
     const taskCount = this.options.capacityView.countFittingTasks(capacity, step.shape);
-    const isPreemptionTried = canPreempt && taskCount < MAX_PREEMPTION_TASKS;
+    const isPreemptionTried = canPreempt && taskCount < MAX_PREEMPTION_TASKS_PER_ENDPOINT;
     return isPreemptionTried
       ? Math.max(taskCount, this.countTasksAfterPreemption(step, endpoint, now))
       : taskCount;
@@ -276,15 +276,15 @@
     return demand;
   }
 
-  /** Returns how many tasks of the step would fit after preemption of less urgent runs, at most `MAX_PREEMPTION_TASKS`. */
+  /** Returns how many tasks of the step would fit after preemption of less urgent runs, at most `MAX_PREEMPTION_TASKS_PER_ENDPOINT`. */
   private countTasksAfterPreemption(step: WaitingStep, endpoint: EndpointState, now: number): number {
     const { preemptor } = this.options;
     const { shape } = step;
     const demand = toReservedDemand(shape);
     const maxCount =
       shape.maxPerEndpoint === 0
-        ? MAX_PREEMPTION_TASKS
-        : Math.min(MAX_PREEMPTION_TASKS, shape.maxPerEndpoint);
+        ? MAX_PREEMPTION_TASKS_PER_ENDPOINT
+        : Math.min(MAX_PREEMPTION_TASKS_PER_ENDPOINT, shape.maxPerEndpoint);
     let count = 0;
     while (
       count < maxCount &&
--- a/packages/dispatch/endpoints/EndpointSessions.ts
+++ b/packages/dispatch/endpoints/EndpointSessions.ts
@@ -63,7 +63,7 @@
   /** Endpoints of services that no queue uses. */
   private readonly unusedEndpoints = new Set<EndpointId>();
   /** True from `startSessions` to `stop`, while sessions may be started. */
-  private isPollingEnabled = false;
+  private canStartSessions = false;
 
   constructor(private readonly options: EndpointSessionsOptions) {
     this.endpointRecords = new EndpointRecords({
@@ -82,7 +82,7 @@
 
   /** Starts sessions with the known endpoints whose service is used, and with each such endpoint that registers from then on. */
   startSessions(): void {
-    this.isPollingEnabled = true;
+    this.canStartSessions = true;
     for (const id of this.knownEndpoints.keys()) {
       this.startSessionsFor(id);
     }
@@ -90,7 +90,7 @@
 
   /** Stops reading records, and all sessions. */
   stop(): void {
-    this.isPollingEnabled = false;
+    this.canStartSessions = false;
     this.endpointRecords.stop();
     for (const session of this.sessions.values()) {
       session.stop();
@@ -204,7 +204,7 @@
    */
   private startSessionsFor(id: EndpointId): void {
     const { newestProfile, currentIncarnation } = this.getKnownEndpoint(id);
-    if (!this.isPollingEnabled || newestProfile === undefined) {
+    if (!this.canStartSessions || newestProfile === undefined) {
       return;
     }
     const isUsed = currentIncarnation !== undefined || this.options.isServiceUsed(newestProfile.service);
@@ -224,7 +224,7 @@
     const { clock, dispatcher, canGrantLeases, createEndpointClient, handleNewerLeader } = this.options;
     const { id, incarnation } = profile;
     const endpoint = dispatcher.getEndpointState(incarnation);
-    if (!this.isPollingEnabled || this.sessions.has(incarnation) || endpoint === undefined) {
+    if (!this.canStartSessions || this.sessions.has(incarnation) || endpoint === undefined) {
       return;
     }
     const { fence } = this.getKnownEndpoint(id);
--- a/packages/dispatch/runs/RunMover.ts
+++ b/packages/dispatch/runs/RunMover.ts
@@ -163,7 +163,7 @@
       return true;
     }
     return this.options.stopPolicy.isEvictionDue({
-      untilDeadlineMs: endpoint.getDrainDeadline(now) - now,
+      untilDrainDeadlineMs: endpoint.getDrainDeadline(now) - now,
       remainingMs: this.estimateRemainingMs(run, shape),
       isSavingOnStop: shape.isCheckpointing,
     });
--- a/packages/dispatch/runs/RunTracker.ts
+++ b/packages/dispatch/runs/RunTracker.ts
@@ -176,7 +176,7 @@
     job.progress.recordJobEnd(ending, wallMs);
     this.callbacks.handleProgressChanged(job.definition.id);
     this.sendLogLine('Job ended.', { job: job.definition.id, queue: job.definition.queue.name, ending });
-    this.logLateJob(job, ending, wallMs);
+    this.logFailedOrLateJob(job, ending, wallMs);
     for (const endpoint of this.endpoints.values()) {
       for (const run of [...endpoint.getRuns()]) {
         if (run.job === job.definition.id) {
@@ -229,7 +229,7 @@
   }
 
   /** Logs an account of the job's time if the job failed, or completed after its objective. */
-  private logLateJob(job: LiveJob, ending: JobEndKind, wallMs: number): void {
+  private logFailedOrLateJob(job: LiveJob, ending: JobEndKind, wallMs: number): void {
     const { definition, trace } = job;
     const lateMs = wallMs - job.getObjectiveAtMs(definition.times - 1);
     if (ending === 'failed' || (ending === 'completed' && lateMs > 0)) {
--- a/packages/dispatch/stops/isEvictionDue.ts
+++ b/packages/dispatch/stops/isEvictionDue.ts
@@ -5,6 +5,6 @@
  * when they are stopped go on until `marginMs` before the deadline; others are evicted at once.
  */
 export const isEvictionDue = (
-  { untilDeadlineMs, remainingMs, isSavingOnStop }: EvictionInput,
+  { untilDrainDeadlineMs, remainingMs, isSavingOnStop }: EvictionInput,
   marginMs: number,
-): boolean => remainingMs > untilDeadlineMs && (!isSavingOnStop || untilDeadlineMs < marginMs);
+): boolean => remainingMs > untilDrainDeadlineMs && (!isSavingOnStop || untilDrainDeadlineMs < marginMs);
--- a/packages/dispatch/waiting/placementOrders.ts
+++ b/packages/dispatch/waiting/placementOrders.ts
@@ -17,7 +17,7 @@
 const compareObjective: StepComparator = (left, right) => left.objectiveAtMs - right.objectiveAtMs;
 
 /** Puts steps last whose customer was over its share of the job rate when the job was accepted. */
-const compareOverShare: StepComparator = (left, right) =>
+const compareIsOverShare: StepComparator = (left, right) =>
   Number(left.job.isOverShare) - Number(right.job.isOverShare);
 
 /** Returns the processor usage of a step's customer divided by its weight; 0 without a customer, or for a weight of 0. */
@@ -34,9 +34,9 @@
 /** Comparators of each order. Each one breaks the ties of those before it. */
 const COMPARATORS: Readonly<Record<Exclude<PlacementOrder, 'held'>, readonly StepComparator[]>> = {
   objective: [comparePriority, compareLateness, compareObjective],
-  shares: [comparePriority, compareOverShare, compareLateness, compareObjective],
+  shares: [comparePriority, compareIsOverShare, compareLateness, compareObjective],
   usage: [comparePriority, compareUsage, compareLateness, compareObjective],
-  sharesThenUsage: [comparePriority, compareOverShare, compareUsage, compareLateness, compareObjective],
+  sharesThenUsage: [comparePriority, compareIsOverShare, compareUsage, compareLateness, compareObjective],
 };
 
 /** Creates a function that returns the steps sorted by several comparators; later ones break the ties of earlier ones. */
--- a/packages/load/chooseAdmission.ts
+++ b/packages/load/chooseAdmission.ts
@@ -31,7 +31,7 @@
  * Returns the factor on the expected wait, 0 to 1: the customer's dominant share divided by its fair share; 0 for a customer that is not
  * among those with waiting tasks, and 1 without a customer, a fair share or any customers in the digest.
  */
-const computeWaitFactor = (digest: LoadDigest, { customer }: AdmissionRequest): number => {
+const computeShareOfExpectedWait = (digest: LoadDigest, { customer }: AdmissionRequest): number => {
   if (customer === undefined) {
     return 1;
   }
@@ -69,7 +69,7 @@
   if (computeInitialCpuMillis(request) <= load.digest.freeCpuMillis) {
     return { kind: 'room' };
   }
-  const expectedWaitMs = Math.round(queue.expectedWaitMs * computeWaitFactor(load.digest, request));
+  const expectedWaitMs = Math.round(queue.expectedWaitMs * computeShareOfExpectedWait(load.digest, request));
   const maxWaitMs = computeMaxWaitMs(request);
   return expectedWaitMs <= maxWaitMs
     ? { kind: 'bearable', expectedWaitMs }
--- a/packages/logging/LineRates.ts
+++ b/packages/logging/LineRates.ts
@@ -3,7 +3,7 @@
 /** Number of past slots in the window. */
 const WINDOW_SLOTS = 4;
 
-interface Slot {
+interface LineCounts {
   readonly number: number;
   jobLines: number;
   otherLines: number;
@@ -12,7 +12,7 @@
 /** Rates of lines in a sliding window, written or not. */
 export class LineRates {
   /** The slots of the window that have any line, newest last. */
-  private recentSlots: Slot[] = [];
+  private recentSlots: LineCounts[] = [];
 
   recordLine(isJobLine: boolean, now: number): void {
     const slot = this.getSlot(now);
@@ -35,7 +35,7 @@
   }
 
   /** Returns the slot of a time, or the newest if that is later. A new slot is added, and those before the window are removed. */
-  private getSlot(now: number): Slot {
+  private getSlot(now: number): LineCounts {
     const number = Math.floor(now / SLOT_MS);
     const newest = this.recentSlots[this.recentSlots.length - 1];
     if (newest !== undefined && newest.number >= number) {
--- a/packages/logging/formatLateJob.ts
+++ b/packages/logging/formatLateJob.ts
@@ -36,8 +36,8 @@
   return Object.fromEntries(Object.entries(sums).map(([cause, ms]) => [cause, Math.round(ms)]));
 };
 
-/** Chooses the runs on the critical path that are logged: the longest ones, in order. */
-const chooseRunRows = (history: JobHistory, path: readonly LedgerSpan[]): readonly LineFields[] => {
+/** Formats the runs on the critical path that are logged: the longest ones, in order. */
+const formatLongestRuns = (history: JobHistory, path: readonly LedgerSpan[]): readonly LineFields[] => {
   const names = new Set(path.map(({ run }) => run));
   const runs = [...history.runs.values()].filter((run) => names.has(toRunName(run)));
   const longest = [...runs]
@@ -68,6 +68,6 @@
     totalMs: Math.round(endedAt - acceptedAt),
     causes: computeCauseSums(path),
     path: choosePathRows(path),
-    runs: chooseRunRows(history, path),
+    runs: formatLongestRuns(history, path),
   };
 };
--- a/packages/serve/computeCustomerMetrics.ts
+++ b/packages/serve/computeCustomerMetrics.ts
@@ -12,7 +12,7 @@
   const usage = dispatcher.getCustomerUsage().getAllUsages();
   const waiting = dispatcher.countWaitingTasks(wallMs);
   return [...customers.listCustomers()].map(({ name, limit }) => ({
-    name,
+    customer: name,
     limit,
     usedResources: usage.get(name)?.taken ?? resourceMath.ZERO,
     runCount: usage.get(name)?.runs ?? 0,
--- a/tests/customers.test.ts
+++ b/tests/customers.test.ts
@@ -230,7 +230,7 @@
 describe('the metrics of customers', () => {
   it('are labelled with the escaped name, for a bounded number of customers', () => {
     const metrics = {
-      name: toId<CustomerName>('a "b"\\'),
+      customer: toId<CustomerName>('a "b"\\'),
       usedResources: { cpuMillis: 1500, memoryMb: 0, accelerators: 0 },
       runCount: 2,
       waitingTaskCount: 7,
--- a/tests/stops.test.ts
+++ b/tests/stops.test.ts
@@ -101,10 +101,10 @@
   });
 
   it('off a draining endpoint are made as late as possible for runs that save their work, at once for others, and not for runs that end in time', () => {
-    const input = { untilDeadlineMs: 3000, remainingMs: 4000 };
+    const input = { untilDrainDeadlineMs: 3000, remainingMs: 4000 };
     expect(isEvictionDue({ ...input, isSavingOnStop: false }, 1300)).toBe(true);
     expect(isEvictionDue({ ...input, isSavingOnStop: true }, 1300)).toBe(false);
-    expect(isEvictionDue({ ...input, isSavingOnStop: true, untilDeadlineMs: 1200 }, 1300)).toBe(true);
+    expect(isEvictionDue({ ...input, isSavingOnStop: true, untilDrainDeadlineMs: 1200 }, 1300)).toBe(true);
     expect(isEvictionDue({ ...input, isSavingOnStop: false, remainingMs: 2900 }, 1300)).toBe(false);
   });
 });
