--- a/packages/cli/exitCodes.ts
+++ b/packages/cli/exitCodes.ts
@@ -1,4 +1,4 @@
-/** Exit codes of the command line. */
+/** Exit codes of all commands, for use in scripts. */
 export const exitCodes = {
   done: 0,
   /** The command failed or was refused, or work was interrupted. */
--- a/packages/cli/replayCommand.ts
+++ b/packages/cli/replayCommand.ts
@@ -9,7 +9,7 @@
 import { writeError } from './writeError';
 import { writeLine } from './writeLine';
 
-/** `stairline replay`: replays a recorded trace of scheduling decisions on a virtual clock. */
+/** `stairline replay`: replays a recorded trace of scheduler events through the scheduler on a virtual clock. */
 export const replayCommand: Command = {
   name: 'replay',
   summary:
--- a/packages/common/HybridClock.ts
+++ b/packages/common/HybridClock.ts
@@ -1,7 +1,7 @@
 import type { Clock } from './Clock';
 import type { HybridTime } from './HybridTime';
 
-/** Hybrid logical clock of one process. */
+/** Creates timestamps that sort after all earlier timestamps of this process and all received ones. */
 export class HybridClock {
   private last: HybridTime = { ms: 0, count: 0 };
 
--- a/packages/common/MachineClock.ts
+++ b/packages/common/MachineClock.ts
@@ -1,6 +1,6 @@
 import type { Clock } from './Clock';
 
-/** Clock of a process on a machine that may be suspended. */
+/** Clock that also gives an upper bound of elapsed time that includes possible suspensions of the machine. */
 export interface MachineClock extends Clock {
   /**
    * Returns an upper bound of the milliseconds elapsed since a monotonic time. Use it for the expiry of leases that this process
--- a/packages/common/SmoothedTime.ts
+++ b/packages/common/SmoothedTime.ts
@@ -18,7 +18,7 @@
     this.meanMs += MEAN_WEIGHT * (durationMs - this.meanMs);
   }
 
-  /** Returns the mean; undefined before the first duration. */
+  /** Returns the exponentially smoothed mean in milliseconds; undefined before the first duration. */
   getMeanMs(): number | undefined {
     return this.meanMs;
   }
--- a/packages/common/StepFilteredClock.ts
+++ b/packages/common/StepFilteredClock.ts
@@ -1,7 +1,7 @@
 import type { Clock } from './Clock';
 
 interface StepFilteredClockOptions {
-  /** Clock to filter. */
+  /** Clock whose short-lived steps of wall time are to be ignored. */
   readonly source: Clock;
   /** Called when a step of the wall clock was confirmed and applied. */
   readonly handleStep: (byMs: number) => void;
--- a/packages/serve/ForwardingWriter.ts
+++ b/packages/serve/ForwardingWriter.ts
@@ -50,7 +50,10 @@
  * them. The leader also learns of each job without reading it from the log.
  */
 export class ForwardingWriter implements RecordWriter {
-  /** Monotonic time at which forwarding last failed. While its activity is readable, the leader must have been active since. */
+  /**
+   * Monotonic time of the last forwarding failure. While this box can read the leader's activity from the log, it forwards again only after
+   * activity later than this.
+   */
   private forwardingFailedAt = -Infinity;
   /** Timeout of the next forwarded write. */
   private forwardTimeoutMs = MIN_FORWARD_TIMEOUT_MS;
--- a/packages/serve/ServeProcess.ts
+++ b/packages/serve/ServeProcess.ts
@@ -187,7 +187,10 @@
     this.logger.info('Settings reloaded.', { box: this.options.settings.box });
   }
 
-  /** Returns whether this box accepts callers: it is not stopping, can use the log and has a configuration. For the readiness probe. */
+  /**
+   * Returns whether this box accepts callers: it is not stopping, can read the topics it follows, has a configuration and, as leader, its
+   * appends have not failed for too long. For the readiness probe.
+   */
   isReady(): boolean {
     return !this.isStopping && this.isLogAvailable() && this.router.getConfiguration() !== undefined;
   }
--- a/packages/serve/ServeSettings.ts
+++ b/packages/serve/ServeSettings.ts
@@ -4,7 +4,7 @@
 export interface ServeSettings extends ServePolicies {
   readonly box: string;
   readonly hall: string;
-  /** Processor cores that the box may use. */
+  /** Processing capacity that the box may use, as a number of cores of reference speed. */
   readonly cores: number;
   /** Bandwidth of the box's network link in Mbit/s. */
   readonly linkMbps: number;
--- a/packages/standins/EndpointStats.ts
+++ b/packages/standins/EndpointStats.ts
@@ -10,6 +10,6 @@
   readonly runningCount: number;
   /** Number of starts of each request, by `ROW REQUEST`. */
   readonly starts: Readonly<Record<string, number>>;
-  /** Task ids of the standing replicas that run now. */
+  /** Ids of the running tasks that are replicas of standing rows, whose replicas are always kept running. */
   readonly runningSeats: readonly string[];
 }
--- a/packages/standins/platform/KeyedTopic.ts
+++ b/packages/standins/platform/KeyedTopic.ts
@@ -17,7 +17,14 @@
 
 type AppendResponse =
   | { readonly status: 200; readonly body: { readonly offset: number; readonly end: number } }
-  | { readonly status: 409; readonly body: { readonly reason: string; readonly wanted?: number } };
+  | {
+      readonly status: 409;
+      readonly body: {
+        readonly reason: string;
+        /** Expected sequence number. */
+        readonly wanted?: number;
+      };
+    };
 
 /** Producer of an append, for fencing and deduplication. */
 interface AppendWriter {
--- a/packages/timeline/Timeline.ts
+++ b/packages/timeline/Timeline.ts
@@ -7,7 +7,7 @@
 interface TimelineOptions {
   readonly box: BoxId;
   readonly clock: HybridClock;
-  /** Maximum number of events in each of the two rings. */
+  /** Maximum number of retained request events, and of other events. */
   readonly capacity: number;
 }
 
--- a/packages/timeline/TimelineEvent.ts
+++ b/packages/timeline/TimelineEvent.ts
@@ -4,6 +4,7 @@
 
 /** Event of a process's timeline. */
 export interface TimelineEvent {
+  /** Hybrid logical time of the event. */
   readonly stamp: HybridTime;
   readonly box: BoxId;
   /** Component that recorded it, for example `scheduler`. */
