--- a/packages/cli/commands.ts
+++ b/packages/cli/commands.ts
@@ -1,6 +1,6 @@
 import { checkCommand } from './checkCommand';
 import type { Command } from './Command';
-import { endedCommand } from './endedCommand';
+import { confirmEndedCommand } from './confirmEndedCommand';
 import { entryCommand } from './entryCommand';
 import { explainJobCommand } from './explainJobCommand';
 import { explainCommand } from './explainCommand';
@@ -23,5 +23,5 @@
   timelineCommand,
   explainCommand,
   replayCommand,
-  endedCommand,
+  confirmEndedCommand,
 ];
--- a/packages/cli/endedCommand.ts
+++ b/packages/cli/confirmEndedCommand.ts
@@ -15,7 +15,7 @@
 import { writeLine } from './writeLine';
 
 /** `stairline ended`: records an operator's confirmation that an entry process has ended. */
-export const endedCommand: Command = {
+export const confirmEndedCommand: Command = {
   name: 'ended',
   summary: 'Confirm that an entry process has ended, so that its hall does not wait for it.',
   usage: 'PROCESS-ID --settings FILE --hall HALL --i-have-checked',
--- a/packages/entry/JobController.ts
+++ b/packages/entry/JobController.ts
@@ -82,7 +82,7 @@
   async stopJob(id: RequestId): Promise<void> {
     const task = this.options.scheduler.readTask(id);
     if (task !== undefined) {
-      await this.options.directory.readClient(task.worker)?.sendAction(this.toTaskId(id), 'stop', 0);
+      await this.options.directory.readClient(task.worker)?.sendTaskControl(this.toTaskId(id), 'stop', 0);
     }
   }
 
@@ -97,7 +97,7 @@
     // The renewal may take effect even when its answer is lost, so the lease counts anew from here, and from the end of the call once that is
     // known: the bytes may have left late.
     active.sentAt = this.options.context.clock.getNow();
-    const status = await client.sendAction(this.toTaskId(id), 'renew', leaseMs);
+    const status = await client.sendTaskControl(this.toTaskId(id), 'renew', leaseMs);
     active.sentAt = this.options.context.clock.getNow();
     return status;
   }
@@ -225,7 +225,7 @@
     this.recordJobEvent(effect.id, 'yield asked', { worker: effect.worker, inFavourOf: effect.inFavourOf });
     await this.options.directory
       .readClient(effect.worker)
-      ?.sendAction(this.toTaskId(effect.id), 'checkpoint', 0);
+      ?.sendTaskControl(this.toTaskId(effect.id), 'checkpoint', 0);
   }
 
   private async startTask(effect: EffectOf<'place'>): Promise<void> {
--- a/packages/gateway/EndpointClient.ts
+++ b/packages/gateway/EndpointClient.ts
@@ -73,7 +73,11 @@
   }
 
   /** Sends a control request for a task. Returns the status of the response, or 0 if there was none. */
-  async sendAction(task: string, action: 'checkpoint' | 'renew' | 'stop', limitMs: number): Promise<number> {
+  async sendTaskControl(
+    task: string,
+    action: 'checkpoint' | 'renew' | 'stop',
+    limitMs: number,
+  ): Promise<number> {
     const path = `/tasks/${encodeURIComponent(task)}/${action}`;
     const response = await this.sendControlRequest(path, { [headerNames.timeLimit]: String(limitMs) });
     return response.ok ? response.value.status : 0;
--- a/packages/serve/ServeProcess.ts
+++ b/packages/serve/ServeProcess.ts
@@ -424,7 +424,7 @@
       createEndpointClient: (profile, getToken) => adapter.createEndpointClient(profile, getToken),
       isServiceRouted: (service) => this.router.hasService(service),
       longestLeaseMs: settings.longestLeaseMs,
-      listChannels: () => this.listAdviceChannels(),
+      listChannels: () => this.listAdviceClients(),
       formatLeaderRecord: (isResigned) => this.leadership.formatLeaderRecord(epoch, isResigned),
       handleLeadershipLost: (detail) => this.handleLeadershipLost(epoch, detail),
       handleLogRecovered: (sentAt) => this.handleLogRecovered(sentAt),
@@ -441,8 +441,8 @@
     this.followers.stopLeading();
   }
 
-  /** Returns the channels for advice requests: this box first, then the other announced boxes. */
-  private listAdviceChannels(): { box: string; isOwnBox: boolean; client: AdviceClient }[] {
+  /** Returns the clients for advice requests: that of this box first, then those of the other announced boxes. */
+  private listAdviceClients(): { box: string; isOwnBox: boolean; client: AdviceClient }[] {
     const own = { box: this.options.settings.box, isOwnBox: true, client: this.adviceClient };
     const others = this.otherBoxes.clients.listOthers().map((other) => ({ ...other, isOwnBox: false }));
     return [own, ...others];
--- a/packages/store/LogClient.ts
+++ b/packages/store/LogClient.ts
@@ -49,7 +49,7 @@
   /** Reads the records from an offset on. */
   readRecords(request: ReadRequest): Promise<Result<ReadResponse, LogError>>;
   /** Reads a page of the newest record of each key. Pages are not a consistent snapshot; see `NewestReader`. */
-  readNewestPage(request: NewestRequest): Promise<Result<NewestPage, LogError>>;
+  readPageOfNewestByKey(request: NewestRequest): Promise<Result<NewestPage, LogError>>;
   /** Closes all connections. */
   stop(): Promise<void>;
 }
--- a/packages/store/NewestReader.ts
+++ b/packages/store/NewestReader.ts
@@ -30,7 +30,7 @@
    */
   async readPage(timeoutMs: number): Promise<Result<TopicPage, LogError>> {
     const { topic, afterKey } = this;
-    const page = await this.client.readNewestPage({ topic, afterKey, timeoutMs });
+    const page = await this.client.readPageOfNewestByKey({ topic, afterKey, timeoutMs });
     if (!page.ok) {
       return page;
     }
--- a/tests/expiredRecords.test.ts
+++ b/tests/expiredRecords.test.ts
@@ -25,7 +25,7 @@
   let reads = 0;
   return {
     append: () => Promise.reject(new Error('not used')),
-    readNewestPage: () =>
+    readPageOfNewestByKey: () =>
       Promise.resolve({
         ok: true,
         value: { records: [{ offset: 0, key: ENDPOINT, value: 'here' }], endOffset: 1, hasMore: false },
--- a/tests/helpers/MemoryLog.ts
+++ b/tests/helpers/MemoryLog.ts
@@ -50,10 +50,10 @@
     return { ok: true, value: logFrames.parseRecords(fromOffset, topicState.getReadBody(fromOffset)!) };
   }
 
-  async readNewestPage({
+  async readPageOfNewestByKey({
     topic,
     afterKey = '',
-  }: Parameters<LogClient['readNewestPage']>[0]): ReturnType<LogClient['readNewestPage']> {
+  }: Parameters<LogClient['readPageOfNewestByKey']>[0]): ReturnType<LogClient['readPageOfNewestByKey']> {
     await waitForDelay(LATENCY_MS);
     const topicState = this.getTopic(topic);
     const records = topicState
--- a/tests/leadership.test.ts
+++ b/tests/leadership.test.ts
@@ -18,7 +18,8 @@
     claims.push(getNow());
     return new Promise(() => undefined);
   },
-  readNewestPage: () => Promise.resolve({ ok: true, value: { records: [], endOffset: 0, hasMore: false } }),
+  readPageOfNewestByKey: () =>
+    Promise.resolve({ ok: true, value: { records: [], endOffset: 0, hasMore: false } }),
   readRecords: () => new Promise(() => undefined),
   stop: () => Promise.resolve(),
 });
--- a/tests/logFollower.test.ts
+++ b/tests/logFollower.test.ts
@@ -18,7 +18,8 @@
   /** Creates a log whose long polls never get a response. */
   const createLog = (readTimes: number[]): LogClient => ({
     append: () => Promise.reject(new Error('not used')),
-    readNewestPage: () => Promise.resolve({ ok: true, value: { records: [], endOffset: 0, hasMore: false } }),
+    readPageOfNewestByKey: () =>
+      Promise.resolve({ ok: true, value: { records: [], endOffset: 0, hasMore: false } }),
     readRecords: () => {
       readTimes.push(performance.now());
       return new Promise(() => undefined);
--- a/tests/logWriter.test.ts
+++ b/tests/logWriter.test.ts
@@ -18,7 +18,7 @@
         return { ok: false, error: { kind: 'unknown', detail: 'no answer' } };
       },
       readRecords: () => Promise.reject(new Error('not used')),
-      readNewestPage: () => Promise.reject(new Error('not used')),
+      readPageOfNewestByKey: () => Promise.reject(new Error('not used')),
       stop: () => Promise.resolve(),
     };
     const writer = new LogWriter({
--- a/tests/suspension.test.ts
+++ b/tests/suspension.test.ts
@@ -161,7 +161,7 @@
           pendingResponses.push(() => resolve({ ok: true, value: 0 }));
         }),
       readRecords: handleUnexpectedCall,
-      readNewestPage: handleUnexpectedCall,
+      readPageOfNewestByKey: handleUnexpectedCall,
       stop: () => Promise.resolve(),
     };
     const journal = new LeaderJournal({
@@ -227,7 +227,7 @@
     let sendResponse: (() => void) | undefined;
     const client: LogClient = {
       append: handleUnexpectedCall,
-      readNewestPage: () =>
+      readPageOfNewestByKey: () =>
         Promise.resolve({ ok: true, value: { records: [], endOffset: 0, hasMore: false } }),
       readRecords: () =>
         new Promise((resolve) => {
