--- a/packages/dispatch/advice/AdviceRequester.ts
+++ b/packages/dispatch/advice/AdviceRequester.ts
@@ -20,7 +20,7 @@
 /** Number of candidates assumed when the response time of a future request is estimated. */
 const BUDGETED_CANDIDATES = 30;
 /** Expected delay from a response to the starts that use it. */
-const START_DELAY_MS = 120;
+const RESPONSE_TO_START_MS = 120;
 /** Time by which the response to an early request is expected to arrive before its step becomes ready. */
 const EARLY_MARGIN_MS = 150;
 
@@ -131,7 +131,7 @@
     const { advice } = job.definition.queue;
     return advice === undefined
       ? 0
-      : advice.decisionMs + advice.perEndpointMs * BUDGETED_CANDIDATES + START_DELAY_MS;
+      : advice.decisionMs + advice.perEndpointMs * BUDGETED_CANDIDATES + RESPONSE_TO_START_MS;
   }
 
   private hasSlot(isLong: boolean): boolean {
